--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -1,4 +1,4 @@
-//! Pages of bills and a store whose answers are lost.
+//! Writing bills to a store whose responses get lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Keys on all pages, sorted.
+/// Keys on all pages in the store, sorted.
 async fn billed(platform: &Platform) -> Vec<String> {
     let pages = platform.memory().list(BILLS, "").await.expect("memory answers");
     let read = |text: &str| serde_json::from_str::<Page>(text).expect("a page").bills;
@@ -36,7 +36,7 @@
     add(&bills, &["a", "b"]);
     platform.set(|faults| faults.lose_answers = 1.0);
     bills.write(&store, true).await;
-    assert_eq!(bills.waiting(), 2, "nobody knows that the page is there");
+    assert_eq!(bills.waiting(), 2, "the box doesn't know that the page was written");
     add(&bills, &["c"]);
     platform.set(|faults| faults.lose_answers = 0.0);
     bills.write(&store, true).await;
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A request waits while it is found out whether endpoints ended under it, by an order of events that the test sets.
+//! A request waits for its verdict while probes find out whether endpoints crashed under it.
 
 use std::{net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -13,17 +13,17 @@
 };
 
 const LIMITS: Limits = Limits { ended: 3, keep_s: 86_400 };
-/// Longer than any request here may wait.
+/// Longer than any request here waits.
 const LONG: Duration = Duration::from_secs(10);
 
-/// Proofs that wait for the test, in the order in which connections broke.
+/// Probes whose results the test sets, in the order in which connections broke.
 type Proofs = Arc<Mutex<Vec<oneshot::Sender<Found>>>>;
 
 fn request() -> Fingerprint {
     Fingerprint::of(None, [b"innocent".as_slice()])
 }
 
-/// A request whose connections broke at so many endpoints, and what proves whether they ended.
+/// Crash records in which the connections of one request broke at `count` endpoints, and the open probes of these.
 async fn broken(count: u16) -> (Crashes, Proofs) {
     let proofs = Proofs::default();
     let opened = proofs.clone();
@@ -34,7 +34,7 @@
     };
     let me = Incarnation::new("box-1", 1);
     let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(prove), &Clock::by_hand());
-    // Whoever passes reports on is not needed here, but must be there.
+    // The receiver of reports isn't used, but must stay open.
     Box::leak(Box::new(reports));
     for n in 0..count {
         let address = SocketAddr::from(([127, 0, 0, 1], n + 1));
@@ -61,13 +61,13 @@
         let (crashes, proofs) = broken(found.len() as u16).await;
         let asked = request();
         let mut verdict = pin!(crashes.verdict(&asked, Instant::now() + LONG));
-        assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: it waits");
+        assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: the verdict is pending");
         let known = std::mem::take(&mut *proofs.lock());
         for (known, found) in known.into_iter().zip(found) {
-            known.send(*found).expect("somebody waits for it");
+            known.send(*found).expect("the probe is awaited");
         }
         let verdict = verdict.await;
-        // A day, less the second that may pass meanwhile.
+        // Time passes meanwhile, so the rest of the day may be a little shorter.
         let is_expected = match (verdict, expected) {
             (Verdict::Quarantined { for_s }, Verdict::Quarantined { for_s: day }) => {
                 (day - 60..=day).contains(&for_s)
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions of a gateway, case by case.
+//! Decisions of a gateway that need no I/O: routing, endpoint directory, retry budget, metering, refusals.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
         ("short", "desk.example", "/x/", &[("c", 1)]),
     ]);
-    let table = Table::new(Config::read(&text).expect("unknown fields are passed over"));
+    let table = Table::new(Config::read(&text).expect("unknown fields are ignored"));
     let cases = [
         ("desk.example", "/x/y/z", Some("long")),
         ("desk.example:8080", "/x/yz", Some("short")),
@@ -72,11 +72,11 @@
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.set("a".into(), 3, entry("draining"));
-    assert_eq!(ready(&directory), ["b"], "it said so");
+    assert_eq!(ready(&directory), ["b"], "a is draining");
     directory.set("a".into(), 1, entry("ready"));
     assert_eq!(ready(&directory), ["b"], "an older entry does not undo it");
     directory.remove("b", 99);
-    assert!(ready(&directory).is_empty(), "its entry went");
+    assert!(ready(&directory).is_empty(), "the entry of b was removed");
 }
 
 #[test]
@@ -89,12 +89,12 @@
     assert!(directory.keeps_missing());
     assert!(!directory.sweep(11_999));
     directory.set("b".into(), 11, entry("ready"));
-    assert!(!directory.sweep(12_000), "it came back");
+    assert!(!directory.sweep(12_000), "b came back");
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.returned(15_000, 20_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
     assert!(!directory.sweep(19_999));
-    assert!(directory.sweep(20_000), "it did not come back this time");
+    assert!(directory.sweep(20_000), "b did not come back this time");
     assert_eq!(ready(&directory), ["a"]);
 }
 
@@ -109,7 +109,7 @@
         10_000,
     );
     directory.remove("b", 99);
-    assert_eq!(ready(&directory), ["a"], "the store answers, so b left");
+    assert_eq!(ready(&directory), ["a"], "the store is back, so b was removed");
     assert!(!directory.keeps_missing());
 }
 
@@ -119,14 +119,14 @@
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.returned(5_000, 12_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
-    // A task that looks seldom finds the store 2 s later, and has lost it at about the same time.
+    // A task that probes seldom finds the store 2 s later and reports the same outage.
     directory.returned(6_000, 14_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
-    assert!(directory.sweep(12_000), "b did not come back in its time");
+    assert!(directory.sweep(12_000), "the time for b was not extended");
     assert_eq!(ready(&directory), ["a"]);
     directory.returned(13_000, 20_000);
     directory.list(Vec::new(), 9, 18_000);
-    assert_eq!(ready(&directory), ["a"], "another outage gives time again");
+    assert_eq!(ready(&directory), ["a"], "another outage gives a again time to come back");
 }
 
 #[test]
@@ -138,9 +138,9 @@
         (0..4).for_each(|_| retries.request(&service, second, &limits));
     }
     let taken = (0..20).filter(|_| retries.take(&service, 9, &limits)).count();
-    assert_eq!(taken, 5, "a tenth of 40 and one more");
-    assert!(!retries.take(&service, 18, &limits), "the repeats of second 9 still count");
-    assert!(retries.take(&service, 19, &limits), "a new window has its extra one");
+    assert_eq!(taken, 5, "a tenth of 40 requests and one extra");
+    assert!(!retries.take(&service, 18, &limits), "retries of second 9 still count");
+    assert!(retries.take(&service, 19, &limits), "a new window has its own extra retry");
     assert!(retries.take(&"other".into(), 9, &limits), "services do not share");
 }
 
@@ -150,7 +150,7 @@
     for size in 1..stream.len() {
         let mut meter = Meter::default();
         stream.chunks(size).for_each(|part| meter.pass(part));
-        assert_eq!(meter.events(), 3, "in parts of {size}");
+        assert_eq!(meter.events(), 3, "in chunks of {size}");
         assert!(meter.is_inside(), "the last event has not ended");
     }
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which availability zones are to be empty, heard in any order from the store and from other boxes.
+//! Which availability zones are evacuated, learned in any order from the store and from peers.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,18 +6,18 @@
 use objects::Change;
 use proptest::prelude::*;
 
-/// What happens in the store, and to two homes of news and a listener.
+/// An event in the store, at one of two watchers, or at the subscriber.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The operator wants a zone to be empty, or takes it back.
+    /// The operator evacuates a zone or ends its evacuation.
     Write { zone: u8, empty: bool },
-    /// A home reads all.
+    /// A watcher lists the store.
     List { home: usize },
-    /// A watch of a home brings some of the changes that it lacks.
+    /// A watcher receives some of the changes since its version.
     Watch { home: usize, most: usize },
-    /// The listener hears a home.
+    /// The subscriber receives the state of a watcher.
     Hear { home: usize },
-    /// What a home told some time ago arrives only now.
+    /// A state that a watcher sent earlier arrives late.
     HearLate { home: usize, ago: usize },
 }
 
@@ -34,11 +34,11 @@
 #[derive(Default)]
 struct Run {
     version: u64,
-    /// Which zones were to be empty at each version of the store.
+    /// Evacuated zones at each version of the store.
     truth: BTreeMap<u64, Zones>,
     log: Vec<Change>,
     homes: [Evacuations; 2],
-    /// Up to which version the watch of each home came.
+    /// Version up to which each watcher has seen changes.
     watched: [u64; 2],
     told: [Vec<(Zones, u64)>; 2],
     listener: Evacuations,
@@ -94,12 +94,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Whoever hears what in whichever order knows a state that the store had, and never goes back to an
-    /// older one.
+    /// In any order of events, every box has a state that the store had at some version, and the subscriber never goes
+    /// back to an older one.
     #[test]
     fn zones_are_those_of_a_version_that_only_grows(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
-        // Homes begin with a list, as their watches need a version to begin with.
+        // A watch needs the version of a list to start from.
         run.step(&Step::List { home: 0 });
         run.step(&Step::List { home: 1 });
         let mut before = 0;
@@ -109,7 +109,7 @@
                 let truth = run.truth.get(&known.at()).cloned().unwrap_or_default();
                 prop_assert_eq!(known.zones(), &truth, "as at version {}", known.at());
             }
-            prop_assert!(run.listener.at() >= before, "it went back");
+            prop_assert!(run.listener.at() >= before, "the subscriber went back to an older version");
             before = run.listener.at();
         }
         run.step(&Step::List { home: 0 });
@@ -127,11 +127,14 @@
         value: value.map(Into::into),
     };
     let mut known = Evacuations::default();
-    assert!(known.replace(Zones::new(), 0), "that none is to be empty is news to begin with");
+    assert!(known.replace(Zones::new(), 0), "the first state is a change, even if it is empty");
     assert!(known.change(&[change(3, Some("{}")), change(5, None)]));
     assert!(known.replace(Zones::new(), 9));
-    assert!(!known.change(&[change(3, Some("{}"))]), "it was taken back since");
+    assert!(!known.change(&[change(3, Some("{}"))]), "the evacuation has ended since");
     assert!(known.zones().is_empty());
-    assert!(known.change(&[change(11, Some("bytes that nobody can read"))]), "being there counts");
+    assert!(
+        known.change(&[change(11, Some("bytes that nobody can read"))]),
+        "the entry counts whatever its content"
+    );
     assert!(known.zones().contains("bornova"));
 }
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -1,4 +1,4 @@
-//! When a box sends its callers elsewhere, on a paused clock.
+//! Shedding of connections by a box whose network link is saturated, on a paused clock.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 /// 10 Mbit/s.
 const BYTES_PER_S: usize = 1_250_000;
 
-/// Passes so many bytes a second, in pieces, for some seconds; whether the link sheds after each.
+/// Sends traffic at a rate for some seconds; returns for each second whether the link sheds at its end.
 async fn pass(link: &Link, bytes_per_s: usize, seconds: u32) -> Vec<bool> {
     let mut sheds = Vec::new();
     for _ in 0..seconds {
--- a/crates/gateway/tests/loopback/crash.rs
+++ b/crates/gateway/tests/loopback/crash.rs
@@ -1,4 +1,4 @@
-//! Boxes that die without a word.
+//! Boxes that crash, or shut down without the store: tokens they held, and bills they had not written.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::world::{World, answers, call, charged, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// What may be lost with one box: 3% of what is paid.
+/// Tokens that may be lost with one box: 3% of what is paid.
 const LOST: u64 = PAID * 3 / 100;
 
-/// Two boxes that serve, and what they need.
+/// Two boxes that serve requests.
 struct Fleet {
     world: World,
     one: Gateway,
@@ -36,9 +36,9 @@
     }
 }
 
-/// Waits until a box holds much and has promised most of it.
+/// Waits until a box holds many tokens and has promised its witness to keep most of them.
 async fn until_it_keeps_most(world: &World, gateway: &Gateway) {
-    until("the box holds much and keeps most of it", async || {
+    until("the box holds many tokens and keeps most of them", async || {
         call(gateway.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = gateway.balance("bornova");
@@ -47,9 +47,9 @@
     .await;
 }
 
-/// Waits until the book knows of no earlier life of a box that started again.
+/// Waits until the book has settled the earlier incarnation of a box and registered the new one.
 async fn until_replaced(world: &World, first: &Incarnation, again: &Gateway) {
-    until("the earlier life is settled", async || {
+    until("the earlier incarnation is settled", async || {
         let book = world.book().await;
         let is_settled = !book.writers.contains_key(first) && !book.claims.contains_key(first);
         is_settled && book.writers.contains_key(again.incarnation())
@@ -72,8 +72,8 @@
     drop(two);
 }
 
-/// The load: a keeper loses power while the store turns boxes away, and its next life reads the book before
-/// it has read which other boxes there are. In a play with one such death 12.8% of all that customers had paid was lost.
+/// After a crash, a box may read the book before it knows its peers. It must still collect from its witness what it
+/// had kept.
 #[tokio::test]
 async fn little_is_lost_with_a_box_whose_next_life_knows_no_other() {
     let Fleet { world, one, two, _endpoints } = Fleet::start().await;
@@ -93,7 +93,7 @@
 #[tokio::test]
 async fn nothing_is_lost_with_a_box_that_stops_by_plan_while_the_store_is_down() {
     let Fleet { world, one, two, _endpoints } = Fleet::start().await;
-    until("box 1 holds much and has a witness", async || {
+    until("box 1 holds many tokens and has a witness", async || {
         call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = one.balance("bornova");
@@ -101,7 +101,7 @@
     })
     .await;
     let charged = charged(&one);
-    until("all that it charged is settled", async || {
+    until("everything it charged is settled", async || {
         world.book().await.ledgers["bornova"].statement.tokens >= charged
     })
     .await;
@@ -112,7 +112,7 @@
     let again = world.gateway("box-1").await;
     until_replaced(&world, &first, &again).await;
     let lost = world.book().await.ledgers["bornova"].lost;
-    // A settlement under way when the store went down may leave a little.
+    // A settlement that was in flight when the store went down may leave a few tokens.
     assert!(lost < LOST / 10, "{lost} of {PAID} tokens lost");
     drop(two);
 }
@@ -134,7 +134,7 @@
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
     let again = [world.gateway("box-1").await, world.gateway("box-2").await];
-    until("the earlier lives are settled", async || {
+    until("the earlier incarnations are settled", async || {
         let book = world.book().await;
         let is_settled =
             |first| !book.writers.contains_key(first) && !book.claims.contains_key(first);
@@ -142,7 +142,7 @@
     })
     .await;
     let lost = world.book().await.ledgers["bornova"].lost;
-    assert!(lost >= held, "nobody can tell that {held} tokens were not used: {lost} lost");
+    assert!(lost >= held, "without a witness the {held} kept tokens count as used: {lost} lost");
     drop(again);
 }
 
@@ -158,14 +158,14 @@
     assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
     link.set_cut(true);
     one.stop().await;
-    // The other box writes them with its own, which it does last when it stops.
+    // The other box writes them together with its own when it stops.
     two.stop().await;
     let keys = world.billed().await;
     let count = keys.iter().filter(|key| **key == asked.id).count();
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: whoever took the pages over is killed before it wrote them.
+/// The box that took the bills over is killed before it has written them.
 #[tokio::test]
 async fn bills_that_were_handed_over_outlive_the_box_that_took_them() {
     let world = World::open(PAID, &["stream"]).await;
@@ -182,7 +182,10 @@
     link.set_cut(true);
     world.platform.set(|faults| faults.down = true);
     one.stop().await;
-    let took = others.iter().position(|other| other.bills_waiting() > 0).expect("one took them");
+    let took = others
+        .iter()
+        .position(|other| other.bills_waiting() > 0)
+        .expect("a box took the bills over");
     drop(others.remove(took));
     world.platform.set(|faults| faults.down = false);
     others.remove(0).stop().await;
@@ -191,7 +194,7 @@
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: a box starts while the others do not reach the store, and stops while it does not reach it either.
+/// A box starts while the others are cut off from the store, and stops while it is cut off itself.
 #[tokio::test]
 async fn bills_of_a_box_that_the_others_do_not_know_yet_are_taken_over() {
     let world = World::open(PAID, &["stream"]).await;
@@ -203,7 +206,7 @@
     link_one.set_cut(true);
     link_two.set_cut(true);
     let (three, link_three) = world.cut_gateway("box-3").await;
-    until("it knows both", async || three.knows_peers() == 2).await;
+    until("box 3 knows both others", async || three.knows_peers() == 2).await;
     until_served(&world, &three, "/stream/x").await;
     let asked = world.asked("key-b", 200, 10);
     assert!(call(three.callers(), "/stream/x", &asked).await.status.is_success());
@@ -218,19 +221,19 @@
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: a box registers first and is cut off from the store before another one starts.
+/// A box is cut off from the store before it could read the entry of the only other box.
 #[tokio::test]
 async fn a_box_that_is_cut_off_before_it_heard_of_another_one_hands_its_bills_over() {
     let world = World::open(100_000, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let (alone, link) = world.cut_gateway("box-1").await;
     until_served(&world, &alone, "/stream/x").await;
-    until("it is registered", async || world.entry_of("box-1").await.is_some()).await;
+    until("box 1 is registered", async || world.entry_of("box-1").await.is_some()).await;
     link.set_cut(true);
     let asked = world.asked("key-b", 100, 20);
     assert_eq!(call(alone.callers(), "/stream/x", &asked).await.status, StatusCode::OK);
     let other = world.gateway("box-2").await;
-    until("it was greeted", async || alone.knows_peers() == 1).await;
+    until("box 1 learned of box 2 from its greeting", async || alone.knows_peers() == 1).await;
     alone.stop().await;
     until("its bill is written", async || world.billed().await.contains(&asked.id)).await;
     drop(other);
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -1,4 +1,4 @@
-//! What endpoints and operators say of endpoints, and who gets work then.
+//! Which endpoints receive requests, depending on their entries in the store and on evacuated zones.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 
 use crate::world::{World, answers, call, until, until_served};
 
-/// Enough for every request here.
+/// More than all requests here use.
 const PAID: u64 = 1_000_000;
-/// Boxes that know each other: two homes of news and their listeners.
+/// Number of boxes: two watchers and two subscribers.
 const BOXES: usize = 4;
-/// Requests after which an endpoint that got none of them is taken to get none.
+/// Requests sent to show that an endpoint receives none.
 const MANY: usize = 24;
 
 async fn fleet(world: &World, path: &str) -> Vec<Gateway> {
@@ -25,13 +25,13 @@
         boxes.push(world.gateway(name).await);
     }
     for gateway in &boxes {
-        until("it knows the others", async || gateway.knows_peers() == BOXES - 1).await;
+        until("the boxes know each other", async || gateway.knows_peers() == BOXES - 1).await;
         until_served(world, gateway, path).await;
     }
     boxes
 }
 
-/// Whether none of many requests, sent to all boxes in turn, arrives at an endpoint.
+/// Whether none of [`MANY`] requests, sent to the boxes in turn, reaches the endpoint.
 async fn gets_none(world: &World, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
     let before = endpoint.arrived().len();
     for gateway in boxes.iter().cycle().take(MANY) {
@@ -54,28 +54,33 @@
     let two = in_zone(&world, "i-2", "z2").await;
     let boxes = fleet(&world, "/cancel/x").await;
     world.evacuate("z1").await;
-    until("z1 gets no more work", async || gets_none(&world, &boxes, "/cancel/x", &one).await)
-        .await;
-    // A box that starts now, and an entry that is written anew, change nothing.
+    until("z1 receives no more requests", async || {
+        gets_none(&world, &boxes, "/cancel/x", &one).await
+    })
+    .await;
+    // The evacuation also binds a box that starts now, and an entry that is written again.
     world.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
     let late = [world.gateway("box-late").await];
     until_served(&world, &late[0], "/cancel/x").await;
     assert!(gets_none(&world, &late, "/cancel/x", &one).await, "a box that started later");
-    assert!(gets_none(&world, &boxes, "/cancel/x", &one).await, "after its entry was written anew");
+    assert!(
+        gets_none(&world, &boxes, "/cancel/x", &one).await,
+        "after its entry was written again"
+    );
     world.evacuate("z2").await;
-    until("nobody is left", async || {
+    until("no endpoint is left", async || {
         let got = call(boxes[0].callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         got.status == StatusCode::SERVICE_UNAVAILABLE && got.headers.contains_key("retry-after")
     })
     .await;
     world.platform.set(|faults| faults.down = true);
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "while the store is away");
+    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "while the store is down");
     world.platform.set(|faults| faults.down = false);
     world.take_back("z1").await;
     for gateway in &boxes {
         until_served(&world, gateway, "/cancel/x").await;
     }
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "z2 is still to be empty");
+    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "z2 is still evacuated");
 }
 
 #[tokio::test]
@@ -86,7 +91,7 @@
     world.list_as("i-1", cold.entry().to_string()).await;
     let boxes = fleet(&world, "/stream/x").await;
     let (began, before) = (Instant::now(), engine.arrived().len());
-    // A burst that meets a cold engine, and no other one to go to.
+    // A burst of requests while the only engine is cold.
     let burst = boxes.iter().cycle().take(100).map(|gateway| {
         let asked = world.asked("key-b", 1, 1);
         async move { call(gateway.callers(), "/stream/x", &asked).await }
@@ -112,14 +117,14 @@
     let before = endpoint.connections();
     let second = Listed { born: Some(2_000), beat: 1, ..first.clone() };
     world.list_as("i-1", second.entry().to_string()).await;
-    until("connections to the earlier life are used no more", async || {
+    until("connections to the earlier instance are not reused", async || {
         call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         endpoint.connections() > before
     })
     .await;
-    let told = endpoint.arrived().pop().expect("it arrived").told;
+    let told = endpoint.arrived().pop().expect("a request arrived").told;
     assert_eq!(told.instance.as_deref(), Some("i-1"), "its id is the same");
-    // What the earlier life wrote before it died arrives late.
+    // A late write of the earlier instance must not replace the entry of the new one.
     let last = Listed { ready: false, beat: 10, ..first };
     world.list_as("i-1", last.entry().to_string()).await;
     world.configure(2, PAID, &["cancel", "open"]).await;
--- a/crates/gateway/tests/loopback/fleet.rs
+++ b/crates/gateway/tests/loopback/fleet.rs
@@ -1,13 +1,7 @@
-//! Many boxes that start together.
+//! Keepers: only few boxes of a fleet write the book, and the others draw their tokens from them.
 //!
-//! What was seen: a fleet of 73 boxes turned half of its requests away on a calm day, though hardly
-//! any budget was used up. How it came about: all boxes started within 0.3 s, and a customer's next
-//! request came to a box that held nothing for it. The box wrote the book to be granted some, and
-//! asked the others meanwhile. What caused it: every box wrote the one book, so each write that
-//! landed made those of all others void, one box in 0.2 s got through, and a box whose first write
-//! had not landed was refused by all others. What proved it: 51 of 73 boxes had settled once after
-//! 14 s, with 77 to 101 writes each; 11,583 refusals among boxes gave that reason; with tokens that
-//! never lack, nothing was refused.
+//! Guards against contention: if every box of a large fleet wrote the book, most conditional writes would fail and
+//! requests would be refused for lack of tokens.
 
 use gateway::Gateway;
 use http::StatusCode;
@@ -17,27 +11,26 @@
 
 use crate::world::{World, answers, call, until, until_served, until_within};
 
-/// Enough for every request here many times over.
+/// More than all requests here use.
 const PAID: u64 = 100_000_000;
 /// Boxes that start together.
 const BOXES: usize = 40;
-/// How long a request and a keeper wait for tokens: longer than any pause of this process, in which
-/// all boxes are. What is judged is who writes the book, counted and not timed, and a box that would
-/// have to write it for itself does so however long it may wait.
+/// Time for which a request and a keeper wait for tokens: longer than any stall of this process, which runs all
+/// boxes. The tests count who writes the book, so the length of the wait doesn't affect them.
 const PATIENCE_MS: u64 = 10_000;
-/// How long a request waits in the small fleets.
+/// Time for which a request waits for tokens in the small fleets.
 const WAIT_MS: u64 = 2_000;
-/// Tokens of a prompt too small for other boxes to be told of it: only what is asked for tokens counts.
+/// Tokens of a prompt that is too small to be announced to peers.
 const SMALL: u64 = 1_500;
-/// Boxes of an availability zone that may write the book once all know each other: its keeper, and one
-/// or two that stand in where it was silent.
+/// Boxes of an availability zone that may write the book once all know each other: the keeper, and one or two
+/// standbys that step in when it did not answer.
 const WRITERS: usize = 3;
-/// Ends a wait that would never end: what is waited for is counted, and may take long beside other work.
+/// Upper bound on a wait for something that may take long on a busy machine.
 const HANGS: Duration = Duration::from_secs(90);
-/// Time that a call of the store takes: as long as a box with a narrow link needs for a book.
+/// Latency of store calls: about the time to transfer a book over a slow link.
 const CALL: Duration = Duration::from_millis(150);
 
-/// A fleet in which one box was served, and what it needs.
+/// A fleet in which all boxes know each other and one has served a request that costs tokens.
 struct Fleet {
     world: World,
     boxes: Vec<Gateway>,
@@ -60,11 +53,14 @@
             until_served(&world, gateway, "/open/x").await;
         }
         for gateway in &boxes {
-            until_within(HANGS, "it knows all others", async || gateway.knows_peers() == BOXES - 1)
-                .await;
+            until_within(HANGS, "the boxes know each other", async || {
+                gateway.knows_peers() == BOXES - 1
+            })
+            .await;
         }
-        until("a box is served", async || is_served_prompt(&world, &boxes[0], SMALL).await).await;
-        // Those that took themselves for the keeper before they knew the others leave the book.
+        until("box 0 serves a request", async || is_served_prompt(&world, &boxes[0], SMALL).await)
+            .await;
+        // Boxes that considered themselves keepers before they knew the others leave the book.
         until_within(HANGS, "few boxes write", async || {
             world.book().await.writers.len() <= WRITERS
         })
@@ -82,7 +78,7 @@
     call(gateway.callers(), "/stream/x", &asked).await.status == StatusCode::OK
 }
 
-/// Calls of a box that were to write the book, landed or not.
+/// Attempts of a box to write the book, successful or not.
 fn book_writes(gateway: &Gateway) -> u64 {
     let calls = gateway.calls().snapshot();
     let writes = calls
@@ -96,7 +92,8 @@
     let Fleet { world, boxes, _endpoints } = Fleet::start().await;
     let before: Vec<u64> = boxes.iter().map(book_writes).collect();
     for gateway in &boxes {
-        until("it is served", async || is_served_prompt(&world, gateway, SMALL).await).await;
+        until("the box serves a request", async || is_served_prompt(&world, gateway, SMALL).await)
+            .await;
     }
     let wrote = boxes.iter().zip(before).filter(|(gateway, before)| book_writes(gateway) > *before);
     let wrote = wrote.count();
@@ -116,7 +113,7 @@
     );
 }
 
-/// Boxes of one zone, the keeper first.
+/// Starts boxes of one zone; the keeper is the first one returned.
 async fn keeper_first(world: &World, names: [&str; 3]) -> Vec<Gateway> {
     let mut boxes = Vec::new();
     for name in names {
@@ -126,7 +123,7 @@
         until("boxes know each other", async || gateway.knows_peers() == 2).await;
         until_served(world, gateway, "/stream/x").await;
     }
-    until("one keeper passes tokens on", async || {
+    until("exactly one box passes tokens on", async || {
         for gateway in &boxes {
             is_served(world, gateway).await;
         }
@@ -144,7 +141,7 @@
     let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
     drop(boxes.remove(0));
     for gateway in &boxes {
-        until("it is served again", async || is_served(&world, gateway).await).await;
+        until("the box serves requests again", async || is_served(&world, gateway).await).await;
     }
 }
 
@@ -165,9 +162,9 @@
     }
     let book = world.book().await;
     let of = &book.ledgers["bornova"];
-    assert!(!book.writers.contains_key(&name), "it left the book");
+    assert!(!book.writers.contains_key(&name), "the keeper left the book");
     assert!(of.is_sound() && of.grants.is_empty(), "{of:?}");
-    assert!(of.spent >= charged, "{charged} charged by the others alone, {} spent", of.spent);
+    assert!(of.spent >= charged, "the others alone charged {charged}, {} spent", of.spent);
 }
 
 #[tokio::test]
@@ -181,8 +178,12 @@
         charged += crate::world::charged(&gateway);
         gateway.stop().await;
     }
-    assert_eq!(keeper.balance("bornova").passed, 0, "all of it was told and given back");
+    assert_eq!(keeper.balance("bornova").passed, 0, "everything was reported or returned");
     keeper.stop().await;
     let of = &world.book().await.ledgers["bornova"];
-    assert_eq!((of.spent, of.lost, of.granted()), (charged, 0, 0), "every token once: {of:?}");
+    assert_eq!(
+        (of.spent, of.lost, of.granted()),
+        (charged, 0, 0),
+        "every token is counted once: {of:?}"
+    );
 }
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -1,9 +1,6 @@
-//! Endpoints that say in their answers that they leave.
+//! Endpoints that signal in a response header that they are leaving.
 //!
-//! Seen: while the store was away, requests reached an engine 3,060 ms and 5,420 ms after the box that sent them had passed on an answer
-//! of that engine which said that it leaves; 2,000 ms are allowed. How it came about: the engine's entry still said that it is ready,
-//! and only the entry took it out of the choice. Cause: no box read the word in an answer, and nothing of an endpoint was known
-//! but what its entry says. Proved by the first test, which needs one box, the word, and an entry that does not change.
+//! Guards against boxes that go on sending to such an endpoint because its entry in the store still says ready.
 
 use std::{
     sync::{
@@ -21,20 +18,20 @@
 use crate::world::{World, answers, call, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// Time after an answer that says so from which on nothing may be sent: the shortest that users ask for.
+/// Longest time after the signal in which a box may still send requests to the endpoint.
 const BOUND: Duration = Duration::from_millis(2_000);
-/// Requests after which an endpoint that got none of them is taken to get none.
+/// Requests sent to show that an endpoint receives none.
 const MANY: usize = 24;
-/// Time after which a stream has begun and is far from its end.
+/// Time after which a stream has begun but not ended.
 const STREAMING: Duration = Duration::from_millis(200);
 
-/// Says in the head of an answer that its endpoint leaves.
+/// Adds the signal that the endpoint is leaving.
 fn leaves(mut headers: HeaderMap) -> HeaderMap {
     headers.insert(played::LEAVING, HeaderValue::from_static("1"));
     headers
 }
 
-/// Whether an endpoint says that it leaves.
+/// Switch for the leaving signal of an endpoint.
 #[derive(Clone, Default)]
 struct Word(Arc<AtomicBool>);
 
@@ -43,7 +40,7 @@
         self.0.store(leaves, Ordering::Relaxed);
     }
 
-    /// Answers whole, and says so.
+    /// Answers successfully, with the signal if it is switched on.
     fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
         let word = self.clone();
         move |arrived| {
@@ -55,17 +52,17 @@
     }
 }
 
-/// Sends requests until one reaches an endpoint.
+/// Sends requests until one reaches the endpoint.
 async fn reach(world: &World, gateway: &Gateway, endpoint: &Scripted) {
     let before = endpoint.arrived().len();
-    until("it is reached", async || {
+    until("a request reaches the endpoint", async || {
         call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         endpoint.arrived().len() > before
     })
     .await;
 }
 
-/// Requests of many that reach an endpoint.
+/// Sends [`MANY`] requests and returns how many reach the endpoint.
 async fn arrive(world: &World, gateway: &Gateway, endpoint: &Scripted) -> usize {
     let before = endpoint.arrived().len();
     for _ in 0..MANY {
@@ -87,10 +84,10 @@
     word.says(true);
     reach(&world, &gateway, &leaving).await;
     tokio::time::sleep(BOUND).await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "while the store is away");
+    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "while the store is down");
 }
 
-/// Every answer tells: a refusal, and the head of a stream long before its end.
+/// Boxes read the signal of every response: of a rejection, and of a stream as soon as its head arrives.
 #[tokio::test]
 async fn a_refusal_and_the_head_of_a_stream_say_it_as_well() {
     let world = World::open(PAID, &["cancel", "stream"]).await;
@@ -110,7 +107,7 @@
     for (path, endpoint) in [("/cancel/x", &declines), ("/stream/x", &streams)] {
         until_served(&world, &gateway, path).await;
         let asked = || world.asked("key-b", 1, 1);
-        until("it is reached", async || {
+        until("a request reaches the endpoint", async || {
             tokio::spawn(request(gateway.callers(), path, &asked()).body("a body").send());
             !endpoint.arrived().is_empty()
         })
@@ -124,7 +121,7 @@
     }
 }
 
-/// The load: an endpoint tells one box of a fleet, whose store is away.
+/// The signal reaches one box while the store is down; it must spread to running boxes and to one that starts later.
 #[tokio::test]
 async fn boxes_tell_each_other_also_one_that_starts_into_it() {
     let world = World::open(PAID, &["cancel"]).await;
@@ -136,7 +133,7 @@
         boxes.push(world.gateway(&format!("box-{n}")).await);
     }
     for gateway in &boxes {
-        until("it knows the others", async || gateway.knows_peers() == 3).await;
+        until("the boxes know each other", async || gateway.knows_peers() == 3).await;
         until_served(&world, gateway, "/cancel/x").await;
     }
     world.platform.set(|faults| faults.down = true);
@@ -144,19 +141,19 @@
     word.says(true);
     reach(&world, &boxes[0], &leaving).await;
     let knows = |gateway: &Gateway| gateway.leaving() == 1;
-    until("all know", async || boxes.iter().all(knows)).await;
+    until("all boxes know that it is leaving", async || boxes.iter().all(knows)).await;
     word.says(false);
     for gateway in &boxes {
-        assert_eq!(arrive(&world, gateway, &leaving).await, 0, "a box that was told by others");
+        assert_eq!(arrive(&world, gateway, &leaving).await, 0, "a box that learned it from a peer");
     }
     world.platform.set(|faults| faults.down = false);
     let late = world.gateway("box-late").await;
     until_served(&world, &late, "/cancel/x").await;
-    until("it knows as well", async || late.leaving() == 1).await;
-    assert_eq!(arrive(&world, &late, &leaving).await, 0, "a box that started into it");
+    until("the late box knows that it is leaving", async || late.leaving() == 1).await;
+    assert_eq!(arrive(&world, &late, &leaving).await, 0, "a box that started after the signal");
 }
 
-/// The load: all endpoints of a service say so at once, and their successors stand in a store that is away.
+/// All endpoints of a service leave at once, while the store is down and their successors cannot be seen.
 #[tokio::test]
 async fn where_all_leave_requests_are_refused_at_once_until_others_are_known() {
     let world = World::open(PAID, &["cancel", "confirm"]).await;
@@ -169,7 +166,7 @@
     until_served(&world, &gateway, "/cancel/x").await;
     world.platform.set(|faults| faults.down = true);
     word.says(true);
-    until("all said so", async || {
+    until("all have signalled that they are leaving", async || {
         call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         gateway.leaving() == 2
     })
@@ -179,19 +176,19 @@
     for path in ["/cancel/x", "/confirm/x"] {
         let sent = Instant::now();
         let got = call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
-        assert!(sent.elapsed() < BOUND / 2, "it waited {:?}", sent.elapsed());
+        assert!(sent.elapsed() < BOUND / 2, "the refusal took {:?}", sent.elapsed());
         assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
         assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
         assert_eq!(got.headers["retry-after"], "1.000", "{got:?}");
     }
     let after: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
-    assert_eq!(after, before, "nothing reaches them");
+    assert_eq!(after, before, "no request reaches the endpoints");
     let _successor = world.endpoint("i-3", "plain", Word::default().script()).await;
     world.platform.set(|faults| faults.down = false);
     until_served(&world, &gateway, "/cancel/x").await;
 }
 
-/// The load: a word that an endpoint says for ever, also of a box that has lost everybody.
+/// A box without store and peers goes on avoiding the endpoint, and so it does when an entry says ready again.
 #[tokio::test]
 async fn a_box_alone_holds_to_it() {
     let world = World::open(PAID, &["cancel"]).await;
@@ -203,7 +200,7 @@
     word.says(true);
     reach(&world, &gateway, &leaving).await;
     link.set_cut(true);
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "cut off");
+    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "cut off from the store");
     world.list("i-1", "plain", leaving.address(), true).await;
     link.set_cut(false);
     world.configure(2, PAID, &["cancel", "open"]).await;
@@ -211,7 +208,7 @@
     assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "with an entry that says ready");
 }
 
-/// Another endpoint answers at the address: what it says is not of the one that was meant.
+/// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
 async fn what_another_one_at_the_address_says_is_not_held_against_an_endpoint() {
     let world = World::open(PAID, &["cancel"]).await;
--- a/crates/gateway/tests/loopback/limit.rs
+++ b/crates/gateway/tests/loopback/limit.rs
@@ -1,10 +1,6 @@
-//! Endpoints that name how much they take from all boxes together.
+//! Endpoints that signal a rate limit, which all boxes together must keep.
 //!
-//! Seen: two of nine engines named limits of 1.8 and 1.6 requests a second, and got 26 and 22 within 4 s, where 16 and 15
-//! were allowed. How it came about: they went on to get as many requests as the others, from all seven boxes, each of
-//! which they had told with every answer. Cause: no box read what an answer named, and nothing in a box's choice was a
-//! bound that all boxes share without each sending its own part of it. Proved by this test, which needs only boxes
-//! that were told and callers at all of them: the more boxes there are, the more arrives.
+//! Guards against boxes that each send up to the limit, so that the total grows with the number of boxes.
 
 use std::{
     sync::Arc,
@@ -21,17 +17,17 @@
 use crate::world::{Got, World, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// Boxes that know each other: so many that one request a second of each is far above any limit here.
+/// Enough boxes that one request per second from each would exceed any limit here.
 const BOXES: usize = 12;
-/// Time between two requests of a caller that does not wait for more.
+/// Time between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(150);
-/// Time for which load is counted.
+/// Time for which arrivals are counted.
 const COUNTED: Duration = Duration::from_millis(2_500);
-/// What a limit allows besides its rate times [`SLACK`], as the platform counts it.
+/// Requests that the platform tolerates on top of the rate times [`SLACK`].
 const EXTRA: f64 = 5.0;
 const SLACK: f64 = 1.5;
 
-/// What an endpoint names in its answers.
+/// Rate limit that an endpoint states in its responses.
 #[derive(Clone, Default)]
 struct Need(Arc<Mutex<Option<&'static str>>>);
 
@@ -40,7 +36,7 @@
         *self.0.lock() = limit;
     }
 
-    /// Answers whole, and names the limit.
+    /// Answers successfully, with the limit if there is one.
     fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
         let need = self.clone();
         move |arrived| {
@@ -53,7 +49,7 @@
     }
 }
 
-/// Boxes before endpoints of one service, each of which may name a limit.
+/// Gateways with endpoints of one service, each of which may state a limit.
 struct Fleet {
     world: World,
     boxes: Vec<Gateway>,
@@ -76,16 +72,16 @@
             fleet.boxes.push(fleet.world.gateway(&format!("box-{n}")).await);
         }
         for gateway in &fleet.boxes {
-            until("it knows the others", async || gateway.knows_peers() == boxes - 1).await;
+            until("the boxes know each other", async || gateway.knows_peers() == boxes - 1).await;
             until_served(&fleet.world, gateway, "/cancel/x").await;
         }
         fleet
     }
 
-    /// Asks at each box until it knows what an endpoint names.
+    /// Sends requests to each box until it knows the limit of an endpoint.
     async fn tell_all(&self, life: &str, per_s: f64) {
         join_all(self.boxes.iter().map(|gateway| async move {
-            until("it was told", async || {
+            until("the box knows the limit", async || {
                 self.send(gateway, "/cancel/x").await;
                 gateway.limits().iter().any(|(name, named)| &**name == life && *named == per_s)
             })
@@ -95,12 +91,12 @@
     }
 
     async fn send(&self, gateway: &Gateway, path: &str) -> Got {
-        // It costs no tokens: who has some while the store is away is not what is asked here.
+        // Without tokens, so that a lack of them while the store is down does not matter.
         let asked = Asked { tokens: None, ..self.world.asked("key-b", 1, 1) };
         call(gateway.callers(), path, &asked).await
     }
 
-    /// Load at the boxes for a time; returns what came of it.
+    /// Sends requests to the boxes for a time; returns the responses.
     async fn load(&self, boxes: &[Gateway], time: Duration) -> Vec<Got> {
         let began = Instant::now();
         let callers = boxes.iter().enumerate().map(async |(n, gateway)| {
@@ -120,19 +116,19 @@
     }
 }
 
-/// Most requests that a limit allows within a time.
+/// Most requests that may arrive within a time under a limit.
 fn allowed(per_s: f64, time: Duration) -> usize {
     (per_s * SLACK * time.as_secs_f64() + EXTRA) as usize
 }
 
-/// Turns that a box handed out so far, by its metrics.
+/// Permits that a box has issued so far, from its metrics.
 fn given(gateway: &Gateway) -> u64 {
     let metrics = gateway.metrics();
     let line = metrics.lines().find_map(|l| l.strip_prefix("flintstall_turns_given_total "));
     line.expect("a counter").parse().expect("a number")
 }
 
-/// The box that hands out turns.
+/// Index of the box that issues permits.
 fn giver(boxes: &[Gateway]) -> usize {
     (0..boxes.len()).max_by_key(|at| given(&boxes[*at])).expect("a box")
 }
@@ -150,17 +146,20 @@
     let got = fleet.load(&fleet.boxes, COUNTED).await;
     let (arrived, most) = (fleet.arrived(0) - before, allowed(2.0, began.elapsed()));
     assert!(arrived <= most, "{arrived} arrived of {}, {most} are allowed", got.len());
-    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other one takes the rest");
+    assert!(
+        got.iter().all(|got| got.status == StatusCode::OK),
+        "the other endpoint serves the rest"
+    );
 }
 
-/// The load: two boxes have all callers, as the balancer's hash may have it.
+/// All callers connect to two of the boxes, as the balancer's hash may have it.
 #[tokio::test]
 async fn a_limit_is_used_where_two_boxes_have_all_callers() {
     let fleet = Fleet::start(BOXES, 2).await;
     fleet.needs[0].names(Some("10"));
     fleet.tell_all("i-0", 10.0).await;
     let (began, before) = (Instant::now(), fleet.arrived(0));
-    // A twelfth of the limit for each box would take 24 s for as many.
+    // With equal shares of the limit per box this would take longer than the bound below.
     while fleet.arrived(0) - before < 40 {
         assert!(began.elapsed() < Duration::from_secs(20), "{}", fleet.arrived(0) - before);
         fleet.load(&fleet.boxes[..2], COUNTED / 5).await;
@@ -169,13 +168,13 @@
     assert!(arrived <= most, "{arrived} arrived, {most} are allowed");
 }
 
-/// A box that has sent nothing there, and one that starts later, know what others were told.
+/// Boxes that sent nothing to the endpoint, and boxes that start later, learn the limit from peers.
 #[tokio::test]
 async fn a_box_hears_of_a_limit_and_of_its_end_by_news() {
     let mut fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("2.0"));
     let knows = |gateway: &Gateway| limit_of(gateway, "i-0");
-    until("the first box is told by an answer", async || {
+    until("the first box learns the limit from a response", async || {
         fleet.send(&fleet.boxes[0], "/cancel/x").await;
         knows(&fleet.boxes[0]) == Some(2.0)
     })
@@ -183,8 +182,8 @@
     let late = fleet.world.gateway("box-late").await;
     fleet.boxes.push(late);
     for gateway in &fleet.boxes {
-        // One box goes on to use the endpoint, as one in need is.
-        until("it heard", async || {
+        // One box goes on using the endpoint, so that the limit stays in force.
+        until("the box knows the limit from its peers", async || {
             fleet.load(&fleet.boxes[..1], PAUSE).await;
             knows(gateway) == Some(2.0)
         })
@@ -204,7 +203,7 @@
     })
     .await;
     fleet.needs[0].names(None);
-    until("it is over, also for those that send nothing", async || {
+    until("every box drops the limit, also those that send nothing", async || {
         fleet.load(&fleet.boxes[..1], PAUSE).await;
         fleet.boxes.iter().all(|gateway| knows(gateway).is_none())
     })
@@ -220,9 +219,9 @@
     let got = fleet.load(&fleet.boxes, COUNTED).await;
     let arrived = fleet.arrived(0) - before;
     assert!(arrived <= 1 + began.elapsed().as_secs() as usize / 5, "{arrived} arrived");
-    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other one takes all");
+    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other endpoint serves them");
     fleet.needs[0].names(None);
-    until("it gets work again", async || {
+    until("the endpoint receives requests again", async || {
         fleet.load(&fleet.boxes, PAUSE).await;
         fleet.arrived(0) > before + 20
     })
@@ -244,7 +243,7 @@
     }
 }
 
-/// The load: every endpoint names a limit, and far more callers come than all of them take.
+/// Every endpoint states a limit, and the load exceeds their sum.
 #[tokio::test]
 async fn what_no_endpoint_takes_is_refused_at_once_and_comes_again_one_by_one() {
     let fleet = Fleet::start(3, 2).await;
@@ -259,20 +258,24 @@
     let arrived = fleet.arrived(0) + fleet.arrived(1) - before;
     assert!(arrived <= allowed(2.0, began.elapsed()) + EXTRA as usize, "{arrived} arrived");
     let refused: Vec<&Got> = got.iter().filter(|got| got.status != StatusCode::OK).collect();
-    assert_eq!(refused.len(), got.len() - arrived, "each ran and was answered, or did not run");
+    assert_eq!(
+        refused.len(),
+        got.len() - arrived,
+        "each request either ran and was answered, or did not run"
+    );
     let mut times: Vec<&str> = Vec::new();
     for got in refused {
         assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
         assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
         times.push(got.headers["retry-after"].to_str().expect("a number"));
     }
-    // Each box tells up to three seconds apart, then those who come last come together.
+    // Each box spreads its `retry-after` over up to three seconds, later callers share the last value.
     times.sort_unstable();
     times.dedup();
-    assert!(times.len() >= 6, "they come again at {times:?}");
+    assert!(times.len() >= 6, "retry times are spread: {times:?}");
 }
 
-/// The load: whoever hands out turns is killed, and later the next one stops by plan, while the store is away.
+/// While the store is down, the box that issues permits is killed, and later its successor shuts down.
 #[tokio::test]
 async fn turns_go_on_and_keep_the_sum_when_their_giver_is_gone() {
     let mut fleet = Fleet::start(5, 2).await;
@@ -291,7 +294,7 @@
             }
         };
         let going_on = async {
-            until("others hand out turns", async || {
+            until("another box issues permits", async || {
                 fleet.load(&fleet.boxes, PAUSE).await;
                 fleet.arrived(0) >= sent + 8
             })
@@ -303,7 +306,7 @@
     assert!(arrived <= most, "{arrived} arrived, {most} are allowed");
 }
 
-/// The load: a box that no other box knows, and that reaches none of them.
+/// A box that has no connection to its peers must not add to the total rate.
 #[tokio::test]
 async fn a_box_alone_adds_nothing_to_what_the_others_send() {
     let mut fleet = Fleet::start(4, 2).await;
@@ -316,7 +319,10 @@
     let got = fleet.load(&fleet.boxes, COUNTED).await;
     let (arrived, most) = (fleet.arrived(0) - before, allowed(2.0, began.elapsed()));
     assert!(arrived <= most, "{arrived} arrived, {most} are allowed");
-    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other one takes the rest");
+    assert!(
+        got.iter().all(|got| got.status == StatusCode::OK),
+        "the other endpoint serves the rest"
+    );
 }
 
 #[tokio::test]
@@ -328,8 +334,8 @@
     let address = fleet.endpoints[0].address();
     let entry = Listed { born: Some(5), ..listed("plain", address) }.entry();
     fleet.world.list_as("i-0", entry.to_string()).await;
-    // Nothing is sent meanwhile: no answer says that it takes work.
-    until("it is another one", async || {
+    // No request is sent meanwhile, so the new entry alone must clear the limit.
+    until("the limit of the earlier instance is dropped", async || {
         fleet.boxes.iter().all(|gateway| gateway.limits().is_empty())
     })
     .await;
@@ -337,7 +343,7 @@
     assert!(got.iter().all(|got| got.status == StatusCode::OK), "{got:?}");
 }
 
-/// The load: a box that hears of no other one any more, and cannot tell whether they are gone or it is cut off.
+/// A box that lost all its peers cannot know whether they died or it is cut off, so it keeps to its share.
 #[tokio::test]
 async fn a_box_that_may_be_cut_off_sends_its_part_alone() {
     let mut fleet = Fleet::start(4, 2).await;
@@ -349,8 +355,8 @@
     let callers = (0..4).map(|_| fleet.load(&fleet.boxes, COUNTED));
     let got: Vec<Got> = join_all(callers).await.into_iter().flatten().collect();
     let (arrived, most) = (fleet.arrived(0) - before, allowed(8.0 / 4.0, began.elapsed()));
-    assert!(arrived <= most, "{arrived} arrived of {}, {most} are its part", got.len());
-    assert!(arrived > 0, "it sends some");
+    assert!(arrived <= most, "{arrived} arrived of {}, its share is {most}", got.len());
+    assert!(arrived > 0, "some requests are sent");
 }
 
 #[tokio::test]
@@ -359,7 +365,7 @@
     fleet.load(&fleet.boxes, COUNTED / 4).await;
     for gateway in &fleet.boxes {
         let metrics = gateway.metrics();
-        assert!(!metrics.contains("flintstall_turns_total{"), "a question");
+        assert!(!metrics.contains("flintstall_turns_total{"), "no permit was requested");
         assert_eq!(given(gateway), 0);
     }
 }
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! Real gateways over loopback, between the stand-in store and scripted endpoints.
+//! End-to-end tests: real gateways on loopback, with the stand-in store and scripted endpoints.
 
 mod crash;
 mod endpoints;
--- a/crates/gateway/tests/loopback/news.rs
+++ b/crates/gateway/tests/loopback/news.rs
@@ -1,7 +1,6 @@
-//! Boxes that hear from few others what the store holds.
+//! Sync of the boxes' view of the store: few watchers read the store, the other boxes subscribe to them.
 //!
-//! The load: many boxes in one fleet, each of which would watch the store and look for it while it is
-//! away. Of 24,000 calls that 295 boxes made on a calm day, 21,000 were such.
+//! Guards against a store load that grows with the number of boxes, in normal operation and during outages.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,17 +11,17 @@
 
 use crate::world::{World, answers, call, until, until_served, until_within};
 
-/// Boxes that start together.
+/// Number of boxes in a large fleet.
 const BOXES: usize = 40;
-/// Ends a wait that would never end: what is waited for is counted.
+/// Upper bound on a wait in a large fleet.
 const HANGS: Duration = Duration::from_secs(90);
-/// Boxes that look: two homes, those that stood by for them while all started, and one or two that knew
-/// too few others then.
+/// Most boxes that may read the store: two watchers, their standbys during the start, and one or two boxes that
+/// knew too few others then.
 const LOOK: usize = 6;
-/// Enough for every request here.
+/// More than all requests here use.
 const PAID: u64 = 1_000_000;
 
-/// Names of the homes of a fleet.
+/// Names of the watchers of a fleet.
 fn home_names(names: &[String]) -> Vec<String> {
     let place = |name: &String| Place {
         name: Incarnation::new(name, 1),
@@ -34,7 +33,7 @@
     homes.first.iter().map(|name| name.box_name().to_owned()).collect()
 }
 
-/// A fleet that is served and in which all know each other; homes first.
+/// Starts a fleet and waits until each box serves requests and knows all others; watchers come first.
 async fn fleet(world: &World, count: usize) -> Vec<Gateway> {
     let names: Vec<String> = (0..count).map(|n| format!("box-{n}")).collect();
     let homes = home_names(&names);
@@ -44,17 +43,20 @@
     }
     let boxes: Vec<Gateway> = boxes.into_values().collect();
     for gateway in &boxes {
-        until_within(HANGS, "it is served", async || {
+        until_within(HANGS, "the box serves requests", async || {
             let asked = world.asked("key-b", 1, 1);
             call(gateway.callers(), "/open/x", &asked).await.status == StatusCode::OK
         })
         .await;
-        until_within(HANGS, "it knows all", async || gateway.knows_peers() == count - 1).await;
+        until_within(HANGS, "the boxes know each other", async || {
+            gateway.knows_peers() == count - 1
+        })
+        .await;
     }
     boxes
 }
 
-/// Calls of a box that were to learn what the store holds.
+/// Calls with which a box listed or watched the store itself.
 fn news_calls(gateway: &Gateway) -> u64 {
     let calls = gateway.calls().snapshot();
     let of_news = calls.iter().filter(|((operation, kind), _)| {
@@ -70,7 +72,7 @@
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&world, BOXES).await;
     let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched what others tell");
+    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
     world.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
         until_within(HANGS, "the new version is in force", async || {
@@ -80,7 +82,7 @@
         .await;
     }
     let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched what others tell");
+    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
 }
 
 #[tokio::test]
@@ -90,7 +92,7 @@
     let boxes = fleet(&world, BOXES).await;
     let before: Vec<u64> = boxes.iter().map(news_calls).collect();
     world.platform.set(|faults| faults.down = true);
-    // As long as the outages that boxes ride out, in which each looked 30 times by itself.
+    // Long enough for many retries.
     tokio::time::sleep(Duration::from_secs(6)).await;
     world.configure(2, PAID, &["open", "cancel"]).await;
     world.platform.set(|faults| faults.down = false);
@@ -103,7 +105,10 @@
     }
     let looked = boxes.iter().zip(before).filter(|(gateway, before)| news_calls(gateway) > *before);
     let looked = looked.count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched after the outage");
+    assert!(
+        looked <= LOOK,
+        "{looked} of {BOXES} boxes listed or watched the store after the outage"
+    );
 }
 
 #[tokio::test]
@@ -151,7 +156,7 @@
         until("boxes know each other", async || gateway.knows_peers() == 3).await;
         until_served(&world, gateway, "/open/x").await;
     }
-    // Held open and silent: only the homes' own looks show it.
+    // The connections stay open and silent: only the watchers' own probes show the loss.
     links.iter().for_each(|link| link.set_cut(true));
     world.configure(2, PAID, &["open", "cancel"]).await;
     for (gateway, _) in &listeners {
@@ -168,7 +173,7 @@
     world.list("i-1", "plain", leaving.address(), false).await;
     for gateway in &boxes {
         let mut quiet = 0;
-        until("the box heard of it", async || {
+        until("the box sends nothing more to the leaving endpoint", async || {
             let before = leaving.arrived().len();
             call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
             quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
@@ -197,14 +202,14 @@
     drop(first);
     let second = world.gateway("box-2").await;
     until_served(&world, &second, "/open/x").await;
-    until("it is registered", async || {
+    until("the new incarnation is registered", async || {
         let life = second.incarnation().as_str();
         world.entry_of("box-2").await.is_some_and(|entry| entry.contains(life))
     })
     .await;
     let calls = second.calls().snapshot();
     let writes = calls.get(&(Operation::Put, "boxes".into())).map_or(0, |count| count.calls);
-    assert_eq!(writes, 1, "it knew the version of its earlier life's entry");
+    assert_eq!(writes, 1, "it knew the version of its earlier incarnation's entry");
 }
 
 #[tokio::test]
@@ -216,7 +221,7 @@
         let zone_of = |line: &str| line.contains(r#"topic="news""#) && line.contains("own");
         gateway.metrics().lines().any(|line| zone_of(line) && line.contains("heard"))
     };
-    until("a listener counts its news", async || {
+    until("a subscriber counts its update calls", async || {
         for gateway in &boxes {
             reqwest::get(format!("http://{}/metrics", gateway.operators())).await.expect("a page");
         }
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -1,4 +1,4 @@
-//! Boxes that lose the store and find it again.
+//! Boxes that lose the connection to the store and regain it.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -11,12 +11,12 @@
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let (gateway, link) = world.cut_gateway("box-1").await;
     until_served(&world, &gateway, "/open/x").await;
-    // Connections that were open when the cut began never carry a byte again.
+    // Open connections stay open but carry no more bytes.
     link.lose_open();
     world.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
-    // Far below the 20 s after which the watch itself would end.
+    // Well below the time limit of the watch itself.
     let served = until_served(&world, &gateway, "/cancel/x");
     tokio::time::timeout(Duration::from_secs(12), served)
         .await
@@ -32,7 +32,7 @@
     let two = world.gateway("box-2").await;
     until_served(&world, &one, "/open/x").await;
     until_served(&world, &two, "/open/x").await;
-    // Box 1 draws tokens, and its use makes it hold more.
+    // Requests make box 1 draw tokens ahead.
     until_served(&world, &one, "/stream/x").await;
     until("box 1 holds tokens and both know each other", async || {
         call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
@@ -47,7 +47,7 @@
     assert_eq!(got.status, StatusCode::OK, "{got:?}");
     let all = one.balance("bornova").free + two.balance("bornova").free;
     let got = call(two.callers(), "/stream/x", &world.asked("key-b", all + 1, 1)).await;
-    assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "nobody has that many: {got:?}");
+    assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "more than both boxes hold: {got:?}");
     assert!(got.headers.contains_key("retry-after"));
 }
 
@@ -84,7 +84,7 @@
         world.platform.set(|faults| faults.lose_answers = 0.0);
         let charged = charged(&gateway);
         gateway.stop().await;
-        until("the last settlement landed", async || {
+        until("the last settlement is in the book", async || {
             let book = world.book().await;
             let of = &book.ledgers["bornova"];
             of.statement.tokens == charged && of.spent == charged && of.grants.is_empty()
@@ -111,14 +111,14 @@
     let leaving = world.endpoint("i-1", "plain", answers).await;
     let stays = world.endpoint("i-2", "plain", answers).await;
     let (gateway, link) = world.cut_gateway("box-1").await;
-    until("both are used", async || {
+    until("both endpoints are in use", async || {
         call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         !leaving.arrived().is_empty() && !stays.arrived().is_empty()
     })
     .await;
     world.list("i-1", "plain", leaving.address(), false).await;
     let mut quiet = 0;
-    until("the box heard of it", async || {
+    until("the box sends nothing more to the leaving endpoint", async || {
         let before = leaving.arrived().len();
         call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
@@ -127,7 +127,7 @@
     .await;
     link.set_cut(true);
     let before = leaving.arrived().len();
-    // Until after the calls that are under way have failed.
+    // Long enough for calls in flight to fail.
     let cut = tokio::time::Instant::now();
     while cut.elapsed() < Duration::from_secs(2) {
         let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
--- a/crates/gateway/tests/loopback/path.rs
+++ b/crates/gateway/tests/loopback/path.rs
@@ -1,4 +1,4 @@
-//! The whole way of a request, with real gateways over loopback.
+//! Proxying of requests from the caller to an endpoint and back.
 
 use std::time::Duration;
 
@@ -31,11 +31,15 @@
     assert_eq!(arrived.line, "POST /confirm/a%20b?x=1&y HTTP/1.1");
     assert_eq!(arrived.body, b"the body");
     assert_eq!(arrived.told.id, asked.id);
-    assert_eq!(arrived.told.customer.as_deref(), Some("bornova"), "not what the caller said");
+    assert_eq!(
+        arrived.told.customer.as_deref(),
+        Some("bornova"),
+        "a customer header of the caller is replaced"
+    );
     assert_eq!(arrived.told.instance.as_deref(), Some("i-1"));
     assert_eq!(arrived.told.key, None, "endpoints do not see keys");
-    let left = arrived.told.left.expect("a bound in time");
-    assert!(left <= Duration::from_secs(5), "the route's own bound is shorter: {left:?}");
+    let left = arrived.told.left.expect("a deadline");
+    assert!(left <= Duration::from_secs(5), "the route's own time limit applies: {left:?}");
 }
 
 #[tokio::test]
@@ -77,7 +81,7 @@
         Reply::Whole(status, headers, String::new())
     };
     type Script = Box<dyn Fn(&Arrived) -> Reply + Send + Sync>;
-    // The route, what the first endpoint does, what the caller gets, and how often it was sent.
+    // Name, route, script of the first endpoint, status for the caller, times the request is sent.
     let cases: Vec<(&str, &str, Script, u16, usize)> = vec![
         ("declined, once only", "confirm", Box::new(declined), 503, 1),
         ("declined, repeatable", "cancel", Box::new(declined), 200, 2),
@@ -91,7 +95,7 @@
     ];
     for (name, route, script, status, sent) in cases {
         let world = World::open(1_000_000, &["confirm", "cancel", "open"]).await;
-        // Whichever endpoint is tried first does it; the next one answers.
+        // The first endpoint runs the script; the second one serves everything.
         let script = shared(move |arrived| match arrived.line.contains("/open/") {
             true => answers(arrived),
             false => script(arrived),
@@ -104,7 +108,7 @@
             _ => Some(world.endpoint("i-2", "plain", answers).await),
         };
         if sent > 1 {
-            until("both are known", async || {
+            until("both endpoints are in use", async || {
                 call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
                 second.as_ref().is_some_and(|endpoint| !endpoint.arrived().is_empty())
             })
@@ -114,7 +118,7 @@
             let all = first.arrived().into_iter().chain(second.iter().flat_map(|e| e.arrived()));
             all.filter(|arrived| arrived.line.contains(&format!("/{route}/"))).count()
         };
-        // The choice is random: ask until the first endpoint was the first to be tried.
+        // Endpoints are chosen at random: repeat until the first one is tried first.
         let mut tries = 0;
         loop {
             tries += 1;
@@ -162,7 +166,7 @@
         world.endpoint("i-2", "plain", declined).await,
     ];
     let gateway = world.gateway("box-1").await;
-    until("both are known", async || {
+    until("both endpoints are in use", async || {
         call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         endpoints.iter().all(|endpoint| !endpoint.arrived().is_empty())
     })
@@ -172,12 +176,12 @@
         arrived.filter(|arrived| arrived.line.contains("/cancel/")).count()
     };
     call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
-    assert_eq!(sent(&endpoints), 2, "it is sent once more");
+    assert_eq!(sent(&endpoints), 2, "retried once");
     let mut settings = settings("box-1", world.platform.socket());
     (settings.retries.ratio, settings.retries.extra) = (0.0, 0);
     gateway.reload(settings);
     call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
-    assert_eq!(sent(&endpoints), 3, "nothing may be sent once more now");
+    assert_eq!(sent(&endpoints), 3, "no retries are allowed any more");
 }
 
 #[tokio::test]
@@ -194,12 +198,12 @@
     until_served(&world, &gateway, "/stream/x").await;
     let before = charged(&gateway);
     let got = call(gateway.callers(), "/stream/torn", &world.asked("key-b", 10, 90)).await;
-    assert!(got.body.is_err(), "the caller sees that it broke off: {got:?}");
+    assert!(got.body.is_err(), "the caller sees that the stream broke: {got:?}");
     let got = call(gateway.callers(), "/stream/x", &world.asked("key-b", 10, 90)).await;
     assert_eq!(got.body.expect("a whole stream").matches("id:").count(), 3);
-    // The prompt and 3 events of 2 tokens; of the one that broke off 10 events more.
+    // Prompt plus 3 events of 2 tokens; the broken stream is charged for 10 further events.
     let both = (10 + 2 * 13) + (10 + 2 * 3);
-    until("both are settled", async || charged(&gateway) == before + both).await;
+    until("both streams are charged", async || charged(&gateway) == before + both).await;
 }
 
 #[tokio::test]
@@ -219,9 +223,9 @@
     let first = answer.chunk().await.expect("it streams");
     assert!(first.is_some_and(|bytes| bytes.starts_with(b"id: 1")));
     drop(answer);
-    until("it is settled", async || charged(&gateway) > before).await;
+    until("the stream is charged", async || charged(&gateway) > before).await;
     let charge = charged(&gateway) - before;
-    assert!((10..10 + 2 * 1_000).contains(&charge), "{charge} charged of 50,010 held");
+    assert!((10..10 + 2 * 1_000).contains(&charge), "{charge} charged of 50,010 reserved");
 }
 
 #[tokio::test]
@@ -238,12 +242,12 @@
     let sending = request(gateway.callers(), "/confirm/x", &world.asked("key-b", 1, 1)).send();
     let left = tokio::time::timeout(Duration::from_millis(300), sending).await;
     assert!(left.is_err(), "the endpoint never answers");
-    until("the endpoint sees it", async || endpoint.closed() > closed).await;
+    until("the endpoint's connection closes", async || endpoint.closed() > closed).await;
 }
 
 #[tokio::test]
 async fn a_caller_that_leaves_without_reading_its_answer_ends_it_at_the_endpoint() {
-    // More than the buffers on the way hold, so that the box cannot pass it on.
+    // More than all buffers between endpoint and caller hold.
     let event = format!("id: 1\ndata: {}\n\n", "x".repeat(1 << 20));
     let events = vec![event; 64];
     let script = move |arrived: &Arrived| match arrived.line.contains("/stream/") {
@@ -258,9 +262,9 @@
     let asked = world.asked("key-b", 10, 1_000);
     let answer = request(gateway.callers(), "/stream/x", &asked).send().await.expect("a head");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(engine.closed(), 0, "the endpoint waits for the caller");
+    assert_eq!(engine.closed(), 0, "back-pressure holds the endpoint");
     drop(answer);
-    until("the endpoint sees it", async || engine.closed() > 0).await;
+    until("the endpoint's connection closes", async || engine.closed() > 0).await;
 }
 
 #[tokio::test]
@@ -272,7 +276,7 @@
     let new = world.endpoint("i-2", "plain", answers).await;
     world.list("i-1", "plain", old.address(), false).await;
     let mut quiet = 0;
-    until("only the new one is used", async || {
+    until("only the new endpoint is used", async || {
         let before = old.arrived().len();
         call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         quiet = if old.arrived().len() == before { quiet + 1 } else { 0 };
@@ -281,7 +285,7 @@
     .await;
     assert!(new.arrived().len() > 20);
     world.unlist("i-2").await;
-    until("nobody is left", async || {
+    until("no endpoint is left", async || {
         let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         got.status == StatusCode::SERVICE_UNAVAILABLE
     })
@@ -303,7 +307,7 @@
     let stream = tokio::spawn(async move { call(callers, "/stream/x", &asked).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stop = tokio::spawn(gateway.stop());
-    until("it calls itself not ready", async || {
+    until("the box reports not ready", async || {
         let asked = reqwest::get(format!("http://{ready}/ready")).await;
         asked.map_or(true, |answer| answer.status() == StatusCode::SERVICE_UNAVAILABLE)
     })
@@ -315,7 +319,7 @@
     let of = &book.ledgers["bornova"];
     assert!(book.writers.is_empty() && of.grants.is_empty(), "{book:?}");
     assert_eq!((of.lost, of.spent, of.statement.tokens), (0, of.spent, of.spent));
-    assert!(of.spent >= 140, "100 of the prompt and 20 events of 2 tokens");
+    assert!(of.spent >= 140, "a prompt of 100 tokens and 20 events of 2");
     let pages = objects::Store::list(world.platform.memory(), ledger::BILLS, "").await;
     let pages = pages.expect("memory answers");
     let read = |page: &objects::Object| serde_json::from_str::<ledger::Page>(&page.value);
@@ -367,9 +371,9 @@
     world.list("i-0", "plain", first.address(), false).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let made = watches() - before;
-    // One in 250 ms, however slow this machine is, and those under way at both ends.
+    // One call in 250 ms, plus those in flight at the beginning and the end.
     let most = 2 + began.elapsed().as_millis() as u64 / 250;
-    assert!(made <= most, "{made} calls for 51 changes, {most} at most");
+    assert!(made <= most, "{made} calls for 51 changes, expected at most {most}");
 }
 
 #[tokio::test]
@@ -382,14 +386,14 @@
         let answer = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
         answer.expect("an answer").status() == StatusCode::OK
     };
-    until("its link is full", async || {
+    until("its link is saturated", async || {
         let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
         assert_eq!(got.status, StatusCode::OK);
         !ready().await
     })
     .await;
     let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
-    assert_eq!(got.status, StatusCode::OK, "what comes all the same is served");
+    assert_eq!(got.status, StatusCode::OK, "requests that still arrive are served");
     assert_eq!(got.headers.get("connection").map(|value| value.as_bytes()), Some(&b"close"[..]));
-    until("it takes connections again once it is free", ready).await;
+    until("the box is ready again", ready).await;
 }
--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -1,10 +1,10 @@
-//! What boxes tell each other of prompts.
+//! Boxes announce long prompts to each other, so that all of them avoid a busy engine.
 
 use crate::world::{World, answers, call, shared, until, until_served};
 use platform::request::Part;
 use standin::{Arrived, Reply, Scripted};
 
-/// Requests in a row that would hardly all go to one of two engines by chance.
+/// Consecutive requests that hardly all go to the same one of two engines by chance.
 const IN_A_ROW: usize = 20;
 
 fn long(engine: &Scripted) -> bool {
@@ -15,7 +15,7 @@
 async fn a_box_passes_over_an_engine_that_reads_a_long_prompt_of_another_box() {
     let world = World::open(10_000_000, &["stream", "open"]).await;
     let _plain = world.endpoint("p-1", "plain", answers).await;
-    // An engine that reads a long prompt says nothing until it has.
+    // An engine sends nothing while it reads a long prompt.
     let script = shared(|arrived: &Arrived| match arrived.line.contains("/stream/long") {
         true => Reply::Silent,
         false => answers(arrived),
@@ -28,7 +28,7 @@
     let two = world.gateway("box-2").await;
     until_served(&world, &one, "/stream/x").await;
     until_served(&world, &two, "/stream/x").await;
-    until("both know each other and both engines", async || {
+    until("both boxes know each other and both engines", async || {
         call(two.callers(), "/stream/x", &world.asked("key-b", 10, 1)).await;
         let known = engines.iter().all(|engine| !engine.arrived().is_empty());
         known && one.knows_peers() > 0 && two.knows_peers() > 0
@@ -38,9 +38,12 @@
     asked.parts = vec![Part { id: 1, tokens: 50_000 }];
     let callers = one.callers();
     let waits = tokio::spawn(async move { call(callers, "/stream/long", &asked).await });
-    until("an engine has it", async || engines.iter().any(long)).await;
-    let other = engines.iter().find(|engine| !long(engine)).expect("one has it");
-    until("box 2 uses the other engine alone", async || {
+    until("an engine receives the long prompt", async || engines.iter().any(long)).await;
+    let other = engines
+        .iter()
+        .find(|engine| !long(engine))
+        .expect("only one engine received the long prompt");
+    until("box 2 uses only the other engine", async || {
         let before = other.arrived().len();
         for id in 0..IN_A_ROW as u64 {
             let mut asked = world.asked("key-b", 10, 1);
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -1,10 +1,7 @@
-//! Requests under which endpoints end.
+//! Quarantine of requests that crash the endpoints they run on.
 //!
-//! Seen: one request ended 13 engines within 12 s, and another one 12; with each engine some ten streams of other
-//! callers broke. How it came about: its callers sent it again, with another id and mostly to another box, and
-//! each try went to an engine as if it were the first. Cause: nothing was remembered of a request beyond one
-//! try of it, and the boxes told each other nothing of what became of it. Proved by this test, which needs only a
-//! request that ends who runs it and callers that come again: without a quarantine all endpoints end.
+//! Guards against callers that retry such a request, with a new id and at other boxes, until all endpoints of a
+//! service are down.
 
 use std::time::Duration;
 
@@ -16,20 +13,20 @@
 use crate::world::{Got, World, answers, finish, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// Boxes that know each other: two homes of news and their listeners.
+/// Number of boxes: two watchers and two subscribers.
 const BOXES: usize = 4;
-/// Endpoints; far more than a request may end.
+/// Number of endpoints: far more than one request may crash.
 const ENDPOINTS: usize = 9;
-/// Body of the request under which endpoints end.
+/// Body of the request that crashes endpoints.
 const GUILTY: &str = "guilty";
-/// Endpoints that may end under one request: three, and as many more while the boxes tell each other.
+/// Most endpoints that one request may crash: three, and three more while the crash reports spread.
 const MOST_ENDED: usize = 6;
 
-/// Time that a long answer takes, in 20 events: far longer than an endpoint needs to end under it.
+/// Duration of a long response of 20 events: far longer than a crash takes.
 const LONG: Duration = Duration::from_millis(400);
 
-/// Ends under a guilty request, takes time for one that begins with `long`, breaks off one that begins with
-/// `torn`, and answers all others at once.
+/// Script of the endpoints: bodies that start with [`GUILTY`] crash them, `long` gets a slow response, `torn` gets a
+/// response that breaks off, and others are answered at once.
 fn crashes(arrived: &Arrived) -> Reply {
     let headers = played::answered(&arrived.told.id, None);
     match &*String::from_utf8_lossy(&arrived.body) {
@@ -62,13 +59,13 @@
             boxes.push(world.gateway(&format!("box-{n}")).await);
         }
         for gateway in &boxes {
-            until("it knows the others", async || gateway.knows_peers() == BOXES - 1).await;
+            until("the boxes know each other", async || gateway.knows_peers() == BOXES - 1).await;
             until_served(&world, gateway, &format!("/{}/x", routes[0])).await;
         }
         Fleet { world, boxes, endpoints }
     }
 
-    /// A caller's try of a request at a box.
+    /// Sends a request to a box.
     async fn send(&self, at: usize, path: &str, body: &str) -> Got {
         let asked = self.world.asked("key-b", 1, 1);
         let address = self.boxes[at % BOXES].callers();
@@ -79,7 +76,7 @@
         self.endpoints.iter().filter(|endpoint| endpoint.has_crashed()).count()
     }
 
-    /// Sends a guilty request, to a box after the other, until none of them runs it.
+    /// Sends the guilty request to the boxes in turn until all of them refuse it.
     async fn send_until_refused(&self, path: &str) {
         let mut refused = 0;
         until("all boxes refuse it", async || {
@@ -93,7 +90,7 @@
     }
 }
 
-/// Whether a box says that the request did not run, will not, and when it might.
+/// Whether a box refused the request as quarantined, with a time to retry.
 fn is_quarantined(got: &Got) -> bool {
     let says = got.body.as_ref().is_ok_and(|body| body.contains("quarantined"));
     let is_refused = got.status == StatusCode::SERVICE_UNAVAILABLE;
@@ -111,16 +108,16 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let ended = fleet.ended();
-        assert!(ended <= MOST_ENDED, "{path}: {ended} of {ENDPOINTS} endpoints ended");
-        assert!(ended >= 3, "{path}: it ran {ended} times, and another endpoint may bear it");
+        assert!(ended <= MOST_ENDED, "{path}: {ended} of {ENDPOINTS} endpoints crashed");
+        assert!(ended >= 3, "{path}: it was quarantined after only {ended} crashes");
         for n in 0..BOXES {
             let got = fleet.send(n, path, "innocent").await;
-            assert_eq!(got.status, StatusCode::OK, "{path}: others are served");
+            assert_eq!(got.status, StatusCode::OK, "{path}: other requests are served");
         }
     }
 }
 
-/// The load: guilty requests end one endpoint after the other, and what runs beside them is sent again.
+/// Innocent requests that run on crashing endpoints are retried by their callers and must not be quarantined.
 #[tokio::test]
 async fn what_ran_beside_a_guilty_request_is_served_when_it_comes_again() {
     let fleet = Fleet::start("engines", &["stream"]).await;
@@ -128,7 +125,7 @@
         let (fleet, body) = (&fleet, format!("long {n}"));
         async move {
             let mut tries = 0;
-            until("it is served", async || {
+            until("an innocent request is served", async || {
                 tries += 1;
                 let got = fleet.send(n + tries, "/stream/x", &body).await;
                 assert!(!is_quarantined(&got), "innocent: {got:?}");
@@ -144,10 +141,10 @@
         }
     };
     tokio::join!(join_all(beside), guilty);
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} ended", fleet.ended());
+    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
 }
 
-/// The load: endpoints end for reasons of their own while the same request is asked for all the time.
+/// Endpoints crash for other reasons while callers send the same innocent request all the time.
 #[tokio::test]
 async fn a_request_that_is_answered_in_between_stays_free_however_many_endpoints_end() {
     let fleet = Fleet::start("engines", &["stream"]).await;
@@ -155,8 +152,8 @@
         let polls = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long poll"));
         let end = async {
             tokio::time::sleep(LONG / 4).await;
-            // A try that meets only endpoints that have ended is refused.
-            until("one more ends", async || {
+            // An attempt that reaches only crashed endpoints is refused.
+            until("one more endpoint crashes", async || {
                 fleet.send(n, "/stream/x", &format!("{GUILTY} once: {n}")).await;
                 fleet.ended() > n
             })
@@ -164,8 +161,8 @@
         };
         tokio::join!(join_all(polls), end);
     }
-    assert_eq!(fleet.ended(), ENDPOINTS - 2, "each of them once");
-    until("all boxes serve it", async || {
+    assert_eq!(fleet.ended(), ENDPOINTS - 2, "each guilty request crashed one endpoint");
+    until("all boxes serve the innocent request", async || {
         let polls = (0..BOXES).map(|at| fleet.send(at, "/stream/x", "long poll"));
         join_all(polls).await.iter().all(|got| got.status == StatusCode::OK)
     })
@@ -195,16 +192,16 @@
         until_served(&fleet.world, gateway, "/confirm/x").await;
         assert!(is_quarantined(&fleet.send(at, "/confirm/x", GUILTY).await), "box {at}");
     }
-    assert_eq!(fleet.ended(), ended, "nothing ends any more");
+    assert_eq!(fleet.ended(), ended, "no further endpoint crashes");
 }
 
-/// The load: the store is away when endpoints end. Boxes hear of it through homes, and the store later.
+/// While the store is down, crash reports spread through the watchers; they are written when it is back.
 #[tokio::test]
 async fn boxes_tell_each_other_while_the_store_is_away() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
     fleet.world.platform.set(|faults| faults.down = true);
     fleet.send_until_refused("/confirm/x").await;
-    assert!(fleet.ended() <= MOST_ENDED, "{} ended", fleet.ended());
+    assert!(fleet.ended() <= MOST_ENDED, "{} endpoints crashed", fleet.ended());
     fleet.world.platform.set(|faults| faults.down = false);
     until("the reports are in the store", async || {
         fleet.world.count(quarantine::CRASHES).await >= 3
@@ -212,7 +209,7 @@
     .await;
 }
 
-/// The load: a box that no other box reaches, and that reaches the store.
+/// A box without peers learns of the quarantine from the store.
 #[tokio::test]
 async fn a_box_alone_hears_of_it_from_the_store() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
@@ -226,8 +223,8 @@
     assert_eq!(fleet.ended(), ended);
 }
 
-/// The load: callers leave before the endpoint ends under what they asked for. Their box sees no connection
-/// break; others do, at requests that ran beside it.
+/// The callers of the guilty request disconnect before the endpoint crashes, so that only requests that ran beside
+/// it see connections break. It still counts as having run there.
 #[tokio::test]
 async fn a_request_that_its_caller_left_counts_as_being_there() {
     let fleet = Fleet::start("engines", &["stream"]).await;
@@ -245,10 +242,10 @@
         };
         tokio::join!(join_all(beside), left);
     }
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} ended", fleet.ended());
+    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
 }
 
-/// The load: answers that end with their connections look whole when the endpoint ends. They clear nothing.
+/// A response without framing looks complete when the endpoint crashes. It must not count as proof of innocence.
 #[tokio::test]
 async fn an_answer_that_ends_with_its_connection_speaks_for_nobody() {
     let fleet = Fleet::start("engines", &["stream"]).await;
@@ -260,7 +257,7 @@
         };
         tokio::join!(join_all(beside), guilty);
     }
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} ended", fleet.ended());
+    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
     for at in 0..BOXES {
         let got = fleet.send(at, "/stream/x", &format!("{GUILTY} unframed")).await;
         assert!(is_quarantined(&got), "box {at}: {got:?}");
--- a/crates/gateway/tests/loopback/rest.rs
+++ b/crates/gateway/tests/loopback/rest.rs
@@ -1,9 +1,7 @@
-//! Endpoints that turn requests away and ask a box for rest.
+//! Endpoints that reject requests with `retry-after`, which asks the box to back off.
 //!
-//! Seen: an engine had asked a box for 3 s of rest, and got 7 requests from it in that time; two are allowed from half a second on.
-//! How it came about: what it turned away was over in a millisecond, so that it looked like the emptiest engine of all; of some 260
-//! requests 94 went to the three engines that asked for rest, and 77 were refused. Cause: no box read for how long, and a
-//! refusal left no trace in the choice. Proved by the first test, which needs one box and one endpoint that asks.
+//! Guards against a box that goes on sending to such an endpoint: an endpoint that rejects quickly looks idle, and a
+//! load-based choice would prefer it.
 
 use std::{
     sync::Arc,
@@ -20,18 +18,18 @@
 use crate::world::{World, answers, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// Time from which on a rest is to be kept: what was on its way may still arrive.
+/// Time after the rejection in which requests that were already sent may still arrive.
 const ON_ITS_WAY: Duration = Duration::from_millis(500);
-/// Requests that may reach an endpoint all the same within one rest.
+/// Requests that may reach an endpoint after that, within one back-off.
 const MOST: usize = 2;
 
-/// What an endpoint asks for, and when requests reached it.
+/// An endpoint that can be set to reject requests, and the times at which requests arrived.
 #[derive(Clone, Default)]
 struct Tired(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
-    /// Seconds, as a refusal states them; it answers whole where there is nothing.
+    /// Seconds for `retry-after`; `None` means that it serves requests.
     asks: Option<&'static str>,
     arrived: Vec<Instant>,
 }
@@ -58,7 +56,7 @@
     }
 }
 
-/// A box before two endpoints, one of which may ask for rest.
+/// A gateway with two endpoints, one of which can be set to ask for back-off.
 struct Pair {
     world: World,
     gateway: Gateway,
@@ -86,7 +84,7 @@
     tired.asks(Some("3"));
     let send = async || call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
     let before = tired.arrived().len();
-    until("it asks for rest", async || {
+    until("a request is rejected", async || {
         send().await;
         tired.arrived().len() > before
     })
@@ -98,11 +96,11 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let late = tired.arrived().into_iter().filter(|at| *at > asked + ON_ITS_WAY).count();
-    assert!(late <= MOST, "{late} requests reached it");
-    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other one takes all");
+    assert!(late <= MOST, "{late} requests arrived during the back-off");
+    assert!(got.iter().all(|got| got.status == StatusCode::OK), "the other endpoint serves them");
 }
 
-/// The load: a burst meets endpoints that all ask for rest.
+/// A burst of requests arrives while all endpoints ask for back-off.
 #[tokio::test]
 async fn where_all_rest_requests_are_refused_at_once_and_told_when_to_come() {
     let world = World::open(PAID, &["cancel", "confirm"]).await;
@@ -115,7 +113,7 @@
     until_served(&world, &gateway, "/cancel/x").await;
     tired.iter().for_each(|tired| tired.asks(Some("30")));
     let send = async |path| call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
-    until("all rest", async || {
+    until("the box backs off from both", async || {
         send("/cancel/x").await;
         gateway.resting() == 2
     })
@@ -126,22 +124,22 @@
     for path in ["/cancel/x", "/confirm/x"] {
         let began = Instant::now();
         let burst = join_all((0..30).map(|_| send(path))).await;
-        assert!(began.elapsed() < Duration::from_secs(5), "they waited {:?}", began.elapsed());
+        assert!(began.elapsed() < Duration::from_secs(5), "refusals took {:?}", began.elapsed());
         for got in burst {
             assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
             assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
             let after: f64 = got.headers["retry-after"].to_str().expect("text").parse().expect("s");
-            assert!(after > 20.0, "not before there is room: {got:?}");
+            assert!(after > 20.0, "the caller is told to retry after the back-off: {got:?}");
         }
     }
-    assert_eq!(arrived(), before, "nothing reaches them");
+    assert_eq!(arrived(), before, "no request reaches the endpoints");
     tired.iter().for_each(|tired| tired.asks(None));
     let successor = world.endpoint("i-3", "plain", answers).await;
     until_served(&world, &gateway, "/cancel/x").await;
     assert!(!successor.arrived().is_empty());
 }
 
-/// A rest is of the box that was turned away; others go on until they are.
+/// A back-off binds only the box whose request was rejected.
 #[tokio::test]
 async fn another_box_is_not_told() {
     let world = World::open(PAID, &["cancel"]).await;
@@ -150,18 +148,18 @@
     let _stands = world.endpoint("i-2", "plain", answers).await;
     let (one, two) = (world.gateway("box-1").await, world.gateway("box-2").await);
     for gateway in [&one, &two] {
-        until("it knows the other", async || gateway.knows_peers() == 1).await;
+        until("the boxes know each other", async || gateway.knows_peers() == 1).await;
         until_served(&world, gateway, "/cancel/x").await;
     }
     tired.asks(Some("60"));
-    until("one is turned away", async || {
+    until("box 1 is rejected", async || {
         call(one.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         one.resting() == 1
     })
     .await;
     tired.asks(None);
     let before = tired.arrived().len();
-    until("the other is served there", async || {
+    until("box 2 is served by the same endpoint", async || {
         call(two.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
         tired.arrived().len() > before
     })
@@ -169,7 +167,7 @@
     assert_eq!((one.resting(), two.resting()), (1, 0));
 }
 
-/// The load: more requests are under way than an endpoint bears when it begins to ask for rest.
+/// Requests are in flight when the endpoint begins to reject them.
 #[tokio::test]
 async fn of_a_burst_that_is_turned_away_nothing_leaves_later() {
     let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
@@ -186,5 +184,5 @@
     join_all(burst).await;
     let arrived = tired.arrived().split_off(before);
     let late = arrived.iter().filter(|at| **at > arrived[0] + ON_ITS_WAY).count();
-    assert!(late <= MOST, "{late} of {} reached it late", arrived.len());
+    assert!(late <= MOST, "{late} of {} arrived during the back-off", arrived.len());
 }
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -1,4 +1,4 @@
-//! Boxes that are suspended: the steady clock, by which their timers run, stands still meanwhile.
+//! Boxes that are suspended: the monotonic clock, on which their timers run, stops meanwhile.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// Longer than any caller waits.
 const LONG: Duration = Duration::from_secs(60);
 
-/// Callers do not stand still with the box: an endpoint must not be told that there is time left.
+/// The caller's deadline passes during the suspension, so the request must not reach an endpoint afterwards.
 #[tokio::test]
 async fn a_request_whose_time_went_by_while_the_box_was_suspended_is_not_sent() {
     let world = World::open(PAID, &["confirm"]).await;
@@ -31,17 +31,17 @@
     let sending = async {
         pieces.send("a piece").await.expect("the body is read");
         let under_way = "flintstall_requests_under_way 1";
-        until("it is under way", async || gateway.metrics().contains(under_way)).await;
+        until("the request is in flight", async || gateway.metrics().contains(under_way)).await;
         clock.suspend(LONG);
         drop(pieces);
     };
     let (got, ()) = tokio::join!(got, sending);
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
-    assert_eq!(endpoint.arrived().len(), before, "its caller is gone");
+    assert_eq!(endpoint.arrived().len(), before, "its caller has given up");
 }
 
-/// The load: an endpoint leaves while the box is suspended, and the box's watch of the store is dead when it
-/// wakes, without a sign of it.
+/// An endpoint leaves while the box is suspended, and the box's store watch is dead after the resume although its
+/// connection looks open.
 #[tokio::test]
 async fn a_box_that_was_suspended_sends_nothing_before_it_has_read_what_changed() {
     let world = World::open(PAID, &["confirm"]).await;
@@ -59,7 +59,7 @@
     assert_eq!(left.arrived().len(), before, "the endpoint has left");
 }
 
-/// Old news are better than none: the store does not answer when the box wakes.
+/// If the store is unreachable after the resume, the box serves on with the state that it has.
 #[tokio::test]
 async fn a_box_that_was_suspended_serves_on_though_the_store_is_away() {
     let world = World::open(PAID, &["confirm"]).await;
@@ -68,7 +68,7 @@
     until_served(&world, &gateway, "/confirm/x").await;
     link.set_cut(true);
     clock.suspend(LONG);
-    until("it serves on", async || {
+    until("the box serves requests", async || {
         let got = call(gateway.callers(), "/confirm/x", &world.asked("key-b", 1, 1)).await;
         got.status == StatusCode::OK
     })
--- a/crates/gateway/tests/loopback/world.rs
+++ b/crates/gateway/tests/loopback/world.rs
@@ -1,4 +1,4 @@
-//! Real gateways between the stand-in store, scripted endpoints and a caller.
+//! Test harness: starts gateways, the stand-in store and scripted endpoints, and sends requests as a caller.
 
 use std::{
     net::SocketAddr,
@@ -18,33 +18,33 @@
 };
 use standin::{Arrived, Link, Platform, Reply, Scripted};
 
-/// Longest that anything waits here; reached only when a test fails.
+/// Upper bound on any single wait; a test that reaches it fails.
 pub const BOUND: Duration = Duration::from_secs(20);
 
-/// The store, and what writes to it as the operator and the endpoints do.
+/// The stand-in store, with methods that write to it as operators and endpoints do.
 pub struct World {
     pub platform: Platform,
     ids: AtomicU64,
 }
 
-/// What a caller got.
+/// Response as the caller received it.
 #[derive(Debug)]
 pub struct Got {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// The body, or why it broke off.
+    /// The body, or the error that cut it short.
     pub body: Result<String, String>,
 }
 
 impl World {
-    /// A store with a configuration in which each customer has paid this much.
+    /// Starts a store whose configuration has these routes and `paid` tokens for each customer.
     pub async fn open(paid: u64, routes: &[&str]) -> World {
         let world = World { platform: Platform::spawn(1).await, ids: AtomicU64::new(1) };
         world.configure(1, paid, routes).await;
         world
     }
 
-    /// Writes an object whatever its version.
+    /// Writes an object, whatever version is stored.
     async fn write(&self, kind: &str, name: &str, value: String) {
         let memory = self.platform.memory();
         let expect = match memory.get(kind, name).await.expect("memory answers") {
@@ -54,25 +54,25 @@
         memory.put(kind, name, value, expect).await;
     }
 
-    /// The book as it stands.
+    /// Reads the book.
     pub async fn book(&self) -> ledger::Book {
         let (kind, name) = ledger::BOOK;
         let book = self.platform.memory().get(kind, name).await.expect("memory answers");
         serde_json::from_str(&book.expect("a book").value).expect("it can be read")
     }
 
-    /// The entry of a box, as text.
+    /// The entry of a box, as stored.
     pub async fn entry_of(&self, name: &str) -> Option<String> {
         let found = self.platform.memory().get("boxes", name).await.expect("memory answers");
         found.map(|object| object.value.to_string())
     }
 
-    /// The entry of a box goes: boxes that start from then on do not know it.
+    /// Removes the entry of a box, so that boxes that start later don't know it.
     pub async fn forget_box(&self, name: &str) {
         self.remove("boxes", name).await;
     }
 
-    /// Keys of all requests that stand on a bill.
+    /// Keys of all billed requests.
     pub async fn billed(&self) -> Vec<String> {
         let pages = self.platform.memory().list(ledger::BILLS, "").await.expect("memory answers");
         let page = |object: objects::Object| -> ledger::Page {
@@ -82,7 +82,7 @@
         bills.map(|bill| bill.key.to_string()).collect()
     }
 
-    /// Writes a version of the configuration.
+    /// Writes a configuration.
     pub async fn configure(&self, version: u64, paid: u64, routes: &[&str]) {
         let (kind, name) = platform::CONFIG;
         self.write(kind, name, played::config(version, paid, routes)).await;
@@ -93,7 +93,7 @@
         self.write(platform::ENDPOINTS, id, played::entry(service, address, ready)).await;
     }
 
-    /// Writes whatever stands there as the entry of an endpoint.
+    /// Writes an arbitrary text as the entry of an endpoint.
     pub async fn list_as(&self, id: &str, entry: String) {
         self.write(platform::ENDPOINTS, id, entry).await;
     }
@@ -109,17 +109,17 @@
         memory.delete(kind, name, found.expect("it is there").version).await;
     }
 
-    /// The operator wants nothing more to be sent to a zone.
+    /// Evacuates a zone, as an operator does.
     pub async fn evacuate(&self, zone: &str) {
         self.write(platform::EVACUATIONS, zone, "{}".into()).await;
     }
 
-    /// The operator takes a zone back.
+    /// Ends the evacuation of a zone.
     pub async fn take_back(&self, zone: &str) {
         self.remove(platform::EVACUATIONS, zone).await;
     }
 
-    /// Starts an endpoint and lists it.
+    /// Starts an endpoint and writes its entry.
     pub async fn endpoint(
         &self,
         id: &str,
@@ -136,39 +136,39 @@
         self.platform.memory().list(kind, "").await.expect("memory answers").len()
     }
 
-    /// Starts a gateway that no other box may ask, and that asks none.
+    /// Starts a gateway without a peer address: it neither accepts nor opens peer connections.
     pub async fn gateway_alone(&self, name: &str) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.listen.peers = None;
         self.gateway_with(settings).await
     }
 
-    /// Starts a gateway that reaches the store directly.
+    /// Starts a gateway that connects to the store directly.
     pub async fn gateway(&self, name: &str) -> Gateway {
         self.gateway_at(name, self.platform.socket()).await
     }
 
-    /// Starts a gateway that reaches the store through a link that can be cut.
+    /// Starts a gateway that connects to the store through a link that can be cut.
     pub async fn cut_gateway(&self, name: &str) -> (Gateway, Link) {
         let link = Link::bind(self.platform.socket(), Duration::ZERO).await.expect("a link");
         (self.gateway_at(name, link.address()).await, link)
     }
 
-    /// Starts a gateway with a link of so many Mbit/s.
+    /// Starts a gateway with a network link of `link_mbps`.
     pub async fn narrow_gateway(&self, name: &str, link_mbps: f64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.machine.link_mbps = link_mbps;
         self.gateway_with(settings).await
     }
 
-    /// Starts a gateway whose requests wait for tokens so long.
+    /// Starts a gateway whose requests wait for tokens for at most `wait_ms`.
     pub async fn waiting_gateway(&self, name: &str, wait_ms: u64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.money.wait_ms = wait_ms;
         self.gateway_with(settings).await
     }
 
-    /// Starts a gateway whose requests, and whose questions to keepers, wait for tokens so long.
+    /// Starts a gateway whose requests, and whose calls to keepers, wait for tokens for at most `wait_ms`.
     pub async fn patient_gateway(&self, name: &str, wait_ms: u64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.money.wait_ms = wait_ms;
@@ -176,7 +176,7 @@
         self.gateway_with(settings).await
     }
 
-    /// Starts a gateway by a clock that is set by hand, with a link to the store that can be cut.
+    /// Starts a gateway with a manual clock and a link to the store that can be cut.
     pub async fn clocked_gateway(&self, name: &str) -> (Gateway, Link, Clock) {
         let link = Link::bind(self.platform.socket(), Duration::ZERO).await.expect("a link");
         let clock = Clock::by_hand();
@@ -195,14 +195,14 @@
     }
 }
 
-/// Tokens that a gateway charged so far, by its metrics.
+/// Tokens that a gateway has charged so far, from its metrics.
 pub fn charged(gateway: &Gateway) -> u64 {
     let metrics = gateway.metrics();
     let line = metrics.lines().find_map(|l| l.strip_prefix("flintstall_tokens_charged_total "));
     line.expect("a counter").parse().expect("a number")
 }
 
-/// Settings of a gateway that takes any free port.
+/// Settings of a gateway that binds free ports.
 pub fn settings(name: &str, store: SocketAddr) -> Settings {
     let text = format!(
         r#"{{
@@ -219,7 +219,7 @@
 }
 
 impl World {
-    /// A fresh request of a customer that costs tokens.
+    /// A new request with a unique id that costs tokens.
     pub fn asked(&self, key: &str, prompt: u64, most_output: u64) -> Asked {
         Asked {
             id: format!("try-{}", self.ids.fetch_add(1, Ordering::Relaxed)),
@@ -231,19 +231,19 @@
     }
 }
 
-/// A request on its way.
+/// Builds a request without a body.
 pub fn request(address: SocketAddr, path: &str, asked: &Asked) -> reqwest::RequestBuilder {
     let client = reqwest::Client::builder().no_proxy().build().expect("a client");
     let request = client.post(format!("http://{address}{path}")).header("host", "desk.example");
     asked.headers().into_iter().fold(request, |request, (name, value)| request.header(name, value))
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request with a small body and reads the whole response.
 pub async fn call(address: SocketAddr, path: &str, asked: &Asked) -> Got {
     finish(request(address, path, asked).body("a body")).await
 }
 
-/// Sends a request that was prepared and reads the whole answer.
+/// Sends a prepared request and reads the whole response.
 pub async fn finish(request: reqwest::RequestBuilder) -> Got {
     let answer = tokio::time::timeout(BOUND, request.send()).await.expect("an answer in time");
     let answer = answer.expect("an answer");
@@ -252,12 +252,12 @@
     Got { status, headers, body }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics with `what` after [`BOUND`].
 pub async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
     until_within(BOUND, what, holds).await;
 }
 
-/// Waits until something holds, with a bound of the caller's on a wait that fails.
+/// Waits until a condition holds; panics with `what` after `bound`.
 pub async fn until_within(bound: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !holds().await {
@@ -267,7 +267,7 @@
     tokio::time::timeout(bound, wait).await.unwrap_or_else(|_| panic!("{what}"));
 }
 
-/// Waits until a route is served, so that configuration and endpoints are known.
+/// Waits until a route is served, which shows that the gateway has read the configuration and the endpoints.
 pub async fn until_served(world: &World, gateway: &Gateway, path: &str) {
     until("the route is served", async || {
         let asked = world.asked("key-b", 1, 1);
@@ -276,12 +276,12 @@
     .await;
 }
 
-/// An endpoint that answers every request whole.
+/// Script of an endpoint that answers every request successfully.
 pub fn answers(arrived: &Arrived) -> Reply {
     Reply::Whole(StatusCode::OK, played::answered(&arrived.told.id, None), "done".into())
 }
 
-/// The same script for several endpoints.
+/// Makes a script cloneable, so that several endpoints can run it.
 pub fn shared(
     script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static,
 ) -> impl Fn(&Arrived) -> Reply + Clone + Send + Sync + 'static {
--- a/crates/gateway/tests/money.rs
+++ b/crates/gateway/tests/money.rs
@@ -1,10 +1,9 @@
-//! Random orders of everything that touches a budget, with several boxes and one book.
+//! Model test of token accounting: random orders of all operations of several boxes on one book.
 //!
-//! Boxes hold and charge tokens, settle with answers that are lost and writes that land late,
-//! lend to each other with answers that are lost, promise witnesses what they keep untouched, draw
-//! from keepers with messages that are lost, late and repeated, die, start again and leave. Whatever the order, what was charged and what is still held never exceed
-//! what was paid, and what living boxes reported is counted once. Broken variants must be caught,
-//! or the check could not fail.
+//! Boxes reserve and charge tokens, settle, lend, make promises to witnesses, draw from keepers, crash, restart and
+//! shut down; messages and responses get lost, delayed and repeated. Charged and reserved tokens must never exceed
+//! what was paid, and what living boxes reported must count once. Deliberately broken variants show that the checks
+//! can fail.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,74 +23,73 @@
 const POLICY: Policy =
     Policy { offline_share: 500, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
 
-/// Rules that a variant breaks.
+/// Fault that a variant of the model has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Broken {
     Nothing,
-    /// A settlement whose answer was lost is taken as not done, and made anew.
+    /// A settlement whose response was lost is made again under a new number.
     Blind,
-    /// Tokens passed on are taken over each time that the answer arrives.
+    /// A loan counts each time that its response arrives.
     ReceiveTwice,
-    /// What a dead box held is free again.
+    /// The book frees what a dead box held.
     FreeDead,
-    /// The book forgets which transfers it counted.
+    /// The book forgets which transfers it has counted.
     ForgetTransfers,
-    /// A box that leaves gives back what requests under way hold, too.
+    /// A box that shuts down also returns what running requests have reserved.
     LeaveEarly,
-    /// A promise whose answer was lost is taken as known to the witness.
+    /// A box assumes that its witness has a promise whose response was lost.
     PromiseBlind,
-    /// A witness tells what it was promised under an earlier naming.
+    /// A witness reports what it was promised under an earlier term.
     OldNaming,
-    /// Tokens that a promise keeps are spent all the same.
+    /// A box spends tokens that it promised to keep.
     SpendKept,
-    /// A keeper passes tokens on without taking them out of its account.
+    /// A keeper passes tokens on without deducting them.
     PassTwice,
-    /// What a keeper passed on is taken over each time that it is told.
+    /// Tokens from a keeper count each time that the response arrives.
     DrawnTwice,
-    /// Another life of a keeper believes what was told to an earlier one.
+    /// An incarnation of a keeper accepts reports meant for an earlier one.
     WrongLife,
-    /// A keeper takes back what a dead box held.
+    /// A keeper takes back what it passed on to a box that died.
     FreePassed,
-    /// What a witness tells of a dead box is free again each time that somebody tells it.
+    /// The book frees the untouched tokens of a dead box each time that they are reported.
     CollectTwice,
-    /// What a living box keeps is collected, and its witness goes on to take its promises.
+    /// The kept tokens of a living box are collected, and its witness goes on accepting its promises.
     CollectLiving,
-    /// The book forgets of whom it is open what they left untouched, and what they held with it.
+    /// The book forgets its open claims, and the grants of their holders.
     ForgetClaims,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A request holds its worst case, if the tokens are here.
+    /// A request reserves its worst case, if the box has the tokens.
     Hold { at: usize, tokens: u64 },
-    /// The oldest request ends and used this share of it, in percent.
+    /// The oldest request ends and is charged this percentage of its reservation.
     End { at: usize, percent: u64 },
-    /// A settlement is planned, unless one is under way.
+    /// A settlement is planned, unless one is pending.
     Plan { at: usize },
-    /// A settlement is planned in which the box draws no more.
+    /// A settlement is planned with which the box stops drawing from the book.
     Retire { at: usize },
-    /// It is written; the answer may be lost.
+    /// The pending settlement is written; the response may be lost.
     Write { at: usize, answered: bool },
-    /// One box asks another; the answer may be lost, or arrive twice.
+    /// One box borrows from another; the response may be lost, or arrive twice.
     Lend { from: usize, to: usize, tokens: u64, arrives: usize },
-    /// The next settlement of a box names another one as its witness.
+    /// The next settlement of a box names another box as its witness.
     Name { at: usize, witness: usize },
-    /// A box promises its witness what it keeps; question and answer may be lost.
+    /// A box promises its witness what it keeps; request and response may be lost.
     Promise { at: usize, arrives: bool, answered: bool },
-    /// A box asks another one as its keeper; question and answer may be lost, and are kept to be
-    /// repeated.
+    /// A box draws tokens from a keeper; request and response may be lost, and are recorded for repetition.
     Draw { at: usize, keeper: usize, need: u64, ahead: u64, arrives: bool, answered: bool },
-    /// A box tells a keeper what it used, and gives back what lies idle.
+    /// A box reports its use to a keeper and returns idle tokens.
     Tell { at: usize, keeper: usize, arrives: bool, answered: bool },
-    /// An earlier question arrives at whoever is there now, late or once more.
+    /// An earlier request to a keeper arrives late or again, at the incarnation that runs now.
     AskAgain { which: usize },
-    /// An earlier answer arrives late or once more.
+    /// An earlier response of a keeper arrives late or again.
     AnswerAgain { which: usize },
-    /// A box dies and starts again; its witness may be out of reach then.
+    /// A box crashes and restarts; its witness may be unreachable then.
     Die { at: usize, asked: bool },
-    /// A box asks the witness of a life that ended, of which the book says that it is open.
+    /// A box asks the witness of an ended incarnation that has an open claim in the book.
     Collect { at: usize, which: usize },
-    /// A box ends by plan and starts again.
+    /// A box shuts down and restarts.
     Leave { at: usize },
 }
 
@@ -101,16 +99,16 @@
     holds: Vec<Hold>,
     write: u64,
     pending: Option<Settlement>,
-    /// What the newest write of it would grant, while nobody knows whether it landed.
+    /// Grants of the last write, while its outcome is unknown.
     unsure: Option<Vec<Granted>>,
-    /// The witness that the book names, as far as the box knows.
+    /// The witness in the book, as far as the box knows.
     named: Option<Witness>,
-    /// The witness that its next settlement names.
+    /// The witness that the next settlement names.
     names: Option<Witness>,
     promises: u64,
-    /// What others promised it.
+    /// Promises that other boxes made to this one.
     records: Records,
-    /// What its earlier life left untouched, until its first settlement tells.
+    /// Untouched tokens of earlier incarnations, to be reported with the next settlement.
     earlier: Vec<Untouched>,
 }
 
@@ -136,7 +134,7 @@
     }
 }
 
-/// A question to a keeper, on its way.
+/// A request to a keeper.
 #[derive(Debug, Clone)]
 struct Question {
     from: Incarnation,
@@ -144,7 +142,7 @@
     items: Vec<Told>,
 }
 
-/// A keeper's answer, on its way.
+/// The response of a keeper.
 #[derive(Debug, Clone)]
 struct Answer {
     to: Incarnation,
@@ -153,18 +151,18 @@
 }
 
 struct World {
-    /// All that was ever sent.
+    /// All requests that were ever sent to keepers.
     questions: Vec<Question>,
     answers: Vec<Answer>,
     book: Book,
     nodes: Vec<Node>,
     lives: u64,
-    /// Tokens that requests really used, by the boxes' own word or at worst.
+    /// Tokens that requests used: as charged, or their worst case if the box died.
     used: u64,
     broken: Broken,
-    /// Naming under which a box last promised another one something.
+    /// Term of the last promise, by holder and witness.
     terms: HashMap<(Incarnation, Incarnation), u64>,
-    /// The last promise of each box that its witness took.
+    /// Tokens of the last promise that each box's witness accepted.
     taken: HashMap<Incarnation, BTreeMap<Arc<str>, u64>>,
 }
 
@@ -193,7 +191,7 @@
                 }
                 let hold = self.nodes[at].funds.try_hold(&customer(), tokens);
                 if hold.is_none() {
-                    // The next promise frees them.
+                    // Makes the next promise keep fewer tokens.
                     drop(self.nodes[at].funds.want_kept(&customer(), tokens));
                 }
                 self.nodes[at].holds.extend(hold);
@@ -249,13 +247,13 @@
                 self.taken.get(&holder).cloned().unwrap_or_default()
             }
             Some(by) => by.records.seal(&holder, claim.witness.term).unwrap_or_default(),
-            // The witness died itself.
+            // The witness has died.
             None => Default::default(),
         };
         self.nodes[at].earlier.push(Untouched { holder, witness: claim.witness, tokens });
     }
 
-    /// A living box stands in the book as one that ended.
+    /// Opens a claim on a living box, as if it had ended.
     fn claim_living(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         let Some(writer) = self.book.writers.get(&name) else { return };
@@ -302,7 +300,7 @@
         let promise = Promise { term: witness.term, number: node.promises, tokens: tokens.clone() };
         let (name, blind) = (node.name.clone(), self.broken == Broken::PromiseBlind);
         let Some(by) = self.nodes.iter().position(|node| node.name == witness.by) else {
-            // Another start answers there: what the witness knew is gone with it.
+            // The witness has restarted and lost its records.
             if answered {
                 self.nodes[at].funds.release();
             }
@@ -318,7 +316,7 @@
         }
     }
 
-    /// What the witness of a box that died says of it.
+    /// Untouched tokens of a dead box, as its witness reports them.
     fn untouched(&self, holder: &Incarnation) -> Option<Untouched> {
         let witness = self.book.writers.get(holder)?.witness.clone()?;
         let by = self.nodes.iter().find(|node| node.name == witness.by)?;
@@ -365,7 +363,7 @@
                 }
             }
             false if broken == Broken::Blind => {
-                // The same again, under a new number, as if nothing had happened.
+                // The same settlement under a new number, as if the first write had failed.
                 node.write += 1;
                 let writer = Writer { write: node.write, ..settlement.writer.clone() };
                 node.pending = Some(Settlement { writer, ..settlement });
@@ -415,7 +413,7 @@
         }
     }
 
-    /// A question arrives at whoever is there now.
+    /// Delivers a request to the keeper; returns its response.
     fn ask(&mut self, question: Question) -> Option<Answer> {
         let at = self.nodes.iter().position(|node| match self.broken {
             Broken::WrongLife => node.name.box_name() == question.keeper.box_name(),
@@ -427,7 +425,7 @@
             if told.need > 0 && funds.try_give(&question.from, told) {
                 let tokens = funds.given(&question.from, std::slice::from_ref(told))[0].given;
                 if self.broken == Broken::PassTwice {
-                    // The keeper takes them back at once, as if they had never left.
+                    // The keeper takes them back at once.
                     let share = ledger::Share { given: tokens, returned: tokens, ..told.share };
                     let back = Told { share, need: 0, least: 0, ..told.clone() };
                     funds.hear(&question.from, &[back]);
@@ -443,7 +441,7 @@
         let node = &self.nodes[at];
         let Question { keeper, items, .. } = &answer.question;
         let keeper = match self.broken {
-            // Each answer counts as that of another keeper.
+            // Each response counts as that of another keeper.
             Broken::DrawnTwice => Incarnation::new("any", self.answers.len() as u64),
             _ => keeper.clone(),
         };
@@ -451,7 +449,7 @@
     }
 
     fn die(&mut self, at: usize, asked: bool) {
-        // Nobody knows what its requests used; the truth may be all of it.
+        // The use of its running requests is unknown: assume their worst case.
         let lost: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
         self.used += lost;
         if self.broken == Broken::FreeDead {
@@ -469,7 +467,7 @@
         self.nodes[at].earlier.extend(untouched);
     }
 
-    /// Keepers take back what a dead box had, as if nothing of it was used.
+    /// Keepers take back what they passed on to a dead box, as if none of it was used.
     fn free_passed(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         for node in &self.nodes {
@@ -491,7 +489,7 @@
             self.write(at, true);
         }
         if self.broken == Broken::LeaveEarly {
-            // Requests under way go on after the last settlement.
+            // Running requests go on after the last settlement.
             let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
             self.used += held;
             while let Some(hold) = self.nodes[at].holds.pop() {
@@ -511,7 +509,7 @@
         self.name(at, (at + 1) % BOXES);
     }
 
-    /// Tokens used, and those that requests under way may still use.
+    /// Tokens used, plus those that running requests may still use.
     fn committed(&self) -> u64 {
         let holds = self.nodes.iter().flat_map(|node| &node.holds);
         self.used + holds.map(Hold::tokens).sum::<u64>()
@@ -522,7 +520,7 @@
         if committed > PAID {
             return Err(format!("{committed} tokens used or held of {PAID} paid"));
         }
-        // What a box uses is spent or granted in the book, too, or others could be given it.
+        // Used tokens must be spent or granted in the book, or they could be granted again.
         let ledger = self.book.ledgers.get(&customer());
         let counted = ledger.map_or(0, |ledger| ledger.spent + ledger.granted());
         if committed > counted {
@@ -534,8 +532,7 @@
         }
     }
 
-    /// Ends every box by plan: then the book's account of what was used is exact, but for what
-    /// died with boxes.
+    /// Shuts down all boxes; then the book is exact but for tokens that were lost in crashes.
     fn finish(&mut self) -> Result<(), String> {
         for at in 0..BOXES {
             while !self.nodes[at].holds.is_empty() {
@@ -545,7 +542,7 @@
         }
         self.check()?;
         let Some(ledger) = self.book.ledgers.get("bornova") else { return Ok(()) };
-        // What was passed on to a box that died before anybody told of it stays granted to it.
+        // Tokens passed on to a box that died unreported stay granted.
         let (billed, gone) = (ledger.statement.tokens, ledger.spent + ledger.granted());
         match billed <= self.used && self.used <= gone {
             true => Ok(()),
@@ -560,7 +557,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let at = 0..BOXES;
-    // Boxes hold little at first: small requests find some, and make them hold more.
+    // Boxes hold few tokens at first: small requests succeed and make them draw more.
     let often = || prop::bool::weighted(0.8);
     let size = || prop_oneof![2 => 20u64..400, 1 => 100u64..9_000];
     prop_oneof![
@@ -594,7 +591,7 @@
 
 fn run(steps: &[Step], broken: Broken) -> Result<(), String> {
     let mut world = World::new(broken);
-    // A first settlement registers a box, a second one brings tokens.
+    // The first settlement registers a box, the second one brings tokens.
     let opening = (0..BOXES).flat_map(|at| [Step::Plan { at }, Step::Write { at, answered: true }]);
     let opening: Vec<Step> = opening.collect();
     let all = opening.iter().chain(&opening).chain(steps);
@@ -605,7 +602,7 @@
     world.finish()
 }
 
-/// The same cases in every run.
+/// Runs the same cases every time.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 1_500,
@@ -651,19 +648,18 @@
     }
 }
 
-/// Random orders seldom meet these, so their steps are given.
+/// Variants that random orders seldom reveal, each with steps that do.
 #[test]
 fn broken_promises_are_caught() {
     let settle = |at| [Step::Plan { at }, Step::Write { at, answered: true }];
     let promise = |arrives| Step::Promise { at: 0, arrives, answered: arrives };
     let large = || Step::Hold { at: 0, tokens: 8_000 };
     let dies = [Step::Die { at: 0, asked: true }].into_iter().chain(settle(0));
-    // A request that finds too little makes the box hold its third of it, all of which it promises
-    // to keep.
+    // An unserved request makes the box draw its third of the tokens, which it promises to keep.
     let too_large = || Step::Hold { at: 0, tokens: 3 * 8_000 };
     let keeps = || [too_large()].into_iter().chain(settle(0)).chain([promise(true)]);
     let named = |witness| [Step::Name { at: 0, witness }].into_iter().chain(settle(0));
-    // Everything that any box believes to have is held.
+    // Reserves all tokens that any box considers free.
     let holds_all = || {
         let sizes = (0..14).rev().map(|bit| 1 << bit).cycle().take(28);
         let all = sizes.flat_map(|tokens| (0..BOXES).map(move |at| Step::Hold { at, tokens }));
@@ -671,14 +667,14 @@
     };
     let draw = Step::Draw { at: 0, keeper: 1, need: 50, ahead: 0, arrives: true, answered: true };
     let tell = Step::Tell { at: 0, keeper: 1, arrives: true, answered: true };
-    // What was given back to one life of a keeper is told to the next one.
+    // A return to one incarnation of a keeper is delivered again to the next one.
     let wrong_life = [draw.clone(), tell, Step::Leave { at: 1 }];
     let wrong_life = wrong_life.into_iter().chain(settle(1)).chain(settle(1)).chain([draw]);
     let wrong_life = wrong_life.chain([Step::AskAgain { which: 1 }]).chain(holds_all());
-    // A box dies unasked, its next life opens the claim, another box collects what was kept.
+    // A box dies while its witness is unreachable, its next incarnation opens the claim, another box collects.
     let dies_unasked = [Step::Die { at: 0, asked: false }].into_iter().chain(settle(0));
     let collects = || [Step::Collect { at: 2, which: 0 }].into_iter().chain(settle(2));
-    // More than is left now is used first, so that what is free once too often can be used too.
+    // Uses enough tokens first that those freed twice can be spent.
     let uses =
         [too_large()].into_iter().chain(settle(0)).chain([Step::Hold { at: 0, tokens: 3_000 }]);
     let twice = uses.chain([promise(true)]).chain(dies_unasked).chain(collects());
@@ -709,7 +705,7 @@
         assert_eq!(
             run(&steps, Broken::Nothing),
             Ok(()),
-            "the rules hold where {broken:?} does not"
+            "the steps for {broken:?} pass without the fault"
         );
         let caught = std::panic::catch_unwind(|| run(&steps, broken));
         assert!(caught.map_or(true, |ran| ran.is_err()), "{broken:?} was not caught");
@@ -732,18 +728,24 @@
     let waits =
         tokio::spawn(async move { funds.hold(&customer(), PAID + 1, until).await.is_some() });
     tokio::task::yield_now().await;
-    assert!(node.funds.is_urgent(), "a request waits");
+    assert!(node.funds.is_urgent(), "a request is waiting");
     settle(&mut node);
-    assert!(!node.funds.is_urgent(), "the book has not that many");
-    assert!(!waits.await.expect("no panic"), "it is refused at once, not after its 60 s");
+    assert!(!node.funds.is_urgent(), "the book has too few tokens");
+    assert!(!waits.await.expect("no panic"), "refused without waiting for its deadline");
     let funds = node.funds.clone();
     let small = tokio::spawn(async move { funds.hold(&customer(), 100, until).await.is_some() });
     tokio::task::yield_now().await;
     settle(&mut node);
-    assert!(small.await.expect("no panic"), "smaller requests are not held up");
+    assert!(small.await.expect("no panic"), "smaller requests are not delayed");
     let funds = node.funds.clone();
     let hopeless = tokio::spawn(async move { funds.hold(&customer(), PAID, until).await });
     tokio::task::yield_now().await;
-    assert!(!node.funds.is_urgent(), "the book is known to have too little: it is not asked");
-    assert!(hopeless.await.expect("no panic").is_none(), "refused at once, not after its 60 s");
+    assert!(
+        !node.funds.is_urgent(),
+        "the book is known to have too few tokens, so no settlement is urgent"
+    );
+    assert!(
+        hopeless.await.expect("no panic").is_none(),
+        "refused without waiting for its deadline (second request)"
+    );
 }
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -1,4 +1,4 @@
-//! How news spreads: who looks at the store, what is told, and that nothing goes backwards.
+//! Sync of the boxes' view of the store: who watches it, what is sent to subscribers, and that no view goes backwards.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -41,7 +41,7 @@
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
         let first = seen_from(&fleet, 0);
-        assert_eq!(first.first.len(), count, "homes of {boxes} boxes");
+        assert_eq!(first.first.len(), count, "watchers of {boxes} boxes");
         for me in 0..boxes {
             let seen = seen_from(&fleet, me);
             assert_eq!(names(&seen.first), names(&first.first), "as box {me} of {boxes} sees it");
@@ -71,7 +71,7 @@
     assert!(listeners.len() == 6 && most <= 120, "{listeners:?}");
 }
 
-/// The load: the whole of 3,000 endpoints told to 301 boxes, most of it from zone to zone.
+/// Guards against traffic between zones: snapshots are large, so boxes subscribe within their zone if they can.
 #[test]
 fn homes_stand_in_as_many_zones_as_they_can_and_are_heard_there() {
     let zones = ["a", "b", "c", "d", "e", "f"];
@@ -88,7 +88,11 @@
         for me in 0..boxes {
             let heard = zone_of(&seen_from(&fleet, me).first[0]);
             let own = &fleet[me].zone;
-            assert!(heard == *own || !with_home.contains(own), "{} hears {heard}", fleet[me].name);
+            assert!(
+                heard == *own || !with_home.contains(own),
+                "{} subscribes in {heard}",
+                fleet[me].name
+            );
         }
     }
 }
@@ -113,11 +117,11 @@
     directory.remove("left", 8);
     directory.set("drains".into(), 9, entry("draining"));
     directory.set("new".into(), 12, entry("ready"));
-    // What the paused home knew at version 7.
+    // State of the suspended watcher at version 7.
     let old = vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))];
     directory.mirror(old, 7);
     assert_eq!(ready(&directory), BTreeSet::from(["new".into()]));
-    // The endpoint was listed anew: its entry had lapsed with the store.
+    // The entry lapsed during an outage and was written again.
     directory.set("left".into(), 13, entry("ready"));
     assert_eq!(ready(&directory), BTreeSet::from(["left".into(), "new".into()]));
 }
@@ -136,15 +140,15 @@
     assert!(shelf.put("servers", "a", 1, Some("{}")));
     assert!(shelf.put("servers", "b", 2, Some("{}")));
     let told = shelf.last();
-    assert!(!shelf.put("servers", "b", 2, Some("{}")), "nothing new");
-    assert!(!shelf.put("servers", "a", 0, Some("older")), "older than what is known");
+    assert!(!shelf.put("servers", "b", 2, Some("{}")), "unchanged");
+    assert!(!shelf.put("servers", "a", 0, Some("older")), "older than the known version");
     assert!(shelf.put("servers", "a", 1, None));
     let (changes, whole) = shelf.since(told);
     assert!(!whole && changes.len() == 1 && changes[0].value.is_none(), "{changes:?}");
     let (changes, whole) = shelf.since(0);
-    assert!(whole && changes.len() == 2, "those that went are told of too: {changes:?}");
+    assert!(whole && changes.len() == 2, "removals are included: {changes:?}");
     let (_, whole) = shelf.since(told + 9);
-    assert!(whole, "a number of another life");
+    assert!(whole, "a position of another incarnation");
 }
 
 #[test]
@@ -155,27 +159,27 @@
         shelf.put("servers", &format!("i-{n}"), n, None);
     }
     let (changes, whole) = shelf.since(3);
-    assert!(whole && changes.len() < 2_000, "{} told", changes.len());
+    assert!(whole && changes.len() < 2_000, "{} changes", changes.len());
     let (changes, whole) = shelf.since(shelf.last() - 1);
     assert!(!whole && changes.len() == 1);
 }
 
-/// What happens in the store, and to two homes and a listener.
+/// An event at an endpoint, in the store, at one of two watchers, or at the subscriber.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An endpoint is listed, or says that it leaves.
+    /// An endpoint writes its entry: ready, or draining.
     Write { id: u8, ready: bool },
-    /// Its entry goes, and it with it.
+    /// An endpoint ends and its entry is removed.
     Remove { id: u8 },
-    /// It crashes and starts again under its id.
+    /// An endpoint crashes and restarts under its id.
     Restart { id: u8 },
-    /// What it wrote some time ago, in this life or an earlier one, lands only now.
+    /// An earlier write of an endpoint, by this or an earlier instance, lands late.
     Late { id: u8, ago: usize },
-    /// Somebody else writes over its entry.
+    /// Another writer overwrites the entry with garbage.
     Overwrite { id: u8 },
-    /// A home hears all that the store holds.
+    /// A watcher lists the store.
     Look { home: usize },
-    /// The listener hears a home: what came since, or the whole.
+    /// The subscriber receives changes since the last time, or a snapshot.
     Hear { home: usize, whole: bool },
 }
 
@@ -191,7 +195,7 @@
     ]
 }
 
-/// A home: what it saw, at which version of the store, and what it tells.
+/// A watcher: its view, the version of the store it is from, and its change log.
 #[derive(Default)]
 struct Home {
     directory: Directory,
@@ -200,7 +204,7 @@
     told: u64,
 }
 
-/// An endpoint that lives.
+/// A running endpoint.
 #[derive(Debug, Clone)]
 struct Lives {
     life: u64,
@@ -217,16 +221,16 @@
     }
 }
 
-/// The store: entries with their versions, and who lives.
+/// The store: entries with their versions, and the running endpoints.
 #[derive(Default)]
 struct Truth {
     entries: BTreeMap<Arc<str>, (u64, String)>,
     version: u64,
     lives: u64,
     living: BTreeMap<Arc<str>, Lives>,
-    /// Lives that ended, with the version of the store then.
+    /// Ended instances: id, instance, version of the store at the end.
     ended: Vec<(Arc<str>, u64, u64)>,
-    /// What each endpoint ever wrote.
+    /// All writes of each endpoint.
     written: BTreeMap<Arc<str>, Vec<String>>,
 }
 
@@ -236,7 +240,7 @@
         self.entries.insert(id.clone(), (self.version, text));
     }
 
-    /// A heartbeat of an endpoint; one that does not live starts.
+    /// A heartbeat of an endpoint, which starts if it is not running.
     fn write(&mut self, id: &Arc<str>, ready: bool) {
         let lives = &mut self.lives;
         let endpoint = self.living.entry(id.clone()).or_insert_with(|| {
@@ -244,7 +248,7 @@
             Lives { life: *lives, beat: 0, ready: true }
         });
         endpoint.beat += 1;
-        // What drains does not become ready.
+        // A draining endpoint never becomes ready again.
         endpoint.ready &= ready;
         let text = endpoint.text();
         self.written.entry(id.clone()).or_default().push(text.clone());
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Endpoints that want work, with their lives.
+    /// Ready endpoints, with their instances.
     fn ready(&self) -> BTreeSet<(Arc<str>, u64)> {
         let ready = self.living.iter().filter(|(_, endpoint)| endpoint.ready);
         ready.map(|(id, endpoint)| (id.clone(), endpoint.life)).collect()
@@ -271,11 +275,11 @@
     truth: Truth,
     homes: [Home; 2],
     listener: Directory,
-    /// Lives that the listener was told have left.
+    /// Instances whose removal the subscriber has received.
     left: BTreeSet<(Arc<str>, u64)>,
 }
 
-/// Endpoints that get work, with their lives.
+/// Endpoints that are ready in a view, with their instances.
 fn ready_lives(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
     let life = |entry: &Entry| entry.life.expect("each says it").to_string();
     let ready = directory.ready();
@@ -365,9 +369,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 800, ..ProptestConfig::default() })]
 
-    /// Whatever a listener hears in whichever order: no earlier life of an endpoint takes the place of a
-    /// later one, and once all endpoints wrote again, both homes are up to date and it heard one whole, it
-    /// knows who lives and wants work.
+    /// In any order of events, no earlier instance of an endpoint replaces a later one; and after another heartbeat
+    /// of all endpoints, a list and a snapshot, the subscriber knows exactly the ready endpoints.
     #[test]
     fn news_only_goes_forwards(steps in prop::collection::vec(step(), 1..60), last in 0..2usize) {
         let mut run = Run::default();
@@ -376,7 +379,7 @@
             run.step(step);
             for (id, life) in ready_lives(&run.listener) {
                 let known = newest.entry(id.clone()).or_default();
-                prop_assert!(*known <= life, "{id} went back from life {known} to {life}");
+                prop_assert!(*known <= life, "{id} went back from instance {known} to {life}");
                 *known = life;
             }
         }
@@ -384,7 +387,7 @@
             run.truth.write(&id, endpoint.ready);
         }
         let dead = |id: &Arc<str>| !run.truth.living.contains_key(id);
-        // What landed late of an endpoint that died lapses.
+        // Late writes of ended endpoints lapse.
         let lapsed: Vec<Arc<str>> = run.truth.entries.keys().filter(|id| dead(id)).cloned().collect();
         for id in lapsed {
             run.truth.version += 1;
@@ -395,7 +398,7 @@
         prop_assert_eq!(ready_lives(&run.listener), run.truth.ready());
     }
 
-    /// What was told has left gets no work again, unless its entry was written anew.
+    /// An instance whose removal was received never becomes ready again, unless its entry is written again.
     #[test]
     fn what_left_stays_away(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
@@ -404,12 +407,12 @@
         }) {
             run.step(step);
             let known = ready_lives(&run.listener);
-            prop_assert!(known.is_disjoint(&run.left), "{known:?} after {:?} left", run.left);
+            prop_assert!(known.is_disjoint(&run.left), "{known:?} ready after the removal of {:?}", run.left);
         }
     }
 }
 
-/// Two orders in which something that had left got work again.
+/// Regression cases of the property above.
 #[test]
 fn what_left_stays_away_in_orders_that_once_failed() {
     let (look, hear) = (|home| Step::Look { home }, |home| Step::Hear { home, whole: false });
@@ -436,7 +439,7 @@
     }
 }
 
-/// Anything that may stand in an object of the store.
+/// Arbitrary JSON.
 fn anything() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -456,8 +459,8 @@
 }
 
 proptest! {
-    /// Whatever somebody else writes over a field of an entry, or as a whole: it can be read as the page
-    /// of the platform says, or names no endpoint; reading never fails otherwise.
+    /// Garbage in place of an entry or of one of its fields is rejected, unless it has the type that the platform
+    /// specifies; reading never panics.
     #[test]
     fn an_entry_of_another_writer_names_no_endpoint(
         whole in anything(),
@@ -498,8 +501,8 @@
     assert!(directory.set("a".into(), 3, entry(Some(7), 20)));
     assert!(!directory.set("a".into(), 4, entry(None, 21)));
     assert!(ready(&directory).is_empty());
-    assert!(!directory.set("a".into(), 5, entry(Some(6), 90)), "an earlier life");
-    assert!(directory.set("a".into(), 6, entry(Some(7), 21)), "it wrote again");
+    assert!(!directory.set("a".into(), 5, entry(Some(6), 90)), "an earlier instance");
+    assert!(directory.set("a".into(), 6, entry(Some(7), 21)), "the same instance wrote again");
     assert!(!directory.set("a".into(), 7, entry(Some(7), 20)), "an earlier heartbeat");
-    assert!(directory.set("a".into(), 8, entry(Some(8), 1)), "it started again");
+    assert!(directory.set("a".into(), 8, entry(Some(8), 1)), "a new instance");
 }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -1,4 +1,4 @@
-//! Whom boxes ask for tokens.
+//! The order in which a box asks keepers for tokens.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
     order(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
-/// Zones of so many boxes each, the first box of each zone the strongest.
+/// A fleet with this number of boxes in each zone; the first box of a zone is the strongest.
 fn fleet(zones: &[(&str, usize)]) -> Vec<Place> {
     let boxes = zones.iter().flat_map(|(zone, count)| {
         (0..*count).map(move |n| place(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
@@ -46,8 +46,7 @@
     assert_eq!(zones[3..].iter().collect::<BTreeSet<_>>().len(), 2, "{zones:?}");
 }
 
-/// The load: 18 boxes in six zones, of which 12 wrote the book in turn when each zone had a keeper, and
-/// every second write met another one.
+/// With a keeper in each zone, a small fleet in many zones would have too many writers of the book.
 #[test]
 fn keepers_grow_with_boxes_and_not_with_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
@@ -62,7 +61,7 @@
             let keeps = first.iter().any(|first| **first == name);
             assert_eq!(keeps, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
-            assert!(first.is_subset(&tried), "all keepers are tried: {asked:?}");
+            assert!(first.is_subset(&tried), "all keepers are asked: {asked:?}");
         }
     }
 }
@@ -81,7 +80,7 @@
 
 #[test]
 fn boxes_that_are_alike_share_the_work_over_zones() {
-    // Names decide: the first box by name is not the keeper of every zone.
+    // The same box name must not become the keeper in every zone.
     let boxes =
         |zone: &str| (0..8).map(|n| place(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
     let firsts: BTreeSet<String> = ["a", "b", "c", "d", "e", "f"]
@@ -91,10 +90,10 @@
     assert!(firsts.len() > 1, "{firsts:?}");
 }
 
-/// The load: six keepers of a large fleet and those that stood in for them, all of whom write one book.
+/// Guards against contention when the keepers of a large fleet and their standbys all write the one book.
 #[test]
 fn many_that_write_the_book_settle_no_more_often_together_than_few() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(times_apart(writers), times, "{writers} boxes write");
+        assert_eq!(times_apart(writers), times, "{writers} writers");
     }
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -1,11 +1,11 @@
-//! How tasks of a box find the store again, on a paused clock.
+//! Probing for the store during an outage, on a paused clock.
 
 use std::time::Duration;
 
 use gateway::{Contact, Outage, Probe};
 use tokio::time::Instant;
 
-/// The longest of many pauses of a task that finds nothing.
+/// The longest pause between many failed attempts of one task.
 async fn longest(probe: Probe) -> Duration {
     let mut outage = Outage::new("store", probe, Contact::open());
     let mut longest = Duration::ZERO;
@@ -20,8 +20,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_first_task_looks_often_and_the_others_seldom() {
-    // What is missing from the first list after an outage counts as lapsed, not as gone: the list
-    // must follow the return closely.
+    // Entries that are missing from the first list after an outage count as lapsed, not as removed, so the list
+    // must be read soon after the store is back.
     assert!(longest(Probe::First).await <= Duration::from_millis(301));
     assert!(longest(Probe::Later).await >= Duration::from_millis(1_000));
 }
@@ -37,7 +37,7 @@
             later.failed(&"no answer");
             later.pause().await;
         }
-        // The eleventh pause is at its longest.
+        // By the eleventh pause the back-off is at its maximum.
         let began = Instant::now();
         later.pause().await;
         began.elapsed()
@@ -57,11 +57,11 @@
     first.failed(&"no answer");
     tokio::time::sleep(Duration::from_secs(8)).await;
     assert!(first.answered().is_some());
-    // Others read anew now. What the later one says after that is about the time before.
+    // The other tasks read the store again now; the later task reports the same outage after that.
     let read = Instant::now();
     let told = tokio::spawn(async move { contact.regained().await });
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(later.answered().is_some());
     let lost_since = told.await.expect("no panic");
-    assert!(lost_since < read, "it tells of an outage that began after the others had read");
+    assert!(lost_since < read, "the outage is dated after the others have read the store again");
 }
--- a/crates/gateway/tests/outlook.rs
+++ b/crates/gateway/tests/outlook.rs
@@ -1,9 +1,7 @@
-//! How long an outage of the store a box prepares for, on a paused clock and with no network.
+//! How long a store outage a box holds tokens for, on a paused clock and without network.
 //!
-//! The load: all boxes lose the store for seconds, find it again, and die together moments later. What they
-//! hold then is lost, since no witness is left. A day of that kind lost 13% of all that was paid unused:
-//! each keeper drew for ten seconds of use with the settlement that ended the outage, and gave back what it
-//! had not used 0.7 s later, after its death.
+//! Guards against losses when all boxes die right after an outage: keepers must not draw tokens for a long outage
+//! with the settlement that ends one, since no witness is left to return them.
 
 use std::time::Duration;
 
@@ -14,11 +12,11 @@
 const POLICY: Policy =
     Policy { offline_share: 600, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
 
-/// Share of what is left that all boxes may hold while no outage was seen, and after one, in thousandths.
+/// Share of the remaining tokens that all boxes may hold, in thousandths: without a recent outage, and after one.
 const CALM: u64 = POLICY.offline_share;
 const AFTER: u64 = 950;
 
-/// One box, with a book that others write as well.
+/// One box, with a book that other boxes also write.
 struct Desk {
     book: Book,
     outlook: Outlook,
@@ -30,14 +28,14 @@
         Desk { book: Book::default(), outlook: Outlook::open(Instant::now()), write: 0 }
     }
 
-    /// A settlement of this box lands; says whether an outage ended with it.
+    /// Makes a settlement of this box; returns whether it ended an outage.
     fn land(&mut self) -> bool {
         self.outlook.tell(&mut self.book, Instant::now());
         self.settle("box-0");
         self.outlook.landed(&self.book, Instant::now())
     }
 
-    /// A settlement of some box lands.
+    /// Makes a settlement of any box.
     fn settle(&mut self, name: &str) {
         self.write += 1;
         let writer = Writer { write: self.write, peer: None, witness: None, witness_at: None };
@@ -52,7 +50,7 @@
         self.book.settle(&settlement, POLICY);
     }
 
-    /// The store does not answer for so long, while others settle so often.
+    /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
         self.outlook.failed(Instant::now());
         pass(seconds).await;
@@ -60,7 +58,7 @@
         self.land()
     }
 
-    /// Seconds of use that this box prepares for, and the share of what is left that all may hold.
+    /// Seconds of use that this box holds tokens for, and the share of the remaining tokens that all may hold.
     fn prepares(&self) -> (u64, u64) {
         let policy = self.outlook.policy(POLICY, Instant::now());
         (policy.offline_horizon, policy.offline_share)
@@ -78,7 +76,7 @@
     desk.land();
     desk.outlook.failed(Instant::now());
     pass(8).await;
-    assert_eq!(desk.prepares().0, 1, "the store is not back for a moment yet");
+    assert_eq!(desk.prepares().0, 1, "the store has only just answered");
 }
 
 #[tokio::test(start_paused = true)]
@@ -88,7 +86,7 @@
     assert!(!desk.land());
     for (seconds, ends) in [(0, false), (1, true), (8, true)] {
         assert_eq!(desk.outage(seconds, 0).await, ends, "{seconds} s");
-        assert!(!desk.land(), "it has ended");
+        assert!(!desk.land(), "the same outage does not end twice");
     }
 }
 
@@ -97,18 +95,18 @@
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
-    assert_eq!(desk.prepares(), (10, CALM), "none was seen");
+    assert_eq!(desk.prepares(), (10, CALM), "no outage so far");
     desk.outage(8, 0).await;
-    assert_eq!(desk.prepares(), (1, AFTER), "right after it");
+    assert_eq!(desk.prepares(), (1, AFTER), "right after the outage");
     pass(6).await;
     assert_eq!(desk.prepares(), (7, AFTER));
     pass(20).await;
     assert_eq!(desk.prepares(), (10, AFTER));
     pass(20).await;
-    assert_eq!(desk.prepares(), (10, CALM), "nothing came");
+    assert_eq!(desk.prepares(), (10, CALM), "no further outage");
 }
 
-/// Where others reach the store while one box does not, that one gets tokens.
+/// A box that alone is cut off can draw tokens from the others.
 #[tokio::test(start_paused = true)]
 async fn a_box_that_alone_lost_the_store_prepares_for_nothing_more() {
     let mut desk = Desk::open();
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Whom a box tells what.
+//! Which peers a box announces prompts to.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,7 @@
     Entry { incarnation, zone: zone.into(), peer, strength: 1 }
 }
 
-/// The load: each large prompt is told to twelve boxes. Told to any of 74 others, prompts were 22 of the 31 MB
-/// that boxes of four availability zones sent each other on a calm day, 17 of them to another zone.
+/// Guards against traffic between availability zones: each large prompt is announced to twelve boxes.
 #[test]
 fn prompts_are_told_in_the_own_zone_first() {
     let me = Place { name: Incarnation::new("z1-me", 7), zone: "z1".into(), strength: 1 };
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is read, and what a mistake is answered with.
+//! Parsing, validation and reloading of settings.
 
 use gateway::{Settings, settings::Cold};
 
@@ -25,7 +25,7 @@
         (r#""zone": "bornova""#, r#""zone": 7"#, "line 4: `zone`"),
         (r#""store": {"#, r#""store": { "timeout_ms": 1,"#, "`store.timeout_ms`: must be between"),
         (r#""store": {"#, r#""money": { "shar": 3 }, "store": {"#, "unknown field `shar`"),
-        // A request would give up before the settlement that is made for it.
+        // A request would give up before the settlement made for it.
         (
             r#""store": {"#,
             r#""money": { "store_ms": 40 }, "store": {"#,
@@ -69,11 +69,11 @@
     assert_eq!(example.store.timeout_ms, 1_000);
 }
 
-/// A part of the template that stands only where a value is given, without or with its marks.
+/// Renders an optional section of the template: drops its markers, and its content unless a value is given.
 fn section(text: &str, value: &str, given: bool) -> String {
     let (opens, closes) = (format!("{{{{#{value}}}}}"), format!("{{{{/{value}}}}}"));
-    let (before, rest) = text.split_once(&opens).expect("the part begins");
-    let (part, after) = rest.split_once(&closes).expect("and ends");
+    let (before, rest) = text.split_once(&opens).expect("the section opens");
+    let (part, after) = rest.split_once(&closes).expect("the section closes");
     [before, if given { part } else { "" }, after].concat()
 }
 
@@ -94,15 +94,15 @@
         ("{{bounds.cold_slack|json}}", "5"),
     ];
     let rendered = fields.iter().fold(template.to_owned(), |text, (gap, value)| {
-        assert!(text.contains(gap), "{gap} is not used any more");
+        assert!(text.contains(gap), "{gap} is not in the template");
         text.replace(gap, value)
     });
     for (given, cold) in [(true, Cold { factor: 1.5, extra: 5.0 }), (false, Cold::default())] {
         let rendered = section(&rendered, "bounds.cold_overage", given);
-        assert!(!rendered.contains("{{"), "a gap is not filled: {rendered}");
+        assert!(!rendered.contains("{{"), "a placeholder is left: {rendered}");
         let settings = Settings::read(&rendered).expect("valid");
         assert_eq!(settings.listen.peers.map(|address| address.port()), Some(7340));
-        assert_eq!(settings.machine.strength(), 20, "the link is the least of what the box has");
+        assert_eq!(settings.machine.strength(), 20, "the link is the scarcest resource");
         assert_eq!(settings.cold, cold);
     }
 }
--- a/crates/gateway/tests/words.rs
+++ b/crates/gateway/tests/words.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, in any order and whatever becomes of their entries, and who is chosen then.
+//! Signals of endpoints, in any order and mixed with changes of their entries, and which endpoints are chosen then.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,14 +13,14 @@
 use proptest::prelude::*;
 
 const SERVICE: &str = "plain";
-/// Requests after which an endpoint that got none of them is taken to get none.
+/// Choices made to show that an endpoint is never chosen.
 const MANY: usize = 40;
-/// Longer than any bound on what is sent to an endpoint that leaves.
+/// Longer than any time for which a leaving endpoint may still be chosen.
 const LONG: Duration = Duration::from_secs(60);
-/// An answer to a request that was sent just now.
+/// Age of a response to a request that was sent just now.
 const AT_ONCE: Duration = Duration::ZERO;
 
-/// What one box knows of some endpoints, and its clock.
+/// One box's view of some endpoints, and its clock.
 struct Known {
     endpoints: Endpoints,
     clock: Clock,
@@ -42,7 +42,7 @@
         self.endpoints.update(self.listed.iter().map(|(id, entry)| (id, entry)));
     }
 
-    /// Lists endpoint `n` anew.
+    /// Changes the entry of endpoint `n`.
     fn relist(&mut self, n: usize, change: impl Fn(&mut Listed)) {
         self.listed[n].1 = entry(n as u16, change);
         self.update();
@@ -52,7 +52,7 @@
         self.endpoints.choose(SERVICE, Offer::All, &Prefix::of_parts([]), &[])
     }
 
-    /// The choice of an endpoint, made as long ago as it takes to be made.
+    /// Repeats the choice until it falls on the endpoint.
     fn chosen(&self, id: &str) -> Chosen {
         let mut tries = (0..1_000).filter_map(|_| self.choose());
         tries.find(|chosen| &*chosen.id == id).expect("it takes work")
@@ -66,7 +66,7 @@
         self.hears_of(chosen, said, AT_ONCE)
     }
 
-    /// Hears an answer to a request that was sent so long ago.
+    /// Receives a response to a request that was sent `ago`.
     fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Heard {
         let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
         self.endpoints.hear(SERVICE, chosen, &head, ago)
@@ -87,13 +87,13 @@
 fn nothing_that_is_heard_later_takes_back_that_an_endpoint_leaves() {
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 8] = [
-        ("an answer that was made before", |known, chosen| {
+        ("a response to an earlier request", |known, chosen| {
             known.hears_of(chosen, &Said::default(), LONG);
         }),
-        ("an answer without the word", |known, chosen| {
+        ("a response without the signal", |known, chosen| {
             known.hears(chosen, &Said::default());
         }),
-        ("an answer that says no", |known, chosen| {
+        ("a response that says it stays", |known, chosen| {
             known.hears(chosen, &leaves(false));
         }),
         ("the same entry", |known, _| known.update()),
@@ -105,7 +105,7 @@
             known.update();
         }),
         ("a suspension of the box", |known, _| known.clock.suspend(LONG)),
-        ("the word, told by another box as new", |known, chosen| {
+        ("the signal, forwarded by a peer as new", |known, chosen| {
             known.endpoints.hear_departure(&chosen.life, chosen.address, true);
         }),
     ];
@@ -113,7 +113,7 @@
         let mut known = Known::open(&["i-1", "i-2"]);
         let chosen = known.chosen("i-1");
         assert_eq!(known.hears(&chosen, &leaves(true)), Heard { leaves: true, limit: false });
-        assert_eq!(known.hears(&chosen, &leaves(true)), Heard::default(), "no news");
+        assert_eq!(known.hears(&chosen, &leaves(true)), Heard::default(), "already known");
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(LONG);
@@ -135,14 +135,14 @@
     assert!(!known.gets_some("i-1"));
     known.relist(0, |entry| entry.born = Some(6));
     known.clock.suspend(LONG);
-    assert!(known.gets_some("i-1"), "a later life under its id");
+    assert!(known.gets_some("i-1"), "a new instance under the same id");
     let chosen = known.chosen("i-2");
     known.hears(&chosen, &leaves(true));
     known.clock.suspend(LONG);
     assert!(!known.gets_some("i-2"));
     known.relist(1, |entry| entry.address = ([127, 0, 0, 1], 9).into());
     known.clock.suspend(LONG);
-    assert!(known.gets_some("i-2"), "one that states no life, at another address");
+    assert!(known.gets_some("i-2"), "an instance without a start time, at another address");
 }
 
 #[test]
@@ -170,10 +170,10 @@
         known.hears(&chosen, &leaves(true));
     }
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
-    assert!(known.choose().is_some(), "its successors may not be known yet");
-    assert_eq!(known.endpoints.comes_again(SERVICE, 0), None, "nobody stays");
+    assert!(known.choose().is_some(), "the last resort until its successors are known");
+    assert_eq!(known.endpoints.comes_again(SERVICE, 0), None, "no endpoint stays");
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
-    assert!(known.choose().is_none(), "it gets nothing any more");
+    assert!(known.choose().is_none(), "the last resort has ended");
 }
 
 #[test]
@@ -181,7 +181,7 @@
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
     known.endpoints.hear_departure(&chosen.life, chosen.address, false);
-    assert!(known.choose().is_none(), "others have known it for a time");
+    assert!(known.choose().is_none(), "its peers have known the departure for some time");
 }
 
 #[test]
@@ -199,11 +199,11 @@
         (0..6_000).filter(|n| known.endpoints.remembers_departure(&format!("i-gone-{n}")));
     assert!(remembered.count() <= 4_096);
     known.clock.suspend(LONG);
-    assert!(!known.gets_some("i-1"), "one that is listed is not forgotten");
+    assert!(!known.gets_some("i-1"), "the departure of a listed endpoint is not evicted");
 }
 
 proptest! {
-    /// Whatever one endpoint says, no other one loses work by it.
+    /// Signals of one endpoint never exclude another one.
     #[test]
     fn a_lie_of_an_endpoint_costs_that_endpoint(words in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
         let known = Known::open(&["i-1", "i-2"]);
@@ -223,16 +223,16 @@
 fn nothing_that_is_heard_later_ends_a_rest_before_its_time() {
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 6] = [
-        ("an answer of a request that was sent before", |known, chosen| {
+        ("a response to an earlier request", |known, chosen| {
             known.hears_of(chosen, &Said::default(), LONG);
         }),
-        ("an answer", |known, chosen| {
+        ("a response", |known, chosen| {
             known.hears(chosen, &Said::default());
         }),
-        ("a shorter rest", |known, chosen| {
+        ("a shorter back-off", |known, chosen| {
             known.hears(chosen, &rests(100));
         }),
-        ("none", |known, chosen| {
+        ("a back-off of 0", |known, chosen| {
             known.hears(chosen, &rests(0));
         }),
         ("an entry that lapsed and came back", |known, _| {
@@ -246,16 +246,23 @@
     for (what, later) in later {
         let mut known = Known::open(&["i-1", "i-2"]);
         let chosen = known.chosen("i-1");
-        assert_eq!(known.hears(&chosen, &rests(3_000)), Heard::default(), "other boxes rest not");
+        assert_eq!(
+            known.hears(&chosen, &rests(3_000)),
+            Heard::default(),
+            "a back-off is not announced to peers"
+        );
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
         assert!(known.endpoints.wants_nothing(SERVICE, &chosen), "after {what}");
         known.clock.suspend(Duration::from_millis(2_000));
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(Duration::from_millis(1_100));
-        assert!(!known.endpoints.wants_nothing(SERVICE, &chosen), "it is over, after {what}");
+        assert!(
+            !known.endpoints.wants_nothing(SERVICE, &chosen),
+            "the back-off is over, after {what}"
+        );
         known.clock.suspend(LONG);
-        assert!(known.gets_some("i-1"), "a while later, after {what}");
+        assert!(known.gets_some("i-1"), "well after the back-off, after {what}");
     }
 }
 
@@ -268,10 +275,10 @@
     assert!(known.choose().is_none());
     assert!(known.endpoints.comes_again(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
     known.clock.suspend(Duration::from_millis(1_000));
-    assert!(known.gets_some("i-1"), "it did not say for how long");
+    assert!(known.gets_some("i-1"), "an unreadable back-off is short");
     known.hears(&chosen, &rests(86_400_000));
     known.clock.suspend(LONG);
-    assert!(known.choose().is_none(), "a day");
+    assert!(known.choose().is_none(), "a back-off of a day");
     known.relist(0, |entry| entry.born = Some(5));
-    assert!(known.gets_some("i-1"), "another life");
+    assert!(known.gets_some("i-1"), "a new instance");
 }
