--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn bills_that_come_after_a_lost_answer_go_on_the_next_page() {
+async fn bills_after_a_lost_response_go_on_the_next_page() {
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn pages_that_another_box_writes_are_the_same_as_those_sent_before() {
+async fn handed_over_pages_match_those_sent_before() {
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_found_out_decides() {
+async fn probe_results_decide_the_verdict() {
     use Found::{Ended, OutOfReach, Stands};
     let cases: [(&[Found], Verdict); 6] = [
         (&[Stands, Stands, Stands], Verdict::Free),
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_no_longer_than_it_has_and_is_never_in_quarantine_meanwhile() {
+async fn verdict_is_not_delayed_beyond_the_deadline() {
     for left in [Duration::from_millis(10), LONG] {
         let (crashes, _proofs) = broken(5).await;
         let (asked, began) = (request(), Instant::now());
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_ends_that_are_not_proved_keep_nothing_waiting() {
+async fn two_unconfirmed_crashes_do_not_delay_a_request() {
     let (crashes, _proofs) = broken(2).await;
     let asked = request();
     let verdict = crashes.verdict(&asked, Instant::now() + LONG).now_or_never();
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn longest_path_prefix_of_the_host_wins() {
     let text = played::routes(&[
         ("all", "Desk.example", "/", &[("a", 1)]),
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn only_keys_that_stand_there_name_a_customer() {
+fn only_configured_keys_name_a_customer() {
     let table = table(&["cancel"]);
     for (key, want) in
         [("key-b", Some("bornova")), ("key-p", Some("pasila")), ("KEY-B", None), ("", None)]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_the_id() {
+fn split_follows_weights_and_request_id() {
     let services = [("a", 90), ("b", 10), ("never", 0)];
     let text = played::routes(&[("r", "h", "/", &services)]);
     let table = Table::new(Config::read(&text).expect("valid"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_more() {
+fn draining_endpoint_is_not_ready() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     assert_eq!(ready(&directory), ["a", "b"]);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_with_the_store_have_time_to_come_back() {
+fn lapsed_entries_have_time_to_come_back() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.returned(5_000, 12_000);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_after_the_return_of_the_store_did_not_lapse() {
+fn entry_removed_after_an_outage_is_not_kept() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.returned(5_000, 12_000);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_outage_that_is_told_of_again_later_gives_no_more_time() {
+fn late_report_of_the_same_outage_extends_nothing() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.returned(5_000, 12_000);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn repeats_are_a_share_of_the_requests_of_the_window() {
+fn retry_budget_is_a_share_of_recent_requests() {
     let limits = settings::Retries { ratio: 0.1, extra: 1, window_s: 10 };
     let service: Arc<str> = "plain".into();
     let mut retries = Retries::default();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn events_are_counted_however_their_bytes_are_cut() {
+fn events_are_counted_across_chunk_boundaries() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n\n: note\n\ndata: unfinished\n";
     for size in 1..stream.len() {
         let mut meter = Meter::default();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_status_that_promises_not_run_is_only_given_for_that() {
+fn not_run_statuses_are_used_only_for_unrun_requests() {
     let promises = [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
     let unknown = [Reason::Silent, Reason::Lost];
     for reason in unknown {
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -97,7 +97,7 @@
     /// In any order of events, every box has a state that the store had at some version, and the subscriber never goes
     /// back to an older one.
     #[test]
-    fn zones_are_those_of_a_version_that_only_grows(steps in prop::collection::vec(step(), 1..60)) {
+    fn view_is_always_a_stored_version_and_never_goes_back(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
         // A watch needs the version of a list to start from.
         run.step(&Step::List { home: 0 });
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_watch_that_tells_again_what_a_list_showed_changes_nothing() {
+fn replayed_changes_are_ignored() {
     let change = |version, value: Option<&str>| Change {
         kind: platform::EVACUATIONS.into(),
         name: "bornova".into(),
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_use_of_a_box_that_just_started_is_not_taken_for_less_than_it_is() {
+async fn use_rate_is_not_underestimated_after_a_start() {
     let mut desk = Desk::open();
     for _ in 0..30 {
         let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_box_holds_grows_with_the_time_for_which_the_store_has_answered() {
+async fn target_grows_with_the_time_the_store_has_answered() {
     let mut desk = Desk::open();
     for _ in 0..60 {
         let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
@@ -123,7 +123,7 @@
 /// Tokens that a box holds beyond its need are unavailable to other boxes and lost if it dies, so every settlement
 /// returns them, although they alone cause none.
 #[tokio::test(start_paused = true)]
-async fn what_is_held_beyond_need_goes_back_with_any_settlement() {
+async fn surplus_is_returned_with_any_settlement() {
     let mut desk = Desk::open();
     for _ in 0..60 {
         let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_link_sheds_until_it_is_well_free() {
+async fn saturated_link_sheds_until_load_falls_well_below() {
     let link = Link::new(10.0);
     let cases = [
         ("half full", BYTES_PER_S / 2, false),
@@ -37,13 +37,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wide_link_does_not_shed_under_the_same_load() {
+async fn fast_link_does_not_shed_under_the_same_load() {
     let link = Link::new(200.0);
     assert_eq!(pass(&link, BYTES_PER_S, 5).await, vec![false; 5]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_large_request_fills_no_link() {
+async fn one_large_request_does_not_cause_shedding() {
     let link = Link::new(10.0);
     link.request(100_000);
     assert!(!link.sheds());
--- a/crates/gateway/tests/loopback/crash.rs
+++ b/crates/gateway/tests/loopback/crash.rs
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn little_is_lost_with_a_box_whose_witness_lives() {
+async fn witness_limits_the_loss_of_a_crash() {
     let Fleet { world, one, two, _endpoints } = Fleet::start().await;
     until_it_keeps_most(&world, &one).await;
     let first = one.incarnation().clone();
@@ -75,7 +75,7 @@
 /// After a crash, a box may read the book before it knows its peers. It must still collect from its witness what it
 /// had kept.
 #[tokio::test]
-async fn little_is_lost_with_a_box_whose_next_life_knows_no_other() {
+async fn witness_limits_the_loss_when_the_restarted_box_knows_no_peers() {
     let Fleet { world, one, two, _endpoints } = Fleet::start().await;
     until_it_keeps_most(&world, &one).await;
     let first = one.incarnation().clone();
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_lost_with_a_box_that_stops_by_plan_while_the_store_is_down() {
+async fn shutdown_without_the_store_loses_almost_nothing() {
     let Fleet { world, one, two, _endpoints } = Fleet::start().await;
     until("box 1 holds many tokens and has a witness", async || {
         call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn what_two_boxes_held_that_die_together_counts_as_spent() {
+async fn tokens_of_boxes_that_crash_together_count_as_spent() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let one = world.gateway("box-1").await;
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn the_bills_of_a_box_that_stops_by_plan_without_the_store_are_written_by_another() {
+async fn bills_are_handed_over_at_shutdown_without_the_store() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let (one, link) = world.cut_gateway("box-1").await;
@@ -167,7 +167,7 @@
 
 /// The box that took the bills over is killed before it has written them.
 #[tokio::test]
-async fn bills_that_were_handed_over_outlive_the_box_that_took_them() {
+async fn handed_over_bills_survive_a_crash_of_the_recipient() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let (one, link) = world.cut_gateway("box-1").await;
@@ -196,7 +196,7 @@
 
 /// A box starts while the others are cut off from the store, and stops while it is cut off itself.
 #[tokio::test]
-async fn bills_of_a_box_that_the_others_do_not_know_yet_are_taken_over() {
+async fn bills_of_an_unknown_box_are_taken_over() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let (one, link_one) = world.cut_gateway("box-1").await;
@@ -223,7 +223,7 @@
 
 /// A box is cut off from the store before it could read the entry of the only other box.
 #[tokio::test]
-async fn a_box_that_is_cut_off_before_it_heard_of_another_one_hands_its_bills_over() {
+async fn bills_go_to_a_peer_known_only_by_its_greeting() {
     let world = World::open(100_000, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let (alone, link) = world.cut_gateway("box-1").await;
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+async fn evacuated_zone_gets_no_requests() {
     let world = World::open(PAID, &["cancel"]).await;
     let one = in_zone(&world, "i-1", "z1").await;
     let two = in_zone(&world, "i-2", "z2").await;
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn all_boxes_together_spare_a_cold_engine() {
+async fn boxes_together_pace_requests_to_a_cold_engine() {
     let world = World::open(PAID, &["stream"]).await;
     let engine = Scripted::spawn(answers).await;
     let cold = Listed { cold_ms: 600_000, ..listed("engines", engine.address()) };
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_started_again_is_another_one() {
+async fn restarted_endpoint_is_a_new_instance() {
     let world = World::open(PAID, &["cancel"]).await;
     let endpoint = Scripted::spawn(answers).await;
     let first = Listed { born: Some(1_000), beat: 9, ..listed("plain", endpoint.address()) };
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_no_endpoint_wrote_names_none() {
+async fn malformed_entries_name_no_endpoint() {
     let world = World::open(PAID, &["cancel"]).await;
     let _sound = in_zone(&world, "i-sound", "z1").await;
     let boxes = fleet(&world, "/cancel/x").await;
--- a/crates/gateway/tests/loopback/fleet.rs
+++ b/crates/gateway/tests/loopback/fleet.rs
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn every_box_of_a_large_fleet_is_served_without_a_write_of_its_own() {
+async fn boxes_serve_requests_without_writing_the_book() {
     let Fleet { world, boxes, _endpoints } = Fleet::start().await;
     let before: Vec<u64> = boxes.iter().map(book_writes).collect();
     for gateway in &boxes {
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn the_boxes_that_write_the_book_do_not_grow_with_the_fleet() {
+async fn number_of_book_writers_is_bounded() {
     let Fleet { world, boxes, _endpoints } = Fleet::start().await;
     for gateway in &boxes {
         is_served_prompt(&world, gateway, SMALL).await;
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn boxes_whose_keeper_died_are_served_by_another() {
+async fn another_keeper_takes_over_after_a_crash() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn a_keeper_that_stops_by_plan_returns_what_it_holds_and_nothing_is_spent_twice() {
+async fn keeper_shutdown_returns_its_tokens_once() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_stops_by_plan_gives_its_keeper_back_what_it_did_not_use() {
+async fn box_shutdown_returns_unused_tokens_to_the_keeper() {
     let world = World::open(PAID, &["stream"]).await;
     let _engine = world.endpoint("i-1", "engines", answers).await;
     let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_says_that_it_leaves_gets_nothing_though_its_entry_says_ready() {
+async fn leaving_signal_overrides_a_ready_entry() {
     let world = World::open(PAID, &["cancel"]).await;
     let word = Word::default();
     let leaving = world.endpoint("i-1", "plain", word.script()).await;
@@ -89,7 +89,7 @@
 
 /// Boxes read the signal of every response: of a rejection, and of a stream as soon as its head arrives.
 #[tokio::test]
-async fn a_refusal_and_the_head_of_a_stream_say_it_as_well() {
+async fn signal_is_read_from_rejections_and_stream_heads() {
     let world = World::open(PAID, &["cancel", "stream"]).await;
     let declines = world.endpoint("i-1", "plain", |arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
@@ -123,7 +123,7 @@
 
 /// The signal reaches one box while the store is down; it must spread to running boxes and to one that starts later.
 #[tokio::test]
-async fn boxes_tell_each_other_also_one_that_starts_into_it() {
+async fn signal_spreads_to_running_and_new_boxes() {
     let world = World::open(PAID, &["cancel"]).await;
     let word = Word::default();
     let leaving = world.endpoint("i-1", "plain", word.script()).await;
@@ -155,7 +155,7 @@
 
 /// All endpoints of a service leave at once, while the store is down and their successors cannot be seen.
 #[tokio::test]
-async fn where_all_leave_requests_are_refused_at_once_until_others_are_known() {
+async fn requests_are_refused_at_once_when_all_endpoints_leave() {
     let world = World::open(PAID, &["cancel", "confirm"]).await;
     let word = Word::default();
     let mut leaving = Vec::new();
@@ -190,7 +190,7 @@
 
 /// A box without store and peers goes on avoiding the endpoint, and so it does when an entry says ready again.
 #[tokio::test]
-async fn a_box_alone_holds_to_it() {
+async fn isolated_box_keeps_avoiding_a_leaving_endpoint() {
     let world = World::open(PAID, &["cancel"]).await;
     let word = Word::default();
     let leaving = world.endpoint("i-1", "plain", word.script()).await;
@@ -210,7 +210,7 @@
 
 /// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
-async fn what_another_one_at_the_address_says_is_not_held_against_an_endpoint() {
+async fn signals_of_misdirected_responses_are_ignored() {
     let world = World::open(PAID, &["cancel"]).await;
     let other = Word::default();
     let says = other.clone();
--- a/crates/gateway/tests/loopback/limit.rs
+++ b/crates/gateway/tests/loopback/limit.rs
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn all_boxes_together_keep_to_what_an_endpoint_names() {
+async fn boxes_together_keep_the_limit() {
     let fleet = Fleet::start(BOXES, 2).await;
     fleet.needs[0].names(Some("2.0"));
     fleet.tell_all("i-0", 2.0).await;
@@ -154,7 +154,7 @@
 
 /// All callers connect to two of the boxes, as the balancer's hash may have it.
 #[tokio::test]
-async fn a_limit_is_used_where_two_boxes_have_all_callers() {
+async fn limit_is_used_up_by_the_boxes_that_have_callers() {
     let fleet = Fleet::start(BOXES, 2).await;
     fleet.needs[0].names(Some("10"));
     fleet.tell_all("i-0", 10.0).await;
@@ -170,7 +170,7 @@
 
 /// Boxes that sent nothing to the endpoint, and boxes that start later, learn the limit from peers.
 #[tokio::test]
-async fn a_box_hears_of_a_limit_and_of_its_end_by_news() {
+async fn limit_and_its_end_reach_idle_and_new_boxes() {
     let mut fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("2.0"));
     let knows = |gateway: &Gateway| limit_of(gateway, "i-0");
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_takes_nothing_is_asked_again_now_and_then() {
+async fn endpoint_with_limit_zero_is_probed() {
     let fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("0"));
     fleet.tell_all("i-0", 0.0).await;
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_limit_that_is_no_number_leaves_what_was_known() {
+async fn invalid_limit_keeps_the_last_valid_one() {
     let fleet = Fleet::start(2, 1).await;
     for (named, taken) in [("plenty", 1.0), ("3", 3.0), ("-2", 3.0), ("inf", 3.0), ("0.5", 0.5)] {
         fleet.needs[0].names(Some(named));
@@ -245,7 +245,7 @@
 
 /// Every endpoint states a limit, and the load exceeds their sum.
 #[tokio::test]
-async fn what_no_endpoint_takes_is_refused_at_once_and_comes_again_one_by_one() {
+async fn excess_requests_are_refused_with_spread_retry_times() {
     let fleet = Fleet::start(3, 2).await;
     fleet.needs.iter().for_each(|need| need.names(Some("1.0")));
     for life in ["i-0", "i-1"] {
@@ -277,7 +277,7 @@
 
 /// While the store is down, the box that issues permits is killed, and later its successor shuts down.
 #[tokio::test]
-async fn turns_go_on_and_keep_the_sum_when_their_giver_is_gone() {
+async fn limit_holds_when_the_issuer_of_permits_goes() {
     let mut fleet = Fleet::start(5, 2).await;
     fleet.needs[0].names(Some("4"));
     fleet.tell_all("i-0", 4.0).await;
@@ -308,7 +308,7 @@
 
 /// A box that has no connection to its peers must not add to the total rate.
 #[tokio::test]
-async fn a_box_alone_adds_nothing_to_what_the_others_send() {
+async fn isolated_box_does_not_exceed_the_limit() {
     let mut fleet = Fleet::start(4, 2).await;
     let alone = fleet.world.gateway_alone("box-alone").await;
     until_served(&fleet.world, &alone, "/cancel/x").await;
@@ -326,7 +326,7 @@
 }
 
 #[tokio::test]
-async fn a_new_life_of_an_endpoint_starts_without_a_limit() {
+async fn new_instance_starts_without_a_limit() {
     let fleet = Fleet::start(2, 1).await;
     fleet.needs[0].names(Some("0"));
     fleet.tell_all("i-0", 0.0).await;
@@ -345,7 +345,7 @@
 
 /// A box that lost all its peers cannot know whether they died or it is cut off, so it keeps to its share.
 #[tokio::test]
-async fn a_box_that_may_be_cut_off_sends_its_part_alone() {
+async fn possibly_isolated_box_keeps_to_its_share() {
     let mut fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("8"));
     fleet.tell_all("i-0", 8.0).await;
@@ -360,7 +360,7 @@
 }
 
 #[tokio::test]
-async fn where_no_endpoint_names_a_limit_nobody_asks_for_turns() {
+async fn no_permits_are_requested_without_a_limit() {
     let fleet = Fleet::start(4, 2).await;
     fleet.load(&fleet.boxes, COUNTED / 4).await;
     for gateway in &fleet.boxes {
--- a/crates/gateway/tests/loopback/news.rs
+++ b/crates/gateway/tests/loopback/news.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn few_boxes_of_a_large_fleet_look_at_the_store() {
+async fn few_boxes_of_a_large_fleet_read_the_store() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&world, BOXES).await;
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_is_looked_at_by_homes_and_its_end_is_told() {
+async fn watchers_probe_during_an_outage_and_announce_its_end() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&world, BOXES).await;
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn listeners_of_a_home_that_died_hear_another_one() {
+async fn subscribers_switch_to_another_watcher_after_a_crash() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let mut boxes = fleet(&world, 5).await;
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn boxes_whose_homes_all_died_look_for_themselves_or_at_each_other() {
+async fn boxes_get_updates_again_when_all_watchers_died() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let mut boxes = fleet(&world, 6).await;
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn boxes_whose_homes_alone_lost_the_store_do_not_run_on_old_news() {
+async fn subscribers_leave_watchers_that_lost_the_store() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let names: Vec<String> = (0..4).map(|n| format!("box-{n}")).collect();
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_gets_no_work_of_listeners() {
+async fn draining_endpoint_gets_no_requests_from_subscribers() {
     let world = World::open(PAID, &["open"]).await;
     let leaving = world.endpoint("i-1", "plain", answers).await;
     let _stays = world.endpoint("i-2", "plain", answers).await;
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_starts_again_registers_with_one_write() {
+async fn restarted_box_registers_with_one_write() {
     let world = World::open(PAID, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let _other = world.gateway("box-1").await;
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test]
-async fn what_boxes_ask_each_other_is_counted_by_topic_and_zone() {
+async fn peer_traffic_is_counted_by_topic_and_zone() {
     let world = World::open(1_000_000, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&world, 4).await;
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 
 #[tokio::test]
-async fn a_watch_that_died_in_a_cut_is_replaced_when_the_store_is_back() {
+async fn dead_watch_is_replaced_when_the_store_is_back() {
     let world = World::open(1_000_000, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let (gateway, link) = world.cut_gateway("box-1").await;
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_box_without_the_store_serves_on_its_grants_and_borrows() {
+async fn box_without_store_serves_from_grants_and_loans() {
     let world = World::open(100_000, &["stream", "open"]).await;
     let _plain = world.endpoint("i-1", "plain", answers).await;
     let _engine = world.endpoint("i-2", "engines", answers).await;
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_the_store_turns_away_keeps_what_it_knows() {
+async fn box_rejected_by_the_store_keeps_its_view() {
     let world = World::open(1_000_000, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let gateway = world.gateway("box-1").await;
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_store_settle_every_token_once() {
+async fn lost_store_responses_settle_every_token_once() {
     for late in [Duration::ZERO, Duration::from_millis(400)] {
         let world = World::open(1_000_000, &["stream"]).await;
         let _engine = world.endpoint("i-1", "engines", answers).await;
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_never_had_a_configuration_says_so() {
+async fn box_without_configuration_reports_it() {
     let world = World::open(1_000, &["open"]).await;
     world.platform.set(|faults| faults.down = true);
     let gateway = world.gateway("box-1").await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_was_heard_to_leave_gets_nothing_while_the_store_is_away() {
+async fn draining_endpoint_stays_excluded_during_an_outage() {
     let world = World::open(1_000_000, &["open"]).await;
     let leaving = world.endpoint("i-1", "plain", answers).await;
     let stays = world.endpoint("i-2", "plain", answers).await;
--- a/crates/gateway/tests/loopback/path.rs
+++ b/crates/gateway/tests/loopback/path.rs
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn a_request_arrives_as_it_was_sent_and_its_answer_unchanged() {
+async fn request_and_response_are_forwarded_unchanged() {
     let world = World::open(1_000_000, &["confirm", "open"]).await;
     let endpoint = world.endpoint("i-1", "plain", answers).await;
     let gateway = world.gateway("box-1").await;
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn refusals_say_why() {
+async fn refusals_name_their_reason() {
     let world = World::open(1_000, &["confirm", "stream", "open"]).await;
     let _plain = world.endpoint("i-1", "plain", answers).await;
     let _engine = world.endpoint("i-2", "engines", answers).await;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn what_an_endpoint_does_decides_what_its_caller_hears() {
+async fn endpoint_failures_are_retried_or_reported() {
     let declined = |arrived: &Arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
         Reply::Whole(status, headers, String::new())
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn heads_may_be_as_large_as_the_operator_allows() {
+async fn large_request_heads_are_accepted() {
     let world = World::open(1_000_000, &["open"]).await;
     let endpoint = world.endpoint("i-1", "plain", answers).await;
     let gateway = world.gateway("box-1").await;
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn settings_read_again_are_in_force_at_once() {
+async fn reloaded_settings_apply_at_once() {
     let world = World::open(1_000_000, &["cancel", "open"]).await;
     let declined = |arrived: &Arrived| match arrived.line.contains("/open/") {
         true => answers(arrived),
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_never_looks_whole() {
+async fn broken_stream_is_visible_to_the_caller() {
     let events: Vec<String> = (1..4).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
     let whole = events.clone();
     let script = move |arrived: &Arrived| match arrived.line.contains("torn") {
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_its_caller_leaves_is_charged_as_far_as_it_was_made() {
+async fn abandoned_stream_is_charged_for_what_was_generated() {
     let events: Vec<String> = (1..1_000).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(20))
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_its_request_at_the_endpoint() {
+async fn caller_disconnect_cancels_the_request() {
     let world = World::open(1_000_000, &["confirm", "open"]).await;
     let script = |arrived: &Arrived| match arrived.line.contains("/confirm/") {
         true => Reply::Silent,
@@ -246,7 +246,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_without_reading_its_answer_ends_it_at_the_endpoint() {
+async fn caller_disconnect_under_back_pressure_cancels_the_request() {
     // More than all buffers between endpoint and caller hold.
     let event = format!("id: 1\ndata: {}\n\n", "x".repeat(1 << 20));
     let events = vec![event; 64];
@@ -268,7 +268,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_gets_no_new_work() {
+async fn draining_endpoint_gets_no_new_requests() {
     let world = World::open(1_000_000, &["open"]).await;
     let old = world.endpoint("i-1", "plain", answers).await;
     let gateway = world.gateway("box-1").await;
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_streams_and_returns_all_tokens() {
+async fn shutdown_finishes_streams_and_returns_all_tokens() {
     let events: Vec<String> = (0..20).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(30))
@@ -332,7 +332,7 @@
 }
 
 #[tokio::test]
-async fn the_audit_finds_what_does_not_fit() {
+async fn audit_reports_inconsistencies() {
     let by = ledger::Incarnation::new("box-1", 1);
     let bill = |key: &str, n| ledger::Bill {
         key: key.into(),
@@ -353,7 +353,7 @@
 }
 
 #[tokio::test]
-async fn endpoints_that_start_together_cost_a_few_watches() {
+async fn bursts_of_entry_changes_cause_few_watch_calls() {
     let world = World::open(1_000_000, &["open"]).await;
     let first = world.endpoint("i-0", "plain", answers).await;
     let gateway = world.gateway("box-1").await;
@@ -377,7 +377,7 @@
 }
 
 #[tokio::test]
-async fn a_box_whose_link_is_full_sends_callers_elsewhere_and_refuses_nothing() {
+async fn saturated_box_sheds_connections_without_refusing_requests() {
     let world = World::open(1_000_000, &["open"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let gateway = world.narrow_gateway("box-1", 0.02).await;
--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -12,7 +12,7 @@
 }
 
 #[tokio::test]
-async fn a_box_passes_over_an_engine_that_reads_a_long_prompt_of_another_box() {
+async fn boxes_avoid_an_engine_that_reads_a_long_prompt_of_another_box() {
     let world = World::open(10_000_000, &["stream", "open"]).await;
     let _plain = world.endpoint("p-1", "plain", answers).await;
     // An engine sends nothing while it reads a long prompt.
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_request_under_which_endpoints_end_reaches_few_of_them() {
+async fn crashing_request_reaches_few_endpoints() {
     for (service, path) in
         [("plain", "/confirm/x"), ("plain", "/cancel/x"), ("engines", "/stream/x")]
     {
@@ -119,7 +119,7 @@
 
 /// Innocent requests that run on crashing endpoints are retried by their callers and must not be quarantined.
 #[tokio::test]
-async fn what_ran_beside_a_guilty_request_is_served_when_it_comes_again() {
+async fn requests_beside_a_crashing_one_are_served_on_retry() {
     let fleet = Fleet::start("engines", &["stream"]).await;
     let beside = (0..24).map(|n| {
         let (fleet, body) = (&fleet, format!("long {n}"));
@@ -146,7 +146,7 @@
 
 /// Endpoints crash for other reasons while callers send the same innocent request all the time.
 #[tokio::test]
-async fn a_request_that_is_answered_in_between_stays_free_however_many_endpoints_end() {
+async fn request_answered_between_crashes_is_not_quarantined() {
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..ENDPOINTS - 2 {
         let polls = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long poll"));
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn answers_that_break_off_at_endpoints_that_stand_are_held_against_nobody() {
+async fn broken_responses_of_running_endpoints_cause_no_quarantine() {
     let fleet = Fleet::start("plain", &["cancel"]).await;
     for n in 0..3 * ENDPOINTS {
         let got = fleet.send(n, "/cancel/x", "torn").await;
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn a_quarantine_outlives_all_boxes() {
+async fn quarantine_survives_a_restart_of_all_boxes() {
     let mut fleet = Fleet::start("plain", &["confirm"]).await;
     fleet.send_until_refused("/confirm/x").await;
     let ended = fleet.ended();
@@ -197,7 +197,7 @@
 
 /// While the store is down, crash reports spread through the watchers; they are written when it is back.
 #[tokio::test]
-async fn boxes_tell_each_other_while_the_store_is_away() {
+async fn crash_reports_spread_while_the_store_is_down() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
     fleet.world.platform.set(|faults| faults.down = true);
     fleet.send_until_refused("/confirm/x").await;
@@ -211,7 +211,7 @@
 
 /// A box without peers learns of the quarantine from the store.
 #[tokio::test]
-async fn a_box_alone_hears_of_it_from_the_store() {
+async fn box_without_peers_learns_of_a_quarantine_from_the_store() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
     let alone = fleet.world.gateway_alone("box-alone").await;
     until_served(&fleet.world, &alone, "/confirm/x").await;
@@ -226,7 +226,7 @@
 /// The callers of the guilty request disconnect before the endpoint crashes, so that only requests that ran beside
 /// it see connections break. It still counts as having run there.
 #[tokio::test]
-async fn a_request_that_its_caller_left_counts_as_being_there() {
+async fn request_abandoned_by_its_caller_is_still_suspected() {
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
@@ -247,7 +247,7 @@
 
 /// A response without framing looks complete when the endpoint crashes. It must not count as proof of innocence.
 #[tokio::test]
-async fn an_answer_that_ends_with_its_connection_speaks_for_nobody() {
+async fn unframed_response_does_not_prove_innocence() {
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
--- a/crates/gateway/tests/loopback/rest.rs
+++ b/crates/gateway/tests/loopback/rest.rs
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_asks_for_rest_is_left_alone_for_as_long() {
+async fn endpoint_gets_no_requests_during_back_off() {
     let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("3"));
     let send = async || call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
@@ -102,7 +102,7 @@
 
 /// A burst of requests arrives while all endpoints ask for back-off.
 #[tokio::test]
-async fn where_all_rest_requests_are_refused_at_once_and_told_when_to_come() {
+async fn requests_are_refused_at_once_when_all_endpoints_back_off() {
     let world = World::open(PAID, &["cancel", "confirm"]).await;
     let tired = [Tired::default(), Tired::default()];
     let mut endpoints = Vec::new();
@@ -141,7 +141,7 @@
 
 /// A back-off binds only the box whose request was rejected.
 #[tokio::test]
-async fn another_box_is_not_told() {
+async fn back_off_is_not_shared_with_other_boxes() {
     let world = World::open(PAID, &["cancel"]).await;
     let tired = Tired::default();
     let _tired = world.endpoint("i-1", "plain", tired.script()).await;
@@ -169,7 +169,7 @@
 
 /// Requests are in flight when the endpoint begins to reject them.
 #[tokio::test]
-async fn of_a_burst_that_is_turned_away_nothing_leaves_later() {
+async fn burst_is_not_resent_during_back_off() {
     let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("2"));
     let before = tired.arrived().len();
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -14,7 +14,7 @@
 
 /// The caller's deadline passes during the suspension, so the request must not reach an endpoint afterwards.
 #[tokio::test]
-async fn a_request_whose_time_went_by_while_the_box_was_suspended_is_not_sent() {
+async fn request_that_expired_during_suspension_is_not_sent() {
     let world = World::open(PAID, &["confirm"]).await;
     let endpoint = world.endpoint("i-1", "plain", answers).await;
     let (gateway, _link, clock) = world.clocked_gateway("box-1").await;
@@ -43,7 +43,7 @@
 /// An endpoint leaves while the box is suspended, and the box's store watch is dead after the resume although its
 /// connection looks open.
 #[tokio::test]
-async fn a_box_that_was_suspended_sends_nothing_before_it_has_read_what_changed() {
+async fn resumed_box_refreshes_its_view_before_sending() {
     let world = World::open(PAID, &["confirm"]).await;
     let left = world.endpoint("i-1", "plain", answers).await;
     let (gateway, link, clock) = world.clocked_gateway("box-1").await;
@@ -61,7 +61,7 @@
 
 /// If the store is unreachable after the resume, the box serves on with the state that it has.
 #[tokio::test]
-async fn a_box_that_was_suspended_serves_on_though_the_store_is_away() {
+async fn resumed_box_serves_with_its_old_view_if_the_store_is_down() {
     let world = World::open(PAID, &["confirm"]).await;
     let _endpoint = world.endpoint("i-1", "plain", answers).await;
     let (gateway, link, clock) = world.clocked_gateway("box-1").await;
--- a/crates/gateway/tests/money.rs
+++ b/crates/gateway/tests/money.rs
@@ -624,7 +624,7 @@
 }
 
 #[test]
-fn broken_variants_are_caught() {
+fn faults_are_caught() {
     use proptest::{strategy::ValueTree, test_runner::TestRunner};
     let variants = [
         Broken::Blind,
@@ -650,7 +650,7 @@
 
 /// Variants that random orders seldom reveal, each with steps that do.
 #[test]
-fn broken_promises_are_caught() {
+fn rare_faults_are_caught() {
     let settle = |at| [Step::Plan { at }, Step::Write { at, answered: true }];
     let promise = |arrives| Step::Promise { at: 0, arrives, answered: arrives };
     let large = || Step::Hold { at: 0, tokens: 8_000 };
@@ -713,7 +713,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_settlement_that_brought_too_little_is_not_repeated_at_once() {
+async fn insufficient_settlement_is_not_repeated_at_once() {
     let mut node = Node::start(0, 1);
     let mut book = Book::default();
     let mut settle = |node: &mut Node| {
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn few_boxes_look_and_all_agree_on_them() {
+fn boxes_agree_on_few_watchers() {
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
         let first = seen_from(&fleet, 0);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn weak_boxes_do_not_look_for_others_and_listeners_are_shared() {
+fn watchers_are_strong_and_share_the_subscribers() {
     let fleet = fleet(295);
     let mut listeners = std::collections::BTreeMap::new();
     for me in 0..fleet.len() {
@@ -73,7 +73,7 @@
 
 /// Guards against traffic between zones: snapshots are large, so boxes subscribe within their zone if they can.
 #[test]
-fn homes_stand_in_as_many_zones_as_they_can_and_are_heard_there() {
+fn watchers_spread_over_zones_and_serve_their_own() {
     let zones = ["a", "b", "c", "d", "e", "f"];
     for (boxes, in_zones) in [(7, 2), (73, 2), (180, 4), (301, 6)] {
         let fleet: Vec<Place> =
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_home_that_was_paused_and_tells_old_news_changes_nothing() {
+fn stale_snapshot_changes_nothing() {
     let mut directory = Directory::default();
     directory.list(
         vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))],
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_home_that_knows_more_takes_entries_away() {
+fn newer_snapshot_removes_entries() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))], 6, 0);
     directory.mirror(vec![("b".into(), 6, entry("ready"))], 8);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_shelf_tells_what_came_since_or_the_whole() {
+fn change_log_returns_changes_or_a_snapshot() {
     let mut shelf = Shelf::default();
     assert!(shelf.put("servers", "a", 1, Some("{}")));
     assert!(shelf.put("servers", "b", 2, Some("{}")));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_shelf_forgets_what_went_long_ago_and_then_tells_the_whole() {
+fn truncated_change_log_returns_a_snapshot() {
     let mut shelf = Shelf::default();
     for n in 0..3_000 {
         shelf.put("servers", &format!("i-{n}"), n, Some("{}"));
@@ -372,7 +372,7 @@
     /// In any order of events, no earlier instance of an endpoint replaces a later one; and after another heartbeat
     /// of all endpoints, a list and a snapshot, the subscriber knows exactly the ready endpoints.
     #[test]
-    fn news_only_goes_forwards(steps in prop::collection::vec(step(), 1..60), last in 0..2usize) {
+    fn subscriber_view_never_goes_back(steps in prop::collection::vec(step(), 1..60), last in 0..2usize) {
         let mut run = Run::default();
         let mut newest: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for step in &steps {
@@ -400,7 +400,7 @@
 
     /// An instance whose removal was received never becomes ready again, unless its entry is written again.
     #[test]
-    fn what_left_stays_away(steps in prop::collection::vec(step(), 1..60)) {
+    fn removed_instance_stays_removed(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
         for step in steps.iter().filter(|step| {
             !matches!(step, Step::Late { .. } | Step::Overwrite { .. })
@@ -414,7 +414,7 @@
 
 /// Regression cases of the property above.
 #[test]
-fn what_left_stays_away_in_orders_that_once_failed() {
+fn removed_instance_stays_removed_in_regression_cases() {
     let (look, hear) = (|home| Step::Look { home }, |home| Step::Hear { home, whole: false });
     let ready = |id| Step::Write { id, ready: true };
     let orders = [
@@ -462,7 +462,7 @@
     /// Garbage in place of an entry or of one of its fields is rejected, unless it has the type that the platform
     /// specifies; reading never panics.
     #[test]
-    fn an_entry_of_another_writer_names_no_endpoint(
+    fn malformed_entries_are_rejected(
         whole in anything(),
         field in 0..ENTRY_FIELDS.len(),
         value in anything(),
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn an_entry_that_no_longer_says_when_its_endpoint_started_is_somebody_elses() {
+fn entry_without_start_time_does_not_replace_one_with_it() {
     let address = "127.0.0.1:1".parse().expect("an address");
     let entry = |born, beat| {
         let entry = Listed { born, beat, ..listed("engines", address) }.entry();
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -48,7 +48,7 @@
 
 /// With a keeper in each zone, a small fleet in many zones would have too many writers of the book.
 #[test]
-fn keepers_grow_with_boxes_and_not_with_zones() {
+fn number_of_keepers_depends_on_boxes_not_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
         let zone = ["a", "b", "c", "d", "e", "f"];
         let fleet: Vec<Place> =
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn boxes_that_are_alike_share_the_work_over_zones() {
+fn equal_boxes_share_the_work_across_zones() {
     // The same box name must not become the keeper in every zone.
     let boxes =
         |zone: &str| (0..8).map(|n| place(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
@@ -92,7 +92,7 @@
 
 /// Guards against contention when the keepers of a large fleet and their standbys all write the one book.
 #[test]
-fn many_that_write_the_book_settle_no_more_often_together_than_few() {
+fn settlement_interval_grows_with_the_number_of_writers() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
         assert_eq!(times_apart(writers), times, "{writers} writers");
     }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_task_looks_often_and_the_others_seldom() {
+async fn eager_task_probes_often_and_lazy_tasks_seldom() {
     // Entries that are missing from the first list after an outage count as lapsed, not as removed, so the list
     // must be read soon after the store is back.
     assert!(longest(Probe::First).await <= Duration::from_millis(301));
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_the_store_wakes_the_others() {
+async fn first_success_wakes_the_other_tasks() {
     let contact = Contact::open();
     let mut first = Outage::new("first", Probe::First, contact.clone());
     let mut later = Outage::new("later", Probe::Later, contact);
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_the_store_late_tells_how_old_its_outage_is() {
+async fn late_recovery_reports_the_start_of_its_outage() {
     let contact = Contact::open();
     let mut first = Outage::new("first", Probe::First, contact.clone());
     let mut later = Outage::new("later", Probe::Later, contact.clone());
--- a/crates/gateway/tests/outlook.rs
+++ b/crates/gateway/tests/outlook.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_settlement_that_ends_an_outage_draws_for_a_moment_alone() {
+async fn settlement_that_ends_an_outage_draws_little() {
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_that_ends_is_told_and_a_short_one_is_none() {
+async fn end_of_an_outage_is_reported_once_unless_it_was_short() {
     let mut desk = Desk::open();
     pass(60).await;
     assert!(!desk.land());
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_an_outage_a_box_prepares_for_another_one_for_some_time() {
+async fn outage_raises_the_forecast_for_some_time() {
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
@@ -108,7 +108,7 @@
 
 /// A box that alone is cut off can draw tokens from the others.
 #[tokio::test(start_paused = true)]
-async fn a_box_that_alone_lost_the_store_prepares_for_nothing_more() {
+async fn outage_of_one_box_does_not_raise_the_forecast() {
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_hears_of_an_outage_by_the_book() {
+async fn box_learns_of_an_outage_from_the_book() {
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -13,14 +13,14 @@
 }"#;
 
 #[test]
-fn the_least_settings_are_enough() {
+fn minimal_settings_are_valid() {
     let settings = Settings::read(GOOD).expect("valid");
     assert_eq!(&*settings.box_name, "front-bornova-1");
     assert_eq!(settings.listen.peers, None);
 }
 
 #[test]
-fn a_mistake_is_named_with_its_line() {
+fn errors_name_field_and_line() {
     let cases = [
         (r#""zone": "bornova""#, r#""zone": 7"#, "line 4: `zone`"),
         (r#""store": {"#, r#""store": { "timeout_ms": 1,"#, "`store.timeout_ms`: must be between"),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_a_reload_leaves_to_the_next_start_is_named() {
+fn reload_names_settings_that_need_a_restart() {
     let cases = [
         (r#""zone": "bornova""#, r#""zone": "buca""#, vec!["zone"]),
         (
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_example_is_valid_and_says_the_defaults() {
+fn example_is_valid_and_has_the_defaults() {
     let text = include_str!("../../../examples/gateway.jsonc");
     let example = Settings::read(text).expect("valid");
     assert_eq!(example.money, gateway::settings::Money::default());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_template_renders_to_valid_settings() {
+fn template_renders_to_valid_settings() {
     let template = include_str!("../../../deploy/settings.jsonc");
     let fields = [
         ("{{node_name|json}}", "\"front-1\""),
--- a/crates/gateway/tests/words.rs
+++ b/crates/gateway/tests/words.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn nothing_that_is_heard_later_takes_back_that_an_endpoint_leaves() {
+fn leaving_signal_is_final() {
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 8] = [
         ("a response to an earlier request", |known, chosen| {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_endpoint_that_started_again_takes_work() {
+fn restarted_endpoint_is_chosen_again() {
     let mut known = Known::open(&["i-1", "i-2"]);
     known.relist(0, |entry| entry.born = Some(5));
     known.clock.suspend(LONG);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_word_that_cannot_be_read_costs_no_endpoint_and_is_counted() {
+fn unreadable_signal_is_ignored_and_counted() {
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
     let leaves = Some(Word::Unreadable("soon".into()));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_gets_what_no_other_one_takes_for_a_moment() {
+fn leaving_endpoint_is_a_last_resort_for_a_moment() {
     let known = Known::open(&["i-1", "i-2"]);
     for id in ["i-1", "i-2"] {
         let chosen = known.chosen(id);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_box_that_starts_into_it_sends_nothing() {
+fn departure_learned_at_start_excludes_at_once() {
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
     known.endpoints.hear_departure(&chosen.life, chosen.address, false);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn what_thousands_say_is_remembered_within_bounds() {
+fn number_of_remembered_departures_is_bounded() {
     let known = Known::open(&["i-1", "i-2"]);
     let chosen = known.chosen("i-1");
     known.hears(&chosen, &leaves(true));
@@ -205,7 +205,7 @@
 proptest! {
     /// Signals of one endpoint never exclude another one.
     #[test]
-    fn a_lie_of_an_endpoint_costs_that_endpoint(words in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
+    fn signals_affect_only_their_endpoint(words in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
         let known = Known::open(&["i-1", "i-2"]);
         let liar = known.chosen("i-1");
         for word in words {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn nothing_that_is_heard_later_ends_a_rest_before_its_time() {
+fn back_off_is_never_shortened() {
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 6] = [
         ("a response to an earlier request", |known, chosen| {
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn another_life_starts_without_the_rest_and_a_rest_that_cannot_be_read_is_short() {
+fn new_instance_starts_without_back_off_and_unreadable_back_off_is_short() {
     let mut known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
     let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
