--- a/crates/gateway/src/money/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::peers::Peers,
-    money::{funds::Funds, purse::Parts},
+    tokens::{funds::Funds, wallet::Parts},
 };
 
 /// Customers in one log line on what is held.
@@ -30,7 +30,7 @@
         .iter()
         .map(|((topic, is_near), size)| {
             let zone = if *is_near { "own" } else { "other" };
-            format!("{topic} {zone}: {} {}", size.sent, size.heard)
+            format!("{topic} {zone}: {} {}", size.sent, size.received)
         })
         .collect();
     tracing::info!(event = "peer_traffic", bytes = flows.join(", "));
--- a/crates/gateway/tests/outlook.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -5,12 +5,17 @@
 
 use std::time::Duration;
 
-use gateway::Outlook;
+use gateway::Forecast;
 use ledger::{Book, Incarnation, Policy, Settlement, Writer};
 use tokio::time::Instant;
 
-const POLICY: Policy =
-    Policy { offline_share: 600, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
+const POLICY: Policy = Policy {
+    offline_share: 600,
+    online_horizon: 0,
+    offline_horizon: 10,
+    boxes: 1,
+    scarcity_permille: 500,
+};
 
 /// Share of the remaining tokens that all boxes may hold, in thousandths: without a recent outage, and after one.
 const CALM: u64 = POLICY.offline_share;
@@ -19,20 +24,20 @@
 /// One box, with a book that other boxes also write.
 struct Desk {
     book: Book,
-    outlook: Outlook,
+    forecast: Forecast,
     write: u64,
 }
 
 impl Desk {
     fn open() -> Desk {
-        Desk { book: Book::default(), outlook: Outlook::open(Instant::now()), write: 0 }
+        Desk { book: Book::default(), forecast: Forecast::open(Instant::now()), write: 0 }
     }
 
     /// Makes a settlement of this box; returns whether it ended an outage.
     fn land(&mut self) -> bool {
-        self.outlook.tell(&mut self.book, Instant::now());
+        self.forecast.report_outage(&mut self.book, Instant::now());
         self.settle("box-0");
-        self.outlook.landed(&self.book, Instant::now())
+        self.forecast.landed(&self.book, Instant::now())
     }
 
     /// Makes a settlement of any box.
@@ -52,7 +57,7 @@
 
     /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
-        self.outlook.failed(Instant::now());
+        self.forecast.failed(Instant::now());
         pass(seconds).await;
         (0..others_settle).for_each(|_| self.settle("box-1"));
         self.land()
@@ -60,7 +65,7 @@
 
     /// Seconds of use that this box holds tokens for, and the share of the remaining tokens that all may hold.
     fn prepares(&self) -> (u64, u64) {
-        let policy = self.outlook.policy(POLICY, Instant::now());
+        let policy = self.forecast.policy(POLICY, Instant::now());
         (policy.offline_horizon, policy.offline_share)
     }
 }
@@ -74,7 +79,7 @@
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
-    desk.outlook.failed(Instant::now());
+    desk.forecast.failed(Instant::now());
     pass(8).await;
     assert_eq!(desk.prepares().0, 1, "the store has only just answered");
 }
--- a/crates/gateway/tests/loopback/rest.rs
+++ b/crates/gateway/tests/loopback/back_off.rs
@@ -15,7 +15,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{World, answers, call, until, until_served};
+use crate::harness::{Harness, answers, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Time after the rejection in which requests that were already sent may still arrive.
@@ -58,7 +58,7 @@
 
 /// A gateway with two endpoints, one of which can be set to ask for back-off.
 struct Pair {
-    world: World,
+    harness: Harness,
     gateway: Gateway,
     tired: Tired,
     _endpoints: [Scripted; 2],
@@ -66,23 +66,23 @@
 
 impl Pair {
     async fn open() -> Pair {
-        let world = World::open(PAID, &["cancel"]).await;
+        let harness = Harness::open(PAID, &["cancel"]).await;
         let tired = Tired::default();
         let _endpoints = [
-            world.endpoint("i-1", "plain", tired.script()).await,
-            world.endpoint("i-2", "plain", answers).await,
+            harness.endpoint("i-1", "plain", tired.script()).await,
+            harness.endpoint("i-2", "plain", answers).await,
         ];
-        let gateway = world.gateway("box-1").await;
-        until_served(&world, &gateway, "/cancel/x").await;
-        Pair { world, gateway, tired, _endpoints }
+        let gateway = harness.gateway("box-1").await;
+        until_served(&harness, &gateway, "/cancel/x").await;
+        Pair { harness, gateway, tired, _endpoints }
     }
 }
 
 #[tokio::test]
 async fn endpoint_gets_no_requests_during_back_off() {
-    let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("3"));
-    let send = async || call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    let send = async || call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     let before = tired.arrived().len();
     until("a request is rejected", async || {
         send().await;
@@ -103,19 +103,19 @@
 /// A burst of requests arrives while all endpoints ask for back-off.
 #[tokio::test]
 async fn requests_are_refused_at_once_when_all_endpoints_back_off() {
-    let world = World::open(PAID, &["cancel", "confirm"]).await;
+    let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
     let tired = [Tired::default(), Tired::default()];
     let mut endpoints = Vec::new();
     for (id, tired) in ["i-1", "i-2"].iter().zip(&tired) {
-        endpoints.push(world.endpoint(id, "plain", tired.script()).await);
+        endpoints.push(harness.endpoint(id, "plain", tired.script()).await);
     }
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     tired.iter().for_each(|tired| tired.asks(Some("30")));
-    let send = async |path| call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+    let send = async |path| call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
     until("the box backs off from both", async || {
         send("/cancel/x").await;
-        gateway.resting() == 2
+        gateway.backing_off() == 2
     })
     .await;
     tokio::time::sleep(ON_ITS_WAY).await;
@@ -134,48 +134,48 @@
     }
     assert_eq!(arrived(), before, "no request reaches the endpoints");
     tired.iter().for_each(|tired| tired.asks(None));
-    let successor = world.endpoint("i-3", "plain", answers).await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let successor = harness.endpoint("i-3", "plain", answers).await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     assert!(!successor.arrived().is_empty());
 }
 
 /// A back-off binds only the box whose request was rejected.
 #[tokio::test]
 async fn back_off_is_not_shared_with_other_boxes() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let tired = Tired::default();
-    let _tired = world.endpoint("i-1", "plain", tired.script()).await;
-    let _stands = world.endpoint("i-2", "plain", answers).await;
-    let (one, two) = (world.gateway("box-1").await, world.gateway("box-2").await);
+    let _tired = harness.endpoint("i-1", "plain", tired.script()).await;
+    let _stands = harness.endpoint("i-2", "plain", answers).await;
+    let (one, two) = (harness.gateway("box-1").await, harness.gateway("box-2").await);
     for gateway in [&one, &two] {
-        until("the boxes know each other", async || gateway.knows_peers() == 1).await;
-        until_served(&world, gateway, "/cancel/x").await;
+        until("the boxes know each other", async || gateway.peer_count() == 1).await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
     tired.asks(Some("60"));
     until("box 1 is rejected", async || {
-        call(one.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
-        one.resting() == 1
+        call(one.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
+        one.backing_off() == 1
     })
     .await;
     tired.asks(None);
     let before = tired.arrived().len();
     until("box 2 is served by the same endpoint", async || {
-        call(two.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(two.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         tired.arrived().len() > before
     })
     .await;
-    assert_eq!((one.resting(), two.resting()), (1, 0));
+    assert_eq!((one.backing_off(), two.backing_off()), (1, 0));
 }
 
 /// Requests are in flight when the endpoint begins to reject them.
 #[tokio::test]
 async fn burst_is_not_resent_during_back_off() {
-    let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("2"));
     let before = tired.arrived().len();
     let burst = (0..200).map(|n| {
         let gateway = &gateway;
-        let asked = world.asked("key-b", 1, 1);
+        let asked = harness.asked("key-b", 1, 1);
         async move {
             tokio::time::sleep(Duration::from_millis(n * 8)).await;
             call(gateway.callers(), "/cancel/x", &asked).await
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use standin::Scripted;
 
-use crate::world::{World, answers, call, until, until_served};
+use crate::harness::{Harness, answers, call, until, until_served};
 
 /// More than all requests here use.
 const PAID: u64 = 1_000_000;
@@ -18,82 +18,82 @@
 /// Requests sent to show that an endpoint receives none.
 const MANY: usize = 24;
 
-async fn fleet(world: &World, path: &str) -> Vec<Gateway> {
+async fn fleet(harness: &Harness, path: &str) -> Vec<Gateway> {
     let names: Vec<String> = (0..BOXES).map(|n| format!("box-{n}")).collect();
     let mut boxes = Vec::new();
     for name in &names {
-        boxes.push(world.gateway(name).await);
+        boxes.push(harness.gateway(name).await);
     }
     for gateway in &boxes {
-        until("the boxes know each other", async || gateway.knows_peers() == BOXES - 1).await;
-        until_served(world, gateway, path).await;
+        until("the boxes know each other", async || gateway.peer_count() == BOXES - 1).await;
+        until_served(harness, gateway, path).await;
     }
     boxes
 }
 
 /// Whether none of [`MANY`] requests, sent to the boxes in turn, reaches the endpoint.
-async fn gets_none(world: &World, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
+async fn gets_none(harness: &Harness, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
     let before = endpoint.arrived().len();
     for gateway in boxes.iter().cycle().take(MANY) {
-        call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
     }
     endpoint.arrived().len() == before
 }
 
-async fn in_zone(world: &World, id: &str, zone: &str) -> Scripted {
+async fn in_zone(harness: &Harness, id: &str, zone: &str) -> Scripted {
     let endpoint = Scripted::spawn(answers).await;
     let entry = Listed { zone, ..listed("plain", endpoint.address()) }.entry();
-    world.list_as(id, entry.to_string()).await;
+    harness.list_as(id, entry.to_string()).await;
     endpoint
 }
 
 #[tokio::test]
 async fn evacuated_zone_gets_no_requests() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let one = in_zone(&world, "i-1", "z1").await;
-    let two = in_zone(&world, "i-2", "z2").await;
-    let boxes = fleet(&world, "/cancel/x").await;
-    world.evacuate("z1").await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
+    let one = in_zone(&harness, "i-1", "z1").await;
+    let two = in_zone(&harness, "i-2", "z2").await;
+    let boxes = fleet(&harness, "/cancel/x").await;
+    harness.evacuate("z1").await;
     until("z1 receives no more requests", async || {
-        gets_none(&world, &boxes, "/cancel/x", &one).await
+        gets_none(&harness, &boxes, "/cancel/x", &one).await
     })
     .await;
     // The evacuation also binds a box that starts now, and an entry that is written again.
-    world.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
-    let late = [world.gateway("box-late").await];
-    until_served(&world, &late[0], "/cancel/x").await;
-    assert!(gets_none(&world, &late, "/cancel/x", &one).await, "a box that started later");
+    harness.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
+    let late = [harness.gateway("box-late").await];
+    until_served(&harness, &late[0], "/cancel/x").await;
+    assert!(gets_none(&harness, &late, "/cancel/x", &one).await, "a box that started later");
     assert!(
-        gets_none(&world, &boxes, "/cancel/x", &one).await,
+        gets_none(&harness, &boxes, "/cancel/x", &one).await,
         "after its entry was written again"
     );
-    world.evacuate("z2").await;
+    harness.evacuate("z2").await;
     until("no endpoint is left", async || {
-        let got = call(boxes[0].callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(boxes[0].callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         got.status == StatusCode::SERVICE_UNAVAILABLE && got.headers.contains_key("retry-after")
     })
     .await;
-    world.platform.set(|faults| faults.down = true);
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "while the store is down");
-    world.platform.set(|faults| faults.down = false);
-    world.take_back("z1").await;
+    harness.platform.set(|faults| faults.down = true);
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &two).await, "while the store is down");
+    harness.platform.set(|faults| faults.down = false);
+    harness.take_back("z1").await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/cancel/x").await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "z2 is still evacuated");
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &two).await, "z2 is still evacuated");
 }
 
 #[tokio::test]
 async fn boxes_together_pace_requests_to_a_cold_engine() {
-    let world = World::open(PAID, &["stream"]).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
     let engine = Scripted::spawn(answers).await;
     let cold = Listed { cold_ms: 600_000, ..listed("engines", engine.address()) };
-    world.list_as("i-1", cold.entry().to_string()).await;
-    let boxes = fleet(&world, "/stream/x").await;
+    harness.list_as("i-1", cold.entry().to_string()).await;
+    let boxes = fleet(&harness, "/stream/x").await;
     let (began, before) = (Instant::now(), engine.arrived().len());
     // A burst of requests while the only engine is cold.
     let burst = boxes.iter().cycle().take(100).map(|gateway| {
-        let asked = world.asked("key-b", 1, 1);
+        let asked = harness.asked("key-b", 1, 1);
         async move { call(gateway.callers(), "/stream/x", &asked).await }
     });
     let got = join_all(burst).await;
@@ -108,17 +108,17 @@
 
 #[tokio::test]
 async fn restarted_endpoint_is_a_new_instance() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let endpoint = Scripted::spawn(answers).await;
     let first = Listed { born: Some(1_000), beat: 9, ..listed("plain", endpoint.address()) };
-    world.list_as("i-1", first.entry().to_string()).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.list_as("i-1", first.entry().to_string()).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     let before = endpoint.connections();
     let second = Listed { born: Some(2_000), beat: 1, ..first.clone() };
-    world.list_as("i-1", second.entry().to_string()).await;
+    harness.list_as("i-1", second.entry().to_string()).await;
     until("connections to the earlier instance are not reused", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         endpoint.connections() > before
     })
     .await;
@@ -126,17 +126,17 @@
     assert_eq!(told.instance.as_deref(), Some("i-1"), "its id is the same");
     // A late write of the earlier instance must not replace the entry of the new one.
     let last = Listed { ready: false, beat: 10, ..first };
-    world.list_as("i-1", last.entry().to_string()).await;
-    world.configure(2, PAID, &["cancel", "open"]).await;
-    until_served(&world, &gateway, "/open/x").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.list_as("i-1", last.entry().to_string()).await;
+    harness.configure(2, PAID, &["cancel", "open"]).await;
+    until_served(&harness, &gateway, "/open/x").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
 async fn malformed_entries_name_no_endpoint() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let _sound = in_zone(&world, "i-sound", "z1").await;
-    let boxes = fleet(&world, "/cancel/x").await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
+    let _sound = in_zone(&harness, "i-sound", "z1").await;
+    let boxes = fleet(&harness, "/cancel/x").await;
     let odd = Scripted::spawn(answers).await;
     let whole = || listed("plain", odd.address()).entry();
     let with = |field: &str, value: Value| {
@@ -159,13 +159,13 @@
         entries.push(with(field, json!({"of": "another type"})));
     }
     for (n, entry) in entries.iter().enumerate() {
-        world.list_as(&format!("odd {n} ü/{{}}"), entry.to_string()).await;
+        harness.list_as(&format!("odd {n} ü/{{}}"), entry.to_string()).await;
     }
-    world.configure(2, PAID, &["cancel", "open"]).await;
+    harness.configure(2, PAID, &["cancel", "open"]).await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/open/x").await;
+        until_served(&harness, gateway, "/open/x").await;
     }
     tokio::time::sleep(Duration::from_millis(600)).await;
-    assert!(gets_none(&world, &boxes, "/cancel/x", &odd).await, "entries that no endpoint wrote");
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &odd).await, "entries that no endpoint wrote");
     assert_eq!(odd.arrived(), [], "not at any time");
 }
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -15,7 +15,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{World, answers, call, request, until, until_served};
+use crate::harness::{Harness, answers, call, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Longest time after the signal in which a box may still send requests to the endpoint.
@@ -53,60 +53,60 @@
 }
 
 /// Sends requests until one reaches the endpoint.
-async fn reach(world: &World, gateway: &Gateway, endpoint: &Scripted) {
+async fn reach(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) {
     let before = endpoint.arrived().len();
     until("a request reaches the endpoint", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         endpoint.arrived().len() > before
     })
     .await;
 }
 
 /// Sends [`MANY`] requests and returns how many reach the endpoint.
-async fn arrive(world: &World, gateway: &Gateway, endpoint: &Scripted) -> usize {
+async fn arrive(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) -> usize {
     let before = endpoint.arrived().len();
     for _ in 0..MANY {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     }
     endpoint.arrived().len() - before
 }
 
 #[tokio::test]
 async fn leaving_signal_overrides_a_ready_entry() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    reach(&world, &gateway, &leaving).await;
-    world.platform.set(|faults| faults.down = true);
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
+    reach(&harness, &gateway, &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
     word.says(true);
-    reach(&world, &gateway, &leaving).await;
+    reach(&harness, &gateway, &leaving).await;
     tokio::time::sleep(BOUND).await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "while the store is down");
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "while the store is down");
 }
 
 /// Boxes read the signal of every response: of a rejection, and of a stream as soon as its head arrives.
 #[tokio::test]
 async fn signal_is_read_from_rejections_and_stream_heads() {
-    let world = World::open(PAID, &["cancel", "stream"]).await;
-    let declines = world.endpoint("i-1", "plain", |arrived| {
+    let harness = Harness::open(PAID, &["cancel", "stream"]).await;
+    let declines = harness.endpoint("i-1", "plain", |arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
         Reply::Whole(status, leaves(headers), "full".into())
     });
     let declines = declines.await;
-    let streams = world.endpoint("i-2", "engines", |arrived| {
+    let streams = harness.endpoint("i-2", "engines", |arrived| {
         let headers = leaves(played::answered(&arrived.told.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
     let streams = streams.await;
-    let _plain = world.endpoint("i-3", "plain", answers).await;
-    let _engine = world.endpoint("i-4", "engines", answers).await;
-    let gateway = world.gateway("box-1").await;
+    let _plain = harness.endpoint("i-3", "plain", answers).await;
+    let _engine = harness.endpoint("i-4", "engines", answers).await;
+    let gateway = harness.gateway("box-1").await;
     for (path, endpoint) in [("/cancel/x", &declines), ("/stream/x", &streams)] {
-        until_served(&world, &gateway, path).await;
-        let asked = || world.asked("key-b", 1, 1);
+        until_served(&harness, &gateway, path).await;
+        let asked = || harness.asked("key-b", 1, 1);
         until("a request reaches the endpoint", async || {
             tokio::spawn(request(gateway.callers(), path, &asked()).body("a body").send());
             !endpoint.arrived().is_empty()
@@ -124,50 +124,54 @@
 /// The signal reaches one box while the store is down; it must spread to running boxes and to one that starts later.
 #[tokio::test]
 async fn signal_spreads_to_running_and_new_boxes() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
     let mut boxes = Vec::new();
     for n in 0..4 {
-        boxes.push(world.gateway(&format!("box-{n}")).await);
+        boxes.push(harness.gateway(&format!("box-{n}")).await);
     }
     for gateway in &boxes {
-        until("the boxes know each other", async || gateway.knows_peers() == 3).await;
-        until_served(&world, gateway, "/cancel/x").await;
+        until("the boxes know each other", async || gateway.peer_count() == 3).await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
-    world.platform.set(|faults| faults.down = true);
-    reach(&world, &boxes[0], &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
+    reach(&harness, &boxes[0], &leaving).await;
     word.says(true);
-    reach(&world, &boxes[0], &leaving).await;
+    reach(&harness, &boxes[0], &leaving).await;
     let knows = |gateway: &Gateway| gateway.leaving() == 1;
     until("all boxes know that it is leaving", async || boxes.iter().all(knows)).await;
     word.says(false);
     for gateway in &boxes {
-        assert_eq!(arrive(&world, gateway, &leaving).await, 0, "a box that learned it from a peer");
+        assert_eq!(
+            arrive(&harness, gateway, &leaving).await,
+            0,
+            "a box that learned it from a peer"
+        );
     }
-    world.platform.set(|faults| faults.down = false);
-    let late = world.gateway("box-late").await;
-    until_served(&world, &late, "/cancel/x").await;
+    harness.platform.set(|faults| faults.down = false);
+    let late = harness.gateway("box-late").await;
+    until_served(&harness, &late, "/cancel/x").await;
     until("the late box knows that it is leaving", async || late.leaving() == 1).await;
-    assert_eq!(arrive(&world, &late, &leaving).await, 0, "a box that started after the signal");
+    assert_eq!(arrive(&harness, &late, &leaving).await, 0, "a box that started after the signal");
 }
 
 /// All endpoints of a service leave at once, while the store is down and their successors cannot be seen.
 #[tokio::test]
 async fn requests_are_refused_at_once_when_all_endpoints_leave() {
-    let world = World::open(PAID, &["cancel", "confirm"]).await;
+    let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
     let word = Word::default();
     let mut leaving = Vec::new();
     for id in ["i-1", "i-2"] {
-        leaving.push(world.endpoint(id, "plain", word.script()).await);
+        leaving.push(harness.endpoint(id, "plain", word.script()).await);
     }
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    world.platform.set(|faults| faults.down = true);
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
+    harness.platform.set(|faults| faults.down = true);
     word.says(true);
     until("all have signalled that they are leaving", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         gateway.leaving() == 2
     })
     .await;
@@ -175,7 +179,7 @@
     let before: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
     for path in ["/cancel/x", "/confirm/x"] {
         let sent = Instant::now();
-        let got = call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
         assert!(sent.elapsed() < BOUND / 2, "the refusal took {:?}", sent.elapsed());
         assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
         assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
@@ -183,38 +187,38 @@
     }
     let after: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
     assert_eq!(after, before, "no request reaches the endpoints");
-    let _successor = world.endpoint("i-3", "plain", Word::default().script()).await;
-    world.platform.set(|faults| faults.down = false);
-    until_served(&world, &gateway, "/cancel/x").await;
+    let _successor = harness.endpoint("i-3", "plain", Word::default().script()).await;
+    harness.platform.set(|faults| faults.down = false);
+    until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 /// A box without store and peers goes on avoiding the endpoint, and so it does when an entry says ready again.
 #[tokio::test]
 async fn isolated_box_keeps_avoiding_a_leaving_endpoint() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
+    let (gateway, link) = harness.cut_gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     word.says(true);
-    reach(&world, &gateway, &leaving).await;
+    reach(&harness, &gateway, &leaving).await;
     link.set_cut(true);
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "cut off from the store");
-    world.list("i-1", "plain", leaving.address(), true).await;
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "cut off from the store");
+    harness.list("i-1", "plain", leaving.address(), true).await;
     link.set_cut(false);
-    world.configure(2, PAID, &["cancel", "open"]).await;
-    until_served(&world, &gateway, "/open/x").await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "with an entry that says ready");
+    harness.configure(2, PAID, &["cancel", "open"]).await;
+    until_served(&harness, &gateway, "/open/x").await;
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "with an entry that says ready");
 }
 
 /// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
 async fn signals_of_misdirected_responses_are_ignored() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let other = Word::default();
     let says = other.clone();
-    let meant = world.endpoint("i-1", "plain", move |arrived| {
+    let meant = harness.endpoint("i-1", "plain", move |arrived| {
         if !says.0.load(Ordering::Relaxed) {
             return answers(arrived);
         }
@@ -223,12 +227,12 @@
         Reply::Whole(status, leaves(headers), "not here".into())
     });
     let meant = meant.await;
-    let _stays = world.endpoint("i-2", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let _stays = harness.endpoint("i-2", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     other.says(true);
-    reach(&world, &gateway, &meant).await;
+    reach(&harness, &gateway, &meant).await;
     other.says(false);
-    assert_eq!((gateway.leaving(), gateway.resting()), (0, 0));
-    reach(&world, &gateway, &meant).await;
+    assert_eq!((gateway.leaving(), gateway.backing_off()), (0, 0));
+    reach(&harness, &gateway, &meant).await;
 }
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -2,22 +2,22 @@
 
 use std::{net::IpAddr, time::Duration};
 
-use crate::world::{World, answers, call, charged, until, until_served};
+use crate::harness::{Harness, answers, call, charged, until, until_served};
 use http::StatusCode;
 
 #[tokio::test]
 async fn dead_watch_is_replaced_when_the_store_is_back() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let (gateway, link) = harness.cut_gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     // Open connections stay open but carry no more bytes.
     link.lose_open();
-    world.configure(2, 1_000_000, &["open", "cancel"]).await;
+    harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
     // Well below the time limit of the watch itself.
-    let served = until_served(&world, &gateway, "/cancel/x");
+    let served = until_served(&harness, &gateway, "/cancel/x");
     tokio::time::timeout(Duration::from_secs(12), served)
         .await
         .expect("the new version is in force");
@@ -25,67 +25,67 @@
 
 #[tokio::test]
 async fn box_without_store_serves_from_grants_and_loans() {
-    let world = World::open(100_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("i-1", "plain", answers).await;
-    let _engine = world.endpoint("i-2", "engines", answers).await;
-    let one = world.gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/open/x").await;
-    until_served(&world, &two, "/open/x").await;
+    let harness = Harness::open(100_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("i-1", "plain", answers).await;
+    let _engine = harness.endpoint("i-2", "engines", answers).await;
+    let one = harness.gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    until_served(&harness, &one, "/open/x").await;
+    until_served(&harness, &two, "/open/x").await;
     // Requests make box 1 draw tokens ahead.
-    until_served(&world, &one, "/stream/x").await;
+    until_served(&harness, &one, "/stream/x").await;
     until("box 1 holds tokens and both know each other", async || {
-        call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
-        call(two.callers(), "/stream/x", &world.asked("key-b", 1, 1)).await;
+        call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
+        call(two.callers(), "/stream/x", &harness.asked("key-b", 1, 1)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        one.balance("bornova").free > 9_000 && two.knows_peers() > 0 && one.knows_peers() > 0
+        one.balance("bornova").free > 9_000 && two.peer_count() > 0 && one.peer_count() > 0
     })
     .await;
-    world.platform.set(|faults| faults.down = true);
+    harness.platform.set(|faults| faults.down = true);
     let worst = two.balance("bornova").free + 2_000;
-    let got = call(two.callers(), "/stream/x", &world.asked("key-b", worst - 10, 10)).await;
+    let got = call(two.callers(), "/stream/x", &harness.asked("key-b", worst - 10, 10)).await;
     assert_eq!(got.status, StatusCode::OK, "{got:?}");
     let all = one.balance("bornova").free + two.balance("bornova").free;
-    let got = call(two.callers(), "/stream/x", &world.asked("key-b", all + 1, 1)).await;
+    let got = call(two.callers(), "/stream/x", &harness.asked("key-b", all + 1, 1)).await;
     assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "more than both boxes hold: {got:?}");
     assert!(got.headers.contains_key("retry-after"));
 }
 
 #[tokio::test]
 async fn box_rejected_by_the_store_keeps_its_view() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let me: IpAddr = [127, 0, 0, 1].into();
-    world.platform.set(|faults| {
+    harness.platform.set(|faults| {
         faults.turns_away.insert(me);
     });
     for _ in 0..20 {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         assert_eq!(got.status, StatusCode::OK);
     }
-    world.platform.set(|faults| faults.turns_away.clear());
-    world.configure(2, 1_000_000, &["open", "cancel"]).await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.platform.set(|faults| faults.turns_away.clear());
+    harness.configure(2, 1_000_000, &["open", "cancel"]).await;
+    until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
 async fn lost_store_responses_settle_every_token_once() {
     for late in [Duration::ZERO, Duration::from_millis(400)] {
-        let world = World::open(1_000_000, &["stream"]).await;
-        let _engine = world.endpoint("i-1", "engines", answers).await;
-        let gateway = world.gateway("box-1").await;
-        until_served(&world, &gateway, "/stream/x").await;
-        world.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
+        let harness = Harness::open(1_000_000, &["stream"]).await;
+        let _engine = harness.endpoint("i-1", "engines", answers).await;
+        let gateway = harness.gateway("box-1").await;
+        until_served(&harness, &gateway, "/stream/x").await;
+        harness.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
         for _ in 0..40 {
-            call(gateway.callers(), "/stream/x", &world.asked("key-b", 1_000, 10)).await;
+            call(gateway.callers(), "/stream/x", &harness.asked("key-b", 1_000, 10)).await;
         }
-        world.platform.set(|faults| faults.lose_answers = 0.0);
+        harness.platform.set(|faults| faults.lose_answers = 0.0);
         let charged = charged(&gateway);
         gateway.stop().await;
         until("the last settlement is in the book", async || {
-            let book = world.book().await;
+            let book = harness.book().await;
             let of = &book.ledgers["bornova"];
             of.statement.tokens == charged && of.spent == charged && of.grants.is_empty()
         })
@@ -95,10 +95,10 @@
 
 #[tokio::test]
 async fn box_without_configuration_reports_it() {
-    let world = World::open(1_000, &["open"]).await;
-    world.platform.set(|faults| faults.down = true);
-    let gateway = world.gateway("box-1").await;
-    let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+    let harness = Harness::open(1_000, &["open"]).await;
+    harness.platform.set(|faults| faults.down = true);
+    let gateway = harness.gateway("box-1").await;
+    let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(got.body.expect("a body").contains("no_config"));
     let ready = reqwest::get(format!("http://{}/ready", gateway.ready())).await.expect("an answer");
@@ -107,20 +107,20 @@
 
 #[tokio::test]
 async fn draining_endpoint_stays_excluded_during_an_outage() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let leaving = world.endpoint("i-1", "plain", answers).await;
-    let stays = world.endpoint("i-2", "plain", answers).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let leaving = harness.endpoint("i-1", "plain", answers).await;
+    let stays = harness.endpoint("i-2", "plain", answers).await;
+    let (gateway, link) = harness.cut_gateway("box-1").await;
     until("both endpoints are in use", async || {
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         !leaving.arrived().is_empty() && !stays.arrived().is_empty()
     })
     .await;
-    world.list("i-1", "plain", leaving.address(), false).await;
+    harness.list("i-1", "plain", leaving.address(), false).await;
     let mut quiet = 0;
     until("the box sends nothing more to the leaving endpoint", async || {
         let before = leaving.arrived().len();
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
         quiet > 20
     })
@@ -130,7 +130,7 @@
     // Long enough for calls in flight to fail.
     let cut = tokio::time::Instant::now();
     while cut.elapsed() < Duration::from_secs(2) {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         assert_eq!(got.status, StatusCode::OK);
     }
     assert_eq!(leaving.arrived().len(), before);
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -10,7 +10,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{Got, World, answers, finish, request, until, until_served};
+use crate::harness::{Got, Harness, answers, finish, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Number of boxes: two watchers and two subscribers.
@@ -42,32 +42,32 @@
 }
 
 struct Fleet {
-    world: World,
+    harness: Harness,
     boxes: Vec<gateway::Gateway>,
     endpoints: Vec<Scripted>,
 }
 
 impl Fleet {
     async fn start(service: &str, routes: &[&str]) -> Fleet {
-        let world = World::open(PAID, routes).await;
+        let harness = Harness::open(PAID, routes).await;
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
-            endpoints.push(world.endpoint(&format!("i-{n}"), service, crashes).await);
+            endpoints.push(harness.endpoint(&format!("i-{n}"), service, crashes).await);
         }
         let mut boxes = Vec::new();
         for n in 0..BOXES {
-            boxes.push(world.gateway(&format!("box-{n}")).await);
+            boxes.push(harness.gateway(&format!("box-{n}")).await);
         }
         for gateway in &boxes {
-            until("the boxes know each other", async || gateway.knows_peers() == BOXES - 1).await;
-            until_served(&world, gateway, &format!("/{}/x", routes[0])).await;
+            until("the boxes know each other", async || gateway.peer_count() == BOXES - 1).await;
+            until_served(&harness, gateway, &format!("/{}/x", routes[0])).await;
         }
-        Fleet { world, boxes, endpoints }
+        Fleet { harness, boxes, endpoints }
     }
 
     /// Sends a request to a box.
     async fn send(&self, at: usize, path: &str, body: &str) -> Got {
-        let asked = self.world.asked("key-b", 1, 1);
+        let asked = self.harness.asked("key-b", 1, 1);
         let address = self.boxes[at % BOXES].callers();
         finish(request(address, path, &asked).body(body.to_owned())).await
     }
@@ -186,10 +186,10 @@
     let ended = fleet.ended();
     fleet.boxes.clear();
     for n in 0..BOXES {
-        fleet.boxes.push(fleet.world.gateway(&format!("box-{n}")).await);
+        fleet.boxes.push(fleet.harness.gateway(&format!("box-{n}")).await);
     }
     for (at, gateway) in fleet.boxes.iter().enumerate() {
-        until_served(&fleet.world, gateway, "/confirm/x").await;
+        until_served(&fleet.harness, gateway, "/confirm/x").await;
         assert!(is_quarantined(&fleet.send(at, "/confirm/x", GUILTY).await), "box {at}");
     }
     assert_eq!(fleet.ended(), ended, "no further endpoint crashes");
@@ -199,12 +199,12 @@
 #[tokio::test]
 async fn crash_reports_spread_while_the_store_is_down() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     fleet.send_until_refused("/confirm/x").await;
     assert!(fleet.ended() <= MOST_ENDED, "{} endpoints crashed", fleet.ended());
-    fleet.world.platform.set(|faults| faults.down = false);
+    fleet.harness.platform.set(|faults| faults.down = false);
     until("the reports are in the store", async || {
-        fleet.world.count(quarantine::CRASHES).await >= 3
+        fleet.harness.count(quarantine::CRASHES).await >= 3
     })
     .await;
 }
@@ -213,11 +213,11 @@
 #[tokio::test]
 async fn box_without_peers_learns_of_a_quarantine_from_the_store() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
-    let alone = fleet.world.gateway_alone("box-alone").await;
-    until_served(&fleet.world, &alone, "/confirm/x").await;
+    let alone = fleet.harness.gateway_alone("box-alone").await;
+    until_served(&fleet.harness, &alone, "/confirm/x").await;
     fleet.send_until_refused("/confirm/x").await;
     let ended = fleet.ended();
-    let asked = fleet.world.asked("key-b", 1, 1);
+    let asked = fleet.harness.asked("key-b", 1, 1);
     let sent = request(alone.callers(), "/confirm/x", &asked).body(GUILTY);
     assert!(is_quarantined(&finish(sent).await));
     assert_eq!(fleet.ended(), ended);
@@ -230,7 +230,7 @@
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
-        let asked = fleet.world.asked("key-b", 1, 1);
+        let asked = fleet.harness.asked("key-b", 1, 1);
         let slow = request(fleet.boxes[n % BOXES].callers(), "/stream/x", &asked)
             .body(format!("{GUILTY} slowly"))
             .timeout(LONG / 8);
--- a/crates/gateway/tests/loopback/limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -14,7 +14,7 @@
 use platform::played::{self, Asked, Listed, listed};
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{Got, World, call, until, until_served};
+use crate::harness::{Got, Harness, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Enough boxes that one request per second from each would exceed any limit here.
@@ -51,7 +51,7 @@
 
 /// Gateways with endpoints of one service, each of which may state a limit.
 struct Fleet {
-    world: World,
+    harness: Harness,
     boxes: Vec<Gateway>,
     needs: Vec<Need>,
     endpoints: Vec<Scripted>,
@@ -59,21 +59,21 @@
 
 impl Fleet {
     async fn start(boxes: usize, endpoints: usize) -> Fleet {
-        let world = World::open(PAID, &["cancel", "confirm"]).await;
+        let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
         let mut fleet =
-            Fleet { world, boxes: Vec::new(), needs: Vec::new(), endpoints: Vec::new() };
+            Fleet { harness, boxes: Vec::new(), needs: Vec::new(), endpoints: Vec::new() };
         for n in 0..endpoints {
             let need = Need::default();
-            let endpoint = fleet.world.endpoint(&format!("i-{n}"), "plain", need.script()).await;
+            let endpoint = fleet.harness.endpoint(&format!("i-{n}"), "plain", need.script()).await;
             fleet.needs.push(need);
             fleet.endpoints.push(endpoint);
         }
         for n in 0..boxes {
-            fleet.boxes.push(fleet.world.gateway(&format!("box-{n}")).await);
+            fleet.boxes.push(fleet.harness.gateway(&format!("box-{n}")).await);
         }
         for gateway in &fleet.boxes {
-            until("the boxes know each other", async || gateway.knows_peers() == boxes - 1).await;
-            until_served(&fleet.world, gateway, "/cancel/x").await;
+            until("the boxes know each other", async || gateway.peer_count() == boxes - 1).await;
+            until_served(&fleet.harness, gateway, "/cancel/x").await;
         }
         fleet
     }
@@ -92,7 +92,7 @@
 
     async fn send(&self, gateway: &Gateway, path: &str) -> Got {
         // Without tokens, so that a lack of them while the store is down does not matter.
-        let asked = Asked { tokens: None, ..self.world.asked("key-b", 1, 1) };
+        let asked = Asked { tokens: None, ..self.harness.asked("key-b", 1, 1) };
         call(gateway.callers(), path, &asked).await
     }
 
@@ -179,7 +179,7 @@
         knows(&fleet.boxes[0]) == Some(2.0)
     })
     .await;
-    let late = fleet.world.gateway("box-late").await;
+    let late = fleet.harness.gateway("box-late").await;
     fleet.boxes.push(late);
     for gateway in &fleet.boxes {
         // One box goes on using the endpoint, so that the limit stays in force.
@@ -189,7 +189,7 @@
         })
         .await;
     }
-    until_served(&fleet.world, &fleet.boxes[4], "/cancel/x").await;
+    until_served(&fleet.harness, &fleet.boxes[4], "/cancel/x").await;
     fleet.needs[0].names(Some("7.5"));
     until("a raised limit is in force", async || {
         fleet.load(&fleet.boxes[..1], PAUSE).await;
@@ -281,7 +281,7 @@
     let mut fleet = Fleet::start(5, 2).await;
     fleet.needs[0].names(Some("4"));
     fleet.tell_all("i-0", 4.0).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     let (began, before) = (Instant::now(), fleet.arrived(0));
     for ends_by_plan in [false, true] {
         fleet.load(&fleet.boxes, COUNTED / 4).await;
@@ -310,8 +310,8 @@
 #[tokio::test]
 async fn isolated_box_does_not_exceed_the_limit() {
     let mut fleet = Fleet::start(4, 2).await;
-    let alone = fleet.world.gateway_alone("box-alone").await;
-    until_served(&fleet.world, &alone, "/cancel/x").await;
+    let alone = fleet.harness.gateway_alone("box-alone").await;
+    until_served(&fleet.harness, &alone, "/cancel/x").await;
     fleet.boxes.push(alone);
     fleet.needs[0].names(Some("2"));
     fleet.tell_all("i-0", 2.0).await;
@@ -333,7 +333,7 @@
     fleet.needs[0].names(None);
     let address = fleet.endpoints[0].address();
     let entry = Listed { born: Some(5), ..listed("plain", address) }.entry();
-    fleet.world.list_as("i-0", entry.to_string()).await;
+    fleet.harness.list_as("i-0", entry.to_string()).await;
     // No request is sent meanwhile, so the new entry alone must clear the limit.
     until("the limit of the earlier instance is dropped", async || {
         fleet.boxes.iter().all(|gateway| gateway.limits().is_empty())
@@ -349,7 +349,7 @@
     let mut fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("8"));
     fleet.tell_all("i-0", 8.0).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     fleet.boxes.truncate(1);
     let (began, before) = (Instant::now(), fleet.arrived(0));
     let callers = (0..4).map(|_| fleet.load(&fleet.boxes, COUNTED));
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use tokio::sync::mpsc;
 
-use crate::world::{World, answers, call, finish, request, until, until_served};
+use crate::harness::{Harness, answers, call, finish, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Longer than any caller waits.
@@ -15,17 +15,17 @@
 /// The caller's deadline passes during the suspension, so the request must not reach an endpoint afterwards.
 #[tokio::test]
 async fn request_that_expired_during_suspension_is_not_sent() {
-    let world = World::open(PAID, &["confirm"]).await;
-    let endpoint = world.endpoint("i-1", "plain", answers).await;
-    let (gateway, _link, clock) = world.clocked_gateway("box-1").await;
-    until_served(&world, &gateway, "/confirm/x").await;
+    let harness = Harness::open(PAID, &["confirm"]).await;
+    let endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let (gateway, _link, clock) = harness.clocked_gateway("box-1").await;
+    until_served(&harness, &gateway, "/confirm/x").await;
     let before = endpoint.arrived().len();
     let (pieces, arriving) = mpsc::channel::<&str>(1);
     let body = stream::unfold(arriving, |mut arriving| async {
         let piece = arriving.recv().await?;
         Some((Ok::<_, std::io::Error>(piece), arriving))
     });
-    let asked = world.asked("key-b", 1, 1);
+    let asked = harness.asked("key-b", 1, 1);
     let sent = request(gateway.callers(), "/confirm/x", &asked);
     let got = finish(sent.body(reqwest::Body::wrap_stream(body)));
     let sending = async {
@@ -44,17 +44,17 @@
 /// connection looks open.
 #[tokio::test]
 async fn resumed_box_refreshes_its_view_before_sending() {
-    let world = World::open(PAID, &["confirm"]).await;
-    let left = world.endpoint("i-1", "plain", answers).await;
-    let (gateway, link, clock) = world.clocked_gateway("box-1").await;
-    until_served(&world, &gateway, "/confirm/x").await;
+    let harness = Harness::open(PAID, &["confirm"]).await;
+    let left = harness.endpoint("i-1", "plain", answers).await;
+    let (gateway, link, clock) = harness.clocked_gateway("box-1").await;
+    until_served(&harness, &gateway, "/confirm/x").await;
     let before = left.arrived().len();
     link.lose_open();
-    let _stays = world.endpoint("i-2", "plain", answers).await;
-    world.unlist("i-1").await;
-    world.configure(2, PAID, &["confirm", "open"]).await;
+    let _stays = harness.endpoint("i-2", "plain", answers).await;
+    harness.unlist("i-1").await;
+    harness.configure(2, PAID, &["confirm", "open"]).await;
     clock.suspend(LONG);
-    let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+    let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
     assert_eq!(got.status, StatusCode::OK, "the route is new: {got:?}");
     assert_eq!(left.arrived().len(), before, "the endpoint has left");
 }
@@ -62,14 +62,14 @@
 /// If the store is unreachable after the resume, the box serves on with the state that it has.
 #[tokio::test]
 async fn resumed_box_serves_with_its_old_view_if_the_store_is_down() {
-    let world = World::open(PAID, &["confirm"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let (gateway, link, clock) = world.clocked_gateway("box-1").await;
-    until_served(&world, &gateway, "/confirm/x").await;
+    let harness = Harness::open(PAID, &["confirm"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let (gateway, link, clock) = harness.clocked_gateway("box-1").await;
+    until_served(&harness, &gateway, "/confirm/x").await;
     link.set_cut(true);
     clock.suspend(LONG);
     until("the box serves requests", async || {
-        let got = call(gateway.callers(), "/confirm/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), "/confirm/x", &harness.asked("key-b", 1, 1)).await;
         got.status == StatusCode::OK
     })
     .await;
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -2,23 +2,25 @@
 
 use std::collections::BTreeSet;
 
-use gateway::{Place, order, times_apart};
+use gateway::{Profile, interval_factor, keepers};
 use ledger::Incarnation;
 
-fn place(name: &str, zone: &str, strength: u64) -> Place {
-    Place { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, strength: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
-fn asked(fleet: &[Place], me: usize) -> Vec<String> {
-    let others: Vec<Place> = fleet.iter().filter(|place| **place != fleet[me]).cloned().collect();
-    order(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
+fn asked(fleet: &[Profile], me: usize) -> Vec<String> {
+    let others: Vec<Profile> =
+        fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
+    keepers(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
 /// A fleet with this number of boxes in each zone; the first box of a zone is the strongest.
-fn fleet(zones: &[(&str, usize)]) -> Vec<Place> {
+fn fleet(zones: &[(&str, usize)]) -> Vec<Profile> {
     let boxes = zones.iter().flat_map(|(zone, count)| {
-        (0..*count).map(move |n| place(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
+        (0..*count)
+            .map(move |n| profile(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
     });
     boxes.collect()
 }
@@ -39,9 +41,9 @@
     let orders: BTreeSet<Vec<String>> =
         (0..fleet.len()).filter(of_buca).map(|me| asked(&fleet, me)).collect();
     assert_eq!(orders.len(), 1, "{orders:?}");
-    let order = orders.first().expect("one");
+    let keepers = orders.first().expect("one");
     let zones: Vec<&str> =
-        order.iter().map(|name| name.split('-').next().expect("a zone")).collect();
+        keepers.iter().map(|name| name.split('-').next().expect("a zone")).collect();
     assert_eq!(zones[..3], ["buca"; 3]);
     assert_eq!(zones[3..].iter().collect::<BTreeSet<_>>().len(), 2, "{zones:?}");
 }
@@ -51,8 +53,8 @@
 fn number_of_keepers_depends_on_boxes_not_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
         let zone = ["a", "b", "c", "d", "e", "f"];
-        let fleet: Vec<Place> =
-            (0..boxes).map(|n| place(&format!("box-{n}"), zone[n % zones], 10)).collect();
+        let fleet: Vec<Profile> =
+            (0..boxes).map(|n| profile(&format!("box-{n}"), zone[n % zones], 10)).collect();
         let asked: Vec<Vec<String>> = (0..boxes).map(|me| asked(&fleet, me)).collect();
         let first: BTreeSet<&String> = asked.iter().map(|asked| &asked[0]).collect();
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
@@ -82,7 +84,7 @@
 fn equal_boxes_share_the_work_across_zones() {
     // The same box name must not become the keeper in every zone.
     let boxes =
-        |zone: &str| (0..8).map(|n| place(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
+        |zone: &str| (0..8).map(|n| profile(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
     let firsts: BTreeSet<String> = ["a", "b", "c", "d", "e", "f"]
         .into_iter()
         .map(|zone| asked(&boxes(zone), 0)[0].clone())
@@ -94,6 +96,6 @@
 #[test]
 fn settlement_interval_grows_with_the_number_of_writers() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(times_apart(writers), times, "{writers} writers");
+        assert_eq!(interval_factor(writers), times, "{writers} writers");
     }
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use gateway::{Contact, Outage, Probe};
+use gateway::{Outage, Probe, Recovery};
 use tokio::time::Instant;
 
 /// The longest pause between many failed attempts of one task.
 async fn longest(probe: Probe) -> Duration {
-    let mut outage = Outage::new("store", probe, Contact::open());
+    let mut outage = Outage::new("store", probe, Recovery::open());
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
         outage.failed(&"no answer");
@@ -22,15 +22,15 @@
 async fn eager_task_probes_often_and_lazy_tasks_seldom() {
     // Entries that are missing from the first list after an outage count as lapsed, not as removed, so the list
     // must be read soon after the store is back.
-    assert!(longest(Probe::First).await <= Duration::from_millis(301));
-    assert!(longest(Probe::Later).await >= Duration::from_millis(1_000));
+    assert!(longest(Probe::Eager).await <= Duration::from_millis(301));
+    assert!(longest(Probe::Lazy).await >= Duration::from_millis(1_000));
 }
 
 #[tokio::test(start_paused = true)]
 async fn first_success_wakes_the_other_tasks() {
-    let contact = Contact::open();
-    let mut first = Outage::new("first", Probe::First, contact.clone());
-    let mut later = Outage::new("later", Probe::Later, contact);
+    let recovery = Recovery::open();
+    let mut first = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut later = Outage::new("later", Probe::Lazy, recovery);
     first.failed(&"no answer");
     let waits = tokio::spawn(async move {
         for _ in 0..10 {
@@ -50,16 +50,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn late_recovery_reports_the_start_of_its_outage() {
-    let contact = Contact::open();
-    let mut first = Outage::new("first", Probe::First, contact.clone());
-    let mut later = Outage::new("later", Probe::Later, contact.clone());
+    let recovery = Recovery::open();
+    let mut first = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut later = Outage::new("later", Probe::Lazy, recovery.clone());
     later.failed(&"no answer");
     first.failed(&"no answer");
     tokio::time::sleep(Duration::from_secs(8)).await;
     assert!(first.answered().is_some());
     // The other tasks read the store again now; the later task reports the same outage after that.
     let read = Instant::now();
-    let told = tokio::spawn(async move { contact.regained().await });
+    let told = tokio::spawn(async move { recovery.recovered().await });
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(later.answered().is_some());
     let lost_since = told.await.expect("no panic");
--- a/crates/gateway/tests/words.rs
+++ b/crates/gateway/tests/signals.rs
@@ -2,8 +2,8 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Offer, Prefix};
-use gateway::{Chosen, Clock, Endpoints, Heard, settings};
+use balance::{Candidates, Prefix};
+use gateway::{Changes, Chosen, Clock, Endpoints, settings};
 use platform::{
     answer::Head,
     endpoint::Entry,
@@ -29,7 +29,7 @@
 
 impl Known {
     fn open(ids: &[&str]) -> Known {
-        let clock = Clock::by_hand();
+        let clock = Clock::manual();
         let endpoints = Endpoints::new("z1".into(), settings::Cold::default(), &clock, 7);
         let mut known = Known { endpoints, clock, listed: Vec::new() };
         let entries = ids.iter().enumerate().map(|(n, id)| ((*id).into(), entry(n as u16, |_| {})));
@@ -49,7 +49,7 @@
     }
 
     fn choose(&self) -> Option<Chosen> {
-        self.endpoints.choose(SERVICE, Offer::All, &Prefix::of_parts([]), &[])
+        self.endpoints.choose(SERVICE, Candidates::All, &Prefix::of_parts([]), &[])
     }
 
     /// Repeats the choice until it falls on the endpoint.
@@ -62,14 +62,14 @@
         (0..MANY).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
     }
 
-    fn hears(&self, chosen: &Chosen, said: &Said) -> Heard {
+    fn hears(&self, chosen: &Chosen, said: &Said) -> Changes {
         self.hears_of(chosen, said, AT_ONCE)
     }
 
     /// Receives a response to a request that was sent `ago`.
-    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Heard {
+    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
         let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
-        self.endpoints.hear(SERVICE, chosen, &head, ago)
+        self.endpoints.receive_signals(SERVICE, chosen, &head, ago)
     }
 }
 
@@ -106,21 +106,21 @@
         }),
         ("a suspension of the box", |known, _| known.clock.suspend(LONG)),
         ("the signal, forwarded by a peer as new", |known, chosen| {
-            known.endpoints.hear_departure(&chosen.life, chosen.address, true);
+            known.endpoints.receive_departure(&chosen.instance, chosen.address, true);
         }),
     ];
     for (what, later) in later {
         let mut known = Known::open(&["i-1", "i-2"]);
         let chosen = known.chosen("i-1");
-        assert_eq!(known.hears(&chosen, &leaves(true)), Heard { leaves: true, limit: false });
-        assert_eq!(known.hears(&chosen, &leaves(true)), Heard::default(), "already known");
+        assert_eq!(known.hears(&chosen, &leaves(true)), Changes { leaves: true, limit: false });
+        assert_eq!(known.hears(&chosen, &leaves(true)), Changes::default(), "already known");
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(LONG);
         known.listed.remove(1);
         known.update();
         assert!(known.choose().is_none(), "after {what}, with no other endpoint");
-        assert!(known.endpoints.wants_nothing(SERVICE, &chosen), "after {what}");
+        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
     }
 }
 
@@ -153,7 +153,7 @@
     let unknown = vec![("server-mood".into(), "low".into())];
     for _ in 0..3 {
         let said = Said { leaves: leaves.clone(), unknown: unknown.clone(), ..Said::default() };
-        assert_eq!(known.hears(&chosen, &said), Heard::default());
+        assert_eq!(known.hears(&chosen, &said), Changes::default());
     }
     known.clock.suspend(LONG);
     assert!(known.gets_some("i-1"));
@@ -171,7 +171,7 @@
     }
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
     assert!(known.choose().is_some(), "the last resort until its successors are known");
-    assert_eq!(known.endpoints.comes_again(SERVICE, 0), None, "no endpoint stays");
+    assert_eq!(known.endpoints.retry_delay(SERVICE, 0), None, "no endpoint stays");
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
     assert!(known.choose().is_none(), "the last resort has ended");
 }
@@ -180,7 +180,7 @@
 fn departure_learned_at_start_excludes_at_once() {
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
-    known.endpoints.hear_departure(&chosen.life, chosen.address, false);
+    known.endpoints.receive_departure(&chosen.instance, chosen.address, false);
     assert!(known.choose().is_none(), "its peers have known the departure for some time");
 }
 
@@ -192,8 +192,8 @@
     known.clock.suspend(LONG);
     known.update();
     for n in 0..6_000 {
-        let life: Arc<str> = format!("i-gone-{n}").into();
-        known.endpoints.hear_departure(&life, ([127, 0, 0, 2], 1).into(), true);
+        let instance: Arc<str> = format!("i-gone-{n}").into();
+        known.endpoints.receive_departure(&instance, ([127, 0, 0, 2], 1).into(), true);
     }
     let remembered =
         (0..6_000).filter(|n| known.endpoints.remembers_departure(&format!("i-gone-{n}")));
@@ -248,17 +248,17 @@
         let chosen = known.chosen("i-1");
         assert_eq!(
             known.hears(&chosen, &rests(3_000)),
-            Heard::default(),
+            Changes::default(),
             "a back-off is not announced to peers"
         );
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
-        assert!(known.endpoints.wants_nothing(SERVICE, &chosen), "after {what}");
+        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
         known.clock.suspend(Duration::from_millis(2_000));
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(Duration::from_millis(1_100));
         assert!(
-            !known.endpoints.wants_nothing(SERVICE, &chosen),
+            !known.endpoints.refuses_requests(SERVICE, &chosen),
             "the back-off is over, after {what}"
         );
         known.clock.suspend(LONG);
@@ -273,7 +273,7 @@
     let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
     known.hears(&chosen, &said);
     assert!(known.choose().is_none());
-    assert!(known.endpoints.comes_again(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
+    assert!(known.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
     known.clock.suspend(Duration::from_millis(1_000));
     assert!(known.gets_some("i-1"), "an unreadable back-off is short");
     known.hears(&chosen, &rests(86_400_000));
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -143,7 +143,7 @@
         let State { pools, places, .. } = &mut *state;
         let pool = places.get(endpoint).and_then(|place| pools.get_mut(&place.pool));
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
-        if pool.is_some_and(|pool| pool.rest(endpoint, rest_ms, now)) {
+        if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
             tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
         }
     }
@@ -152,7 +152,7 @@
     pub fn capacity(&self, pool: &str, now: u64) -> Capacity {
         let state = self.state.lock();
         let endpoints = state.pools.get(pool).map_or(&[][..], |pool| pool.endpoints());
-        let usable = endpoints.iter().filter(|e| !e.wants_nothing(now) && !e.is_ejected(now));
+        let usable = endpoints.iter().filter(|e| !e.refuses_requests(now) && !e.is_ejected(now));
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
 use balance::{Limit, Prompt, Snapshot};
-use ledger::{Entry, Given, Incarnation, Promise, Transfer};
+use ledger::{Entry, Incarnation, Promise, Supply, Transfer};
 use quarantine::Report;
 use serde::{Deserialize, Serialize};
 use timeline::Stamp;
@@ -21,7 +21,7 @@
 
 /// What a box tells of itself now and then.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Status {
     /// Requests under way at endpoints, by pool.
     pub in_flight: Vec<(Arc<str>, Vec<Snapshot>)>,
     /// Newest source version in force.
@@ -45,7 +45,7 @@
 
 /// What the home of a key knows of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum There {
+pub enum Location {
     /// Nobody runs it: whoever asked may.
     Nowhere,
     /// Another incarnation is about to run it.
@@ -99,7 +99,7 @@
     /// The life of the keeper that is meant: another one knows nothing of these totals.
     pub keeper: Incarnation,
     /// Customers of whom there is something to tell or to ask.
-    pub items: Vec<ledger::Told>,
+    pub items: Vec<ledger::Demand>,
     /// How long the keeper may look for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender ends by plan: nothing comes after this.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drawn {
     /// Customers asked for.
-    pub items: Vec<Given>,
+    pub items: Vec<Supply>,
     /// The keeper does not reach the store: another one may.
     pub cut: bool,
     /// The keeper ends by plan: it wants back what is not used, and another one is to be asked.
@@ -132,7 +132,7 @@
 
 /// A page of bills as the store takes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct BillPage {
     /// Its name, which is the writer's alone.
     pub name: String,
     /// JSON text.
@@ -154,9 +154,10 @@
 
 /// What a box that listens knows already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listen {
+pub struct Subscribe {
     /// The life of the teller that is meant: another one counts its changes anew.
-    pub teller: Incarnation,
+    #[serde(rename = "teller")]
+    pub watcher: Incarnation,
     /// Number of the newest change known, 0 for none; nothing where no changes are wanted, but whether
     /// the teller reaches the store.
     pub since: Option<u64>,
@@ -170,7 +171,7 @@
 
 /// What a box that looks at the store tells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Number of the newest change told.
     pub last: u64,
     /// What is told is all there is.
@@ -187,35 +188,41 @@
 
 /// What an endpoint said of the requests that it takes from all boxes together, and how long ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct LimitNotice {
     /// This life of the endpoint.
     pub endpoint: Arc<str>,
     /// How much it takes; nothing where it named no limit.
     pub limit: Option<Limit>,
     /// Milliseconds since the request was sent whose answer said so.
-    pub asked_ms: u64,
+    #[serde(rename = "asked_ms")]
+    pub sent_ms: u64,
     /// Milliseconds since that answer came.
-    pub heard_ms: u64,
+    #[serde(rename = "heard_ms")]
+    pub answered_ms: u64,
 }
 
 /// Asks the box that hands out turns at an endpoint for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct PermitRequest {
     /// What the asker knows of the endpoint.
-    pub said: Limited,
+    #[serde(rename = "said")]
+    pub signal: LimitNotice,
     /// Boxes that passed this question on.
     pub hops: u8,
 }
 
 /// What came of asking for a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum PermitReply {
     /// A request may be sent at once.
     Given,
     /// None is left; to be asked for again after so many milliseconds.
     After { ms: u64 },
     /// The endpoint named no limit last.
-    Free { said: Limited },
+    Free {
+        #[serde(rename = "said")]
+        signal: LimitNotice,
+    },
     /// The box that was asked hands out no turns any more: it is about to stop.
     Leaves,
 }
@@ -224,7 +231,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Regular exchange; answered in kind.
-    Tell(Told),
+    #[serde(rename = "Tell")]
+    Status(Status),
     /// Entries to carry while the platform is out of reach.
     Carry { by: Incarnation, entries: Vec<Entry> },
     /// How many were taken.
@@ -250,9 +258,11 @@
     /// A request with a key is run here.
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
     /// Where is the request with this key run? If nowhere, the asker is about to run it.
-    Where { customer: Arc<str>, key: Arc<str> },
+    #[serde(rename = "Where")]
+    Locate { customer: Arc<str>, key: Arc<str> },
     /// What the key's home knows.
-    There(There),
+    #[serde(rename = "There")]
+    Location(Location),
     /// Understood, nothing to say.
     Done,
     /// The question made no sense to this box.
@@ -273,21 +283,25 @@
     Drawn(Drawn),
     /// Pages of bills that the sender could not write before it ends: the receiver writes them. Boxes of the version
     /// before send it.
-    Bills { pages: Vec<Sheet> },
+    Bills { pages: Vec<BillPage> },
     /// Wants news of what the store holds.
-    Listen(Listen),
+    #[serde(rename = "Listen")]
+    Subscribe(Subscribe),
     /// News.
-    News(News),
+    #[serde(rename = "News")]
+    Update(Update),
     /// What the sender found of requests and an endpoint, for the receiver to pass on.
     Crash { name: Arc<str>, report: Report },
     /// Asks for a turn at an endpoint.
-    Turn(Turn),
+    #[serde(rename = "Turn")]
+    PermitRequest(PermitRequest),
     /// What came of that.
-    Turned(Turned),
+    #[serde(rename = "Turned")]
+    PermitReply(PermitReply),
     /// What an endpoint named last, for the receiver to pass on.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
     /// Pages of bills that the sender could not write before it ends, for this life of the receiver to write.
-    HandOver { to: Incarnation, pages: Vec<Sheet> },
+    HandOver { to: Incarnation, pages: Vec<BillPage> },
     /// The sender registered after this life of the receiver did, which may not have heard of it.
     Greet { to: Incarnation, sender: Greeting },
     /// An endpoint at this address said that it leaves, for the receiver to pass on.
@@ -298,7 +312,7 @@
     /// What it is about, for counters: a question and its answer are alike.
     pub fn topic(&self) -> &'static str {
         match self {
-            Frame::Listen(_) | Frame::News(_) => "news",
+            Frame::Subscribe(_) | Frame::Update(_) => "news",
             Frame::Draw(_) | Frame::Drawn(_) => "draws",
             Frame::Lend { .. } | Frame::Lent { .. } => "loans",
             Frame::Promise(_) | Frame::Promised { .. } => "promises",
@@ -306,7 +320,7 @@
             Frame::Prompt(_) => "prompts",
             Frame::Bills { .. } | Frame::HandOver { .. } => "bills",
             Frame::Crash { .. } => "crashes",
-            Frame::Turn(_) | Frame::Turned(_) => "turns",
+            Frame::PermitRequest(_) | Frame::PermitReply(_) => "turns",
             Frame::Limit { .. } => "limits",
             Frame::Departure { .. } => "departures",
             Frame::Greet { .. } => "greetings",
