--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -14,36 +14,36 @@
 
 const LIMITS: Limits = Limits { ended: 3, keep_s: 86_400 };
 /// Longer than any request here waits.
-const LONG: Duration = Duration::from_secs(10);
+const MAX_VERDICT_WAIT: Duration = Duration::from_secs(10);
 
 /// Probes whose results the test sets, in the order in which connections broke.
-type Proofs = Arc<Mutex<Vec<oneshot::Sender<Liveness>>>>;
+type Probes = Arc<Mutex<Vec<oneshot::Sender<Liveness>>>>;
 
 fn request() -> Fingerprint {
     Fingerprint::of(None, [b"innocent".as_slice()])
 }
 
 /// Crash records in which the connections of one request broke at `count` endpoints, and the open probes of these.
-async fn broken(count: u16) -> (Crashes, Proofs) {
-    let proofs = Proofs::default();
-    let opened = proofs.clone();
-    let prove = move |_: SocketAddr| {
-        let (known, found) = oneshot::channel();
-        opened.lock().push(known);
+async fn broken(count: u16) -> (Crashes, Probes) {
+    let probes = Probes::default();
+    let opened = probes.clone();
+    let probe = move |_: SocketAddr| {
+        let (sender, found) = oneshot::channel();
+        opened.lock().push(sender);
         async move { found.await.unwrap_or(Liveness::Unreachable) }.boxed()
     };
     let me = Incarnation::new("box-1", 1);
-    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(prove), &Clock::manual());
+    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(probe), &Clock::manual());
     // The receiver of reports isn't used, but must stay open.
     Box::leak(Box::new(reports));
     for n in 0..count {
         let address = SocketAddr::from(([127, 0, 0, 1], n + 1));
         crashes.watch(&format!("i-{n}").into(), address, &request()).broke();
     }
-    while proofs.lock().len() < usize::from(count) {
+    while probes.lock().len() < usize::from(count) {
         tokio::task::yield_now().await;
     }
-    (crashes, proofs)
+    (crashes, probes)
 }
 
 #[tokio::test(start_paused = true)]
@@ -58,13 +58,13 @@
         (&[Ended, Running, Ended, Unreachable, Ended], Verdict::Quarantined { for_s: 86_400 }),
     ];
     for (found, expected) in cases {
-        let (crashes, proofs) = broken(found.len() as u16).await;
+        let (crashes, probes) = broken(found.len() as u16).await;
         let asked = request();
-        let mut verdict = pin!(crashes.verdict(&asked, Instant::now() + LONG));
+        let mut verdict = pin!(crashes.verdict(&asked, Instant::now() + MAX_VERDICT_WAIT));
         assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: the verdict is pending");
-        let known = std::mem::take(&mut *proofs.lock());
-        for (known, found) in known.into_iter().zip(found) {
-            known.send(*found).expect("the probe is awaited");
+        let sender = std::mem::take(&mut *probes.lock());
+        for (sender, found) in sender.into_iter().zip(found) {
+            sender.send(*found).expect("the probe is awaited");
         }
         let verdict = verdict.await;
         // Time passes meanwhile, so the rest of the day may be a little shorter.
@@ -80,8 +80,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn verdict_is_not_delayed_beyond_the_deadline() {
-    for left in [Duration::from_millis(10), LONG] {
-        let (crashes, _proofs) = broken(5).await;
+    for left in [Duration::from_millis(10), MAX_VERDICT_WAIT] {
+        let (crashes, _probes) = broken(5).await;
         let (asked, began) = (request(), Instant::now());
         let verdict = crashes.verdict(&asked, began + left).await;
         assert_eq!(verdict, Verdict::Unconfirmed { ended: 0 });
@@ -91,9 +91,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn two_unconfirmed_crashes_do_not_delay_a_request() {
-    let (crashes, _proofs) = broken(2).await;
+    let (crashes, _probes) = broken(2).await;
     let asked = request();
-    let verdict = crashes.verdict(&asked, Instant::now() + LONG).now_or_never();
+    let verdict = crashes.verdict(&asked, Instant::now() + MAX_VERDICT_WAIT).now_or_never();
     assert_eq!(verdict, Some(Verdict::Allowed));
     advance(Duration::from_millis(1)).await;
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -10,24 +10,24 @@
 #[derive(Debug, Clone)]
 enum Step {
     /// The operator evacuates a zone or ends its evacuation.
-    Write { zone: u8, empty: bool },
+    Write { zone: u8, evacuated: bool },
     /// A watcher lists the store.
-    List { home: usize },
+    List { watcher: usize },
     /// A watcher receives some of the changes since its version.
-    Watch { home: usize, most: usize },
+    Watch { watcher: usize, most: usize },
     /// The subscriber receives the state of a watcher.
-    Hear { home: usize },
+    Receive { watcher: usize },
     /// A state that a watcher sent earlier arrives late.
-    HearLate { home: usize, ago: usize },
+    ReceiveLate { watcher: usize, ago: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..4u8, any::<bool>()).prop_map(|(zone, empty)| Step::Write { zone, empty }),
-        (0..2usize).prop_map(|home| Step::List { home }),
-        (0..2usize, 1..4usize).prop_map(|(home, most)| Step::Watch { home, most }),
-        (0..2usize).prop_map(|home| Step::Hear { home }),
-        (0..2usize, 0..5usize).prop_map(|(home, ago)| Step::HearLate { home, ago }),
+        (0..4u8, any::<bool>()).prop_map(|(zone, evacuated)| Step::Write { zone, evacuated }),
+        (0..2usize).prop_map(|watcher| Step::List { watcher }),
+        (0..2usize, 1..4usize).prop_map(|(watcher, most)| Step::Watch { watcher, most }),
+        (0..2usize).prop_map(|watcher| Step::Receive { watcher }),
+        (0..2usize, 0..5usize).prop_map(|(watcher, ago)| Step::ReceiveLate { watcher, ago }),
     ]
 }
 
@@ -35,56 +35,56 @@
 struct Run {
     version: u64,
     /// Evacuated zones at each version of the store.
-    truth: BTreeMap<u64, Zones>,
+    stored: BTreeMap<u64, Zones>,
     log: Vec<Change>,
     watchers: [Evacuations; 2],
     /// Version up to which each watcher has seen changes.
     watched: [u64; 2],
-    told: [Vec<(Zones, u64)>; 2],
-    listener: Evacuations,
+    sent: [Vec<(Zones, u64)>; 2],
+    subscriber: Evacuations,
 }
 
 impl Run {
     fn now(&self) -> Zones {
-        self.truth.values().last().cloned().unwrap_or_default()
+        self.stored.values().last().cloned().unwrap_or_default()
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Write { zone, empty } => self.write(format!("z{zone}").into(), empty),
-            Step::List { home } => {
-                self.watchers[home].replace(self.now(), self.version);
-                self.watched[home] = self.version;
+            Step::Write { zone, evacuated } => self.write(format!("z{zone}").into(), evacuated),
+            Step::List { watcher } => {
+                self.watchers[watcher].replace(self.now(), self.version);
+                self.watched[watcher] = self.version;
             }
-            Step::Watch { home, most } => {
-                let from = self.watched[home];
+            Step::Watch { watcher, most } => {
+                let from = self.watched[watcher];
                 let fresh = self.log.iter().filter(|change| change.version > from);
                 let fresh: Vec<Change> = fresh.take(most).cloned().collect();
-                self.watchers[home].change(&fresh);
-                self.watched[home] = fresh.last().map_or(from, |change| change.version);
+                self.watchers[watcher].change(&fresh);
+                self.watched[watcher] = fresh.last().map_or(from, |change| change.version);
             }
-            Step::Hear { home } => {
-                let home_knows = &self.watchers[home];
-                let told = (home_knows.zones().clone(), home_knows.at());
-                self.listener.replace(told.0.clone(), told.1);
-                self.told[home].push(told);
+            Step::Receive { watcher } => {
+                let state = &self.watchers[watcher];
+                let sent = (state.zones().clone(), state.at());
+                self.subscriber.replace(sent.0.clone(), sent.1);
+                self.sent[watcher].push(sent);
             }
-            Step::HearLate { home, ago } => {
-                let told = self.told[home].iter().rev().nth(ago).cloned();
-                if let Some((zones, at)) = told {
-                    self.listener.replace(zones, at);
+            Step::ReceiveLate { watcher, ago } => {
+                let sent = self.sent[watcher].iter().rev().nth(ago).cloned();
+                if let Some((zones, at)) = sent {
+                    self.subscriber.replace(zones, at);
                 }
             }
         }
     }
 
-    fn write(&mut self, zone: Arc<str>, empty: bool) {
+    fn write(&mut self, zone: Arc<str>, evacuated: bool) {
         let mut zones = self.now();
-        let changed = if empty { zones.insert(zone.clone()) } else { zones.remove(&zone) };
+        let changed = if evacuated { zones.insert(zone.clone()) } else { zones.remove(&zone) };
         if changed {
             self.version += 1;
-            self.truth.insert(self.version, zones);
-            let value = empty.then(|| "{}".into());
+            self.stored.insert(self.version, zones);
+            let value = evacuated.then(|| "{}".into());
             let kind = platform::EVACUATIONS.into();
             self.log.push(Change { kind, name: zone, version: self.version, value });
         }
@@ -100,21 +100,21 @@
     fn view_is_always_a_stored_version_and_never_goes_back(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
         // A watch needs the version of a list to start from.
-        run.step(&Step::List { home: 0 });
-        run.step(&Step::List { home: 1 });
+        run.step(&Step::List { watcher: 0 });
+        run.step(&Step::List { watcher: 1 });
         let mut before = 0;
         for step in &steps {
             run.step(step);
-            for known in run.watchers.iter().chain([&run.listener]) {
-                let truth = run.truth.get(&known.at()).cloned().unwrap_or_default();
-                prop_assert_eq!(known.zones(), &truth, "as at version {}", known.at());
+            for known in run.watchers.iter().chain([&run.subscriber]) {
+                let stored = run.stored.get(&known.at()).cloned().unwrap_or_default();
+                prop_assert_eq!(known.zones(), &stored, "as at version {}", known.at());
             }
-            prop_assert!(run.listener.at() >= before, "the subscriber went back to an older version");
-            before = run.listener.at();
+            prop_assert!(run.subscriber.at() >= before, "the subscriber went back to an older version");
+            before = run.subscriber.at();
         }
-        run.step(&Step::List { home: 0 });
-        run.step(&Step::Hear { home: 0 });
-        prop_assert_eq!(run.listener.zones(), &run.now());
+        run.step(&Step::List { watcher: 0 });
+        run.step(&Step::Receive { watcher: 0 });
+        prop_assert_eq!(run.subscriber.zones(), &run.now());
     }
 }
 
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -18,23 +18,23 @@
 };
 
 /// Share of the remaining tokens that all boxes may hold, in thousandths: without a recent outage, and after one.
-const CALM: u64 = POLICY.offline_share;
-const AFTER: u64 = 950;
+const SHARE_CALM: u64 = POLICY.offline_share;
+const SHARE_AFTER_OUTAGE: u64 = 950;
 
 /// One box, with a book that other boxes also write.
-struct Desk {
+struct Fixture {
     book: Book,
     forecast: Forecast,
     write: u64,
 }
 
-impl Desk {
-    fn open() -> Desk {
-        Desk { book: Book::default(), forecast: Forecast::open(Instant::now()), write: 0 }
+impl Fixture {
+    fn open() -> Fixture {
+        Fixture { book: Book::default(), forecast: Forecast::open(Instant::now()), write: 0 }
     }
 
     /// Makes a settlement of this box; returns whether it ended an outage.
-    fn land(&mut self) -> bool {
+    fn settle_own(&mut self) -> bool {
         self.forecast.report_outage(&mut self.book, Instant::now());
         self.settle("box-0");
         self.forecast.landed(&self.book, Instant::now())
@@ -60,11 +60,11 @@
         self.forecast.failed(Instant::now());
         pass(seconds).await;
         (0..others_settle).for_each(|_| self.settle("box-1"));
-        self.land()
+        self.settle_own()
     }
 
     /// Seconds of use that this box holds tokens for, and the share of the remaining tokens that all may hold.
-    fn prepares(&self) -> (u64, u64) {
+    fn horizon_and_share(&self) -> (u64, u64) {
         let policy = self.forecast.policy(POLICY, Instant::now());
         (policy.offline_horizon, policy.offline_share)
     }
@@ -76,59 +76,59 @@
 
 #[tokio::test(start_paused = true)]
 async fn settlement_that_ends_an_outage_draws_little() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     pass(60).await;
-    desk.land();
-    desk.forecast.failed(Instant::now());
+    fixture.settle_own();
+    fixture.forecast.failed(Instant::now());
     pass(8).await;
-    assert_eq!(desk.prepares().0, 1, "the store has only just answered");
+    assert_eq!(fixture.horizon_and_share().0, 1, "the store has only just answered");
 }
 
 #[tokio::test(start_paused = true)]
 async fn end_of_an_outage_is_reported_once_unless_it_was_short() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     pass(60).await;
-    assert!(!desk.land());
+    assert!(!fixture.settle_own());
     for (seconds, ends) in [(0, false), (1, true), (8, true)] {
-        assert_eq!(desk.outage(seconds, 0).await, ends, "{seconds} s");
-        assert!(!desk.land(), "the same outage does not end twice");
+        assert_eq!(fixture.outage(seconds, 0).await, ends, "{seconds} s");
+        assert!(!fixture.settle_own(), "the same outage does not end twice");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn outage_raises_the_forecast_for_some_time() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     pass(60).await;
-    desk.land();
-    assert_eq!(desk.prepares(), (10, CALM), "no outage so far");
-    desk.outage(8, 0).await;
-    assert_eq!(desk.prepares(), (1, AFTER), "right after the outage");
+    fixture.settle_own();
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no outage so far");
+    fixture.outage(8, 0).await;
+    assert_eq!(fixture.horizon_and_share(), (1, SHARE_AFTER_OUTAGE), "right after the outage");
     pass(6).await;
-    assert_eq!(desk.prepares(), (7, AFTER));
+    assert_eq!(fixture.horizon_and_share(), (7, SHARE_AFTER_OUTAGE));
     pass(20).await;
-    assert_eq!(desk.prepares(), (10, AFTER));
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
     pass(20).await;
-    assert_eq!(desk.prepares(), (10, CALM), "no further outage");
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no further outage");
 }
 
 /// A box that alone is cut off can draw tokens from the others.
 #[tokio::test(start_paused = true)]
 async fn outage_of_one_box_does_not_raise_the_forecast() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     pass(60).await;
-    desk.land();
-    desk.outage(9, 12).await;
+    fixture.settle_own();
+    fixture.outage(9, 12).await;
     pass(20).await;
-    assert_eq!(desk.prepares(), (10, CALM));
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM));
 }
 
 #[tokio::test(start_paused = true)]
 async fn box_learns_of_an_outage_from_the_book() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     pass(60).await;
-    desk.land();
-    desk.book.note_outage(desk.book.landed);
-    desk.land();
+    fixture.settle_own();
+    fixture.book.note_outage(fixture.book.landed);
+    fixture.settle_own();
     pass(20).await;
-    assert_eq!(desk.prepares(), (10, AFTER));
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
 }
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -16,24 +16,24 @@
 };
 
 /// One box with a book of its own.
-struct Desk {
+struct Fixture {
     funds: Funds,
     name: Incarnation,
     write: u64,
     book: Book,
 }
 
-impl Desk {
+impl Fixture {
     /// Opens a box and settles twice: the first settlement registers it, the second one brings tokens.
-    fn open() -> Desk {
+    fn open() -> Fixture {
         let funds = Funds::open();
         let text = played::config(1, PAID, &["stream"]);
         funds.configure(&Table::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new("box-0", 1);
-        let mut desk = Desk { funds, name, write: 0, book: Book::default() };
-        desk.settle();
-        desk.settle();
-        desk
+        let mut fixture = Fixture { funds, name, write: 0, book: Book::default() };
+        fixture.settle();
+        fixture.settle();
+        fixture
     }
 
     /// Makes a settlement; returns the customer's item in it.
@@ -65,14 +65,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn use_rate_is_not_underestimated_after_a_start() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     for _ in 0..30 {
-        let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
+        let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
         pass(Duration::from_millis(100)).await;
-        desk.settle();
+        fixture.settle();
     }
-    let rate = desk.settle().observed.rate;
+    let rate = fixture.settle().observed.rate;
     assert!(
         (850..=1_150).contains(&rate),
         "used 1,000 tokens per second for 3 s, estimated {rate}"
@@ -81,14 +81,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn target_grows_with_the_time_the_store_has_answered() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     for _ in 0..60 {
-        let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
+        let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
         pass(Duration::from_millis(100)).await;
-        desk.settle();
+        fixture.settle();
     }
-    let mut target = |answered_s| desk.settle_under(POLICY.reachable_for(answered_s)).1.target;
+    let mut target = |answered_s| fixture.settle_under(POLICY.reachable_for(answered_s)).1.target;
     let at_first = target(0);
     // The use is 1,000 tokens per second.
     for (answered_s, more_s) in [(1, 1), (4, 4), (60, 9)] {
@@ -101,45 +101,45 @@
 /// the witness refuses a late ordinary promise: the next incarnation gets the same tokens back from the witness.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_spent_or_lent_once_everything_was_promised() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     for _ in 0..40 {
-        let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
+        let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
         pass(Duration::from_millis(100)).await;
-        desk.settle();
+        fixture.settle();
     }
-    let before = desk.funds.promise().expect("the box has tokens to keep");
-    desk.funds.promise_accepted(&before);
-    let all = desk.funds.promise_all();
+    let before = fixture.funds.promise().expect("the box has tokens to keep");
+    fixture.funds.promise_accepted(&before);
+    let all = fixture.funds.promise_all();
     assert!(
         all[&customer()] > before[&customer()],
         "the last promise covers more: {before:?} of {all:?}"
     );
     // An ordinary promise after the last one is refused.
-    drop(desk.funds.request_release(&customer(), 1_000));
-    assert_eq!(desk.funds.promise(), None, "no promise follows the last one");
-    desk.funds.promise_accepted(&before);
-    desk.funds.clear_promise();
+    drop(fixture.funds.request_release(&customer(), 1_000));
+    assert_eq!(fixture.funds.promise(), None, "no promise follows the last one");
+    fixture.funds.promise_accepted(&before);
+    fixture.funds.clear_promise();
     let to = Incarnation::new("box-1", 1);
-    assert_eq!(desk.funds.lend(&customer(), 1_000, &desk.name, &to), None);
-    assert!(desk.funds.try_hold(&customer(), 100).is_none(), "no tokens are reserved either");
+    assert_eq!(fixture.funds.lend(&customer(), 1_000, &fixture.name, &to), None);
+    assert!(fixture.funds.try_hold(&customer(), 100).is_none(), "no tokens are reserved either");
 }
 
 /// Tokens that a box holds beyond its need are unavailable to other boxes and lost if it dies, so every settlement
 /// returns them, although they alone cause none.
 #[tokio::test(start_paused = true)]
 async fn surplus_is_returned_with_any_settlement() {
-    let mut desk = Desk::open();
+    let mut fixture = Fixture::open();
     for _ in 0..60 {
-        let hold = desk.funds.try_hold(&customer(), 100).expect("the box holds enough");
+        let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
         pass(Duration::from_millis(100)).await;
-        desk.settle();
+        fixture.settle();
     }
     // The box uses 1,000 tokens per second, and now has to hold fewer of them ahead.
-    let target = desk.settle_under(POLICY.reachable_for(4)).1.target;
-    assert!(!desk.funds.is_due(), "the surplus alone makes no settlement due");
-    let (item, _) = desk.settle_under(POLICY.reachable_for(4));
+    let target = fixture.settle_under(POLICY.reachable_for(4)).1.target;
+    assert!(!fixture.funds.is_due(), "the surplus alone makes no settlement due");
+    let (item, _) = fixture.settle_under(POLICY.reachable_for(4));
     assert!(item.returned > 0, "{} held, target {target}", item.free);
     assert!(item.free <= target + target / 5, "{} held, target {target}", item.free);
 }
--- a/crates/gateway/tests/loopback/box_crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -7,11 +7,11 @@
 use ledger::Incarnation;
 use standin::Scripted;
 
-use crate::harness::{Harness, answers, call, charged, until, until_served};
+use crate::harness::{Harness, answer_ok, call, charged_tokens, wait_until, wait_until_served};
 
 const PAID: u64 = 1_000_000;
 /// Tokens that may be lost with one box: 3% of what is paid.
-const LOST: u64 = PAID * 3 / 100;
+const MAX_LOST: u64 = PAID * 3 / 100;
 
 /// Two boxes that serve requests.
 struct Fleet {
@@ -23,36 +23,36 @@
 
 impl Fleet {
     async fn start() -> Fleet {
-        let harness = Harness::open(PAID, &["stream", "open"]).await;
+        let harness = Harness::start(PAID, &["stream", "open"]).await;
         let _endpoints = [
-            harness.endpoint("i-1", "plain", answers).await,
-            harness.endpoint("i-2", "engines", answers).await,
+            harness.endpoint("i-1", "plain", answer_ok).await,
+            harness.endpoint("i-2", "engines", answer_ok).await,
         ];
         let one = harness.gateway("box-1").await;
         let two = harness.gateway("box-2").await;
-        until_served(&harness, &one, "/stream/x").await;
-        until_served(&harness, &two, "/open/x").await;
+        wait_until_served(&harness, &one, "/stream/x").await;
+        wait_until_served(&harness, &two, "/open/x").await;
         Fleet { harness, one, two, _endpoints }
     }
 }
 
 /// Waits until a box holds many tokens and has promised its witness to keep most of them.
-async fn until_it_keeps_most(harness: &Harness, gateway: &Gateway) {
-    until("the box holds many tokens and keeps most of them", async || {
-        call(gateway.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
+async fn wait_until_most_is_kept(harness: &Harness, gateway: &Gateway) {
+    wait_until("the box holds many tokens and keeps most of them", async || {
+        call(gateway.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = gateway.balance("bornova");
-        balance.free > 3 * LOST / 2 && balance.free - balance.kept < LOST / 2
+        balance.free > 3 * MAX_LOST / 2 && balance.free - balance.kept < MAX_LOST / 2
     })
     .await;
 }
 
 /// Waits until the book has settled the earlier incarnation of a box and registered the new one.
-async fn until_replaced(harness: &Harness, first: &Incarnation, again: &Gateway) {
-    until("the earlier incarnation is settled", async || {
+async fn wait_until_replaced(harness: &Harness, first: &Incarnation, restarted: &Gateway) {
+    wait_until("the earlier incarnation is settled", async || {
         let book = harness.book().await;
         let is_settled = !book.writers.contains_key(first) && !book.claims.contains_key(first);
-        is_settled && book.writers.contains_key(again.incarnation())
+        is_settled && book.writers.contains_key(restarted.incarnation())
     })
     .await;
 }
@@ -60,14 +60,14 @@
 #[tokio::test]
 async fn witness_limits_the_loss_of_a_crash() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    until_it_keeps_most(&harness, &one).await;
+    wait_until_most_is_kept(&harness, &one).await;
     let first = one.incarnation().clone();
     drop(one);
-    let again = harness.gateway("box-1").await;
-    until_replaced(&harness, &first, &again).await;
+    let restarted = harness.gateway("box-1").await;
+    wait_until_replaced(&harness, &first, &restarted).await;
     let book = harness.book().await;
     let of = &book.ledgers["bornova"];
-    assert!(of.lost < LOST, "{} of {PAID} tokens lost", of.lost);
+    assert!(of.lost < MAX_LOST, "{} of {PAID} tokens lost", of.lost);
     assert!(of.is_sound(), "{of:?}");
     drop(two);
 }
@@ -77,15 +77,15 @@
 #[tokio::test]
 async fn witness_limits_the_loss_when_the_restarted_box_knows_no_peers() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    until_it_keeps_most(&harness, &one).await;
+    wait_until_most_is_kept(&harness, &one).await;
     let first = one.incarnation().clone();
-    harness.forget_box("box-2").await;
+    harness.remove_box_entry("box-2").await;
     drop(one);
-    let again = harness.gateway("box-1").await;
-    until_replaced(&harness, &first, &again).await;
+    let restarted = harness.gateway("box-1").await;
+    wait_until_replaced(&harness, &first, &restarted).await;
     let book = harness.book().await;
     let of = &book.ledgers["bornova"];
-    assert!(of.lost < LOST, "{} of {PAID} tokens lost", of.lost);
+    assert!(of.lost < MAX_LOST, "{} of {PAID} tokens lost", of.lost);
     assert!(of.is_sound(), "{of:?}");
     drop(two);
 }
@@ -93,48 +93,48 @@
 #[tokio::test]
 async fn shutdown_without_the_store_loses_almost_nothing() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    until("box 1 holds many tokens and has a witness", async || {
-        call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
+    wait_until("box 1 holds many tokens and has a witness", async || {
+        call(one.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = one.balance("bornova");
-        balance.free > LOST && balance.kept > 0
+        balance.free > MAX_LOST && balance.kept > 0
     })
     .await;
-    let charged = charged(&one);
-    until("everything it charged is settled", async || {
-        harness.book().await.ledgers["bornova"].statement.tokens >= charged
+    let charged_tokens = charged_tokens(&one);
+    wait_until("everything it charged is settled", async || {
+        harness.book().await.ledgers["bornova"].statement.tokens >= charged_tokens
     })
     .await;
     harness.platform.set(|faults| faults.down = true);
     let first = one.incarnation().clone();
     one.stop().await;
     harness.platform.set(|faults| faults.down = false);
-    let again = harness.gateway("box-1").await;
-    until_replaced(&harness, &first, &again).await;
+    let restarted = harness.gateway("box-1").await;
+    wait_until_replaced(&harness, &first, &restarted).await;
     let lost = harness.book().await.ledgers["bornova"].lost;
     // A settlement that was in flight when the store went down may leave a few tokens.
-    assert!(lost < LOST / 10, "{lost} of {PAID} tokens lost");
+    assert!(lost < MAX_LOST / 10, "{lost} of {PAID} tokens lost");
     drop(two);
 }
 
 #[tokio::test]
 async fn tokens_of_boxes_that_crash_together_count_as_spent() {
-    let harness = Harness::open(PAID, &["stream"]).await;
-    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let harness = Harness::start(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
     let one = harness.gateway("box-1").await;
     let two = harness.gateway("box-2").await;
-    until_served(&harness, &one, "/stream/x").await;
-    until("box 1 keeps tokens", async || {
-        call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until("box 1 keeps tokens", async || {
+        call(one.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        one.balance("bornova").kept > LOST
+        one.balance("bornova").kept > MAX_LOST
     })
     .await;
     let held = one.balance("bornova").kept;
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
-    let again = [harness.gateway("box-1").await, harness.gateway("box-2").await];
-    until("the earlier incarnations are settled", async || {
+    let restarted = [harness.gateway("box-1").await, harness.gateway("box-2").await];
+    wait_until("the earlier incarnations are settled", async || {
         let book = harness.book().await;
         let is_settled =
             |first| !book.writers.contains_key(first) && !book.claims.contains_key(first);
@@ -143,98 +143,99 @@
     .await;
     let lost = harness.book().await.ledgers["bornova"].lost;
     assert!(lost >= held, "without a witness the {held} kept tokens count as used: {lost} lost");
-    drop(again);
+    drop(restarted);
 }
 
 #[tokio::test]
 async fn bills_are_handed_over_at_shutdown_without_the_store() {
-    let harness = Harness::open(PAID, &["stream"]).await;
-    let _engine = harness.endpoint("i-1", "engines", answers).await;
-    let (one, link) = harness.cut_gateway("box-1").await;
+    let harness = Harness::start(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
+    let (one, link) = harness.gateway_with_link("box-1").await;
     let two = harness.gateway("box-2").await;
-    until_served(&harness, &one, "/stream/x").await;
-    until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
-    let asked = harness.asked("key-b", 200, 10);
-    assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
+    let req = harness.new_request("key-b", 200, 10);
+    assert!(call(one.callers(), "/stream/x", &req).await.status.is_success());
     link.set_cut(true);
     one.stop().await;
     // The other box writes them together with its own when it stops.
     two.stop().await;
-    let keys = harness.billed().await;
-    let count = keys.iter().filter(|key| **key == asked.id).count();
-    assert_eq!(count, 1, "{} is on {count} bills", asked.id);
+    let keys = harness.billed_keys().await;
+    let count = keys.iter().filter(|key| **key == req.id).count();
+    assert_eq!(count, 1, "{} is on {count} bills", req.id);
 }
 
 /// The box that took the bills over is killed before it has written them.
 #[tokio::test]
 async fn handed_over_bills_survive_a_crash_of_the_recipient() {
-    let harness = Harness::open(PAID, &["stream"]).await;
-    let _engine = harness.endpoint("i-1", "engines", answers).await;
-    let (one, link) = harness.cut_gateway("box-1").await;
+    let harness = Harness::start(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
+    let (one, link) = harness.gateway_with_link("box-1").await;
     let mut others = vec![harness.gateway("box-2").await, harness.gateway("box-3").await];
-    until_served(&harness, &one, "/stream/x").await;
-    until("all know each other", async || {
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until("all know each other", async || {
         one.peer_count() == 2 && others.iter().all(|other| other.peer_count() == 2)
     })
     .await;
-    let asked = harness.asked("key-b", 200, 10);
-    assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
+    let req = harness.new_request("key-b", 200, 10);
+    assert!(call(one.callers(), "/stream/x", &req).await.status.is_success());
     link.set_cut(true);
     harness.platform.set(|faults| faults.down = true);
     one.stop().await;
-    let took = others
+    let recipient = others
         .iter()
         .position(|other| other.bills_waiting() > 0)
         .expect("a box took the bills over");
-    drop(others.remove(took));
+    drop(others.remove(recipient));
     harness.platform.set(|faults| faults.down = false);
     others.remove(0).stop().await;
-    let keys = harness.billed().await;
-    let count = keys.iter().filter(|key| **key == asked.id).count();
-    assert_eq!(count, 1, "{} is on {count} bills", asked.id);
+    let keys = harness.billed_keys().await;
+    let count = keys.iter().filter(|key| **key == req.id).count();
+    assert_eq!(count, 1, "{} is on {count} bills", req.id);
 }
 
 /// A box starts while the others are cut off from the store, and stops while it is cut off itself.
 #[tokio::test]
 async fn bills_of_an_unknown_box_are_taken_over() {
-    let harness = Harness::open(PAID, &["stream"]).await;
-    let _engine = harness.endpoint("i-1", "engines", answers).await;
-    let (one, link_one) = harness.cut_gateway("box-1").await;
-    let (two, link_two) = harness.cut_gateway("box-2").await;
-    until_served(&harness, &one, "/stream/x").await;
-    until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
+    let harness = Harness::start(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
+    let (one, link_one) = harness.gateway_with_link("box-1").await;
+    let (two, link_two) = harness.gateway_with_link("box-2").await;
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
     link_one.set_cut(true);
     link_two.set_cut(true);
-    let (three, link_three) = harness.cut_gateway("box-3").await;
-    until("box 3 knows both others", async || three.peer_count() == 2).await;
-    until_served(&harness, &three, "/stream/x").await;
-    let asked = harness.asked("key-b", 200, 10);
-    assert!(call(three.callers(), "/stream/x", &asked).await.status.is_success());
+    let (three, link_three) = harness.gateway_with_link("box-3").await;
+    wait_until("box 3 knows both others", async || three.peer_count() == 2).await;
+    wait_until_served(&harness, &three, "/stream/x").await;
+    let req = harness.new_request("key-b", 200, 10);
+    assert!(call(three.callers(), "/stream/x", &req).await.status.is_success());
     link_three.set_cut(true);
     three.stop().await;
     link_one.set_cut(false);
     link_two.set_cut(false);
     one.stop().await;
     two.stop().await;
-    let keys = harness.billed().await;
-    let count = keys.iter().filter(|key| **key == asked.id).count();
-    assert_eq!(count, 1, "{} is on {count} bills", asked.id);
+    let keys = harness.billed_keys().await;
+    let count = keys.iter().filter(|key| **key == req.id).count();
+    assert_eq!(count, 1, "{} is on {count} bills", req.id);
 }
 
 /// A box is cut off from the store before it could read the entry of the only other box.
 #[tokio::test]
 async fn bills_go_to_a_peer_known_only_by_its_greeting() {
-    let harness = Harness::open(100_000, &["stream"]).await;
-    let _engine = harness.endpoint("i-1", "engines", answers).await;
-    let (alone, link) = harness.cut_gateway("box-1").await;
-    until_served(&harness, &alone, "/stream/x").await;
-    until("box 1 is registered", async || harness.entry_of("box-1").await.is_some()).await;
+    let harness = Harness::start(100_000, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
+    let (isolated, link) = harness.gateway_with_link("box-1").await;
+    wait_until_served(&harness, &isolated, "/stream/x").await;
+    wait_until("box 1 is registered", async || harness.box_entry("box-1").await.is_some()).await;
     link.set_cut(true);
-    let asked = harness.asked("key-b", 100, 20);
-    assert_eq!(call(alone.callers(), "/stream/x", &asked).await.status, StatusCode::OK);
+    let req = harness.new_request("key-b", 100, 20);
+    assert_eq!(call(isolated.callers(), "/stream/x", &req).await.status, StatusCode::OK);
     let other = harness.gateway("box-2").await;
-    until("box 1 learned of box 2 from its greeting", async || alone.peer_count() == 1).await;
-    alone.stop().await;
-    until("its bill is written", async || harness.billed().await.contains(&asked.id)).await;
+    wait_until("box 1 learned of box 2 from its greeting", async || isolated.peer_count() == 1)
+        .await;
+    isolated.stop().await;
+    wait_until("its bill is written", async || harness.billed_keys().await.contains(&req.id)).await;
     drop(other);
 }
--- a/crates/gateway/tests/loopback/harness.rs
+++ b/crates/gateway/tests/loopback/harness.rs
@@ -19,7 +19,7 @@
 use standin::{Arrived, Link, Platform, Reply, Scripted};
 
 /// Upper bound on any single wait; a test that reaches it fails.
-pub const BOUND: Duration = Duration::from_secs(20);
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// The stand-in store, with methods that write to it as operators and endpoints do.
 pub struct Harness {
@@ -29,7 +29,7 @@
 
 /// Response as the caller received it.
 #[derive(Debug)]
-pub struct Got {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// The body, or the error that cut it short.
@@ -38,7 +38,7 @@
 
 impl Harness {
     /// Starts a store whose configuration has these routes and `paid` tokens for each customer.
-    pub async fn open(paid: u64, routes: &[&str]) -> Harness {
+    pub async fn start(paid: u64, routes: &[&str]) -> Harness {
         let harness = Harness { platform: Platform::spawn(1).await, ids: AtomicU64::new(1) };
         harness.configure(1, paid, routes).await;
         harness
@@ -62,18 +62,18 @@
     }
 
     /// The entry of a box, as stored.
-    pub async fn entry_of(&self, name: &str) -> Option<String> {
+    pub async fn box_entry(&self, name: &str) -> Option<String> {
         let found = self.platform.memory().get("boxes", name).await.expect("memory answers");
         found.map(|object| object.value.to_string())
     }
 
     /// Removes the entry of a box, so that boxes that start later don't know it.
-    pub async fn forget_box(&self, name: &str) {
+    pub async fn remove_box_entry(&self, name: &str) {
         self.remove("boxes", name).await;
     }
 
     /// Keys of all billed requests.
-    pub async fn billed(&self) -> Vec<String> {
+    pub async fn billed_keys(&self) -> Vec<String> {
         let pages = self.platform.memory().list(ledger::BILLS, "").await.expect("memory answers");
         let page = |object: objects::Object| -> ledger::Page {
             serde_json::from_str(&object.value).expect("it can be read")
@@ -89,17 +89,17 @@
     }
 
     /// Writes the entry of an endpoint.
-    pub async fn list(&self, id: &str, service: &str, address: SocketAddr, ready: bool) {
+    pub async fn write_entry(&self, id: &str, service: &str, address: SocketAddr, ready: bool) {
         self.write(platform::ENDPOINTS, id, played::entry(service, address, ready)).await;
     }
 
     /// Writes an arbitrary text as the entry of an endpoint.
-    pub async fn list_as(&self, id: &str, entry: String) {
+    pub async fn write_raw_entry(&self, id: &str, entry: String) {
         self.write(platform::ENDPOINTS, id, entry).await;
     }
 
     /// Removes the entry of an endpoint.
-    pub async fn unlist(&self, id: &str) {
+    pub async fn remove_entry(&self, id: &str) {
         self.remove(platform::ENDPOINTS, id).await;
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Ends the evacuation of a zone.
-    pub async fn take_back(&self, zone: &str) {
+    pub async fn end_evacuation(&self, zone: &str) {
         self.remove(platform::EVACUATIONS, zone).await;
     }
 
@@ -127,7 +127,7 @@
         script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static,
     ) -> Scripted {
         let endpoint = Scripted::spawn(script).await;
-        self.list(id, service, endpoint.address(), true).await;
+        self.write_entry(id, service, endpoint.address(), true).await;
         endpoint
     }
 
@@ -137,47 +137,47 @@
     }
 
     /// Starts a gateway without a peer address: it neither accepts nor opens peer connections.
-    pub async fn gateway_alone(&self, name: &str) -> Gateway {
+    pub async fn gateway_without_peers(&self, name: &str) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.listen.peers = None;
-        self.gateway_with(settings).await
+        self.spawn_gateway(settings).await
     }
 
     /// Starts a gateway that connects to the store directly.
     pub async fn gateway(&self, name: &str) -> Gateway {
-        self.gateway_at(name, self.platform.socket()).await
+        self.gateway_with_store(name, self.platform.socket()).await
     }
 
     /// Starts a gateway that connects to the store through a link that can be cut.
-    pub async fn cut_gateway(&self, name: &str) -> (Gateway, Link) {
+    pub async fn gateway_with_link(&self, name: &str) -> (Gateway, Link) {
         let link = Link::bind(self.platform.socket(), Duration::ZERO).await.expect("a link");
-        (self.gateway_at(name, link.address()).await, link)
+        (self.gateway_with_store(name, link.address()).await, link)
     }
 
     /// Starts a gateway with a network link of `link_mbps`.
-    pub async fn narrow_gateway(&self, name: &str, link_mbps: f64) -> Gateway {
+    pub async fn gateway_with_bandwidth(&self, name: &str, link_mbps: f64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.machine.link_mbps = link_mbps;
-        self.gateway_with(settings).await
+        self.spawn_gateway(settings).await
     }
 
     /// Starts a gateway whose requests wait for tokens for at most `wait_ms`.
-    pub async fn waiting_gateway(&self, name: &str, wait_ms: u64) -> Gateway {
+    pub async fn gateway_with_token_wait(&self, name: &str, wait_ms: u64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.money.wait_ms = wait_ms;
-        self.gateway_with(settings).await
+        self.spawn_gateway(settings).await
     }
 
     /// Starts a gateway whose requests, and whose calls to keepers, wait for tokens for at most `wait_ms`.
-    pub async fn patient_gateway(&self, name: &str, wait_ms: u64) -> Gateway {
+    pub async fn gateway_with_long_waits(&self, name: &str, wait_ms: u64) -> Gateway {
         let mut settings = settings(name, self.platform.socket());
         settings.money.wait_ms = wait_ms;
         settings.money.keeper_ms = wait_ms;
-        self.gateway_with(settings).await
+        self.spawn_gateway(settings).await
     }
 
     /// Starts a gateway with a manual clock and a link to the store that can be cut.
-    pub async fn clocked_gateway(&self, name: &str) -> (Gateway, Link, Clock) {
+    pub async fn gateway_with_clock(&self, name: &str) -> (Gateway, Link, Clock) {
         let link = Link::bind(self.platform.socket(), Duration::ZERO).await.expect("a link");
         let clock = Clock::manual();
         let seed = self.ids.fetch_add(1, Ordering::Relaxed);
@@ -185,18 +185,18 @@
         (started.await.expect("it starts"), link, clock)
     }
 
-    async fn gateway_at(&self, name: &str, store: SocketAddr) -> Gateway {
-        self.gateway_with(settings(name, store)).await
+    async fn gateway_with_store(&self, name: &str, store: SocketAddr) -> Gateway {
+        self.spawn_gateway(settings(name, store)).await
     }
 
-    async fn gateway_with(&self, settings: Settings) -> Gateway {
+    async fn spawn_gateway(&self, settings: Settings) -> Gateway {
         let seed = self.ids.fetch_add(1, Ordering::Relaxed);
         Gateway::spawn(settings, seed).await.expect("it starts")
     }
 }
 
 /// Tokens that a gateway has charged so far, from its metrics.
-pub fn charged(gateway: &Gateway) -> u64 {
+pub fn charged_tokens(gateway: &Gateway) -> u64 {
     let metrics = gateway.metrics();
     let line = metrics.lines().find_map(|l| l.strip_prefix("flintstall_tokens_charged_total "));
     line.expect("a counter").parse().expect("a number")
@@ -220,7 +220,7 @@
 
 impl Harness {
     /// A new request with a unique id that costs tokens.
-    pub fn asked(&self, key: &str, prompt: u64, most_output: u64) -> Asked {
+    pub fn new_request(&self, key: &str, prompt: u64, most_output: u64) -> Asked {
         Asked {
             id: format!("try-{}", self.ids.fetch_add(1, Ordering::Relaxed)),
             key: Some(key.to_owned()),
@@ -232,33 +232,33 @@
 }
 
 /// Builds a request without a body.
-pub fn request(address: SocketAddr, path: &str, asked: &Asked) -> reqwest::RequestBuilder {
+pub fn request(address: SocketAddr, path: &str, req: &Asked) -> reqwest::RequestBuilder {
     let client = reqwest::Client::builder().no_proxy().build().expect("a client");
     let request = client.post(format!("http://{address}{path}")).header("host", "desk.example");
-    asked.headers().into_iter().fold(request, |request, (name, value)| request.header(name, value))
+    req.headers().into_iter().fold(request, |request, (name, value)| request.header(name, value))
 }
 
 /// Sends a request with a small body and reads the whole response.
-pub async fn call(address: SocketAddr, path: &str, asked: &Asked) -> Got {
-    finish(request(address, path, asked).body("a body")).await
+pub async fn call(address: SocketAddr, path: &str, req: &Asked) -> Response {
+    send(request(address, path, req).body("a body")).await
 }
 
 /// Sends a prepared request and reads the whole response.
-pub async fn finish(request: reqwest::RequestBuilder) -> Got {
-    let answer = tokio::time::timeout(BOUND, request.send()).await.expect("an answer in time");
+pub async fn send(request: reqwest::RequestBuilder) -> Response {
+    let answer = tokio::time::timeout(MAX_WAIT, request.send()).await.expect("an answer in time");
     let answer = answer.expect("an answer");
     let (status, headers) = (answer.status(), answer.headers().clone());
     let body = answer.text().await.map_err(|error| error.to_string());
-    Got { status, headers, body }
+    Response { status, headers, body }
 }
 
-/// Waits until a condition holds; panics with `what` after [`BOUND`].
-pub async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
-    until_within(BOUND, what, holds).await;
+/// Waits until a condition holds; panics with `what` after [`MAX_WAIT`].
+pub async fn wait_until(what: &str, holds: impl AsyncFnMut() -> bool) {
+    wait_until_within(MAX_WAIT, what, holds).await;
 }
 
 /// Waits until a condition holds; panics with `what` after `bound`.
-pub async fn until_within(bound: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub async fn wait_until_within(bound: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !holds().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -268,16 +268,16 @@
 }
 
 /// Waits until a route is served, which shows that the gateway has read the configuration and the endpoints.
-pub async fn until_served(harness: &Harness, gateway: &Gateway, path: &str) {
-    until("the route is served", async || {
-        let asked = harness.asked("key-b", 1, 1);
-        call(gateway.callers(), path, &asked).await.status == StatusCode::OK
+pub async fn wait_until_served(harness: &Harness, gateway: &Gateway, path: &str) {
+    wait_until("the route is served", async || {
+        let req = harness.new_request("key-b", 1, 1);
+        call(gateway.callers(), path, &req).await.status == StatusCode::OK
     })
     .await;
 }
 
 /// Script of an endpoint that answers every request successfully.
-pub fn answers(arrived: &Arrived) -> Reply {
+pub fn answer_ok(arrived: &Arrived) -> Reply {
     Reply::Whole(StatusCode::OK, played::answered(&arrived.told.id, None), "done".into())
 }
 
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -1,15 +1,15 @@
 //! End-to-end tests: real gateways on loopback, with the stand-in store and scripted endpoints.
 
+mod back_off;
 mod box_crash;
 mod endpoints;
+mod harness;
 mod keepers;
 mod leaving;
-mod rate_limit;
-mod sync;
 mod outage;
-mod proxy;
 mod prompts;
+mod proxy;
 mod quarantine;
-mod back_off;
+mod rate_limit;
 mod suspended;
-mod harness;
+mod sync;
--- a/crates/gateway/tests/loopback/proxy.rs
+++ b/crates/gateway/tests/loopback/proxy.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use crate::harness::{
-    Harness, answers, call, charged, finish, request, settings, shared, until, until_served,
+    Harness, answer_ok, call, charged_tokens, request, send, settings, shared, wait_until,
+    wait_until_served,
 };
 use http::{HeaderMap, StatusCode};
 use platform::played;
@@ -15,22 +16,22 @@
 
 #[tokio::test]
 async fn request_and_response_are_forwarded_unchanged() {
-    let harness = Harness::open(1_000_000, &["confirm", "open"]).await;
-    let endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["confirm", "open"]).await;
+    let endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
-    let asked = harness.asked("key-b", 5, 5);
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    let req = harness.new_request("key-b", 5, 5);
     let sent = played::forged().into_iter().fold(
-        request(gateway.callers(), "/confirm/a%20b?x=1&y", &asked),
+        request(gateway.callers(), "/confirm/a%20b?x=1&y", &req),
         |request, (name, value)| request.header(name, value),
     );
-    let got = finish(sent.header("x-own", "kept").body("the body")).await;
-    assert_eq!((got.status, got.body.as_deref()), (StatusCode::OK, Ok("done")));
-    assert_eq!(played::signature(&got.headers).as_deref(), Some(&*asked.id));
+    let response = send(sent.header("x-own", "kept").body("the body")).await;
+    assert_eq!((response.status, response.body.as_deref()), (StatusCode::OK, Ok("done")));
+    assert_eq!(played::signature(&response.headers).as_deref(), Some(&*req.id));
     let arrived = endpoint.arrived().pop().expect("it arrived");
     assert_eq!(arrived.line, "POST /confirm/a%20b?x=1&y HTTP/1.1");
     assert_eq!(arrived.body, b"the body");
-    assert_eq!(arrived.told.id, asked.id);
+    assert_eq!(arrived.told.id, req.id);
     assert_eq!(
         arrived.told.customer.as_deref(),
         Some("bornova"),
@@ -44,11 +45,11 @@
 
 #[tokio::test]
 async fn refusals_name_their_reason() {
-    let harness = Harness::open(1_000, &["confirm", "stream", "open"]).await;
-    let _plain = harness.endpoint("i-1", "plain", answers).await;
-    let _engine = harness.endpoint("i-2", "engines", answers).await;
+    let harness = Harness::start(1_000, &["confirm", "stream", "open"]).await;
+    let _plain = harness.endpoint("i-1", "plain", answer_ok).await;
+    let _engine = harness.endpoint("i-2", "engines", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
     let large = "x".repeat(70_000);
     let cases = [
         ("/nowhere/x", "key-b", 1, "", 404, "no_route"),
@@ -57,10 +58,14 @@
         ("/confirm/x", "key-b", 1, &*large, 413, "too_large"),
     ];
     for (path, key, prompt, body, status, reason) in cases {
-        let asked = harness.asked(key, prompt, 1);
-        let got = finish(request(gateway.callers(), path, &asked).body(body.to_owned())).await;
-        let text = got.body.expect("a body");
-        assert_eq!((got.status.as_u16(), text.contains(reason)), (status, true), "{path}: {text}");
+        let req = harness.new_request(key, prompt, 1);
+        let response = send(request(gateway.callers(), path, &req).body(body.to_owned())).await;
+        let text = response.body.expect("a body");
+        assert_eq!(
+            (response.status.as_u16(), text.contains(reason)),
+            (status, true),
+            "{path}: {text}"
+        );
     }
 }
 
@@ -94,22 +99,22 @@
         ("failed, repeatable", "cancel", Box::new(failed), 200, 2),
     ];
     for (name, route, script, status, sent) in cases {
-        let harness = Harness::open(1_000_000, &["confirm", "cancel", "open"]).await;
+        let harness = Harness::start(1_000_000, &["confirm", "cancel", "open"]).await;
         // The first endpoint runs the script; the second one serves everything.
         let script = shared(move |arrived| match arrived.line.contains("/open/") {
-            true => answers(arrived),
+            true => answer_ok(arrived),
             false => script(arrived),
         });
         let first = harness.endpoint("i-1", "plain", script).await;
         let gateway = harness.gateway("box-1").await;
-        until_served(&harness, &gateway, "/open/x").await;
+        wait_until_served(&harness, &gateway, "/open/x").await;
         let second = match sent {
             1 => None,
-            _ => Some(harness.endpoint("i-2", "plain", answers).await),
+            _ => Some(harness.endpoint("i-2", "plain", answer_ok).await),
         };
         if sent > 1 {
-            until("both endpoints are in use", async || {
-                call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
+            wait_until("both endpoints are in use", async || {
+                call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
                 second.as_ref().is_some_and(|endpoint| !endpoint.arrived().is_empty())
             })
             .await;
@@ -124,14 +129,15 @@
             tries += 1;
             let (before, at_first) = (arrivals(), first.arrived().len());
             let path = format!("/{route}/x");
-            let got = call(gateway.callers(), &path, &harness.asked("key-b", 1, 1)).await;
+            let response =
+                call(gateway.callers(), &path, &harness.new_request("key-b", 1, 1)).await;
             if sent > 1 && first.arrived().len() == at_first && tries < 100 {
                 continue;
             }
-            assert_eq!(got.status.as_u16(), status, "{name}: {got:?}");
+            assert_eq!(response.status.as_u16(), status, "{name}: {response:?}");
             assert_eq!(arrivals() - before, sent, "{name}");
-            let promised = got.status == StatusCode::SERVICE_UNAVAILABLE;
-            assert_eq!(got.headers.contains_key("retry-after"), promised, "{name}");
+            let promised = response.status == StatusCode::SERVICE_UNAVAILABLE;
+            assert_eq!(response.headers.contains_key("retry-after"), promised, "{name}");
             break;
         }
     }
@@ -139,22 +145,22 @@
 
 #[tokio::test]
 async fn large_request_heads_are_accepted() {
-    let harness = Harness::open(1_000_000, &["open"]).await;
-    let endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
     let before = endpoint.arrived().len();
-    let asked = harness.asked("key-b", 1, 1);
+    let req = harness.new_request("key-b", 1, 1);
     let large = "x".repeat(24_000);
-    let got = finish(request(gateway.callers(), "/open/x", &asked).header("x-large", large)).await;
-    assert_eq!((got.status, endpoint.arrived().len()), (StatusCode::OK, before + 1));
+    let response = send(request(gateway.callers(), "/open/x", &req).header("x-large", large)).await;
+    assert_eq!((response.status, endpoint.arrived().len()), (StatusCode::OK, before + 1));
 }
 
 #[tokio::test]
 async fn reloaded_settings_apply_at_once() {
-    let harness = Harness::open(1_000_000, &["cancel", "open"]).await;
+    let harness = Harness::start(1_000_000, &["cancel", "open"]).await;
     let declined = |arrived: &Arrived| match arrived.line.contains("/open/") {
-        true => answers(arrived),
+        true => answer_ok(arrived),
         false => {
             let (status, headers) = played::declined(&arrived.told.id);
             Reply::Whole(status, headers, String::new())
@@ -166,8 +172,8 @@
         harness.endpoint("i-2", "plain", declined).await,
     ];
     let gateway = harness.gateway("box-1").await;
-    until("both endpoints are in use", async || {
-        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
+    wait_until("both endpoints are in use", async || {
+        call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         endpoints.iter().all(|endpoint| !endpoint.arrived().is_empty())
     })
     .await;
@@ -175,12 +181,12 @@
         let arrived = endpoints.iter().flat_map(|endpoint| endpoint.arrived());
         arrived.filter(|arrived| arrived.line.contains("/cancel/")).count()
     };
-    call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
+    call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
     assert_eq!(sent(&endpoints), 2, "retried once");
     let mut settings = settings("box-1", harness.platform.socket());
     (settings.retries.ratio, settings.retries.extra) = (0.0, 0);
     gateway.reload(settings);
-    call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
+    call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
     assert_eq!(sent(&endpoints), 3, "no retries are allowed any more");
 }
 
@@ -192,18 +198,21 @@
         true => Reply::Torn(id_of(arrived), events.clone()),
         false => Reply::Events(id_of(arrived), whole.clone(), Duration::ZERO),
     };
-    let harness = Harness::open(1_000_000, &["stream"]).await;
+    let harness = Harness::start(1_000_000, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", script).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/stream/x").await;
-    let before = charged(&gateway);
-    let got = call(gateway.callers(), "/stream/torn", &harness.asked("key-b", 10, 90)).await;
-    assert!(got.body.is_err(), "the caller sees that the stream broke: {got:?}");
-    let got = call(gateway.callers(), "/stream/x", &harness.asked("key-b", 10, 90)).await;
-    assert_eq!(got.body.expect("a whole stream").matches("id:").count(), 3);
+    wait_until_served(&harness, &gateway, "/stream/x").await;
+    let before = charged_tokens(&gateway);
+    let response =
+        call(gateway.callers(), "/stream/torn", &harness.new_request("key-b", 10, 90)).await;
+    assert!(response.body.is_err(), "the caller sees that the stream broke: {response:?}");
+    let response =
+        call(gateway.callers(), "/stream/x", &harness.new_request("key-b", 10, 90)).await;
+    assert_eq!(response.body.expect("a whole stream").matches("id:").count(), 3);
     // Prompt plus 3 events of 2 tokens; the broken stream is charged for 10 further events.
     let both = (10 + 2 * 13) + (10 + 2 * 3);
-    until("both streams are charged", async || charged(&gateway) == before + both).await;
+    wait_until("both streams are charged", async || charged_tokens(&gateway) == before + both)
+        .await;
 }
 
 #[tokio::test]
@@ -212,37 +221,38 @@
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(20))
     };
-    let harness = Harness::open(1_000_000, &["stream", "open"]).await;
-    let _plain = harness.endpoint("p-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answer_ok).await;
     let _engine = harness.endpoint("i-1", "engines", script).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
-    let before = charged(&gateway);
-    let asked = harness.asked("key-b", 10, 50_000);
-    let mut answer = request(gateway.callers(), "/stream/x", &asked).send().await.expect("a head");
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    let before = charged_tokens(&gateway);
+    let req = harness.new_request("key-b", 10, 50_000);
+    let mut answer = request(gateway.callers(), "/stream/x", &req).send().await.expect("a head");
     let first = answer.chunk().await.expect("it streams");
     assert!(first.is_some_and(|bytes| bytes.starts_with(b"id: 1")));
     drop(answer);
-    until("the stream is charged", async || charged(&gateway) > before).await;
-    let charge = charged(&gateway) - before;
+    wait_until("the stream is charged", async || charged_tokens(&gateway) > before).await;
+    let charge = charged_tokens(&gateway) - before;
     assert!((10..10 + 2 * 1_000).contains(&charge), "{charge} charged of 50,010 reserved");
 }
 
 #[tokio::test]
 async fn caller_disconnect_cancels_the_request() {
-    let harness = Harness::open(1_000_000, &["confirm", "open"]).await;
+    let harness = Harness::start(1_000_000, &["confirm", "open"]).await;
     let script = |arrived: &Arrived| match arrived.line.contains("/confirm/") {
         true => Reply::Silent,
-        false => answers(arrived),
+        false => answer_ok(arrived),
     };
     let endpoint = harness.endpoint("i-1", "plain", script).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
     let closed = endpoint.closed();
-    let sending = request(gateway.callers(), "/confirm/x", &harness.asked("key-b", 1, 1)).send();
+    let sending =
+        request(gateway.callers(), "/confirm/x", &harness.new_request("key-b", 1, 1)).send();
     let left = tokio::time::timeout(Duration::from_millis(300), sending).await;
     assert!(left.is_err(), "the endpoint never answers");
-    until("the endpoint's connection closes", async || endpoint.closed() > closed).await;
+    wait_until("the endpoint's connection closes", async || endpoint.closed() > closed).await;
 }
 
 #[tokio::test]
@@ -252,42 +262,43 @@
     let events = vec![event; 64];
     let script = move |arrived: &Arrived| match arrived.line.contains("/stream/") {
         true => Reply::Events(id_of(arrived), events.clone(), Duration::ZERO),
-        false => answers(arrived),
+        false => answer_ok(arrived),
     };
-    let harness = Harness::open(1_000_000, &["stream", "open"]).await;
-    let _plain = harness.endpoint("p-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answer_ok).await;
     let engine = harness.endpoint("i-1", "engines", script).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
-    let asked = harness.asked("key-b", 10, 1_000);
-    let answer = request(gateway.callers(), "/stream/x", &asked).send().await.expect("a head");
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    let req = harness.new_request("key-b", 10, 1_000);
+    let answer = request(gateway.callers(), "/stream/x", &req).send().await.expect("a head");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(engine.closed(), 0, "back-pressure holds the endpoint");
     drop(answer);
-    until("the endpoint's connection closes", async || engine.closed() > 0).await;
+    wait_until("the endpoint's connection closes", async || engine.closed() > 0).await;
 }
 
 #[tokio::test]
 async fn draining_endpoint_gets_no_new_requests() {
-    let harness = Harness::open(1_000_000, &["open"]).await;
-    let old = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let old = harness.endpoint("i-1", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
-    let new = harness.endpoint("i-2", "plain", answers).await;
-    harness.list("i-1", "plain", old.address(), false).await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    let new = harness.endpoint("i-2", "plain", answer_ok).await;
+    harness.write_entry("i-1", "plain", old.address(), false).await;
     let mut quiet = 0;
-    until("only the new endpoint is used", async || {
+    wait_until("only the new endpoint is used", async || {
         let before = old.arrived().len();
-        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         quiet = if old.arrived().len() == before { quiet + 1 } else { 0 };
         quiet > 20
     })
     .await;
     assert!(new.arrived().len() > 20);
-    harness.unlist("i-2").await;
-    until("no endpoint is left", async || {
-        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
-        got.status == StatusCode::SERVICE_UNAVAILABLE
+    harness.remove_entry("i-2").await;
+    wait_until("no endpoint is left", async || {
+        let response =
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+        response.status == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
 }
@@ -298,22 +309,22 @@
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(30))
     };
-    let harness = Harness::open(100_000, &["stream"]).await;
+    let harness = Harness::start(100_000, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", script).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/stream/x").await;
+    wait_until_served(&harness, &gateway, "/stream/x").await;
     let (callers, ready) = (gateway.callers(), gateway.ready());
-    let asked = harness.asked("key-b", 100, 100);
-    let stream = tokio::spawn(async move { call(callers, "/stream/x", &asked).await });
+    let req = harness.new_request("key-b", 100, 100);
+    let stream = tokio::spawn(async move { call(callers, "/stream/x", &req).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stop = tokio::spawn(gateway.stop());
-    until("the box reports not ready", async || {
-        let asked = reqwest::get(format!("http://{ready}/ready")).await;
-        asked.map_or(true, |answer| answer.status() == StatusCode::SERVICE_UNAVAILABLE)
+    wait_until("the box reports not ready", async || {
+        let answer = reqwest::get(format!("http://{ready}/ready")).await;
+        answer.map_or(true, |answer| answer.status() == StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
-    let got = stream.await.expect("no panic");
-    assert_eq!(got.body.expect("a whole stream").matches("id:").count(), 20);
+    let response = stream.await.expect("no panic");
+    assert_eq!(response.body.expect("a whole stream").matches("id:").count(), 20);
     stop.await.expect("it stops");
     let book = harness.book().await;
     let of = &book.ledgers["bornova"];
@@ -354,10 +365,10 @@
 
 #[tokio::test]
 async fn bursts_of_entry_changes_cause_few_watch_calls() {
-    let harness = Harness::open(1_000_000, &["open"]).await;
-    let first = harness.endpoint("i-0", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let first = harness.endpoint("i-0", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    until_served(&harness, &gateway, "/open/x").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
     let watches = || -> u64 {
         let calls = gateway.calls().snapshot();
         let endpoints = calls.iter().filter(|((_, kind), _)| &**kind == platform::ENDPOINTS);
@@ -365,10 +376,10 @@
     };
     let (before, began) = (watches(), std::time::Instant::now());
     for n in 1..=50 {
-        harness.list(&format!("i-{n}"), "plain", first.address(), true).await;
+        harness.write_entry(&format!("i-{n}"), "plain", first.address(), true).await;
         tokio::time::sleep(Duration::from_millis(4)).await;
     }
-    harness.list("i-0", "plain", first.address(), false).await;
+    harness.write_entry("i-0", "plain", first.address(), false).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let made = watches() - before;
     // One call in 250 ms, plus those in flight at the beginning and the end.
@@ -378,22 +389,26 @@
 
 #[tokio::test]
 async fn saturated_box_sheds_connections_without_refusing_requests() {
-    let harness = Harness::open(1_000_000, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
-    let gateway = harness.narrow_gateway("box-1", 0.02).await;
-    until_served(&harness, &gateway, "/open/x").await;
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
+    let gateway = harness.gateway_with_bandwidth("box-1", 0.02).await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
     let ready = async || {
         let answer = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
         answer.expect("an answer").status() == StatusCode::OK
     };
-    until("its link is saturated", async || {
-        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
-        assert_eq!(got.status, StatusCode::OK);
+    wait_until("its link is saturated", async || {
+        let response =
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+        assert_eq!(response.status, StatusCode::OK);
         !ready().await
     })
     .await;
-    let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
-    assert_eq!(got.status, StatusCode::OK, "requests that still arrive are served");
-    assert_eq!(got.headers.get("connection").map(|value| value.as_bytes()), Some(&b"close"[..]));
-    until("the box is ready again", ready).await;
+    let response = call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+    assert_eq!(response.status, StatusCode::OK, "requests that still arrive are served");
+    assert_eq!(
+        response.headers.get("connection").map(|value| value.as_bytes()),
+        Some(&b"close"[..])
+    );
+    wait_until("the box is ready again", ready).await;
 }
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -10,7 +10,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::harness::{Got, Harness, answers, finish, request, until, until_served};
+use crate::harness::{Harness, Response, answer_ok, request, send, wait_until, wait_until_served};
 
 const PAID: u64 = 1_000_000;
 /// Number of boxes: two watchers and two subscribers.
@@ -20,24 +20,24 @@
 /// Body of the request that crashes endpoints.
 const GUILTY: &str = "guilty";
 /// Most endpoints that one request may crash: three, and three more while the crash reports spread.
-const MOST_ENDED: usize = 6;
+const MAX_CRASHED: usize = 6;
 
 /// Duration of a long response of 20 events: far longer than a crash takes.
-const LONG: Duration = Duration::from_millis(400);
+const LONG_RESPONSE: Duration = Duration::from_millis(400);
 
 /// Script of the endpoints: bodies that start with [`GUILTY`] crash them, `long` gets a slow response, `torn` gets a
 /// response that breaks off, and others are answered at once.
-fn crashes(arrived: &Arrived) -> Reply {
+fn respond(arrived: &Arrived) -> Reply {
     let headers = played::answered(&arrived.told.id, None);
     match &*String::from_utf8_lossy(&arrived.body) {
-        body if body.ends_with("unframed") => Reply::CrashUnframed(headers, LONG / 8),
-        body if body.ends_with("slowly") => Reply::Crash(headers, LONG / 2),
+        body if body.ends_with("unframed") => Reply::CrashUnframed(headers, LONG_RESPONSE / 8),
+        body if body.ends_with("slowly") => Reply::Crash(headers, LONG_RESPONSE / 2),
         body if body.starts_with(GUILTY) => Reply::Crash(headers, Duration::from_millis(20)),
         body if body.starts_with("long") => {
-            Reply::Events(headers, vec!["data: x\n\n".into(); 20], LONG / 20)
+            Reply::Events(headers, vec!["data: x\n\n".into(); 20], LONG_RESPONSE / 20)
         }
         body if body.starts_with("torn") => Reply::Torn(headers, vec!["data: x\n\n".into()]),
-        _ => answers(arrived),
+        _ => answer_ok(arrived),
     }
 }
 
@@ -49,40 +49,41 @@
 
 impl Fleet {
     async fn start(service: &str, routes: &[&str]) -> Fleet {
-        let harness = Harness::open(PAID, routes).await;
+        let harness = Harness::start(PAID, routes).await;
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
-            endpoints.push(harness.endpoint(&format!("i-{n}"), service, crashes).await);
+            endpoints.push(harness.endpoint(&format!("i-{n}"), service, respond).await);
         }
         let mut boxes = Vec::new();
         for n in 0..BOXES {
             boxes.push(harness.gateway(&format!("box-{n}")).await);
         }
         for gateway in &boxes {
-            until("the boxes know each other", async || gateway.peer_count() == BOXES - 1).await;
-            until_served(&harness, gateway, &format!("/{}/x", routes[0])).await;
+            wait_until("the boxes know each other", async || gateway.peer_count() == BOXES - 1)
+                .await;
+            wait_until_served(&harness, gateway, &format!("/{}/x", routes[0])).await;
         }
         Fleet { harness, boxes, endpoints }
     }
 
     /// Sends a request to a box.
-    async fn send(&self, at: usize, path: &str, body: &str) -> Got {
-        let asked = self.harness.asked("key-b", 1, 1);
+    async fn send(&self, at: usize, path: &str, body: &str) -> Response {
+        let req = self.harness.new_request("key-b", 1, 1);
         let address = self.boxes[at % BOXES].callers();
-        finish(request(address, path, &asked).body(body.to_owned())).await
+        send(request(address, path, &req).body(body.to_owned())).await
     }
 
-    fn ended(&self) -> usize {
+    fn crashed(&self) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.has_crashed()).count()
     }
 
     /// Sends the guilty request to the boxes in turn until all of them refuse it.
     async fn send_until_refused(&self, path: &str) {
         let mut refused = 0;
-        until("all boxes refuse it", async || {
+        wait_until("all boxes refuse it", async || {
             for at in 0..BOXES {
-                let got = self.send(at, path, GUILTY).await;
-                refused = if is_quarantined(&got) { refused + 1 } else { 0 };
+                let response = self.send(at, path, GUILTY).await;
+                refused = if is_quarantined(&response) { refused + 1 } else { 0 };
             }
             refused >= BOXES
         })
@@ -91,10 +92,10 @@
 }
 
 /// Whether a box refused the request as quarantined, with a time to retry.
-fn is_quarantined(got: &Got) -> bool {
-    let says = got.body.as_ref().is_ok_and(|body| body.contains("quarantined"));
-    let is_refused = got.status == StatusCode::SERVICE_UNAVAILABLE;
-    says && is_refused && got.headers.contains_key("retry-after")
+fn is_quarantined(response: &Response) -> bool {
+    let says = response.body.as_ref().is_ok_and(|body| body.contains("quarantined"));
+    let is_refused = response.status == StatusCode::SERVICE_UNAVAILABLE;
+    says && is_refused && response.headers.contains_key("retry-after")
 }
 
 #[tokio::test]
@@ -107,12 +108,12 @@
             fleet.send(n, path, GUILTY).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let ended = fleet.ended();
-        assert!(ended <= MOST_ENDED, "{path}: {ended} of {ENDPOINTS} endpoints crashed");
-        assert!(ended >= 3, "{path}: it was quarantined after only {ended} crashes");
+        let crashed = fleet.crashed();
+        assert!(crashed <= MAX_CRASHED, "{path}: {crashed} of {ENDPOINTS} endpoints crashed");
+        assert!(crashed >= 3, "{path}: it was quarantined after only {crashed} crashes");
         for n in 0..BOXES {
-            let got = fleet.send(n, path, "innocent").await;
-            assert_eq!(got.status, StatusCode::OK, "{path}: other requests are served");
+            let response = fleet.send(n, path, "innocent").await;
+            assert_eq!(response.status, StatusCode::OK, "{path}: other requests are served");
         }
     }
 }
@@ -125,11 +126,11 @@
         let (fleet, body) = (&fleet, format!("long {n}"));
         async move {
             let mut tries = 0;
-            until("an innocent request is served", async || {
+            wait_until("an innocent request is served", async || {
                 tries += 1;
-                let got = fleet.send(n + tries, "/stream/x", &body).await;
-                assert!(!is_quarantined(&got), "innocent: {got:?}");
-                got.status == StatusCode::OK && got.body.is_ok()
+                let response = fleet.send(n + tries, "/stream/x", &body).await;
+                assert!(!is_quarantined(&response), "innocent: {response:?}");
+                response.status == StatusCode::OK && response.body.is_ok()
             })
             .await;
         }
@@ -137,11 +138,11 @@
     let guilty = async {
         for n in 0..12 {
             fleet.send(n, "/stream/x", GUILTY).await;
-            tokio::time::sleep(LONG / 4).await;
+            tokio::time::sleep(LONG_RESPONSE / 4).await;
         }
     };
     tokio::join!(join_all(beside), guilty);
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
+    assert!((3..=MAX_CRASHED).contains(&fleet.crashed()), "{} endpoints crashed", fleet.crashed());
 }
 
 /// Endpoints crash for other reasons while callers send the same innocent request all the time.
@@ -151,20 +152,20 @@
     for n in 0..ENDPOINTS - 2 {
         let polls = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long poll"));
         let end = async {
-            tokio::time::sleep(LONG / 4).await;
+            tokio::time::sleep(LONG_RESPONSE / 4).await;
             // An attempt that reaches only crashed endpoints is refused.
-            until("one more endpoint crashes", async || {
+            wait_until("one more endpoint crashes", async || {
                 fleet.send(n, "/stream/x", &format!("{GUILTY} once: {n}")).await;
-                fleet.ended() > n
+                fleet.crashed() > n
             })
             .await;
         };
         tokio::join!(join_all(polls), end);
     }
-    assert_eq!(fleet.ended(), ENDPOINTS - 2, "each guilty request crashed one endpoint");
-    until("all boxes serve the innocent request", async || {
+    assert_eq!(fleet.crashed(), ENDPOINTS - 2, "each guilty request crashed one endpoint");
+    wait_until("all boxes serve the innocent request", async || {
         let polls = (0..BOXES).map(|at| fleet.send(at, "/stream/x", "long poll"));
-        join_all(polls).await.iter().all(|got| got.status == StatusCode::OK)
+        join_all(polls).await.iter().all(|response| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -173,26 +174,26 @@
 async fn broken_responses_of_running_endpoints_cause_no_quarantine() {
     let fleet = Fleet::start("plain", &["cancel"]).await;
     for n in 0..3 * ENDPOINTS {
-        let got = fleet.send(n, "/cancel/x", "torn").await;
-        assert!(!is_quarantined(&got), "{got:?}");
+        let response = fleet.send(n, "/cancel/x", "torn").await;
+        assert!(!is_quarantined(&response), "{response:?}");
     }
-    assert_eq!(fleet.ended(), 0);
+    assert_eq!(fleet.crashed(), 0);
 }
 
 #[tokio::test]
 async fn quarantine_survives_a_restart_of_all_boxes() {
     let mut fleet = Fleet::start("plain", &["confirm"]).await;
     fleet.send_until_refused("/confirm/x").await;
-    let ended = fleet.ended();
+    let crashed = fleet.crashed();
     fleet.boxes.clear();
     for n in 0..BOXES {
         fleet.boxes.push(fleet.harness.gateway(&format!("box-{n}")).await);
     }
     for (at, gateway) in fleet.boxes.iter().enumerate() {
-        until_served(&fleet.harness, gateway, "/confirm/x").await;
+        wait_until_served(&fleet.harness, gateway, "/confirm/x").await;
         assert!(is_quarantined(&fleet.send(at, "/confirm/x", GUILTY).await), "box {at}");
     }
-    assert_eq!(fleet.ended(), ended, "no further endpoint crashes");
+    assert_eq!(fleet.crashed(), crashed, "no further endpoint crashes");
 }
 
 /// While the store is down, crash reports spread through the watchers; they are written when it is back.
@@ -201,9 +202,9 @@
     let fleet = Fleet::start("plain", &["confirm"]).await;
     fleet.harness.platform.set(|faults| faults.down = true);
     fleet.send_until_refused("/confirm/x").await;
-    assert!(fleet.ended() <= MOST_ENDED, "{} endpoints crashed", fleet.ended());
+    assert!(fleet.crashed() <= MAX_CRASHED, "{} endpoints crashed", fleet.crashed());
     fleet.harness.platform.set(|faults| faults.down = false);
-    until("the reports are in the store", async || {
+    wait_until("the reports are in the store", async || {
         fleet.harness.count(quarantine::CRASHES).await >= 3
     })
     .await;
@@ -213,14 +214,14 @@
 #[tokio::test]
 async fn box_without_peers_learns_of_a_quarantine_from_the_store() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
-    let alone = fleet.harness.gateway_alone("box-alone").await;
-    until_served(&fleet.harness, &alone, "/confirm/x").await;
+    let isolated = fleet.harness.gateway_without_peers("box-alone").await;
+    wait_until_served(&fleet.harness, &isolated, "/confirm/x").await;
     fleet.send_until_refused("/confirm/x").await;
-    let ended = fleet.ended();
-    let asked = fleet.harness.asked("key-b", 1, 1);
-    let sent = request(alone.callers(), "/confirm/x", &asked).body(GUILTY);
-    assert!(is_quarantined(&finish(sent).await));
-    assert_eq!(fleet.ended(), ended);
+    let crashed = fleet.crashed();
+    let req = fleet.harness.new_request("key-b", 1, 1);
+    let sent = request(isolated.callers(), "/confirm/x", &req).body(GUILTY);
+    assert!(is_quarantined(&send(sent).await));
+    assert_eq!(fleet.crashed(), crashed);
 }
 
 /// The callers of the guilty request disconnect before the endpoint crashes, so that only requests that ran beside
@@ -230,19 +231,19 @@
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
-        let asked = fleet.harness.asked("key-b", 1, 1);
-        let slow = request(fleet.boxes[n % BOXES].callers(), "/stream/x", &asked)
+        let req = fleet.harness.new_request("key-b", 1, 1);
+        let slow = request(fleet.boxes[n % BOXES].callers(), "/stream/x", &req)
             .body(format!("{GUILTY} slowly"))
-            .timeout(LONG / 8);
+            .timeout(LONG_RESPONSE / 8);
         let left = async {
-            tokio::time::sleep(LONG / 8).await;
+            tokio::time::sleep(LONG_RESPONSE / 8).await;
             if let Ok(answer) = slow.send().await {
                 drop(answer.bytes().await);
             }
         };
         tokio::join!(join_all(beside), left);
     }
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
+    assert!((3..=MAX_CRASHED).contains(&fleet.crashed()), "{} endpoints crashed", fleet.crashed());
 }
 
 /// A response without framing looks complete when the endpoint crashes. It must not count as proof of innocence.
@@ -252,14 +253,14 @@
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
         let guilty = async {
-            tokio::time::sleep(LONG / 8).await;
+            tokio::time::sleep(LONG_RESPONSE / 8).await;
             fleet.send(n, "/stream/x", &format!("{GUILTY} unframed")).await
         };
         tokio::join!(join_all(beside), guilty);
     }
-    assert!((3..=MOST_ENDED).contains(&fleet.ended()), "{} endpoints crashed", fleet.ended());
+    assert!((3..=MAX_CRASHED).contains(&fleet.crashed()), "{} endpoints crashed", fleet.crashed());
     for at in 0..BOXES {
-        let got = fleet.send(at, "/stream/x", &format!("{GUILTY} unframed")).await;
-        assert!(is_quarantined(&got), "box {at}: {got:?}");
+        let response = fleet.send(at, "/stream/x", &format!("{GUILTY} unframed")).await;
+        assert!(is_quarantined(&response), "box {at}: {response:?}");
     }
 }
--- a/crates/gateway/tests/loopback/sync.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -9,20 +9,20 @@
 use ledger::Incarnation;
 use objects::Operation;
 
-use crate::harness::{Harness, answers, call, until, until_served, until_within};
+use crate::harness::{Harness, answer_ok, call, wait_until, wait_until_served, wait_until_within};
 
 /// Number of boxes in a large fleet.
 const BOXES: usize = 40;
 /// Upper bound on a wait in a large fleet.
-const HANGS: Duration = Duration::from_secs(90);
+const FLEET_MAX_WAIT: Duration = Duration::from_secs(90);
 /// Most boxes that may read the store: two watchers, their standbys during the start, and one or two boxes that
 /// knew too few others then.
-const LOOK: usize = 6;
+const MAX_READERS: usize = 6;
 /// More than all requests here use.
 const PAID: u64 = 1_000_000;
 
 /// Names of the watchers of a fleet.
-fn home_names(names: &[String]) -> Vec<String> {
+fn watcher_names(names: &[String]) -> Vec<String> {
     let profile = |name: &String| Profile {
         name: Incarnation::new(name, 1),
         zone: "z1".into(),
@@ -36,19 +36,19 @@
 /// Starts a fleet and waits until each box serves requests and knows all others; watchers come first.
 async fn fleet(harness: &Harness, count: usize) -> Vec<Gateway> {
     let names: Vec<String> = (0..count).map(|n| format!("box-{n}")).collect();
-    let watchers = home_names(&names);
+    let watchers = watcher_names(&names);
     let mut boxes = BTreeMap::new();
     for name in &names {
         boxes.insert((!watchers.contains(name), name), harness.gateway(name).await);
     }
     let boxes: Vec<Gateway> = boxes.into_values().collect();
     for gateway in &boxes {
-        until_within(HANGS, "the box serves requests", async || {
-            let asked = harness.asked("key-b", 1, 1);
-            call(gateway.callers(), "/open/x", &asked).await.status == StatusCode::OK
+        wait_until_within(FLEET_MAX_WAIT, "the box serves requests", async || {
+            let req = harness.new_request("key-b", 1, 1);
+            call(gateway.callers(), "/open/x", &req).await.status == StatusCode::OK
         })
         .await;
-        until_within(HANGS, "the boxes know each other", async || {
+        wait_until_within(FLEET_MAX_WAIT, "the boxes know each other", async || {
             gateway.peer_count() == count - 1
         })
         .await;
@@ -57,135 +57,142 @@
 }
 
 /// Calls with which a box listed or watched the store itself.
-fn news_calls(gateway: &Gateway) -> u64 {
+fn store_reads(gateway: &Gateway) -> u64 {
     let calls = gateway.calls().snapshot();
-    let of_news = calls.iter().filter(|((operation, kind), _)| {
+    let of_sync = calls.iter().filter(|((operation, kind), _)| {
         let reads = matches!(operation, Operation::List | Operation::Watch);
         reads && [platform::CONFIG.0, platform::ENDPOINTS, "boxes"].contains(&&**kind)
     });
-    of_news.map(|(_, count)| count.calls).sum()
+    of_sync.map(|(_, count)| count.calls).sum()
 }
 
 #[tokio::test]
 async fn few_boxes_of_a_large_fleet_read_the_store() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let boxes = fleet(&harness, BOXES).await;
-    let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
+    let readers = boxes.iter().filter(|gateway| store_reads(gateway) > 0).count();
+    assert!(
+        readers <= MAX_READERS,
+        "{readers} of {BOXES} boxes listed or watched the store themselves"
+    );
     harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
-        until_within(HANGS, "the new version is in force", async || {
-            let asked = harness.asked("key-b", 1, 1);
-            call(gateway.callers(), "/cancel/x", &asked).await.status == StatusCode::OK
+        wait_until_within(FLEET_MAX_WAIT, "the new version is in force", async || {
+            let req = harness.new_request("key-b", 1, 1);
+            call(gateway.callers(), "/cancel/x", &req).await.status == StatusCode::OK
         })
         .await;
     }
-    let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
+    let readers = boxes.iter().filter(|gateway| store_reads(gateway) > 0).count();
+    assert!(
+        readers <= MAX_READERS,
+        "{readers} of {BOXES} boxes listed or watched the store themselves"
+    );
 }
 
 #[tokio::test]
 async fn watchers_probe_during_an_outage_and_announce_its_end() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let boxes = fleet(&harness, BOXES).await;
-    let before: Vec<u64> = boxes.iter().map(news_calls).collect();
+    let before: Vec<u64> = boxes.iter().map(store_reads).collect();
     harness.platform.set(|faults| faults.down = true);
     // Long enough for many retries.
     tokio::time::sleep(Duration::from_secs(6)).await;
     harness.configure(2, PAID, &["open", "cancel"]).await;
     harness.platform.set(|faults| faults.down = false);
     for gateway in &boxes {
-        until_within(HANGS, "the new version is in force", async || {
-            let asked = harness.asked("key-b", 1, 1);
-            call(gateway.callers(), "/cancel/x", &asked).await.status == StatusCode::OK
+        wait_until_within(FLEET_MAX_WAIT, "the new version is in force", async || {
+            let req = harness.new_request("key-b", 1, 1);
+            call(gateway.callers(), "/cancel/x", &req).await.status == StatusCode::OK
         })
         .await;
     }
-    let looked = boxes.iter().zip(before).filter(|(gateway, before)| news_calls(gateway) > *before);
-    let looked = looked.count();
+    let readers =
+        boxes.iter().zip(before).filter(|(gateway, before)| store_reads(gateway) > *before);
+    let readers = readers.count();
     assert!(
-        looked <= LOOK,
-        "{looked} of {BOXES} boxes listed or watched the store after the outage"
+        readers <= MAX_READERS,
+        "{readers} of {BOXES} boxes listed or watched the store after the outage"
     );
 }
 
 #[tokio::test]
 async fn subscribers_switch_to_another_watcher_after_a_crash() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let mut boxes = fleet(&harness, 5).await;
     drop(boxes.remove(0));
     harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
-        until_served(&harness, gateway, "/cancel/x").await;
+        wait_until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn boxes_get_updates_again_when_all_watchers_died() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let mut boxes = fleet(&harness, 6).await;
     drop(boxes.drain(..2));
     harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
-        until_served(&harness, gateway, "/cancel/x").await;
+        wait_until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn subscribers_leave_watchers_that_lost_the_store() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let names: Vec<String> = (0..4).map(|n| format!("box-{n}")).collect();
-    let watchers = home_names(&names);
-    let (mut links, mut boxes, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
+    let watchers = watcher_names(&names);
+    let (mut links, mut boxes, mut subscribers) = (Vec::new(), Vec::new(), Vec::new());
     for name in &names {
-        let (gateway, link) = harness.cut_gateway(name).await;
+        let (gateway, link) = harness.gateway_with_link(name).await;
         match watchers.contains(name) {
             true => {
                 links.push(link);
                 boxes.push(gateway);
             }
-            false => listeners.push((gateway, link)),
+            false => subscribers.push((gateway, link)),
         }
     }
-    for (gateway, _) in &listeners {
-        until("boxes know each other", async || gateway.peer_count() == 3).await;
-        until_served(&harness, gateway, "/open/x").await;
+    for (gateway, _) in &subscribers {
+        wait_until("boxes know each other", async || gateway.peer_count() == 3).await;
+        wait_until_served(&harness, gateway, "/open/x").await;
     }
     // The connections stay open and silent: only the watchers' own probes show the loss.
     links.iter().for_each(|link| link.set_cut(true));
     harness.configure(2, PAID, &["open", "cancel"]).await;
-    for (gateway, _) in &listeners {
-        until_served(&harness, gateway, "/cancel/x").await;
+    for (gateway, _) in &subscribers {
+        wait_until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn draining_endpoint_gets_no_requests_from_subscribers() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let leaving = harness.endpoint("i-1", "plain", answers).await;
-    let _stays = harness.endpoint("i-2", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let leaving = harness.endpoint("i-1", "plain", answer_ok).await;
+    let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
     let boxes = fleet(&harness, 5).await;
-    harness.list("i-1", "plain", leaving.address(), false).await;
+    harness.write_entry("i-1", "plain", leaving.address(), false).await;
     for gateway in &boxes {
         let mut quiet = 0;
-        until("the box sends nothing more to the leaving endpoint", async || {
+        wait_until("the box sends nothing more to the leaving endpoint", async || {
             let before = leaving.arrived().len();
-            call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
             quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
             quiet > 20
         })
         .await;
     }
-    harness.unlist("i-1").await;
+    harness.remove_entry("i-1").await;
     let before = leaving.arrived().len();
     for gateway in &boxes {
         for _ in 0..5 {
-            call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         }
     }
     assert_eq!(leaving.arrived().len(), before);
@@ -193,18 +200,18 @@
 
 #[tokio::test]
 async fn restarted_box_registers_with_one_write() {
-    let harness = Harness::open(PAID, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let _other = harness.gateway("box-1").await;
     let first = harness.gateway("box-2").await;
-    until_served(&harness, &first, "/open/x").await;
-    until("boxes know each other", async || first.peer_count() == 1).await;
+    wait_until_served(&harness, &first, "/open/x").await;
+    wait_until("boxes know each other", async || first.peer_count() == 1).await;
     drop(first);
     let second = harness.gateway("box-2").await;
-    until_served(&harness, &second, "/open/x").await;
-    until("the new incarnation is registered", async || {
-        let life = second.incarnation().as_str();
-        harness.entry_of("box-2").await.is_some_and(|entry| entry.contains(life))
+    wait_until_served(&harness, &second, "/open/x").await;
+    wait_until("the new incarnation is registered", async || {
+        let incarnation = second.incarnation().as_str();
+        harness.box_entry("box-2").await.is_some_and(|entry| entry.contains(incarnation))
     })
     .await;
     let calls = second.calls().snapshot();
@@ -214,14 +221,15 @@
 
 #[tokio::test]
 async fn peer_traffic_is_counted_by_topic_and_zone() {
-    let harness = Harness::open(1_000_000, &["open"]).await;
-    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let boxes = fleet(&harness, 4).await;
     let counts = |gateway: &Gateway| {
-        let zone_of = |line: &str| line.contains(r#"topic="news""#) && line.contains("own");
-        gateway.metrics().lines().any(|line| zone_of(line) && line.contains("heard"))
+        let is_own_zone_update =
+            |line: &str| line.contains(r#"topic="news""#) && line.contains("own");
+        gateway.metrics().lines().any(|line| is_own_zone_update(line) && line.contains("heard"))
     };
-    until("a subscriber counts its update calls", async || {
+    wait_until("a subscriber counts its update calls", async || {
         for gateway in &boxes {
             reqwest::get(format!("http://{}/metrics", gateway.operators())).await.expect("a page");
         }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -10,10 +10,10 @@
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
-fn asked(fleet: &[Profile], me: usize) -> Vec<String> {
+fn asked(fleet: &[Profile], index: usize) -> Vec<String> {
     let others: Vec<Profile> =
-        fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
-    keepers(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
+        fleet.iter().filter(|profile| **profile != fleet[index]).cloned().collect();
+    keepers(&fleet[index], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
 /// A fleet with this number of boxes in each zone; the first box of a zone is the strongest.
@@ -28,18 +28,18 @@
 #[test]
 fn the_strongest_box_of_the_zone_comes_first() {
     let fleet = fleet(&[("bornova", 19), ("buca", 16), ("cigli", 18)]);
-    for me in 0..fleet.len() {
-        let asked = asked(&fleet, me);
-        assert_eq!(asked[0], format!("{}-0", fleet[me].zone), "{}", fleet[me].name);
+    for index in 0..fleet.len() {
+        let asked = asked(&fleet, index);
+        assert_eq!(asked[0], format!("{}-0", fleet[index].zone), "{}", fleet[index].name);
     }
 }
 
 #[test]
 fn boxes_of_a_zone_agree_and_the_other_zones_come_last() {
     let fleet = fleet(&[("bornova", 19), ("buca", 16), ("cigli", 18)]);
-    let of_buca = |me: &usize| &*fleet[*me].zone == "buca";
+    let of_buca = |index: &usize| &*fleet[*index].zone == "buca";
     let orders: BTreeSet<Vec<String>> =
-        (0..fleet.len()).filter(of_buca).map(|me| asked(&fleet, me)).collect();
+        (0..fleet.len()).filter(of_buca).map(|index| asked(&fleet, index)).collect();
     assert_eq!(orders.len(), 1, "{orders:?}");
     let keepers = orders.first().expect("one");
     let zones: Vec<&str> =
@@ -55,11 +55,11 @@
         let zone = ["a", "b", "c", "d", "e", "f"];
         let fleet: Vec<Profile> =
             (0..boxes).map(|n| profile(&format!("box-{n}"), zone[n % zones], 10)).collect();
-        let asked: Vec<Vec<String>> = (0..boxes).map(|me| asked(&fleet, me)).collect();
+        let asked: Vec<Vec<String>> = (0..boxes).map(|index| asked(&fleet, index)).collect();
         let first: BTreeSet<&String> = asked.iter().map(|asked| &asked[0]).collect();
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
-        for (me, asked) in asked.iter().enumerate() {
-            let name = fleet[me].name.box_name();
+        for (index, asked) in asked.iter().enumerate() {
+            let name = fleet[index].name.box_name();
             let keeps = first.iter().any(|first| **first == name);
             assert_eq!(keeps, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
@@ -75,8 +75,8 @@
         (vec![("a", 2)], 1, vec!["a-0", "a-1"]),
         (vec![("a", 1), ("b", 1)], 1, vec!["b-0", "a-0"]),
     ];
-    for (zones, me, want) in cases {
-        assert_eq!(asked(&fleet(&zones), me), want, "{zones:?}");
+    for (zones, index, want) in cases {
+        assert_eq!(asked(&fleet(&zones), index), want, "{zones:?}");
     }
 }
 
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use gateway::{Settings, settings::Cold};
 
-const GOOD: &str = r#"{
+const MINIMAL: &str = r#"{
   // As the platform renders it.
   "box": "front-bornova-1",
   "zone": "bornova",
@@ -14,7 +14,7 @@
 
 #[test]
 fn minimal_settings_are_valid() {
-    let settings = Settings::read(GOOD).expect("valid");
+    let settings = Settings::read(MINIMAL).expect("valid");
     assert_eq!(&*settings.box_name, "front-bornova-1");
     assert_eq!(settings.listen.peers, None);
 }
@@ -34,7 +34,7 @@
         (r#"127.0.0.1:7000"#, r#"nowhere"#, "`store.address`: invalid socket address"),
     ];
     for (from, to, want) in cases {
-        let error = Settings::read(&GOOD.replace(from, to)).expect_err(to).to_string();
+        let error = Settings::read(&MINIMAL.replace(from, to)).expect_err(to).to_string();
         assert!(error.contains(want), "{to}: {error}");
     }
 }
@@ -53,9 +53,9 @@
         (r#""store": {"#, r#""money": { "share": 100 }, "store": {"#, vec![]),
         (r#""store": {"#, r#""log": { "level": "warn" }, "store": {"#, vec!["log"]),
     ];
-    let before = Settings::read(GOOD).expect("valid");
+    let before = Settings::read(MINIMAL).expect("valid");
     for (from, to, want) in cases {
-        let after = Settings::read(&GOOD.replace(from, to)).expect("valid");
+        let after = Settings::read(&MINIMAL.replace(from, to)).expect("valid");
         assert_ne!(before, after);
         assert_eq!(before.read_at_start(&after), want, "{to}");
     }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -14,28 +14,28 @@
 
 const SERVICE: &str = "plain";
 /// Choices made to show that an endpoint is never chosen.
-const MANY: usize = 40;
+const CHOICES: usize = 40;
 /// Longer than any time for which a leaving endpoint may still be chosen.
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIME: Duration = Duration::from_secs(60);
 /// Age of a response to a request that was sent just now.
-const AT_ONCE: Duration = Duration::ZERO;
+const JUST_NOW: Duration = Duration::ZERO;
 
 /// One box's view of some endpoints, and its clock.
-struct Known {
+struct View {
     endpoints: Endpoints,
     clock: Clock,
     listed: Vec<(Arc<str>, Entry)>,
 }
 
-impl Known {
-    fn open(ids: &[&str]) -> Known {
+impl View {
+    fn open(ids: &[&str]) -> View {
         let clock = Clock::manual();
         let endpoints = Endpoints::new("z1".into(), settings::Cold::default(), &clock, 7);
-        let mut known = Known { endpoints, clock, listed: Vec::new() };
+        let mut view = View { endpoints, clock, listed: Vec::new() };
         let entries = ids.iter().enumerate().map(|(n, id)| ((*id).into(), entry(n as u16, |_| {})));
-        known.listed = entries.collect();
-        known.update();
-        known
+        view.listed = entries.collect();
+        view.update();
+        view
     }
 
     fn update(&self) {
@@ -58,16 +58,16 @@
         tries.find(|chosen| &*chosen.id == id).expect("it takes work")
     }
 
-    fn gets_some(&self, id: &str) -> bool {
-        (0..MANY).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
+    fn is_chosen(&self, id: &str) -> bool {
+        (0..CHOICES).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
     }
 
-    fn hears(&self, chosen: &Chosen, said: &Said) -> Changes {
-        self.hears_of(chosen, said, AT_ONCE)
+    fn receive(&self, chosen: &Chosen, said: &Said) -> Changes {
+        self.receive_after(chosen, said, JUST_NOW)
     }
 
     /// Receives a response to a request that was sent `ago`.
-    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
+    fn receive_after(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
         let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
         self.endpoints.receive_signals(SERVICE, chosen, &head, ago)
     }
@@ -79,206 +79,206 @@
     Entry::read(&entry.entry().to_string()).expect("an entry")
 }
 
-fn leaves(leaves: bool) -> Said {
-    Said { leaves: Some(Word::Read(leaves)), ..Said::default() }
+fn leaving(leaving: bool) -> Said {
+    Said { leaves: Some(Word::Read(leaving)), ..Said::default() }
 }
 
 #[test]
 fn leaving_signal_is_final() {
-    type Later = fn(&mut Known, &Chosen);
+    type Later = fn(&mut View, &Chosen);
     let later: [(&str, Later); 8] = [
-        ("a response to an earlier request", |known, chosen| {
-            known.hears_of(chosen, &Said::default(), LONG);
+        ("a response to an earlier request", |view, chosen| {
+            view.receive_after(chosen, &Said::default(), LONG_TIME);
         }),
-        ("a response without the signal", |known, chosen| {
-            known.hears(chosen, &Said::default());
+        ("a response without the signal", |view, chosen| {
+            view.receive(chosen, &Said::default());
         }),
-        ("a response that says it stays", |known, chosen| {
-            known.hears(chosen, &leaves(false));
+        ("a response that says it stays", |view, chosen| {
+            view.receive(chosen, &leaving(false));
         }),
-        ("the same entry", |known, _| known.update()),
-        ("an entry of a later heartbeat", |known, _| known.relist(0, |entry| entry.beat = 99)),
-        ("an entry that lapsed and came back", |known, _| {
-            let lapsed = known.listed.remove(0);
-            known.update();
-            known.listed.insert(0, lapsed);
-            known.update();
+        ("the same entry", |view, _| view.update()),
+        ("an entry of a later heartbeat", |view, _| view.relist(0, |entry| entry.beat = 99)),
+        ("an entry that lapsed and came back", |view, _| {
+            let lapsed = view.listed.remove(0);
+            view.update();
+            view.listed.insert(0, lapsed);
+            view.update();
         }),
-        ("a suspension of the box", |known, _| known.clock.suspend(LONG)),
-        ("the signal, forwarded by a peer as new", |known, chosen| {
-            known.endpoints.receive_departure(&chosen.instance, chosen.address, true);
+        ("a suspension of the box", |view, _| view.clock.suspend(LONG_TIME)),
+        ("the signal, forwarded by a peer as new", |view, chosen| {
+            view.endpoints.receive_departure(&chosen.instance, chosen.address, true);
         }),
     ];
     for (what, later) in later {
-        let mut known = Known::open(&["i-1", "i-2"]);
-        let chosen = known.chosen("i-1");
-        assert_eq!(known.hears(&chosen, &leaves(true)), Changes { leaves: true, limit: false });
-        assert_eq!(known.hears(&chosen, &leaves(true)), Changes::default(), "already known");
-        later(&mut known, &chosen);
-        assert!(!known.gets_some("i-1"), "after {what}");
-        known.clock.suspend(LONG);
-        known.listed.remove(1);
-        known.update();
-        assert!(known.choose().is_none(), "after {what}, with no other endpoint");
-        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
+        let mut view = View::open(&["i-1", "i-2"]);
+        let chosen = view.chosen("i-1");
+        assert_eq!(view.receive(&chosen, &leaving(true)), Changes { leaves: true, limit: false });
+        assert_eq!(view.receive(&chosen, &leaving(true)), Changes::default(), "already known");
+        later(&mut view, &chosen);
+        assert!(!view.is_chosen("i-1"), "after {what}");
+        view.clock.suspend(LONG_TIME);
+        view.listed.remove(1);
+        view.update();
+        assert!(view.choose().is_none(), "after {what}, with no other endpoint");
+        assert!(view.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
     }
 }
 
 #[test]
 fn restarted_endpoint_is_chosen_again() {
-    let mut known = Known::open(&["i-1", "i-2"]);
-    known.relist(0, |entry| entry.born = Some(5));
-    known.clock.suspend(LONG);
-    let chosen = known.chosen("i-1");
-    known.hears(&chosen, &leaves(true));
-    known.clock.suspend(LONG);
-    assert!(!known.gets_some("i-1"));
-    known.relist(0, |entry| entry.born = Some(6));
-    known.clock.suspend(LONG);
-    assert!(known.gets_some("i-1"), "a new instance under the same id");
-    let chosen = known.chosen("i-2");
-    known.hears(&chosen, &leaves(true));
-    known.clock.suspend(LONG);
-    assert!(!known.gets_some("i-2"));
-    known.relist(1, |entry| entry.address = ([127, 0, 0, 1], 9).into());
-    known.clock.suspend(LONG);
-    assert!(known.gets_some("i-2"), "an instance without a start time, at another address");
+    let mut view = View::open(&["i-1", "i-2"]);
+    view.relist(0, |entry| entry.born = Some(5));
+    view.clock.suspend(LONG_TIME);
+    let chosen = view.chosen("i-1");
+    view.receive(&chosen, &leaving(true));
+    view.clock.suspend(LONG_TIME);
+    assert!(!view.is_chosen("i-1"));
+    view.relist(0, |entry| entry.born = Some(6));
+    view.clock.suspend(LONG_TIME);
+    assert!(view.is_chosen("i-1"), "a new instance under the same id");
+    let chosen = view.chosen("i-2");
+    view.receive(&chosen, &leaving(true));
+    view.clock.suspend(LONG_TIME);
+    assert!(!view.is_chosen("i-2"));
+    view.relist(1, |entry| entry.address = ([127, 0, 0, 1], 9).into());
+    view.clock.suspend(LONG_TIME);
+    assert!(view.is_chosen("i-2"), "an instance without a start time, at another address");
 }
 
 #[test]
 fn unreadable_signal_is_ignored_and_counted() {
-    let known = Known::open(&["i-1"]);
-    let chosen = known.chosen("i-1");
+    let view = View::open(&["i-1"]);
+    let chosen = view.chosen("i-1");
     let leaves = Some(Word::Unreadable("soon".into()));
     let unknown = vec![("server-mood".into(), "low".into())];
     for _ in 0..3 {
         let said = Said { leaves: leaves.clone(), unknown: unknown.clone(), ..Said::default() };
-        assert_eq!(known.hears(&chosen, &said), Changes::default());
+        assert_eq!(view.receive(&chosen, &said), Changes::default());
     }
-    known.clock.suspend(LONG);
-    assert!(known.gets_some("i-1"));
+    view.clock.suspend(LONG_TIME);
+    assert!(view.is_chosen("i-1"));
     let counted: Vec<(Arc<str>, u64)> =
         [(played::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
-    assert_eq!(known.endpoints.unread(), counted);
+    assert_eq!(view.endpoints.unread(), counted);
 }
 
 #[test]
 fn leaving_endpoint_is_a_last_resort_for_a_moment() {
-    let known = Known::open(&["i-1", "i-2"]);
+    let view = View::open(&["i-1", "i-2"]);
     for id in ["i-1", "i-2"] {
-        let chosen = known.chosen(id);
-        known.hears(&chosen, &leaves(true));
+        let chosen = view.chosen(id);
+        view.receive(&chosen, &leaving(true));
     }
-    known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
-    assert!(known.choose().is_some(), "the last resort until its successors are known");
-    assert_eq!(known.endpoints.retry_delay(SERVICE, 0), None, "no endpoint stays");
-    known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
-    assert!(known.choose().is_none(), "the last resort has ended");
+    view.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
+    assert!(view.choose().is_some(), "the last resort until its successors are known");
+    assert_eq!(view.endpoints.retry_delay(SERVICE, 0), None, "no endpoint stays");
+    view.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
+    assert!(view.choose().is_none(), "the last resort has ended");
 }
 
 #[test]
 fn departure_learned_at_start_excludes_at_once() {
-    let known = Known::open(&["i-1"]);
-    let chosen = known.chosen("i-1");
-    known.endpoints.receive_departure(&chosen.instance, chosen.address, false);
-    assert!(known.choose().is_none(), "its peers have known the departure for some time");
+    let view = View::open(&["i-1"]);
+    let chosen = view.chosen("i-1");
+    view.endpoints.receive_departure(&chosen.instance, chosen.address, false);
+    assert!(view.choose().is_none(), "its peers have known the departure for some time");
 }
 
 #[test]
 fn number_of_remembered_departures_is_bounded() {
-    let known = Known::open(&["i-1", "i-2"]);
-    let chosen = known.chosen("i-1");
-    known.hears(&chosen, &leaves(true));
-    known.clock.suspend(LONG);
-    known.update();
+    let view = View::open(&["i-1", "i-2"]);
+    let chosen = view.chosen("i-1");
+    view.receive(&chosen, &leaving(true));
+    view.clock.suspend(LONG_TIME);
+    view.update();
     for n in 0..6_000 {
         let instance: Arc<str> = format!("i-gone-{n}").into();
-        known.endpoints.receive_departure(&instance, ([127, 0, 0, 2], 1).into(), true);
+        view.endpoints.receive_departure(&instance, ([127, 0, 0, 2], 1).into(), true);
     }
     let remembered =
-        (0..6_000).filter(|n| known.endpoints.remembers_departure(&format!("i-gone-{n}")));
+        (0..6_000).filter(|n| view.endpoints.remembers_departure(&format!("i-gone-{n}")));
     assert!(remembered.count() <= 4_096);
-    known.clock.suspend(LONG);
-    assert!(!known.gets_some("i-1"), "the departure of a listed endpoint is not evicted");
+    view.clock.suspend(LONG_TIME);
+    assert!(!view.is_chosen("i-1"), "the departure of a listed endpoint is not evicted");
 }
 
 proptest! {
     /// Signals of one endpoint never exclude another one.
     #[test]
-    fn signals_affect_only_their_endpoint(words in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
-        let known = Known::open(&["i-1", "i-2"]);
-        let liar = known.chosen("i-1");
-        for word in words {
-            known.hears(&liar, &Said { leaves: word.map(Word::Read), ..Said::default() });
+    fn signals_affect_only_their_endpoint(signals in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
+        let view = View::open(&["i-1", "i-2"]);
+        let sender = view.chosen("i-1");
+        for word in signals {
+            view.receive(&sender, &Said { leaves: word.map(Word::Read), ..Said::default() });
         }
-        prop_assert!(known.gets_some("i-2"));
+        prop_assert!(view.is_chosen("i-2"));
     }
 }
 
-fn rests(ms: u64) -> Said {
+fn back_off(ms: u64) -> Said {
     Said { rest: Some(Word::Read(Duration::from_millis(ms))), ..Said::default() }
 }
 
 #[test]
 fn back_off_is_never_shortened() {
-    type Later = fn(&mut Known, &Chosen);
+    type Later = fn(&mut View, &Chosen);
     let later: [(&str, Later); 6] = [
-        ("a response to an earlier request", |known, chosen| {
-            known.hears_of(chosen, &Said::default(), LONG);
+        ("a response to an earlier request", |view, chosen| {
+            view.receive_after(chosen, &Said::default(), LONG_TIME);
         }),
-        ("a response", |known, chosen| {
-            known.hears(chosen, &Said::default());
+        ("a response", |view, chosen| {
+            view.receive(chosen, &Said::default());
         }),
-        ("a shorter back-off", |known, chosen| {
-            known.hears(chosen, &rests(100));
+        ("a shorter back-off", |view, chosen| {
+            view.receive(chosen, &back_off(100));
         }),
-        ("a back-off of 0", |known, chosen| {
-            known.hears(chosen, &rests(0));
+        ("a back-off of 0", |view, chosen| {
+            view.receive(chosen, &back_off(0));
         }),
-        ("an entry that lapsed and came back", |known, _| {
-            let lapsed = known.listed.remove(0);
-            known.update();
-            known.listed.insert(0, lapsed);
-            known.update();
+        ("an entry that lapsed and came back", |view, _| {
+            let lapsed = view.listed.remove(0);
+            view.update();
+            view.listed.insert(0, lapsed);
+            view.update();
         }),
-        ("a suspension of the box", |known, _| known.clock.suspend(Duration::from_millis(900))),
+        ("a suspension of the box", |view, _| view.clock.suspend(Duration::from_millis(900))),
     ];
     for (what, later) in later {
-        let mut known = Known::open(&["i-1", "i-2"]);
-        let chosen = known.chosen("i-1");
+        let mut view = View::open(&["i-1", "i-2"]);
+        let chosen = view.chosen("i-1");
         assert_eq!(
-            known.hears(&chosen, &rests(3_000)),
+            view.receive(&chosen, &back_off(3_000)),
             Changes::default(),
             "a back-off is not announced to peers"
         );
-        later(&mut known, &chosen);
-        assert!(!known.gets_some("i-1"), "after {what}");
-        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
-        known.clock.suspend(Duration::from_millis(2_000));
-        assert!(!known.gets_some("i-1"), "after {what}");
-        known.clock.suspend(Duration::from_millis(1_100));
+        later(&mut view, &chosen);
+        assert!(!view.is_chosen("i-1"), "after {what}");
+        assert!(view.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
+        view.clock.suspend(Duration::from_millis(2_000));
+        assert!(!view.is_chosen("i-1"), "after {what}");
+        view.clock.suspend(Duration::from_millis(1_100));
         assert!(
-            !known.endpoints.refuses_requests(SERVICE, &chosen),
+            !view.endpoints.refuses_requests(SERVICE, &chosen),
             "the back-off is over, after {what}"
         );
-        known.clock.suspend(LONG);
-        assert!(known.gets_some("i-1"), "well after the back-off, after {what}");
+        view.clock.suspend(LONG_TIME);
+        assert!(view.is_chosen("i-1"), "well after the back-off, after {what}");
     }
 }
 
 #[test]
 fn new_instance_starts_without_back_off_and_unreadable_back_off_is_short() {
-    let mut known = Known::open(&["i-1"]);
-    let chosen = known.chosen("i-1");
+    let mut view = View::open(&["i-1"]);
+    let chosen = view.chosen("i-1");
     let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
-    known.hears(&chosen, &said);
-    assert!(known.choose().is_none());
-    assert!(known.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
-    known.clock.suspend(Duration::from_millis(1_000));
-    assert!(known.gets_some("i-1"), "an unreadable back-off is short");
-    known.hears(&chosen, &rests(86_400_000));
-    known.clock.suspend(LONG);
-    assert!(known.choose().is_none(), "a back-off of a day");
-    known.relist(0, |entry| entry.born = Some(5));
-    assert!(known.gets_some("i-1"), "a new instance");
+    view.receive(&chosen, &said);
+    assert!(view.choose().is_none());
+    assert!(view.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
+    view.clock.suspend(Duration::from_millis(1_000));
+    assert!(view.is_chosen("i-1"), "an unreadable back-off is short");
+    view.receive(&chosen, &back_off(86_400_000));
+    view.clock.suspend(LONG_TIME);
+    assert!(view.choose().is_none(), "a back-off of a day");
+    view.relist(0, |entry| entry.born = Some(5));
+    assert!(view.is_chosen("i-1"), "a new instance");
 }
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -27,10 +27,10 @@
     (0..boxes).map(one).collect()
 }
 
-fn seen_from(fleet: &[Profile], me: usize) -> Watchers {
+fn watchers_seen_from(fleet: &[Profile], index: usize) -> Watchers {
     let others: Vec<Profile> =
-        fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
-    watchers(&fleet[me], &others)
+        fleet.iter().filter(|profile| **profile != fleet[index]).cloned().collect();
+    watchers(&fleet[index], &others)
 }
 
 fn names(watchers: &[Incarnation]) -> BTreeSet<&str> {
@@ -41,15 +41,19 @@
 fn boxes_agree_on_few_watchers() {
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
-        let first = seen_from(&fleet, 0);
+        let first = watchers_seen_from(&fleet, 0);
         assert_eq!(first.first.len(), count, "watchers of {boxes} boxes");
-        for me in 0..boxes {
-            let seen = seen_from(&fleet, me);
-            assert_eq!(names(&seen.first), names(&first.first), "as box {me} of {boxes} sees it");
+        for index in 0..boxes {
+            let seen = watchers_seen_from(&fleet, index);
+            assert_eq!(
+                names(&seen.first),
+                names(&first.first),
+                "as box {index} of {boxes} sees it"
+            );
             assert_eq!(
                 names(&seen.standby),
                 names(&first.standby),
-                "as box {me} of {boxes} sees it"
+                "as box {index} of {boxes} sees it"
             );
         }
         assert!(names(&first.first).is_disjoint(&names(&first.standby)));
@@ -59,17 +63,17 @@
 #[test]
 fn watchers_are_strong_and_share_the_subscribers() {
     let fleet = fleet(295);
-    let mut listeners = std::collections::BTreeMap::new();
-    for me in 0..fleet.len() {
-        let seen = seen_from(&fleet, me);
+    let mut subscriber_counts = std::collections::BTreeMap::new();
+    for index in 0..fleet.len() {
+        let seen = watchers_seen_from(&fleet, index);
         let strong = |name: &Incarnation| {
             fleet.iter().any(|profile| profile.name == *name && profile.strength == 50)
         };
         assert!(seen.all().all(strong));
-        *listeners.entry(seen.first[0].box_name().to_owned()).or_insert(0) += 1;
+        *subscriber_counts.entry(seen.first[0].box_name().to_owned()).or_insert(0) += 1;
     }
-    let most = listeners.values().max().copied().unwrap_or_default();
-    assert!(listeners.len() == 6 && most <= 120, "{listeners:?}");
+    let most = subscriber_counts.values().max().copied().unwrap_or_default();
+    assert!(subscriber_counts.len() == 6 && most <= 120, "{subscriber_counts:?}");
 }
 
 /// Guards against traffic between zones: snapshots are large, so boxes subscribe within their zone if they can.
@@ -83,16 +87,16 @@
             let profile = fleet.iter().find(|profile| profile.name == *name);
             profile.expect("one of the fleet").zone.clone()
         };
-        let watchers = seen_from(&fleet, 0).first;
+        let watchers = watchers_seen_from(&fleet, 0).first;
         let with_home: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
         assert_eq!(with_home.len(), in_zones, "{boxes} boxes: {watchers:?}");
-        for me in 0..boxes {
-            let heard = zone_of(&seen_from(&fleet, me).first[0]);
-            let own = &fleet[me].zone;
+        for index in 0..boxes {
+            let heard = zone_of(&watchers_seen_from(&fleet, index).first[0]);
+            let own = &fleet[index].zone;
             assert!(
                 heard == *own || !with_home.contains(own),
                 "{} subscribes in {heard}",
-                fleet[me].name
+                fleet[index].name
             );
         }
     }
@@ -179,9 +183,9 @@
     /// Another writer overwrites the entry with garbage.
     Overwrite { id: u8 },
     /// A watcher lists the store.
-    Look { home: usize },
+    List { watcher: usize },
     /// The subscriber receives changes since the last time, or a snapshot.
-    Hear { home: usize, whole: bool },
+    Receive { watcher: usize, whole: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -191,14 +195,14 @@
         1 => (0..6u8).prop_map(|id| Step::Restart { id }),
         1 => (0..6u8, 0..4usize).prop_map(|(id, ago)| Step::Late { id, ago }),
         1 => (0..6u8).prop_map(|id| Step::Overwrite { id }),
-        3 => (0..2usize).prop_map(|home| Step::Look { home }),
-        3 => (0..2usize, any::<bool>()).prop_map(|(home, whole)| Step::Hear { home, whole }),
+        3 => (0..2usize).prop_map(|watcher| Step::List { watcher }),
+        3 => (0..2usize, any::<bool>()).prop_map(|(watcher, whole)| Step::Receive { watcher, whole }),
     ]
 }
 
 /// A watcher: its view, the version of the store it is from, and its change log.
 #[derive(Default)]
-struct Home {
+struct Watcher {
     directory: Directory,
     change_log: ChangeLog,
     at: u64,
@@ -207,35 +211,36 @@
 
 /// A running endpoint.
 #[derive(Debug, Clone)]
-struct Lives {
-    life: u64,
+struct Endpoint {
+    instance: u64,
     beat: u64,
     ready: bool,
 }
 
-impl Lives {
+impl Endpoint {
     fn text(&self) -> String {
         let address = "127.0.0.1:1".parse().expect("an address");
         let listed = listed("engines", address);
-        let entry = Listed { ready: self.ready, born: Some(self.life), beat: self.beat, ..listed };
+        let entry =
+            Listed { ready: self.ready, born: Some(self.instance), beat: self.beat, ..listed };
         entry.entry().to_string()
     }
 }
 
 /// The store: entries with their versions, and the running endpoints.
 #[derive(Default)]
-struct Truth {
+struct StoreModel {
     entries: BTreeMap<Arc<str>, (u64, String)>,
     version: u64,
-    lives: u64,
-    living: BTreeMap<Arc<str>, Lives>,
+    starts: u64,
+    living: BTreeMap<Arc<str>, Endpoint>,
     /// Ended instances: id, instance, version of the store at the end.
     ended: Vec<(Arc<str>, u64, u64)>,
     /// All writes of each endpoint.
     written: BTreeMap<Arc<str>, Vec<String>>,
 }
 
-impl Truth {
+impl StoreModel {
     fn land(&mut self, id: &Arc<str>, text: String) {
         self.version += 1;
         self.entries.insert(id.clone(), (self.version, text));
@@ -243,10 +248,10 @@
 
     /// A heartbeat of an endpoint, which starts if it is not running.
     fn write(&mut self, id: &Arc<str>, ready: bool) {
-        let lives = &mut self.lives;
+        let starts = &mut self.starts;
         let endpoint = self.living.entry(id.clone()).or_insert_with(|| {
-            *lives += 1;
-            Lives { life: *lives, beat: 0, ready: true }
+            *starts += 1;
+            Endpoint { instance: *starts, beat: 0, ready: true }
         });
         endpoint.beat += 1;
         // A draining endpoint never becomes ready again.
@@ -260,86 +265,86 @@
     fn end(&mut self, id: &Arc<str>) {
         self.version += 1;
         if let Some(endpoint) = self.living.remove(id) {
-            self.ended.push((id.clone(), endpoint.life, self.version));
+            self.ended.push((id.clone(), endpoint.instance, self.version));
         }
     }
 
     /// Ready endpoints, with their instances.
     fn ready(&self) -> BTreeSet<(Arc<str>, u64)> {
         let ready = self.living.iter().filter(|(_, endpoint)| endpoint.ready);
-        ready.map(|(id, endpoint)| (id.clone(), endpoint.life)).collect()
+        ready.map(|(id, endpoint)| (id.clone(), endpoint.instance)).collect()
     }
 }
 
 #[derive(Default)]
 struct Run {
-    truth: Truth,
-    watchers: [Home; 2],
-    listener: Directory,
+    store: StoreModel,
+    watchers: [Watcher; 2],
+    subscriber: Directory,
     /// Instances whose removal the subscriber has received.
-    left: BTreeSet<(Arc<str>, u64)>,
+    removed: BTreeSet<(Arc<str>, u64)>,
 }
 
 /// Endpoints that are ready in a view, with their instances.
-fn ready_lives(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
-    let life = |entry: &Entry| entry.life.expect("each says it").to_string();
+fn ready_instances(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
+    let instance = |entry: &Entry| entry.life.expect("each says it").to_string();
     let ready = directory.ready();
-    ready.map(|(id, entry)| (id.clone(), life(entry).parse().expect("a number"))).collect()
+    ready.map(|(id, entry)| (id.clone(), instance(entry).parse().expect("a number"))).collect()
 }
 
 impl Run {
     fn step(&mut self, step: &Step) {
         let name = |id: &u8| -> Arc<str> { format!("i-{id}").into() };
         match step {
-            Step::Write { id, ready } => self.truth.write(&name(id), *ready),
+            Step::Write { id, ready } => self.store.write(&name(id), *ready),
             Step::Remove { id } => {
-                self.truth.end(&name(id));
-                self.truth.entries.remove(&name(id));
+                self.store.end(&name(id));
+                self.store.entries.remove(&name(id));
             }
             Step::Restart { id } => {
-                self.truth.end(&name(id));
-                self.truth.write(&name(id), true);
+                self.store.end(&name(id));
+                self.store.write(&name(id), true);
             }
             Step::Late { id, ago } => {
-                let written = self.truth.written.get(&name(id));
+                let written = self.store.written.get(&name(id));
                 if let Some(text) = written.and_then(|written| written.iter().rev().nth(*ago)) {
-                    self.truth.land(&name(id), text.clone());
+                    self.store.land(&name(id), text.clone());
                 }
             }
-            Step::Overwrite { id } => self.truth.land(&name(id), "[\"not\", 1, {}]".into()),
-            Step::Look { home } => self.look(*home),
-            Step::Hear { home, whole } => self.hear(*home, *whole),
+            Step::Overwrite { id } => self.store.land(&name(id), "[\"not\", 1, {}]".into()),
+            Step::List { watcher } => self.list_store(*watcher),
+            Step::Receive { watcher, whole } => self.receive(*watcher, *whole),
         }
     }
 
-    fn look(&mut self, home: usize) {
-        let home = &mut self.watchers[home];
+    fn list_store(&mut self, watcher: usize) {
+        let watcher = &mut self.watchers[watcher];
         let mut list = Vec::new();
-        for (id, (version, text)) in &self.truth.entries {
+        for (id, (version, text)) in &self.store.entries {
             match Entry::read(text) {
                 Ok(entry) => list.push((id.clone(), *version, entry)),
-                Err(_) => home.directory.remove(id, *version),
+                Err(_) => watcher.directory.remove(id, *version),
             }
         }
-        home.directory.list(list, self.truth.version, 0);
-        for (id, (version, text)) in &self.truth.entries {
-            if home.directory.version(id) == Some(*version) {
-                home.change_log.put("servers", id, *version, Some(text));
+        watcher.directory.list(list, self.store.version, 0);
+        for (id, (version, text)) in &self.store.entries {
+            if watcher.directory.version(id) == Some(*version) {
+                watcher.change_log.put("servers", id, *version, Some(text));
             }
         }
-        for (id, version) in home.change_log.names("servers") {
-            if home.directory.version(&id).is_none() {
-                let removed_at = home.directory.removed_at(&id).unwrap_or(version);
-                home.change_log.put("servers", &id, removed_at, None);
+        for (id, version) in watcher.change_log.names("servers") {
+            if watcher.directory.version(&id).is_none() {
+                let removed_at = watcher.directory.removed_at(&id).unwrap_or(version);
+                watcher.change_log.put("servers", &id, removed_at, None);
             }
         }
-        home.at = self.truth.version;
+        watcher.at = self.store.version;
     }
 
-    fn hear(&mut self, at: usize, whole: bool) {
-        let home = &mut self.watchers[at];
-        let (changes, whole) = home.change_log.since(if whole { 0 } else { home.told });
-        home.told = home.change_log.last();
+    fn receive(&mut self, at: usize, whole: bool) {
+        let watcher = &mut self.watchers[at];
+        let (changes, whole) = watcher.change_log.since(if whole { 0 } else { watcher.told });
+        watcher.told = watcher.change_log.last();
         let mut entries = Vec::new();
         for change in changes {
             match change.value {
@@ -348,19 +353,19 @@
                     entries.push((change.name, change.version, read));
                 }
                 None => {
-                    self.listener.remove(&change.name, change.version);
-                    let ended = self.truth.ended.iter();
+                    self.subscriber.remove(&change.name, change.version);
+                    let ended = self.store.ended.iter();
                     let told =
                         ended.filter(|(id, _, at)| *id == change.name && *at <= change.version);
-                    self.left.extend(told.map(|(id, life, _)| (id.clone(), *life)));
+                    self.removed.extend(told.map(|(id, instance, _)| (id.clone(), *instance)));
                 }
             }
         }
         match whole {
-            true => self.listener.mirror(entries, home.at),
+            true => self.subscriber.mirror(entries, watcher.at),
             false => {
                 for (id, version, entry) in entries {
-                    self.listener.set(id, version, entry);
+                    self.subscriber.set(id, version, entry);
                 }
             }
         }
@@ -378,25 +383,25 @@
         let mut newest: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for step in &steps {
             run.step(step);
-            for (id, life) in ready_lives(&run.listener) {
+            for (id, instance) in ready_instances(&run.subscriber) {
                 let known = newest.entry(id.clone()).or_default();
-                prop_assert!(*known <= life, "{id} went back from instance {known} to {life}");
-                *known = life;
+                prop_assert!(*known <= instance, "{id} went back from instance {known} to {instance}");
+                *known = instance;
             }
         }
-        for (id, endpoint) in run.truth.living.clone() {
-            run.truth.write(&id, endpoint.ready);
+        for (id, endpoint) in run.store.living.clone() {
+            run.store.write(&id, endpoint.ready);
         }
-        let dead = |id: &Arc<str>| !run.truth.living.contains_key(id);
+        let dead = |id: &Arc<str>| !run.store.living.contains_key(id);
         // Late writes of ended endpoints lapse.
-        let lapsed: Vec<Arc<str>> = run.truth.entries.keys().filter(|id| dead(id)).cloned().collect();
+        let lapsed: Vec<Arc<str>> = run.store.entries.keys().filter(|id| dead(id)).cloned().collect();
         for id in lapsed {
-            run.truth.version += 1;
-            run.truth.entries.remove(&id);
+            run.store.version += 1;
+            run.store.entries.remove(&id);
         }
-        run.look(last);
-        run.hear(last, true);
-        prop_assert_eq!(ready_lives(&run.listener), run.truth.ready());
+        run.list_store(last);
+        run.receive(last, true);
+        prop_assert_eq!(ready_instances(&run.subscriber), run.store.ready());
     }
 
     /// An instance whose removal was received never becomes ready again, unless its entry is written again.
@@ -407,8 +412,8 @@
             !matches!(step, Step::Late { .. } | Step::Overwrite { .. })
         }) {
             run.step(step);
-            let known = ready_lives(&run.listener);
-            prop_assert!(known.is_disjoint(&run.left), "{known:?} ready after the removal of {:?}", run.left);
+            let known = ready_instances(&run.subscriber);
+            prop_assert!(known.is_disjoint(&run.removed), "{known:?} ready after the removal of {:?}", run.removed);
         }
     }
 }
@@ -416,32 +421,41 @@
 /// Regression cases of the property above.
 #[test]
 fn removed_instance_stays_removed_in_regression_cases() {
-    let (look, hear) = (|home| Step::Look { home }, |home| Step::Hear { home, whole: false });
+    let (list_store, receive) =
+        (|watcher| Step::List { watcher }, |watcher| Step::Receive { watcher, whole: false });
     let ready = |id| Step::Write { id, ready: true };
     let orders = [
-        vec![ready(4), look(1), look(0), Step::Remove { id: 4 }, look(1), hear(1), hear(0)],
+        vec![
+            ready(4),
+            list_store(1),
+            list_store(0),
+            Step::Remove { id: 4 },
+            list_store(1),
+            receive(1),
+            receive(0),
+        ],
         vec![
             ready(2),
-            look(0),
+            list_store(0),
             ready(2),
             Step::Write { id: 0, ready: false },
-            look(1),
+            list_store(1),
             Step::Remove { id: 2 },
-            look(0),
-            hear(0),
-            hear(1),
+            list_store(0),
+            receive(0),
+            receive(1),
         ],
     ];
     for steps in orders {
         let mut run = Run::default();
         steps.iter().for_each(|step| run.step(step));
-        let known = ready_lives(&run.listener);
-        assert!(!run.left.is_empty() && known.is_disjoint(&run.left), "{known:?}");
+        let known = ready_instances(&run.subscriber);
+        assert!(!run.removed.is_empty() && known.is_disjoint(&run.removed), "{known:?}");
     }
 }
 
 /// Arbitrary JSON.
-fn anything() -> impl Strategy<Value = Value> {
+fn arbitrary_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -464,10 +478,10 @@
     /// specifies; reading never panics.
     #[test]
     fn malformed_entries_are_rejected(
-        whole in anything(),
+        whole in arbitrary_json(),
         field in 0..ENTRY_FIELDS.len(),
-        value in anything(),
-        born in anything(),
+        value in arbitrary_json(),
+        born in arbitrary_json(),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         let sound = || listed("engines", "127.0.0.1:1".parse().expect("an address")).entry();
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -30,32 +30,32 @@
 
 /// Fault that a variant of the model has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Broken {
-    Nothing,
+enum Fault {
+    NoFault,
     /// A settlement whose response was lost is made again under a new number.
-    Blind,
+    RepeatUnknownWrite,
     /// A loan counts each time that its response arrives.
-    ReceiveTwice,
+    CountLoanTwice,
     /// The book frees what a dead box held.
-    FreeDead,
+    FreeTokensOfDead,
     /// The book forgets which transfers it has counted.
     ForgetTransfers,
     /// A box that shuts down also returns what running requests have reserved.
-    LeaveEarly,
+    ReturnReserved,
     /// A box assumes that its witness has a promise whose response was lost.
-    PromiseBlind,
+    AssumePromiseAccepted,
     /// A witness reports what it was promised under an earlier term.
-    OldNaming,
+    ReportEarlierTerm,
     /// A box spends tokens that it promised to keep.
     SpendKept,
     /// A keeper passes tokens on without deducting them.
-    PassTwice,
+    PassOnWithoutDeducting,
     /// Tokens from a keeper count each time that the response arrives.
-    DrawnTwice,
+    CountDrawTwice,
     /// An incarnation of a keeper accepts reports meant for an earlier one.
-    WrongLife,
+    AcceptForEarlierIncarnation,
     /// A keeper takes back what it passed on to a box that died.
-    FreePassed,
+    ReclaimFromDead,
     /// The book frees the untouched tokens of a dead box each time that they are reported.
     CollectTwice,
     /// The kept tokens of a living box are collected, and its witness goes on accepting its promises.
@@ -79,23 +79,23 @@
     /// One box borrows from another; the response may be lost, or arrive twice.
     Lend { from: usize, to: usize, tokens: u64, arrives: usize },
     /// The next settlement of a box names another box as its witness.
-    Name { at: usize, witness: usize },
+    NameWitness { at: usize, witness: usize },
     /// A box promises its witness what it keeps; request and response may be lost.
     Promise { at: usize, arrives: bool, answered: bool },
     /// A box draws tokens from a keeper; request and response may be lost, and are recorded for repetition.
     Draw { at: usize, keeper: usize, need: u64, ahead: u64, arrives: bool, answered: bool },
     /// A box reports its use to a keeper and returns idle tokens.
-    Tell { at: usize, keeper: usize, arrives: bool, answered: bool },
+    Report { at: usize, keeper: usize, arrives: bool, answered: bool },
     /// An earlier request to a keeper arrives late or again, at the incarnation that runs now.
-    AskAgain { which: usize },
+    RepeatRequest { which: usize },
     /// An earlier response of a keeper arrives late or again.
-    AnswerAgain { which: usize },
+    RepeatResponse { which: usize },
     /// A box crashes and restarts; its witness may be unreachable then.
-    Die { at: usize, asked: bool },
+    Crash { at: usize, asked: bool },
     /// A box asks the witness of an ended incarnation that has an open claim in the book.
     Collect { at: usize, which: usize },
     /// A box shuts down and restarts.
-    Leave { at: usize },
+    ShutDown { at: usize },
 }
 
 struct Node {
@@ -105,7 +105,7 @@
     write: u64,
     pending: Option<Settlement>,
     /// Grants of the last write, while its outcome is unknown.
-    unsure: Option<Vec<Granted>>,
+    unconfirmed_grants: Option<Vec<Granted>>,
     /// The witness in the book, as far as the box knows.
     named: Option<Witness>,
     /// The witness that the next settlement names.
@@ -118,18 +118,18 @@
 }
 
 impl Node {
-    fn start(at: usize, life: u64) -> Node {
+    fn start(at: usize, incarnation: u64) -> Node {
         let funds = Funds::open();
         let text = played::config(1, PAID, &["stream"]);
         funds.configure(&Table::new(Config::read(&text).expect("valid")));
-        let name = Incarnation::new(&format!("box-{at}"), life);
+        let name = Incarnation::new(&format!("box-{at}"), incarnation);
         Node {
             name,
             funds,
             holds: Vec::new(),
             write: 0,
             pending: None,
-            unsure: None,
+            unconfirmed_grants: None,
             named: None,
             names: None,
             promises: 0,
@@ -141,7 +141,7 @@
 
 /// A request to a keeper.
 #[derive(Debug, Clone)]
-struct Question {
+struct KeeperRequest {
     from: Incarnation,
     keeper: Incarnation,
     items: Vec<Demand>,
@@ -149,49 +149,58 @@
 
 /// The response of a keeper.
 #[derive(Debug, Clone)]
-struct Answer {
+struct KeeperResponse {
     to: Incarnation,
-    question: Question,
+    request: KeeperRequest,
     given: Vec<Supply>,
 }
 
-struct World {
+struct Model {
     /// All requests that were ever sent to keepers.
-    questions: Vec<Question>,
-    answers: Vec<Answer>,
+    requests: Vec<KeeperRequest>,
+    responses: Vec<KeeperResponse>,
     book: Book,
     nodes: Vec<Node>,
-    lives: u64,
+    incarnations: u64,
     /// Tokens that requests used: as charged, or their worst case if the box died.
     used: u64,
-    broken: Broken,
+    fault: Fault,
     /// Term of the last promise, by holder and witness.
     terms: HashMap<(Incarnation, Incarnation), u64>,
     /// Tokens of the last promise that each box's witness accepted.
-    taken: HashMap<Incarnation, BTreeMap<Arc<str>, u64>>,
+    accepted: HashMap<Incarnation, BTreeMap<Arc<str>, u64>>,
 }
 
 fn customer() -> Arc<str> {
     "bornova".into()
 }
 
-impl World {
-    fn new(broken: Broken) -> World {
+impl Model {
+    fn new(fault: Fault) -> Model {
         let nodes = (0..BOXES).map(|at| Node::start(at, at as u64)).collect();
         let book = Book::default();
-        let lives = BOXES as u64;
-        let (questions, answers, terms) = (Vec::new(), Vec::new(), HashMap::new());
-        let taken = HashMap::new();
-        let mut world =
-            World { questions, answers, book, nodes, lives, used: 0, broken, terms, taken };
-        (0..BOXES).for_each(|at| world.name(at, (at + 1) % BOXES));
-        world
+        let incarnations = BOXES as u64;
+        let (requests, responses, terms) = (Vec::new(), Vec::new(), HashMap::new());
+        let accepted = HashMap::new();
+        let mut model = Model {
+            requests,
+            responses,
+            book,
+            nodes,
+            incarnations,
+            used: 0,
+            fault,
+            terms,
+            accepted,
+        };
+        (0..BOXES).for_each(|at| model.name(at, (at + 1) % BOXES));
+        model
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Hold { at, tokens } => {
-                if self.broken == Broken::SpendKept {
+                if self.fault == Fault::SpendKept {
                     self.nodes[at].funds.clear_promise();
                 }
                 let hold = self.nodes[at].funds.try_hold(&customer(), tokens);
@@ -210,7 +219,7 @@
             }
             Step::Write { at, answered } => self.write(at, answered),
             Step::Lend { from, to, tokens, arrives } => self.lend(from, to, tokens, arrives),
-            Step::Name { at, witness } => self.name(at, witness),
+            Step::NameWitness { at, witness } => self.name(at, witness),
             Step::Promise { at, arrives, answered } => self.promise(at, arrives, answered),
             Step::Draw { at, keeper, need, ahead, arrives, answered } => {
                 if at != keeper {
@@ -218,29 +227,29 @@
                     self.draw(at, keeper, Some(worst), ahead, arrives, answered);
                 }
             }
-            Step::Tell { at, keeper, arrives, answered } => {
+            Step::Report { at, keeper, arrives, answered } => {
                 if at != keeper {
                     self.draw(at, keeper, None, 0, arrives, answered);
                 }
             }
-            Step::AskAgain { which } => {
-                if let Some(question) = pick(&self.questions, which) {
-                    self.ask(question);
+            Step::RepeatRequest { which } => {
+                if let Some(request) = pick(&self.requests, which) {
+                    self.deliver_request(request);
                 }
             }
-            Step::AnswerAgain { which } => {
-                if let Some(answer) = pick(&self.answers, which) {
-                    self.answer(answer);
+            Step::RepeatResponse { which } => {
+                if let Some(response) = pick(&self.responses, which) {
+                    self.response(response);
                 }
             }
-            Step::Die { at, asked } => self.die(at, asked),
+            Step::Crash { at, asked } => self.crash(at, asked),
             Step::Collect { at, which } => self.collect(at, which),
-            Step::Leave { at } => self.leave(at),
+            Step::ShutDown { at } => self.shut_down(at),
         }
     }
 
     fn collect(&mut self, at: usize, which: usize) {
-        if self.broken == Broken::CollectLiving {
+        if self.fault == Fault::CollectLiving {
             self.claim_living(which % BOXES);
         }
         let open: Vec<_> = self.book.claims.iter().map(|(n, c)| (n.clone(), c.clone())).collect();
@@ -248,8 +257,8 @@
         let known = |name: &Incarnation| self.nodes.iter().any(|node| node.name == *name);
         let by = self.nodes.iter().find(|node| node.name == claim.witness.by);
         let tokens = match by {
-            Some(_) if self.broken == Broken::CollectLiving && known(&holder) => {
-                self.taken.get(&holder).cloned().unwrap_or_default()
+            Some(_) if self.fault == Fault::CollectLiving && known(&holder) => {
+                self.accepted.get(&holder).cloned().unwrap_or_default()
             }
             Some(by) => by.records.seal(&holder, claim.witness.term).unwrap_or_default(),
             // The witness has died.
@@ -303,7 +312,7 @@
         let Some(tokens) = node.funds.promise() else { return };
         node.promises += 1;
         let promise = Promise { term: witness.term, number: node.promises, tokens: tokens.clone() };
-        let (name, blind) = (node.name.clone(), self.broken == Broken::PromiseBlind);
+        let (name, blind) = (node.name.clone(), self.fault == Fault::AssumePromiseAccepted);
         let Some(by) = self.nodes.iter().position(|node| node.name == witness.by) else {
             // The witness has restarted and lost its records.
             if answered {
@@ -311,12 +320,13 @@
             }
             return;
         };
-        let taken = arrives && self.nodes[by].records.take(&name, promise) == Acceptance::Accepted;
-        if taken {
-            self.taken.insert(name.clone(), tokens.clone());
+        let accepted =
+            arrives && self.nodes[by].records.take(&name, promise) == Acceptance::Accepted;
+        if accepted {
+            self.accepted.insert(name.clone(), tokens.clone());
             self.terms.insert((name, witness.by), witness.term);
         }
-        if (taken && answered) || blind {
+        if (accepted && answered) || blind {
             self.nodes[at].funds.promise_accepted(&tokens);
         }
     }
@@ -326,8 +336,8 @@
         let witness = self.book.writers.get(holder)?.witness.clone()?;
         let by = self.nodes.iter().find(|node| node.name == witness.by)?;
         let newest = self.terms.get(&(holder.clone(), witness.by.clone())).copied();
-        let term = match self.broken {
-            Broken::OldNaming => newest.unwrap_or(witness.term),
+        let term = match self.fault {
+            Fault::ReportEarlierTerm => newest.unwrap_or(witness.term),
             _ => witness.term,
         };
         let tokens = by.records.seal(holder, term)?;
@@ -335,46 +345,46 @@
     }
 
     fn write(&mut self, at: usize, answered: bool) {
-        let broken = self.broken;
+        let fault = self.fault;
         let node = &mut self.nodes[at];
         let Some(settlement) = node.pending.take() else { return };
         let landed = self.book.has(&settlement.holder, settlement.writer.write);
         let granted = match landed {
-            true => node.unsure.take().expect("a write that landed had a result"),
+            true => node.unconfirmed_grants.take().expect("a write that landed had a result"),
             false => self.book.settle(&settlement, POLICY),
         };
-        if broken == Broken::CollectTwice && !landed {
+        if fault == Fault::CollectTwice && !landed {
             let free = |untouched: &Untouched| untouched.tokens.values().sum::<u64>();
             let again: u64 = settlement.earlier.iter().map(free).sum();
             self.book.ledgers.values_mut().for_each(|l| l.spent = l.spent.saturating_sub(again));
         }
-        if broken == Broken::ForgetClaims {
+        if fault == Fault::ForgetClaims {
             for name in std::mem::take(&mut self.book.claims).into_keys() {
                 for ledger in self.book.ledgers.values_mut() {
                     ledger.grants.remove(&name);
                 }
             }
         }
-        if broken == Broken::ForgetTransfers {
+        if fault == Fault::ForgetTransfers {
             self.book.ledgers.values_mut().for_each(|ledger| ledger.passed.clear());
         }
         match answered {
             true => {
-                node.unsure = None;
+                node.unconfirmed_grants = None;
                 node.funds.landed(&settlement, granted);
                 if node.named != settlement.writer.witness {
                     node.named = settlement.writer.witness.clone();
                     node.funds.clear_promise();
                 }
             }
-            false if broken == Broken::Blind => {
+            false if fault == Fault::RepeatUnknownWrite => {
                 // The same settlement under a new number, as if the first write had failed.
                 node.write += 1;
                 let writer = Writer { write: node.write, ..settlement.writer.clone() };
                 node.pending = Some(Settlement { writer, ..settlement });
             }
             false => {
-                node.unsure = Some(granted);
+                node.unconfirmed_grants = Some(granted);
                 node.pending = Some(settlement);
             }
         }
@@ -385,9 +395,10 @@
             return;
         }
         let receiver = self.nodes[to].name.clone();
-        let giver = &self.nodes[from];
-        let lent: Option<Transfer> = giver.funds.lend(&customer(), tokens, &giver.name, &receiver);
-        let times = if self.broken == Broken::ReceiveTwice { arrives } else { arrives.min(1) };
+        let lender = &self.nodes[from];
+        let lent: Option<Transfer> =
+            lender.funds.lend(&customer(), tokens, &lender.name, &receiver);
+        let times = if self.fault == Fault::CountLoanTwice { arrives } else { arrives.min(1) };
         for _ in 0..times {
             let passed = lent.clone().into_iter();
             passed.for_each(|transfer| self.nodes[to].funds.receive(&customer(), transfer));
@@ -408,63 +419,63 @@
         let asked = worst.map(|worst| (&name, worst));
         let mut items = self.nodes[at].funds.demands(&keeper, asked);
         items.iter_mut().for_each(|told| told.ahead = ahead);
-        let question = Question { from, keeper, items };
-        self.questions.push(question.clone());
-        if arrives && let Some(answer) = self.ask(question) {
-            self.answers.push(answer.clone());
+        let request = KeeperRequest { from, keeper, items };
+        self.requests.push(request.clone());
+        if arrives && let Some(response) = self.deliver_request(request) {
+            self.responses.push(response.clone());
             if answered {
-                self.answer(answer);
+                self.response(response);
             }
         }
     }
 
     /// Delivers a request to the keeper; returns its response.
-    fn ask(&mut self, question: Question) -> Option<Answer> {
-        let at = self.nodes.iter().position(|node| match self.broken {
-            Broken::WrongLife => node.name.box_name() == question.keeper.box_name(),
-            _ => node.name == question.keeper,
+    fn deliver_request(&mut self, request: KeeperRequest) -> Option<KeeperResponse> {
+        let at = self.nodes.iter().position(|node| match self.fault {
+            Fault::AcceptForEarlierIncarnation => node.name.box_name() == request.keeper.box_name(),
+            _ => node.name == request.keeper,
         })?;
         let funds = &self.nodes[at].funds;
-        funds.receive_report(&question.from, &question.items);
-        for told in &question.items {
-            if told.need > 0 && funds.try_pass_on(&question.from, told) {
-                let tokens = funds.given(&question.from, std::slice::from_ref(told))[0].given;
-                if self.broken == Broken::PassTwice {
+        funds.receive_report(&request.from, &request.items);
+        for told in &request.items {
+            if told.need > 0 && funds.try_pass_on(&request.from, told) {
+                let tokens = funds.given(&request.from, std::slice::from_ref(told))[0].given;
+                if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
                     let share = ledger::Share { given: tokens, returned: tokens, ..told.share };
                     let back = Demand { share, need: 0, least: 0, ..told.clone() };
-                    funds.receive_report(&question.from, &[back]);
+                    funds.receive_report(&request.from, &[back]);
                 }
             }
         }
-        let given = funds.given(&question.from, &question.items);
-        Some(Answer { to: question.from.clone(), question, given })
+        let given = funds.given(&request.from, &request.items);
+        Some(KeeperResponse { to: request.from.clone(), request, given })
     }
 
-    fn answer(&mut self, answer: Answer) {
-        let Some(at) = self.nodes.iter().position(|node| node.name == answer.to) else { return };
+    fn response(&mut self, response: KeeperResponse) {
+        let Some(at) = self.nodes.iter().position(|node| node.name == response.to) else { return };
         let node = &self.nodes[at];
-        let Question { keeper, items, .. } = &answer.question;
-        let keeper = match self.broken {
+        let KeeperRequest { keeper, items, .. } = &response.request;
+        let keeper = match self.fault {
             // Each response counts as that of another keeper.
-            Broken::DrawnTwice => Incarnation::new("any", self.answers.len() as u64),
+            Fault::CountDrawTwice => Incarnation::new("any", self.responses.len() as u64),
             _ => keeper.clone(),
         };
-        node.funds.drawn(&keeper, items, &answer.given);
+        node.funds.drawn(&keeper, items, &response.given);
     }
 
-    fn die(&mut self, at: usize, asked: bool) {
+    fn crash(&mut self, at: usize, asked: bool) {
         // The use of its running requests is unknown: assume their worst case.
         let lost: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
         self.used += lost;
-        if self.broken == Broken::FreeDead {
+        if self.fault == Fault::FreeTokensOfDead {
             let name = self.nodes[at].name.clone();
             for ledger in self.book.ledgers.values_mut() {
                 ledger.end(&name);
             }
         }
-        if self.broken == Broken::FreePassed {
-            self.free_passed(at);
+        if self.fault == Fault::ReclaimFromDead {
+            self.reclaim_from_dead(at);
         }
         let name = self.nodes[at].name.clone();
         let untouched = if asked { self.untouched(&name) } else { None };
@@ -473,7 +484,7 @@
     }
 
     /// Keepers take back what they passed on to a dead box, as if none of it was used.
-    fn free_passed(&mut self, at: usize) {
+    fn reclaim_from_dead(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         for node in &self.nodes {
             let told = Demand {
@@ -489,11 +500,11 @@
         }
     }
 
-    fn leave(&mut self, at: usize) {
+    fn shut_down(&mut self, at: usize) {
         while self.nodes[at].pending.is_some() {
             self.write(at, true);
         }
-        if self.broken == Broken::LeaveEarly {
+        if self.fault == Fault::ReturnReserved {
             // Running requests go on after the last settlement.
             let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
             self.used += held;
@@ -509,8 +520,8 @@
     }
 
     fn restart(&mut self, at: usize) {
-        self.lives += 1;
-        self.nodes[at] = Node::start(at, self.lives);
+        self.incarnations += 1;
+        self.nodes[at] = Node::start(at, self.incarnations);
         self.name(at, (at + 1) % BOXES);
     }
 
@@ -543,7 +554,7 @@
             while !self.nodes[at].holds.is_empty() {
                 self.end(at, 100);
             }
-            self.leave(at);
+            self.shut_down(at);
         }
         self.check()?;
         let Some(ledger) = self.book.ledgers.get("bornova") else { return Ok(()) };
@@ -574,7 +585,7 @@
             .prop_map(|(at, answered)| Step::Write { at, answered }),
         4 => (at.clone(), at.clone(), 100u64..9_000, 0usize..3)
             .prop_map(|(from, to, tokens, arrives)| Step::Lend { from, to, tokens, arrives }),
-        2 => (at.clone(), at.clone()).prop_map(|(at, witness)| Step::Name { at, witness }),
+        2 => (at.clone(), at.clone()).prop_map(|(at, witness)| Step::NameWitness { at, witness }),
         5 => (at.clone(), prop::bool::weighted(0.8), prop::bool::weighted(0.7))
             .prop_map(|(at, arrives, answered)| Step::Promise { at, arrives, answered }),
         5 => (at.clone(), at.clone(), size(), 0u64..2_000, often(), often()).prop_map(
@@ -583,28 +594,28 @@
             }
         ),
         3 => (at.clone(), at.clone(), often(), often()).prop_map(
-            |(at, keeper, arrives, answered)| Step::Tell { at, keeper, arrives, answered }
+            |(at, keeper, arrives, answered)| Step::Report { at, keeper, arrives, answered }
         ),
-        2 => (0usize..1_000).prop_map(|which| Step::AskAgain { which }),
-        2 => (0usize..1_000).prop_map(|which| Step::AnswerAgain { which }),
+        2 => (0usize..1_000).prop_map(|which| Step::RepeatRequest { which }),
+        2 => (0usize..1_000).prop_map(|which| Step::RepeatResponse { which }),
         1 => (at.clone(), prop::bool::weighted(0.6))
-            .prop_map(|(at, asked)| Step::Die { at, asked }),
+            .prop_map(|(at, asked)| Step::Crash { at, asked }),
         2 => (at.clone(), 0usize..10).prop_map(|(at, which)| Step::Collect { at, which }),
-        1 => at.prop_map(|at| Step::Leave { at }),
+        1 => at.prop_map(|at| Step::ShutDown { at }),
     ]
 }
 
-fn run(steps: &[Step], broken: Broken) -> Result<(), String> {
-    let mut world = World::new(broken);
+fn run(steps: &[Step], fault: Fault) -> Result<(), String> {
+    let mut model = Model::new(fault);
     // The first settlement registers a box, the second one brings tokens.
     let opening = (0..BOXES).flat_map(|at| [Step::Plan { at }, Step::Write { at, answered: true }]);
     let opening: Vec<Step> = opening.collect();
     let all = opening.iter().chain(&opening).chain(steps);
     for (number, step) in all.enumerate() {
-        world.step(step);
-        world.check().map_err(|error| format!("after step {number}, {step:?}: {error}"))?;
+        model.step(step);
+        model.check().map_err(|error| format!("after step {number}, {step:?}: {error}"))?;
     }
-    world.finish()
+    model.finish()
 }
 
 /// Runs the same cases every time.
@@ -622,7 +633,7 @@
 
     #[test]
     fn no_order_of_events_overspends(steps in prop::collection::vec(step(), 0..120)) {
-        if let Err(error) = run(&steps, Broken::Nothing) {
+        if let Err(error) = run(&steps, Fault::NoFault) {
             prop_assert!(false, "{}", error);
         }
     }
@@ -632,24 +643,24 @@
 fn faults_are_caught() {
     use proptest::{strategy::ValueTree, test_runner::TestRunner};
     let variants = [
-        Broken::Blind,
-        Broken::ReceiveTwice,
-        Broken::FreeDead,
-        Broken::ForgetTransfers,
-        Broken::LeaveEarly,
-        Broken::PassTwice,
-        Broken::DrawnTwice,
-        Broken::FreePassed,
-        Broken::ForgetClaims,
+        Fault::RepeatUnknownWrite,
+        Fault::CountLoanTwice,
+        Fault::FreeTokensOfDead,
+        Fault::ForgetTransfers,
+        Fault::ReturnReserved,
+        Fault::PassOnWithoutDeducting,
+        Fault::CountDrawTwice,
+        Fault::ReclaimFromDead,
+        Fault::ForgetClaims,
     ];
-    for broken in variants {
+    for fault in variants {
         let mut runner = TestRunner::deterministic();
         let steps = prop::collection::vec(step(), 60..160);
         let caught = (0..400).any(|_| {
             let steps = steps.new_tree(&mut runner).expect("a case").current();
-            std::panic::catch_unwind(|| run(&steps, broken)).map_or(true, |ran| ran.is_err())
+            std::panic::catch_unwind(|| run(&steps, fault)).map_or(true, |ran| ran.is_err())
         });
-        assert!(caught, "{broken:?} was not caught");
+        assert!(caught, "{fault:?} was not caught");
     }
 }
 
@@ -658,12 +669,12 @@
 fn rare_faults_are_caught() {
     let settle = |at| [Step::Plan { at }, Step::Write { at, answered: true }];
     let promise = |arrives| Step::Promise { at: 0, arrives, answered: arrives };
-    let large = || Step::Hold { at: 0, tokens: 8_000 };
-    let dies = [Step::Die { at: 0, asked: true }].into_iter().chain(settle(0));
+    let large_hold = || Step::Hold { at: 0, tokens: 8_000 };
+    let dies = [Step::Crash { at: 0, asked: true }].into_iter().chain(settle(0));
     // An unserved request makes the box draw its third of the tokens, which it promises to keep.
-    let too_large = || Step::Hold { at: 0, tokens: 3 * 8_000 };
-    let keeps = || [too_large()].into_iter().chain(settle(0)).chain([promise(true)]);
-    let named = |witness| [Step::Name { at: 0, witness }].into_iter().chain(settle(0));
+    let oversized_hold = || Step::Hold { at: 0, tokens: 3 * 8_000 };
+    let keeps = || [oversized_hold()].into_iter().chain(settle(0)).chain([promise(true)]);
+    let named = |witness| [Step::NameWitness { at: 0, witness }].into_iter().chain(settle(0));
     // Reserves all tokens that any box considers free.
     let holds_all = || {
         let sizes = (0..14).rev().map(|bit| 1 << bit).cycle().take(28);
@@ -671,49 +682,56 @@
         all.collect::<Vec<_>>()
     };
     let draw = Step::Draw { at: 0, keeper: 1, need: 50, ahead: 0, arrives: true, answered: true };
-    let demands = Step::Tell { at: 0, keeper: 1, arrives: true, answered: true };
+    let demands = Step::Report { at: 0, keeper: 1, arrives: true, answered: true };
     // A return to one incarnation of a keeper is delivered again to the next one.
-    let wrong_life = [draw.clone(), demands, Step::Leave { at: 1 }];
-    let wrong_life = wrong_life.into_iter().chain(settle(1)).chain(settle(1)).chain([draw]);
-    let wrong_life = wrong_life.chain([Step::AskAgain { which: 1 }]).chain(holds_all());
+    let wrong_incarnation = [draw.clone(), demands, Step::ShutDown { at: 1 }];
+    let wrong_incarnation =
+        wrong_incarnation.into_iter().chain(settle(1)).chain(settle(1)).chain([draw]);
+    let wrong_incarnation =
+        wrong_incarnation.chain([Step::RepeatRequest { which: 1 }]).chain(holds_all());
     // A box dies while its witness is unreachable, its next incarnation opens the claim, another box collects.
-    let dies_unasked = [Step::Die { at: 0, asked: false }].into_iter().chain(settle(0));
+    let dies_unasked = [Step::Crash { at: 0, asked: false }].into_iter().chain(settle(0));
     let collects = || [Step::Collect { at: 2, which: 0 }].into_iter().chain(settle(2));
     // Uses enough tokens first that those freed twice can be spent.
-    let uses =
-        [too_large()].into_iter().chain(settle(0)).chain([Step::Hold { at: 0, tokens: 3_000 }]);
+    let uses = [oversized_hold()]
+        .into_iter()
+        .chain(settle(0))
+        .chain([Step::Hold { at: 0, tokens: 3_000 }]);
     let twice = uses.chain([promise(true)]).chain(dies_unasked).chain(collects());
     let draws = || (0..BOXES).flat_map(settle).chain((0..BOXES).flat_map(settle));
-    let cases: [(Broken, Vec<Step>); 6] = [
-        (Broken::CollectTwice, twice.chain(draws()).chain(holds_all()).collect()),
+    let cases: [(Fault, Vec<Step>); 6] = [
+        (Fault::CollectTwice, twice.chain(draws()).chain(holds_all()).collect()),
         (
-            Broken::CollectLiving,
+            Fault::CollectLiving,
             keeps()
                 .chain(collects())
-                .chain([large(), promise(true), large()])
+                .chain([large_hold(), promise(true), large_hold()])
                 .chain(draws())
                 .chain(holds_all())
                 .collect(),
         ),
-        (Broken::WrongLife, wrong_life.collect()),
-        (Broken::SpendKept, keeps().chain([large()]).chain(dies.clone()).collect()),
+        (Fault::AcceptForEarlierIncarnation, wrong_incarnation.collect()),
+        (Fault::SpendKept, keeps().chain([large_hold()]).chain(dies.clone()).collect()),
         (
-            Broken::PromiseBlind,
-            keeps().chain([large(), promise(false), large()]).chain(dies.clone()).collect(),
+            Fault::AssumePromiseAccepted,
+            keeps()
+                .chain([large_hold(), promise(false), large_hold()])
+                .chain(dies.clone())
+                .collect(),
         ),
         (
-            Broken::OldNaming,
-            keeps().chain(named(2)).chain(named(1)).chain([large()]).chain(dies).collect(),
+            Fault::ReportEarlierTerm,
+            keeps().chain(named(2)).chain(named(1)).chain([large_hold()]).chain(dies).collect(),
         ),
     ];
-    for (broken, steps) in cases {
+    for (fault, steps) in cases {
         assert_eq!(
-            run(&steps, Broken::Nothing),
+            run(&steps, Fault::NoFault),
             Ok(()),
-            "the steps for {broken:?} pass without the fault"
+            "the steps for {fault:?} pass without the fault"
         );
-        let caught = std::panic::catch_unwind(|| run(&steps, broken));
-        assert!(caught.map_or(true, |ran| ran.is_err()), "{broken:?} was not caught");
+        let caught = std::panic::catch_unwind(|| run(&steps, fault));
+        assert!(caught.map_or(true, |ran| ran.is_err()), "{fault:?} was not caught");
     }
 }
 
