--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -59,11 +59,11 @@
     ];
     for (found, expected) in cases {
         let (crashes, probes) = broken(found.len() as u16).await;
-        let asked = request();
-        let mut verdict = pin!(crashes.verdict(&asked, Instant::now() + MAX_VERDICT_WAIT));
+        let fingerprint = request();
+        let mut verdict = pin!(crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT));
         assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: the verdict is pending");
-        let sender = std::mem::take(&mut *probes.lock());
-        for (sender, found) in sender.into_iter().zip(found) {
+        let senders = std::mem::take(&mut *probes.lock());
+        for (sender, found) in senders.into_iter().zip(found) {
             sender.send(*found).expect("the probe is awaited");
         }
         let verdict = verdict.await;
@@ -82,8 +82,8 @@
 async fn verdict_is_not_delayed_beyond_the_deadline() {
     for left in [Duration::from_millis(10), MAX_VERDICT_WAIT] {
         let (crashes, _probes) = broken(5).await;
-        let (asked, began) = (request(), Instant::now());
-        let verdict = crashes.verdict(&asked, began + left).await;
+        let (fingerprint, began) = (request(), Instant::now());
+        let verdict = crashes.verdict(&fingerprint, began + left).await;
         assert_eq!(verdict, Verdict::Unconfirmed { ended: 0 });
         assert!(began.elapsed() <= left.min(Duration::from_millis(50)));
     }
@@ -92,8 +92,8 @@
 #[tokio::test(start_paused = true)]
 async fn two_unconfirmed_crashes_do_not_delay_a_request() {
     let (crashes, _probes) = broken(2).await;
-    let asked = request();
-    let verdict = crashes.verdict(&asked, Instant::now() + MAX_VERDICT_WAIT).now_or_never();
+    let fingerprint = request();
+    let verdict = crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT).now_or_never();
     assert_eq!(verdict, Some(Verdict::Allowed));
     advance(Duration::from_millis(1)).await;
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -105,9 +105,9 @@
         let mut before = 0;
         for step in &steps {
             run.step(step);
-            for known in run.watchers.iter().chain([&run.subscriber]) {
-                let stored = run.stored.get(&known.at()).cloned().unwrap_or_default();
-                prop_assert_eq!(known.zones(), &stored, "as at version {}", known.at());
+            for view in run.watchers.iter().chain([&run.subscriber]) {
+                let stored = run.stored.get(&view.at()).cloned().unwrap_or_default();
+                prop_assert_eq!(view.zones(), &stored, "as at version {}", view.at());
             }
             prop_assert!(run.subscriber.at() >= before, "the subscriber went back to an older version");
             before = run.subscriber.at();
@@ -126,15 +126,15 @@
         version,
         value: value.map(Into::into),
     };
-    let mut known = Evacuations::default();
-    assert!(known.replace(Zones::new(), 0), "the first state is a change, even if it is empty");
-    assert!(known.change(&[change(3, Some("{}")), change(5, None)]));
-    assert!(known.replace(Zones::new(), 9));
-    assert!(!known.change(&[change(3, Some("{}"))]), "the evacuation has ended since");
-    assert!(known.zones().is_empty());
+    let mut view = Evacuations::default();
+    assert!(view.replace(Zones::new(), 0), "the first state is a change, even if it is empty");
+    assert!(view.change(&[change(3, Some("{}")), change(5, None)]));
+    assert!(view.replace(Zones::new(), 9));
+    assert!(!view.change(&[change(3, Some("{}"))]), "the evacuation has ended since");
+    assert!(view.zones().is_empty());
     assert!(
-        known.change(&[change(11, Some("bytes that nobody can read"))]),
+        view.change(&[change(11, Some("bytes that nobody can read"))]),
         "the entry counts whatever its content"
     );
-    assert!(known.zones().contains("bornova"));
+    assert!(view.zones().contains("bornova"));
 }
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -58,7 +58,7 @@
     /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
         self.forecast.failed(Instant::now());
-        pass(seconds).await;
+        advance(seconds).await;
         (0..others_settle).for_each(|_| self.settle("box-1"));
         self.settle_own()
     }
@@ -70,24 +70,24 @@
     }
 }
 
-async fn pass(seconds: u64) {
+async fn advance(seconds: u64) {
     tokio::time::advance(Duration::from_secs(seconds)).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn settlement_that_ends_an_outage_draws_little() {
     let mut fixture = Fixture::open();
-    pass(60).await;
+    advance(60).await;
     fixture.settle_own();
     fixture.forecast.failed(Instant::now());
-    pass(8).await;
-    assert_eq!(fixture.horizon_and_share().0, 1, "the store has only just answered");
+    advance(8).await;
+    assert_eq!(fixture.horizon_and_share().0, 1, "the store has not answered yet");
 }
 
 #[tokio::test(start_paused = true)]
 async fn end_of_an_outage_is_reported_once_unless_it_was_short() {
     let mut fixture = Fixture::open();
-    pass(60).await;
+    advance(60).await;
     assert!(!fixture.settle_own());
     for (seconds, ends) in [(0, false), (1, true), (8, true)] {
         assert_eq!(fixture.outage(seconds, 0).await, ends, "{seconds} s");
@@ -98,16 +98,16 @@
 #[tokio::test(start_paused = true)]
 async fn outage_raises_the_forecast_for_some_time() {
     let mut fixture = Fixture::open();
-    pass(60).await;
+    advance(60).await;
     fixture.settle_own();
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no outage so far");
     fixture.outage(8, 0).await;
     assert_eq!(fixture.horizon_and_share(), (1, SHARE_AFTER_OUTAGE), "right after the outage");
-    pass(6).await;
+    advance(6).await;
     assert_eq!(fixture.horizon_and_share(), (7, SHARE_AFTER_OUTAGE));
-    pass(20).await;
+    advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
-    pass(20).await;
+    advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no further outage");
 }
 
@@ -115,20 +115,20 @@
 #[tokio::test(start_paused = true)]
 async fn outage_of_one_box_does_not_raise_the_forecast() {
     let mut fixture = Fixture::open();
-    pass(60).await;
+    advance(60).await;
     fixture.settle_own();
     fixture.outage(9, 12).await;
-    pass(20).await;
+    advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM));
 }
 
 #[tokio::test(start_paused = true)]
 async fn box_learns_of_an_outage_from_the_book() {
     let mut fixture = Fixture::open();
-    pass(60).await;
+    advance(60).await;
     fixture.settle_own();
     fixture.book.note_outage(fixture.book.landed);
     fixture.settle_own();
-    pass(20).await;
+    advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
 }
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -49,9 +49,9 @@
         let granted = self.book.settle(&settlement, policy);
         let at = settlement.items.iter().position(|item| item.customer == customer());
         let at = at.expect("the settlement has an item for the customer");
-        let mine = (settlement.items[at].clone(), granted[at].clone());
+        let own = (settlement.items[at].clone(), granted[at].clone());
         self.funds.landed(&settlement, granted);
-        mine
+        own
     }
 }
 
@@ -59,7 +59,7 @@
     "bornova".into()
 }
 
-async fn pass(time: Duration) {
+async fn advance(time: Duration) {
     tokio::time::advance(time).await;
 }
 
@@ -69,7 +69,7 @@
     for _ in 0..30 {
         let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
-        pass(Duration::from_millis(100)).await;
+        advance(Duration::from_millis(100)).await;
         fixture.settle();
     }
     let rate = fixture.settle().observed.rate;
@@ -85,7 +85,7 @@
     for _ in 0..60 {
         let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
-        pass(Duration::from_millis(100)).await;
+        advance(Duration::from_millis(100)).await;
         fixture.settle();
     }
     let mut target = |answered_s| fixture.settle_under(POLICY.reachable_for(answered_s)).1.target;
@@ -105,7 +105,7 @@
     for _ in 0..40 {
         let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
-        pass(Duration::from_millis(100)).await;
+        advance(Duration::from_millis(100)).await;
         fixture.settle();
     }
     let before = fixture.funds.promise().expect("the box has tokens to keep");
@@ -133,7 +133,7 @@
     for _ in 0..60 {
         let hold = fixture.funds.try_hold(&customer(), 100).expect("the box holds enough");
         hold.settle(100);
-        pass(Duration::from_millis(100)).await;
+        advance(Duration::from_millis(100)).await;
         fixture.settle();
     }
     // The box uses 1,000 tokens per second, and now has to hold fewer of them ahead.
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -8,7 +8,7 @@
 const BYTES_PER_S: usize = 1_250_000;
 
 /// Sends traffic at a rate for some seconds; returns for each second whether the link sheds at its end.
-async fn pass(link: &Link, bytes_per_s: usize, seconds: u32) -> Vec<bool> {
+async fn send_traffic(link: &Link, bytes_per_s: usize, seconds: u32) -> Vec<bool> {
     let mut sheds = Vec::new();
     for _ in 0..seconds {
         for _ in 0..20 {
@@ -31,7 +31,7 @@
         ("half full once more", BYTES_PER_S / 2, false),
     ];
     for (what, rate, sheds) in cases {
-        let seen = pass(&link, rate, 4).await;
+        let seen = send_traffic(&link, rate, 4).await;
         assert_eq!(seen.last(), Some(&sheds), "{what}: {seen:?}");
     }
 }
@@ -39,7 +39,7 @@
 #[tokio::test(start_paused = true)]
 async fn fast_link_does_not_shed_under_the_same_load() {
     let link = Link::new(200.0);
-    assert_eq!(pass(&link, BYTES_PER_S, 5).await, vec![false; 5]);
+    assert_eq!(send_traffic(&link, BYTES_PER_S, 5).await, vec![false; 5]);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/gateway/tests/loopback/back_off.rs
+++ b/crates/gateway/tests/loopback/back_off.rs
@@ -65,7 +65,7 @@
 }
 
 impl Pair {
-    async fn open() -> Pair {
+    async fn start() -> Pair {
         let harness = Harness::start(PAID, &["cancel"]).await;
         let rejector = Rejector::default();
         let _endpoints = [
@@ -80,7 +80,7 @@
 
 #[tokio::test]
 async fn endpoint_gets_no_requests_during_back_off() {
-    let Pair { harness, gateway, rejector, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, rejector, _endpoints } = Pair::start().await;
     rejector.set_retry_after(Some("3"));
     let send =
         async || call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
@@ -91,15 +91,15 @@
     })
     .await;
     let rejected_at = rejector.arrived()[before];
-    let mut response = Vec::new();
+    let mut responses = Vec::new();
     while rejected_at.elapsed() < Duration::from_secs(3) {
-        response.push(send().await);
+        responses.push(send().await);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let late = rejector.arrived().into_iter().filter(|at| *at > rejected_at + IN_FLIGHT).count();
     assert!(late <= MAX_LATE, "{late} requests arrived during the back-off");
     assert!(
-        response.iter().all(|response| response.status == StatusCode::OK),
+        responses.iter().all(|response| response.status == StatusCode::OK),
         "the other endpoint serves them"
     );
 }
@@ -108,14 +108,14 @@
 #[tokio::test]
 async fn requests_are_refused_at_once_when_all_endpoints_back_off() {
     let harness = Harness::start(PAID, &["cancel", "confirm"]).await;
-    let rejector = [Rejector::default(), Rejector::default()];
+    let rejectors = [Rejector::default(), Rejector::default()];
     let mut endpoints = Vec::new();
-    for (id, rejector) in ["i-1", "i-2"].iter().zip(&rejector) {
+    for (id, rejector) in ["i-1", "i-2"].iter().zip(&rejectors) {
         endpoints.push(harness.endpoint(id, "plain", rejector.script()).await);
     }
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
-    rejector.iter().for_each(|rejector| rejector.set_retry_after(Some("30")));
+    rejectors.iter().for_each(|rejector| rejector.set_retry_after(Some("30")));
     let send =
         async |path| call(gateway.callers(), path, &harness.new_request("key-b", 1, 1)).await;
     wait_until("the box backs off from both", async || {
@@ -124,7 +124,7 @@
     })
     .await;
     tokio::time::sleep(IN_FLIGHT).await;
-    let arrived = || rejector.iter().map(|rejector| rejector.arrived().len()).sum::<usize>();
+    let arrived = || rejectors.iter().map(|rejector| rejector.arrived().len()).sum::<usize>();
     let before = arrived();
     for path in ["/cancel/x", "/confirm/x"] {
         let began = Instant::now();
@@ -142,7 +142,7 @@
         }
     }
     assert_eq!(arrived(), before, "no request reaches the endpoints");
-    rejector.iter().for_each(|rejector| rejector.set_retry_after(None));
+    rejectors.iter().for_each(|rejector| rejector.set_retry_after(None));
     let successor = harness.endpoint("i-3", "plain", answer_ok).await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
     assert!(!successor.arrived().is_empty());
@@ -179,7 +179,7 @@
 /// Requests are in flight when the endpoint begins to reject them.
 #[tokio::test]
 async fn burst_is_not_resent_during_back_off() {
-    let Pair { harness, gateway, rejector, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, rejector, _endpoints } = Pair::start().await;
     rejector.set_retry_after(Some("2"));
     let before = rejector.arrived().len();
     let burst = (0..200).map(|n| {
--- a/crates/gateway/tests/loopback/box_crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -66,9 +66,9 @@
     let restarted = harness.gateway("box-1").await;
     wait_until_replaced(&harness, &first, &restarted).await;
     let book = harness.book().await;
-    let of = &book.ledgers["bornova"];
-    assert!(of.lost < MAX_LOST, "{} of {PAID} tokens lost", of.lost);
-    assert!(of.is_sound(), "{of:?}");
+    let ledger = &book.ledgers["bornova"];
+    assert!(ledger.lost < MAX_LOST, "{} of {PAID} tokens lost", ledger.lost);
+    assert!(ledger.is_sound(), "{ledger:?}");
     drop(two);
 }
 
@@ -84,9 +84,9 @@
     let restarted = harness.gateway("box-1").await;
     wait_until_replaced(&harness, &first, &restarted).await;
     let book = harness.book().await;
-    let of = &book.ledgers["bornova"];
-    assert!(of.lost < MAX_LOST, "{} of {PAID} tokens lost", of.lost);
-    assert!(of.is_sound(), "{of:?}");
+    let ledger = &book.ledgers["bornova"];
+    assert!(ledger.lost < MAX_LOST, "{} of {PAID} tokens lost", ledger.lost);
+    assert!(ledger.is_sound(), "{ledger:?}");
     drop(two);
 }
 
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -103,13 +103,13 @@
         let req = harness.new_request("key-b", 1, 1);
         async move { call(gateway.callers(), "/stream/x", &req).await }
     });
-    let response = join_all(burst).await;
+    let responses = join_all(burst).await;
     let arrived = engine.arrived().len() - before;
     let seconds = began.elapsed().as_secs() as usize + 1;
     let cold_rate = played::COLD_PER_S as usize;
     assert!(arrived <= cold_rate * seconds, "{arrived} arrived within {seconds} s");
     let refused =
-        response.iter().filter(|response| response.status == StatusCode::SERVICE_UNAVAILABLE);
+        responses.iter().filter(|response| response.status == StatusCode::SERVICE_UNAVAILABLE);
     let with_retry_after =
         refused.clone().filter(|response| response.headers.contains_key("retry-after"));
     assert_eq!((refused.count(), with_retry_after.count()), (100 - arrived, 100 - arrived));
--- a/crates/gateway/tests/loopback/harness.rs
+++ b/crates/gateway/tests/loopback/harness.rs
@@ -58,7 +58,7 @@
     pub async fn book(&self) -> ledger::Book {
         let (kind, name) = ledger::BOOK;
         let book = self.platform.memory().get(kind, name).await.expect("memory answers");
-        serde_json::from_str(&book.expect("a book").value).expect("it can be read")
+        serde_json::from_str(&book.expect("a book").value).expect("valid JSON")
     }
 
     /// The entry of a box, as stored.
@@ -76,7 +76,7 @@
     pub async fn billed_keys(&self) -> Vec<String> {
         let pages = self.platform.memory().list(ledger::BILLS, "").await.expect("memory answers");
         let page = |object: objects::Object| -> ledger::Page {
-            serde_json::from_str(&object.value).expect("it can be read")
+            serde_json::from_str(&object.value).expect("valid JSON")
         };
         let bills = pages.into_iter().flat_map(|object| page(object).bills);
         bills.map(|bill| bill.key.to_string()).collect()
@@ -106,7 +106,7 @@
     async fn remove(&self, kind: &str, name: &str) {
         let memory = self.platform.memory();
         let found = memory.get(kind, name).await.expect("memory answers");
-        memory.delete(kind, name, found.expect("it is there").version).await;
+        memory.delete(kind, name, found.expect("the object exists").version).await;
     }
 
     /// Evacuates a zone, as an operator does.
@@ -182,7 +182,7 @@
         let clock = Clock::manual();
         let seed = self.ids.fetch_add(1, Ordering::Relaxed);
         let started = Gateway::spawn_with(settings(name, link.address()), seed, clock.clone());
-        (started.await.expect("it starts"), link, clock)
+        (started.await.expect("the gateway starts"), link, clock)
     }
 
     async fn gateway_with_store(&self, name: &str, store: SocketAddr) -> Gateway {
@@ -191,7 +191,7 @@
 
     async fn spawn_gateway(&self, settings: Settings) -> Gateway {
         let seed = self.ids.fetch_add(1, Ordering::Relaxed);
-        Gateway::spawn(settings, seed).await.expect("it starts")
+        Gateway::spawn(settings, seed).await.expect("the gateway starts")
     }
 }
 
@@ -245,10 +245,11 @@
 
 /// Sends a prepared request and reads the whole response.
 pub async fn send(request: reqwest::RequestBuilder) -> Response {
-    let answer = tokio::time::timeout(MAX_WAIT, request.send()).await.expect("an answer in time");
-    let answer = answer.expect("an answer");
-    let (status, headers) = (answer.status(), answer.headers().clone());
-    let body = answer.text().await.map_err(|error| error.to_string());
+    let response =
+        tokio::time::timeout(MAX_WAIT, request.send()).await.expect("a response in time");
+    let response = response.expect("a response");
+    let (status, headers) = (response.status(), response.headers().clone());
+    let body = response.text().await.map_err(|error| error.to_string());
     Response { status, headers, body }
 }
 
--- a/crates/gateway/tests/loopback/keepers.rs
+++ b/crates/gateway/tests/loopback/keepers.rs
@@ -168,13 +168,13 @@
         gateway.stop().await;
     }
     let book = harness.book().await;
-    let of = &book.ledgers["bornova"];
+    let ledger = &book.ledgers["bornova"];
     assert!(!book.writers.contains_key(&name), "the keeper left the book");
-    assert!(of.is_sound() && of.grants.is_empty(), "{of:?}");
+    assert!(ledger.is_sound() && ledger.grants.is_empty(), "{ledger:?}");
     assert!(
-        of.spent >= charged_tokens,
+        ledger.spent >= charged_tokens,
         "the others alone charged {charged_tokens}, {} spent",
-        of.spent
+        ledger.spent
     );
 }
 
@@ -191,10 +191,10 @@
     }
     assert_eq!(keeper.balance("bornova").passed, 0, "everything was reported or returned");
     keeper.stop().await;
-    let of = &harness.book().await.ledgers["bornova"];
+    let ledger = &harness.book().await.ledgers["bornova"];
     assert_eq!(
-        (of.spent, of.lost, of.granted()),
+        (ledger.spent, ledger.lost, ledger.granted()),
         (charged_tokens, 0, 0),
-        "every token is counted once: {of:?}"
+        "every token is counted once: {ledger:?}"
     );
 }
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -91,20 +91,20 @@
 #[tokio::test]
 async fn signal_is_read_from_rejections_and_stream_heads() {
     let harness = Harness::start(PAID, &["cancel", "stream"]).await;
-    let declines = harness.endpoint("i-1", "plain", |arrived| {
+    let rejecting = harness.endpoint("i-1", "plain", |arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
         Reply::Whole(status, with_leaving_header(headers), "full".into())
     });
-    let declines = declines.await;
-    let streams = harness.endpoint("i-2", "engines", |arrived| {
+    let rejecting = rejecting.await;
+    let streaming = harness.endpoint("i-2", "engines", |arrived| {
         let headers = with_leaving_header(played::answered(&arrived.told.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
-    let streams = streams.await;
+    let streaming = streaming.await;
     let _plain = harness.endpoint("i-3", "plain", answer_ok).await;
     let _engine = harness.endpoint("i-4", "engines", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
-    for (path, endpoint) in [("/cancel/x", &declines), ("/stream/x", &streams)] {
+    for (path, endpoint) in [("/cancel/x", &rejecting), ("/stream/x", &streaming)] {
         wait_until_served(&harness, &gateway, path).await;
         let req = || harness.new_request("key-b", 1, 1);
         wait_until("a request reaches the endpoint", async || {
@@ -226,7 +226,7 @@
     let harness = Harness::start(PAID, &["cancel"]).await;
     let other = LeavingSignal::default();
     let shared_signal = other.clone();
-    let meant = harness.endpoint("i-1", "plain", move |arrived| {
+    let endpoint = harness.endpoint("i-1", "plain", move |arrived| {
         if !shared_signal.0.load(Ordering::Relaxed) {
             return answer_ok(arrived);
         }
@@ -234,13 +234,13 @@
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static("60"));
         Reply::Whole(status, with_leaving_header(headers), "not here".into())
     });
-    let meant = meant.await;
+    let endpoint = endpoint.await;
     let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
     other.set(true);
-    send_until_arrival(&harness, &gateway, &meant).await;
+    send_until_arrival(&harness, &gateway, &endpoint).await;
     other.set(false);
     assert_eq!((gateway.leaving(), gateway.backing_off()), (0, 0));
-    send_until_arrival(&harness, &gateway, &meant).await;
+    send_until_arrival(&harness, &gateway, &endpoint).await;
 }
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -63,9 +63,9 @@
     let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/open/x").await;
-    let me: IpAddr = [127, 0, 0, 1].into();
+    let client_ip: IpAddr = [127, 0, 0, 1].into();
     harness.platform.set(|faults| {
-        faults.turns_away.insert(me);
+        faults.turns_away.insert(client_ip);
     });
     for _ in 0..20 {
         let response =
@@ -93,10 +93,10 @@
         gateway.stop().await;
         wait_until("the last settlement is in the book", async || {
             let book = harness.book().await;
-            let of = &book.ledgers["bornova"];
-            of.statement.tokens == charged_tokens
-                && of.spent == charged_tokens
-                && of.grants.is_empty()
+            let ledger = &book.ledgers["bornova"];
+            ledger.statement.tokens == charged_tokens
+                && ledger.spent == charged_tokens
+                && ledger.grants.is_empty()
         })
         .await;
     }
--- a/crates/gateway/tests/loopback/proxy.rs
+++ b/crates/gateway/tests/loopback/proxy.rs
@@ -327,10 +327,13 @@
     assert_eq!(response.body.expect("a whole stream").matches("id:").count(), 20);
     stop.await.expect("it stops");
     let book = harness.book().await;
-    let of = &book.ledgers["bornova"];
-    assert!(book.writers.is_empty() && of.grants.is_empty(), "{book:?}");
-    assert_eq!((of.lost, of.spent, of.statement.tokens), (0, of.spent, of.spent));
-    assert!(of.spent >= 140, "a prompt of 100 tokens and 20 events of 2");
+    let ledger = &book.ledgers["bornova"];
+    assert!(book.writers.is_empty() && ledger.grants.is_empty(), "{book:?}");
+    assert_eq!(
+        (ledger.lost, ledger.spent, ledger.statement.tokens),
+        (0, ledger.spent, ledger.spent)
+    );
+    assert!(ledger.spent >= 140, "a prompt of 100 tokens and 20 events of 2");
     let pages = objects::Store::list(harness.platform.memory(), ledger::BILLS, "").await;
     let pages = pages.expect("memory answers");
     let read = |page: &objects::Object| serde_json::from_str::<ledger::Page>(&page.value);
@@ -356,8 +359,8 @@
         evidence: ledger::Evidence::Recorded,
     };
     let mut book = ledger::Book::default();
-    let of = book.ledgers.entry("bornova".into()).or_default();
-    (of.paid, of.spent) = (10, 12);
+    let ledger = book.ledgers.entry("bornova".into()).or_default();
+    (ledger.paid, ledger.spent) = (10, 12);
     let audit = ledger::audit(&book, &[bill("a", 1), bill("a", 2), bill("b", 2)]);
     assert_eq!(audit.findings.len(), 3, "{audit:?}");
     assert_eq!((audit.lines[0].billed_requests, audit.lines[0].billed), (3, 15));
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -93,9 +93,9 @@
 
 /// Whether a box refused the request as quarantined, with a time to retry.
 fn is_quarantined(response: &Response) -> bool {
-    let says = response.body.as_ref().is_ok_and(|body| body.contains("quarantined"));
+    let has_reason = response.body.as_ref().is_ok_and(|body| body.contains("quarantined"));
     let is_refused = response.status == StatusCode::SERVICE_UNAVAILABLE;
-    says && is_refused && response.headers.contains_key("retry-after")
+    has_reason && is_refused && response.headers.contains_key("retry-after")
 }
 
 #[tokio::test]
@@ -151,7 +151,7 @@
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..ENDPOINTS - 2 {
         let polls = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long poll"));
-        let end = async {
+        let crash = async {
             tokio::time::sleep(LONG_RESPONSE / 4).await;
             // An attempt that reaches only crashed endpoints is refused.
             wait_until("one more endpoint crashes", async || {
@@ -160,7 +160,7 @@
             })
             .await;
         };
-        tokio::join!(join_all(polls), end);
+        tokio::join!(join_all(polls), crash);
     }
     assert_eq!(fleet.crashed(), ENDPOINTS - 2, "each guilty request crashed one endpoint");
     wait_until("all boxes serve the innocent request", async || {
@@ -235,13 +235,13 @@
         let slow = request(fleet.boxes[n % BOXES].callers(), "/stream/x", &req)
             .body(format!("{GUILTY} slowly"))
             .timeout(LONG_RESPONSE / 8);
-        let left = async {
+        let abandoned = async {
             tokio::time::sleep(LONG_RESPONSE / 8).await;
             if let Ok(answer) = slow.send().await {
                 drop(answer.bytes().await);
             }
         };
-        tokio::join!(join_all(beside), left);
+        tokio::join!(join_all(beside), abandoned);
     }
     assert!((3..=MAX_CRASHED).contains(&fleet.crashed()), "{} endpoints crashed", fleet.crashed());
 }
--- a/crates/gateway/tests/loopback/rate_limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -85,7 +85,7 @@
         join_all(self.boxes.iter().map(|gateway| async move {
             wait_until("the box knows the limit", async || {
                 self.send(gateway, "/cancel/x").await;
-                gateway.limits().iter().any(|(name, named)| &**name == id && *named == per_s)
+                gateway.limits().iter().any(|(name, stated)| &**name == id && *stated == per_s)
             })
             .await;
         }))
@@ -102,13 +102,13 @@
     async fn load(&self, boxes: &[Gateway], time: Duration) -> Vec<Response> {
         let began = Instant::now();
         let callers = boxes.iter().enumerate().map(async |(n, gateway)| {
-            let mut response = Vec::new();
+            let mut responses = Vec::new();
             while began.elapsed() < time {
-                let path = if (n + response.len()) % 2 == 0 { "/cancel/x" } else { "/confirm/x" };
-                response.push(self.send(gateway, path).await);
+                let path = if (n + responses.len()) % 2 == 0 { "/cancel/x" } else { "/confirm/x" };
+                responses.push(self.send(gateway, path).await);
                 tokio::time::sleep(REQUEST_INTERVAL).await;
             }
-            response
+            responses
         });
         join_all(callers).await.into_iter().flatten().collect()
     }
@@ -145,15 +145,15 @@
     fleet.stated_limits[0].set(Some("2.0"));
     fleet.wait_until_known("i-0", 2.0).await;
     let (began, before) = (Instant::now(), fleet.arrived(0));
-    let response = fleet.load(&fleet.boxes, LOAD_TIME).await;
+    let responses = fleet.load(&fleet.boxes, LOAD_TIME).await;
     let (arrived, max_arrivals) = (fleet.arrived(0) - before, allowed(2.0, began.elapsed()));
     assert!(
         arrived <= max_arrivals,
         "{arrived} arrived of {}, {max_arrivals} are allowed",
-        response.len()
+        responses.len()
     );
     assert!(
-        response.iter().all(|response| response.status == StatusCode::OK),
+        responses.iter().all(|response| response.status == StatusCode::OK),
         "the other endpoint serves the rest"
     );
 }
@@ -179,10 +179,10 @@
 async fn limit_and_its_end_reach_idle_and_new_boxes() {
     let mut fleet = Fleet::start(4, 2).await;
     fleet.stated_limits[0].set(Some("2.0"));
-    let knows = |gateway: &Gateway| limit_of(gateway, "i-0");
+    let known_limit = |gateway: &Gateway| limit_of(gateway, "i-0");
     wait_until("the first box learns the limit from a response", async || {
         fleet.send(&fleet.boxes[0], "/cancel/x").await;
-        knows(&fleet.boxes[0]) == Some(2.0)
+        known_limit(&fleet.boxes[0]) == Some(2.0)
     })
     .await;
     let late = fleet.harness.gateway("box-late").await;
@@ -191,7 +191,7 @@
         // One box goes on using the endpoint, so that the limit stays in force.
         wait_until("the box knows the limit from its peers", async || {
             fleet.load(&fleet.boxes[..1], REQUEST_INTERVAL).await;
-            knows(gateway) == Some(2.0)
+            known_limit(gateway) == Some(2.0)
         })
         .await;
     }
@@ -199,19 +199,19 @@
     fleet.stated_limits[0].set(Some("7.5"));
     wait_until("a raised limit is in force", async || {
         fleet.load(&fleet.boxes[..1], REQUEST_INTERVAL).await;
-        fleet.boxes.iter().all(|gateway| knows(gateway) == Some(7.5))
+        fleet.boxes.iter().all(|gateway| known_limit(gateway) == Some(7.5))
     })
     .await;
     fleet.stated_limits[0].set(Some("1"));
     wait_until("a lowered limit is in force", async || {
         fleet.load(&fleet.boxes[..1], REQUEST_INTERVAL).await;
-        fleet.boxes.iter().all(|gateway| knows(gateway) == Some(1.0))
+        fleet.boxes.iter().all(|gateway| known_limit(gateway) == Some(1.0))
     })
     .await;
     fleet.stated_limits[0].set(None);
     wait_until("every box drops the limit, also those that send nothing", async || {
         fleet.load(&fleet.boxes[..1], REQUEST_INTERVAL).await;
-        fleet.boxes.iter().all(|gateway| knows(gateway).is_none())
+        fleet.boxes.iter().all(|gateway| known_limit(gateway).is_none())
     })
     .await;
 }
@@ -222,11 +222,11 @@
     fleet.stated_limits[0].set(Some("0"));
     fleet.wait_until_known("i-0", 0.0).await;
     let (began, before) = (Instant::now(), fleet.arrived(0));
-    let response = fleet.load(&fleet.boxes, LOAD_TIME).await;
+    let responses = fleet.load(&fleet.boxes, LOAD_TIME).await;
     let arrived = fleet.arrived(0) - before;
     assert!(arrived <= 1 + began.elapsed().as_secs() as usize / 5, "{arrived} arrived");
     assert!(
-        response.iter().all(|response| response.status == StatusCode::OK),
+        responses.iter().all(|response| response.status == StatusCode::OK),
         "the other endpoint serves them"
     );
     fleet.stated_limits[0].set(None);
@@ -240,12 +240,13 @@
 #[tokio::test]
 async fn invalid_limit_keeps_the_last_valid_one() {
     let fleet = Fleet::start(2, 1).await;
-    for (named, taken) in [("plenty", 1.0), ("3", 3.0), ("-2", 3.0), ("inf", 3.0), ("0.5", 0.5)] {
-        fleet.stated_limits[0].set(Some(named));
+    for (stated, expected) in [("plenty", 1.0), ("3", 3.0), ("-2", 3.0), ("inf", 3.0), ("0.5", 0.5)]
+    {
+        fleet.stated_limits[0].set(Some(stated));
         for gateway in &fleet.boxes {
-            wait_until(named, async || {
+            wait_until(stated, async || {
                 fleet.send(gateway, "/cancel/x").await;
-                limit_of(gateway, "i-0") == Some(taken)
+                limit_of(gateway, "i-0") == Some(expected)
             })
             .await;
         }
@@ -263,17 +264,17 @@
     let began = Instant::now();
     let before = fleet.arrived(0) + fleet.arrived(1);
     let sent = fleet.boxes.iter().cycle().take(60).map(|gateway| fleet.send(gateway, "/confirm/x"));
-    let response = join_all(sent).await;
+    let responses = join_all(sent).await;
     let arrived = fleet.arrived(0) + fleet.arrived(1) - before;
     assert!(
         arrived <= allowed(2.0, began.elapsed()) + TOLERATED_EXTRA as usize,
         "{arrived} arrived"
     );
     let refused: Vec<&Response> =
-        response.iter().filter(|response| response.status != StatusCode::OK).collect();
+        responses.iter().filter(|response| response.status != StatusCode::OK).collect();
     assert_eq!(
         refused.len(),
-        response.len() - arrived,
+        responses.len() - arrived,
         "each request either ran and was answered, or did not run"
     );
     let mut times: Vec<&str> = Vec::new();
@@ -282,7 +283,7 @@
         assert!(response.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{response:?}");
         times.push(response.headers["retry-after"].to_str().expect("a number"));
     }
-    // Each box spreads its `retry-after` over up to three seconds, later callers share the last value.
+    // Each box spreads its `retry-after` over up to three seconds; later callers share the last value.
     times.sort_unstable();
     times.dedup();
     assert!(times.len() >= 6, "retry times are spread: {times:?}");
@@ -329,11 +330,11 @@
     fleet.stated_limits[0].set(Some("2"));
     fleet.wait_until_known("i-0", 2.0).await;
     let (began, before) = (Instant::now(), fleet.arrived(0));
-    let response = fleet.load(&fleet.boxes, LOAD_TIME).await;
+    let responses = fleet.load(&fleet.boxes, LOAD_TIME).await;
     let (arrived, max_arrivals) = (fleet.arrived(0) - before, allowed(2.0, began.elapsed()));
     assert!(arrived <= max_arrivals, "{arrived} arrived, {max_arrivals} are allowed");
     assert!(
-        response.iter().all(|response| response.status == StatusCode::OK),
+        responses.iter().all(|response| response.status == StatusCode::OK),
         "the other endpoint serves the rest"
     );
 }
@@ -352,8 +353,8 @@
         fleet.boxes.iter().all(|gateway| gateway.limits().is_empty())
     })
     .await;
-    let response = fleet.load(&fleet.boxes, 2 * REQUEST_INTERVAL).await;
-    assert!(response.iter().all(|response| response.status == StatusCode::OK), "{response:?}");
+    let responses = fleet.load(&fleet.boxes, 2 * REQUEST_INTERVAL).await;
+    assert!(responses.iter().all(|response| response.status == StatusCode::OK), "{responses:?}");
 }
 
 /// A box that lost all its peers cannot know whether they died or it is cut off, so it keeps to its share.
@@ -366,12 +367,12 @@
     fleet.boxes.truncate(1);
     let (began, before) = (Instant::now(), fleet.arrived(0));
     let callers = (0..4).map(|_| fleet.load(&fleet.boxes, LOAD_TIME));
-    let response: Vec<Response> = join_all(callers).await.into_iter().flatten().collect();
+    let responses: Vec<Response> = join_all(callers).await.into_iter().flatten().collect();
     let (arrived, max_arrivals) = (fleet.arrived(0) - before, allowed(8.0 / 4.0, began.elapsed()));
     assert!(
         arrived <= max_arrivals,
         "{arrived} arrived of {}, its share is {max_arrivals}",
-        response.len()
+        responses.len()
     );
     assert!(arrived > 0, "some requests are sent");
 }
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -30,8 +30,8 @@
     let response = send(sent.body(reqwest::Body::wrap_stream(body)));
     let sending = async {
         pieces.send("a piece").await.expect("the body is read");
-        let under_way = "flintstall_requests_under_way 1";
-        wait_until("the request is in flight", async || gateway.metrics().contains(under_way))
+        let in_flight = "flintstall_requests_under_way 1";
+        wait_until("the request is in flight", async || gateway.metrics().contains(in_flight))
             .await;
         clock.suspend(SUSPENSION);
         drop(pieces);
@@ -46,10 +46,10 @@
 #[tokio::test]
 async fn resumed_box_refreshes_its_view_before_sending() {
     let harness = Harness::start(PAID, &["confirm"]).await;
-    let left = harness.endpoint("i-1", "plain", answer_ok).await;
+    let leaving = harness.endpoint("i-1", "plain", answer_ok).await;
     let (gateway, link, clock) = harness.gateway_with_clock("box-1").await;
     wait_until_served(&harness, &gateway, "/confirm/x").await;
-    let before = left.arrived().len();
+    let before = leaving.arrived().len();
     link.lose_open();
     let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
     harness.remove_entry("i-1").await;
@@ -57,7 +57,7 @@
     clock.suspend(SUSPENSION);
     let response = call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
     assert_eq!(response.status, StatusCode::OK, "the route is new: {response:?}");
-    assert_eq!(left.arrived().len(), before, "the endpoint has left");
+    assert_eq!(leaving.arrived().len(), before, "the endpoint has left");
 }
 
 /// If the store is unreachable after the resume, the box serves on with the state that it has.
--- a/crates/gateway/tests/loopback/sync.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -59,11 +59,11 @@
 /// Calls with which a box listed or watched the store itself.
 fn store_reads(gateway: &Gateway) -> u64 {
     let calls = gateway.calls().snapshot();
-    let of_sync = calls.iter().filter(|((operation, kind), _)| {
+    let store_calls = calls.iter().filter(|((operation, kind), _)| {
         let reads = matches!(operation, Operation::List | Operation::Watch);
         reads && [platform::CONFIG.0, platform::ENDPOINTS, "boxes"].contains(&&**kind)
     });
-    of_sync.map(|(_, count)| count.calls).sum()
+    store_calls.map(|(_, count)| count.calls).sum()
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -60,8 +60,8 @@
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
         for (index, asked) in asked.iter().enumerate() {
             let name = fleet[index].name.box_name();
-            let keeps = first.iter().any(|first| **first == name);
-            assert_eq!(keeps, asked[0] == name, "a keeper is its own first choice");
+            let is_keeper = first.iter().any(|first| **first == name);
+            assert_eq!(is_keeper, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
             assert!(first.is_subset(&tried), "all keepers are asked: {asked:?}");
         }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -29,39 +29,39 @@
 #[tokio::test(start_paused = true)]
 async fn first_success_wakes_the_other_tasks() {
     let recovery = Recovery::open();
-    let mut first = Outage::new("first", Probe::Eager, recovery.clone());
-    let mut later = Outage::new("later", Probe::Lazy, recovery);
-    first.failed(&"no answer");
-    let waits = tokio::spawn(async move {
+    let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut lazy = Outage::new("later", Probe::Lazy, recovery);
+    eager.failed(&"no answer");
+    let waiting = tokio::spawn(async move {
         for _ in 0..10 {
-            later.failed(&"no answer");
-            later.pause().await;
+            lazy.failed(&"no answer");
+            lazy.pause().await;
         }
         // By the eleventh pause the back-off is at its maximum.
         let began = Instant::now();
-        later.pause().await;
+        lazy.pause().await;
         began.elapsed()
     });
     tokio::time::sleep(Duration::from_millis(10_050)).await;
-    assert!(first.answered().is_some());
-    let waited = waits.await.expect("no panic");
+    assert!(eager.answered().is_some());
+    let waited = waiting.await.expect("no panic");
     assert!(waited < Duration::from_millis(1_200), "woken after {waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn late_recovery_reports_the_start_of_its_outage() {
     let recovery = Recovery::open();
-    let mut first = Outage::new("first", Probe::Eager, recovery.clone());
-    let mut later = Outage::new("later", Probe::Lazy, recovery.clone());
-    later.failed(&"no answer");
-    first.failed(&"no answer");
+    let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut lazy = Outage::new("later", Probe::Lazy, recovery.clone());
+    lazy.failed(&"no answer");
+    eager.failed(&"no answer");
     tokio::time::sleep(Duration::from_secs(8)).await;
-    assert!(first.answered().is_some());
+    assert!(eager.answered().is_some());
     // The other tasks read the store again now; the later task reports the same outage after that.
     let read = Instant::now();
-    let told = tokio::spawn(async move { recovery.recovered().await });
+    let reported = tokio::spawn(async move { recovery.recovered().await });
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert!(later.answered().is_some());
-    let lost_since = told.await.expect("no panic");
+    assert!(lazy.answered().is_some());
+    let lost_since = reported.await.expect("no panic");
     assert!(lost_since < read, "the outage is dated after the others have read the store again");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -15,16 +15,16 @@
 #[test]
 fn prompts_are_announced_in_the_own_zone_first() {
     let me = Profile { name: Incarnation::new("z1-me", 7), zone: "z1".into(), strength: 1 };
-    for (near, far, told_near) in [(20, 20, 12), (3, 20, 3), (0, 4, 0)] {
+    for (near, far, near_recipients) in [(20, 20, 12), (3, 20, 3), (0, 4, 0)] {
         let peers = Peers::open(me.clone(), None, 1);
         let entries =
             (0..near).map(|n| entry(n, "z1")).chain((0..far).map(|n| entry(n + 100, "z2")));
         peers.update(entries.map(|entry| (entry, 1)).collect(), 1);
-        let told = peers.prompt_recipients();
-        let of_zone = told.iter().filter(|name| name.as_str().starts_with("z1")).count();
+        let recipients = peers.prompt_recipients();
+        let of_zone = recipients.iter().filter(|name| name.as_str().starts_with("z1")).count();
         assert_eq!(
-            (of_zone, told.len()),
-            (told_near, usize::from(near + far).min(12)),
+            (of_zone, recipients.len()),
+            (near_recipients, usize::from(near + far).min(12)),
             "{near} {far}"
         );
     }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -93,9 +93,9 @@
         ("{{bounds.cold_overage|json}}", "1.5"),
         ("{{bounds.cold_slack|json}}", "5"),
     ];
-    let rendered = fields.iter().fold(template.to_owned(), |text, (gap, value)| {
-        assert!(text.contains(gap), "{gap} is not in the template");
-        text.replace(gap, value)
+    let rendered = fields.iter().fold(template.to_owned(), |text, (placeholder, value)| {
+        assert!(text.contains(placeholder), "{placeholder} is not in the template");
+        text.replace(placeholder, value)
     });
     for (given, cold) in [(true, Cold { factor: 1.5, extra: 5.0 }), (false, Cold::default())] {
         let rendered = section(&rendered, "bounds.cold_overage", given);
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -55,7 +55,7 @@
     /// Repeats the choice until it falls on the endpoint.
     fn chosen(&self, id: &str) -> Chosen {
         let mut tries = (0..1_000).filter_map(|_| self.choose());
-        tries.find(|chosen| &*chosen.id == id).expect("it takes work")
+        tries.find(|chosen| &*chosen.id == id).expect("the endpoint is available")
     }
 
     fn is_chosen(&self, id: &str) -> bool {
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -18,7 +18,7 @@
     Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
 }
 
-/// A fleet of three zones in which every third box is weak.
+/// A fleet of three zones in which every fourth box is weak.
 fn fleet(boxes: usize) -> Vec<Profile> {
     let zones = ["bornova", "buca", "cigli"];
     let one = |n: usize| {
@@ -41,22 +41,22 @@
 fn boxes_agree_on_few_watchers() {
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
-        let first = watchers_seen_from(&fleet, 0);
-        assert_eq!(first.first.len(), count, "watchers of {boxes} boxes");
+        let expected = watchers_seen_from(&fleet, 0);
+        assert_eq!(expected.first.len(), count, "watchers of {boxes} boxes");
         for index in 0..boxes {
             let seen = watchers_seen_from(&fleet, index);
             assert_eq!(
                 names(&seen.first),
-                names(&first.first),
+                names(&expected.first),
                 "as box {index} of {boxes} sees it"
             );
             assert_eq!(
                 names(&seen.standby),
-                names(&first.standby),
+                names(&expected.standby),
                 "as box {index} of {boxes} sees it"
             );
         }
-        assert!(names(&first.first).is_disjoint(&names(&first.standby)));
+        assert!(names(&expected.first).is_disjoint(&names(&expected.standby)));
     }
 }
 
@@ -88,14 +88,14 @@
             profile.expect("one of the fleet").zone.clone()
         };
         let watchers = watchers_seen_from(&fleet, 0).first;
-        let with_home: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
-        assert_eq!(with_home.len(), in_zones, "{boxes} boxes: {watchers:?}");
+        let with_watcher: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
+        assert_eq!(with_watcher.len(), in_zones, "{boxes} boxes: {watchers:?}");
         for index in 0..boxes {
-            let heard = zone_of(&watchers_seen_from(&fleet, index).first[0]);
+            let subscribed_zone = zone_of(&watchers_seen_from(&fleet, index).first[0]);
             let own = &fleet[index].zone;
             assert!(
-                heard == *own || !with_home.contains(own),
-                "{} subscribes in {heard}",
+                subscribed_zone == *own || !with_watcher.contains(own),
+                "{} subscribes in {subscribed_zone}",
                 fleet[index].name
             );
         }
@@ -144,16 +144,16 @@
     let mut change_log = ChangeLog::default();
     assert!(change_log.put("servers", "a", 1, Some("{}")));
     assert!(change_log.put("servers", "b", 2, Some("{}")));
-    let told = change_log.last();
+    let position = change_log.last();
     assert!(!change_log.put("servers", "b", 2, Some("{}")), "unchanged");
     assert!(!change_log.put("servers", "a", 0, Some("older")), "older than the known version");
     assert!(change_log.put("servers", "a", 1, None));
-    let (changes, whole) = change_log.since(told);
-    assert!(!whole && changes.len() == 1 && changes[0].value.is_none(), "{changes:?}");
-    let (changes, whole) = change_log.since(0);
-    assert!(whole && changes.len() == 2, "removals are included: {changes:?}");
-    let (_, whole) = change_log.since(told + 9);
-    assert!(whole, "a position of another incarnation");
+    let (changes, is_snapshot) = change_log.since(position);
+    assert!(!is_snapshot && changes.len() == 1 && changes[0].value.is_none(), "{changes:?}");
+    let (changes, is_snapshot) = change_log.since(0);
+    assert!(is_snapshot && changes.len() == 2, "removals are included: {changes:?}");
+    let (_, is_snapshot) = change_log.since(position + 9);
+    assert!(is_snapshot, "a position of another incarnation");
 }
 
 #[test]
@@ -163,10 +163,10 @@
         change_log.put("servers", &format!("i-{n}"), n, Some("{}"));
         change_log.put("servers", &format!("i-{n}"), n, None);
     }
-    let (changes, whole) = change_log.since(3);
-    assert!(whole && changes.len() < 2_000, "{} changes", changes.len());
-    let (changes, whole) = change_log.since(change_log.last() - 1);
-    assert!(!whole && changes.len() == 1);
+    let (changes, is_snapshot) = change_log.since(3);
+    assert!(is_snapshot && changes.len() < 2_000, "{} changes", changes.len());
+    let (changes, is_snapshot) = change_log.since(change_log.last() - 1);
+    assert!(!is_snapshot && changes.len() == 1);
 }
 
 /// An event at an endpoint, in the store, at one of two watchers, or at the subscriber.
@@ -179,13 +179,13 @@
     /// An endpoint crashes and restarts under its id.
     Restart { id: u8 },
     /// An earlier write of an endpoint, by this or an earlier instance, lands late.
-    Late { id: u8, ago: usize },
+    LateWrite { id: u8, ago: usize },
     /// Another writer overwrites the entry with garbage.
     Overwrite { id: u8 },
     /// A watcher lists the store.
     List { watcher: usize },
     /// The subscriber receives changes since the last time, or a snapshot.
-    Receive { watcher: usize, whole: bool },
+    Receive { watcher: usize, is_snapshot: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -193,10 +193,10 @@
         3 => (0..6u8, any::<bool>()).prop_map(|(id, ready)| Step::Write { id, ready }),
         2 => (0..6u8).prop_map(|id| Step::Remove { id }),
         1 => (0..6u8).prop_map(|id| Step::Restart { id }),
-        1 => (0..6u8, 0..4usize).prop_map(|(id, ago)| Step::Late { id, ago }),
+        1 => (0..6u8, 0..4usize).prop_map(|(id, ago)| Step::LateWrite { id, ago }),
         1 => (0..6u8).prop_map(|id| Step::Overwrite { id }),
         3 => (0..2usize).prop_map(|watcher| Step::List { watcher }),
-        3 => (0..2usize, any::<bool>()).prop_map(|(watcher, whole)| Step::Receive { watcher, whole }),
+        3 => (0..2usize, any::<bool>()).prop_map(|(watcher, is_snapshot)| Step::Receive { watcher, is_snapshot }),
     ]
 }
 
@@ -206,7 +206,7 @@
     directory: Directory,
     change_log: ChangeLog,
     at: u64,
-    told: u64,
+    position: u64,
 }
 
 /// A running endpoint.
@@ -233,7 +233,7 @@
     entries: BTreeMap<Arc<str>, (u64, String)>,
     version: u64,
     starts: u64,
-    living: BTreeMap<Arc<str>, Endpoint>,
+    running: BTreeMap<Arc<str>, Endpoint>,
     /// Ended instances: id, instance, version of the store at the end.
     ended: Vec<(Arc<str>, u64, u64)>,
     /// All writes of each endpoint.
@@ -241,7 +241,7 @@
 }
 
 impl StoreModel {
-    fn land(&mut self, id: &Arc<str>, text: String) {
+    fn write_text(&mut self, id: &Arc<str>, text: String) {
         self.version += 1;
         self.entries.insert(id.clone(), (self.version, text));
     }
@@ -249,7 +249,7 @@
     /// A heartbeat of an endpoint, which starts if it is not running.
     fn write(&mut self, id: &Arc<str>, ready: bool) {
         let starts = &mut self.starts;
-        let endpoint = self.living.entry(id.clone()).or_insert_with(|| {
+        let endpoint = self.running.entry(id.clone()).or_insert_with(|| {
             *starts += 1;
             Endpoint { instance: *starts, beat: 0, ready: true }
         });
@@ -258,20 +258,20 @@
         endpoint.ready &= ready;
         let text = endpoint.text();
         self.written.entry(id.clone()).or_default().push(text.clone());
-        self.land(id, text);
+        self.write_text(id, text);
     }
 
     /// An endpoint ends.
     fn end(&mut self, id: &Arc<str>) {
         self.version += 1;
-        if let Some(endpoint) = self.living.remove(id) {
+        if let Some(endpoint) = self.running.remove(id) {
             self.ended.push((id.clone(), endpoint.instance, self.version));
         }
     }
 
     /// Ready endpoints, with their instances.
     fn ready(&self) -> BTreeSet<(Arc<str>, u64)> {
-        let ready = self.living.iter().filter(|(_, endpoint)| endpoint.ready);
+        let ready = self.running.iter().filter(|(_, endpoint)| endpoint.ready);
         ready.map(|(id, endpoint)| (id.clone(), endpoint.instance)).collect()
     }
 }
@@ -305,15 +305,15 @@
                 self.store.end(&name(id));
                 self.store.write(&name(id), true);
             }
-            Step::Late { id, ago } => {
+            Step::LateWrite { id, ago } => {
                 let written = self.store.written.get(&name(id));
                 if let Some(text) = written.and_then(|written| written.iter().rev().nth(*ago)) {
-                    self.store.land(&name(id), text.clone());
+                    self.store.write_text(&name(id), text.clone());
                 }
             }
-            Step::Overwrite { id } => self.store.land(&name(id), "[\"not\", 1, {}]".into()),
+            Step::Overwrite { id } => self.store.write_text(&name(id), "[\"not\", 1, {}]".into()),
             Step::List { watcher } => self.list_store(*watcher),
-            Step::Receive { watcher, whole } => self.receive(*watcher, *whole),
+            Step::Receive { watcher, is_snapshot } => self.receive(*watcher, *is_snapshot),
         }
     }
 
@@ -341,10 +341,11 @@
         watcher.at = self.store.version;
     }
 
-    fn receive(&mut self, at: usize, whole: bool) {
+    fn receive(&mut self, at: usize, is_snapshot: bool) {
         let watcher = &mut self.watchers[at];
-        let (changes, whole) = watcher.change_log.since(if whole { 0 } else { watcher.told });
-        watcher.told = watcher.change_log.last();
+        let (changes, is_snapshot) =
+            watcher.change_log.since(if is_snapshot { 0 } else { watcher.position });
+        watcher.position = watcher.change_log.last();
         let mut entries = Vec::new();
         for change in changes {
             match change.value {
@@ -355,13 +356,13 @@
                 None => {
                     self.subscriber.remove(&change.name, change.version);
                     let ended = self.store.ended.iter();
-                    let told =
+                    let removed =
                         ended.filter(|(id, _, at)| *id == change.name && *at <= change.version);
-                    self.removed.extend(told.map(|(id, instance, _)| (id.clone(), *instance)));
+                    self.removed.extend(removed.map(|(id, instance, _)| (id.clone(), *instance)));
                 }
             }
         }
-        match whole {
+        match is_snapshot {
             true => self.subscriber.mirror(entries, watcher.at),
             false => {
                 for (id, version, entry) in entries {
@@ -389,12 +390,12 @@
                 *known = instance;
             }
         }
-        for (id, endpoint) in run.store.living.clone() {
+        for (id, endpoint) in run.store.running.clone() {
             run.store.write(&id, endpoint.ready);
         }
-        let dead = |id: &Arc<str>| !run.store.living.contains_key(id);
+        let is_ended = |id: &Arc<str>| !run.store.running.contains_key(id);
         // Late writes of ended endpoints lapse.
-        let lapsed: Vec<Arc<str>> = run.store.entries.keys().filter(|id| dead(id)).cloned().collect();
+        let lapsed: Vec<Arc<str>> = run.store.entries.keys().filter(|id| is_ended(id)).cloned().collect();
         for id in lapsed {
             run.store.version += 1;
             run.store.entries.remove(&id);
@@ -409,7 +410,7 @@
     fn removed_instance_stays_removed(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
         for step in steps.iter().filter(|step| {
-            !matches!(step, Step::Late { .. } | Step::Overwrite { .. })
+            !matches!(step, Step::LateWrite { .. } | Step::Overwrite { .. })
         }) {
             run.step(step);
             let known = ready_instances(&run.subscriber);
@@ -422,7 +423,7 @@
 #[test]
 fn removed_instance_stays_removed_in_regression_cases() {
     let (list_store, receive) =
-        (|watcher| Step::List { watcher }, |watcher| Step::Receive { watcher, whole: false });
+        (|watcher| Step::List { watcher }, |watcher| Step::Receive { watcher, is_snapshot: false });
     let ready = |id| Step::Write { id, ready: true };
     let orders = [
         vec![
@@ -478,26 +479,26 @@
     /// specifies; reading never panics.
     #[test]
     fn malformed_entries_are_rejected(
-        whole in arbitrary_json(),
+        garbage in arbitrary_json(),
         field in 0..ENTRY_FIELDS.len(),
         value in arbitrary_json(),
         born in arbitrary_json(),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
         let sound = || listed("engines", "127.0.0.1:1".parse().expect("an address")).entry();
-        prop_assert!(Entry::read(&whole.to_string()).is_err());
+        prop_assert!(Entry::read(&garbage.to_string()).is_err());
         prop_assert!(Entry::read(&String::from_utf8_lossy(&bytes)).is_err());
         let mut without = sound();
         without.as_object_mut().expect("an object").remove(ENTRY_FIELDS[field]);
         prop_assert!(Entry::read(&without.to_string()).is_err(), "without {}", ENTRY_FIELDS[field]);
-        let mut odd = sound();
-        let of_type = match (&odd[ENTRY_FIELDS[field]], &value) {
+        let mut modified = sound();
+        let of_type = match (&modified[ENTRY_FIELDS[field]], &value) {
             (Value::String(_), Value::String(_)) => ENTRY_FIELDS[field] != "address",
             (Value::Number(_), Value::Number(number)) => number.as_u64().is_some(),
             _ => false,
         };
-        odd[ENTRY_FIELDS[field]] = value;
-        prop_assert!(of_type || Entry::read(&odd.to_string()).is_err(), "{odd}");
+        modified[ENTRY_FIELDS[field]] = value;
+        prop_assert!(of_type || Entry::read(&modified.to_string()).is_err(), "{modified}");
         let mut started = sound();
         let whole_number = born.as_u64().is_some();
         started[BORN] = born;
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -91,7 +91,7 @@
     /// An earlier response of a keeper arrives late or again.
     RepeatResponse { which: usize },
     /// A box crashes and restarts; its witness may be unreachable then.
-    Crash { at: usize, asked: bool },
+    Crash { at: usize, witness_asked: bool },
     /// A box asks the witness of an ended incarnation that has an open claim in the book.
     Collect { at: usize, which: usize },
     /// A box shuts down and restarts.
@@ -107,12 +107,12 @@
     /// Grants of the last write, while its outcome is unknown.
     unconfirmed_grants: Option<Vec<Granted>>,
     /// The witness in the book, as far as the box knows.
-    named: Option<Witness>,
+    current_witness: Option<Witness>,
     /// The witness that the next settlement names.
-    names: Option<Witness>,
-    promises: u64,
+    next_witness: Option<Witness>,
+    promise_count: u64,
     /// Promises that other boxes made to this one.
-    records: Promises,
+    received_promises: Promises,
     /// Untouched tokens of earlier incarnations, to be reported with the next settlement.
     earlier: Vec<Untouched>,
 }
@@ -130,10 +130,10 @@
             write: 0,
             pending: None,
             unconfirmed_grants: None,
-            named: None,
-            names: None,
-            promises: 0,
-            records: Promises::default(),
+            current_witness: None,
+            next_witness: None,
+            promise_count: 0,
+            received_promises: Promises::default(),
             earlier: Vec::new(),
         }
     }
@@ -193,7 +193,7 @@
             terms,
             accepted,
         };
-        (0..BOXES).for_each(|at| model.name(at, (at + 1) % BOXES));
+        (0..BOXES).for_each(|at| model.name_witness(at, (at + 1) % BOXES));
         model
     }
 
@@ -219,7 +219,7 @@
             }
             Step::Write { at, answered } => self.write(at, answered),
             Step::Lend { from, to, tokens, arrives } => self.lend(from, to, tokens, arrives),
-            Step::NameWitness { at, witness } => self.name(at, witness),
+            Step::NameWitness { at, witness } => self.name_witness(at, witness),
             Step::Promise { at, arrives, answered } => self.promise(at, arrives, answered),
             Step::Draw { at, keeper, need, ahead, arrives, answered } => {
                 if at != keeper {
@@ -239,10 +239,10 @@
             }
             Step::RepeatResponse { which } => {
                 if let Some(response) = pick(&self.responses, which) {
-                    self.response(response);
+                    self.deliver_response(response);
                 }
             }
-            Step::Crash { at, asked } => self.crash(at, asked),
+            Step::Crash { at, witness_asked } => self.crash(at, witness_asked),
             Step::Collect { at, which } => self.collect(at, which),
             Step::ShutDown { at } => self.shut_down(at),
         }
@@ -260,7 +260,7 @@
             Some(_) if self.fault == Fault::CollectLiving && known(&holder) => {
                 self.accepted.get(&holder).cloned().unwrap_or_default()
             }
-            Some(by) => by.records.seal(&holder, claim.witness.term).unwrap_or_default(),
+            Some(by) => by.received_promises.seal(&holder, claim.witness.term).unwrap_or_default(),
             // The witness has died.
             None => Default::default(),
         };
@@ -291,28 +291,34 @@
             return;
         }
         node.write += 1;
-        let writer =
-            Writer { write: node.write, peer: None, witness: node.names.clone(), witness_at: None };
+        let writer = Writer {
+            write: node.write,
+            peer: None,
+            witness: node.next_witness.clone(),
+            witness_at: None,
+        };
         let earlier = std::mem::take(&mut node.earlier);
         let plan = node.funds.plan(&node.name, writer, participation);
         node.pending = Some(Settlement { earlier, ..plan });
     }
 
-    fn name(&mut self, at: usize, witness: usize) {
+    fn name_witness(&mut self, at: usize, witness: usize) {
         if at != witness {
             let by = self.nodes[witness].name.clone();
             let node = &mut self.nodes[at];
-            node.names = Some(Witness { by, term: node.write + 1 });
+            node.next_witness = Some(Witness { by, term: node.write + 1 });
         }
     }
 
     fn promise(&mut self, at: usize, arrives: bool, answered: bool) {
         let node = &mut self.nodes[at];
-        let Some(witness) = node.named.clone() else { return };
+        let Some(witness) = node.current_witness.clone() else { return };
         let Some(tokens) = node.funds.promise() else { return };
-        node.promises += 1;
-        let promise = Promise { term: witness.term, number: node.promises, tokens: tokens.clone() };
-        let (name, blind) = (node.name.clone(), self.fault == Fault::AssumePromiseAccepted);
+        node.promise_count += 1;
+        let promise =
+            Promise { term: witness.term, number: node.promise_count, tokens: tokens.clone() };
+        let (name, assumes_accepted) =
+            (node.name.clone(), self.fault == Fault::AssumePromiseAccepted);
         let Some(by) = self.nodes.iter().position(|node| node.name == witness.by) else {
             // The witness has restarted and lost its records.
             if answered {
@@ -320,13 +326,13 @@
             }
             return;
         };
-        let accepted =
-            arrives && self.nodes[by].records.take(&name, promise) == Acceptance::Accepted;
+        let accepted = arrives
+            && self.nodes[by].received_promises.take(&name, promise) == Acceptance::Accepted;
         if accepted {
             self.accepted.insert(name.clone(), tokens.clone());
             self.terms.insert((name, witness.by), witness.term);
         }
-        if (accepted && answered) || blind {
+        if (accepted && answered) || assumes_accepted {
             self.nodes[at].funds.promise_accepted(&tokens);
         }
     }
@@ -340,7 +346,7 @@
             Fault::ReportEarlierTerm => newest.unwrap_or(witness.term),
             _ => witness.term,
         };
-        let tokens = by.records.seal(holder, term)?;
+        let tokens = by.received_promises.seal(holder, term)?;
         Some(Untouched { holder: holder.clone(), witness, tokens })
     }
 
@@ -372,8 +378,8 @@
             true => {
                 node.unconfirmed_grants = None;
                 node.funds.landed(&settlement, granted);
-                if node.named != settlement.writer.witness {
-                    node.named = settlement.writer.witness.clone();
+                if node.current_witness != settlement.writer.witness {
+                    node.current_witness = settlement.writer.witness.clone();
                     node.funds.clear_promise();
                 }
             }
@@ -416,15 +422,15 @@
     ) {
         let (from, keeper) = (self.nodes[at].name.clone(), self.nodes[keeper].name.clone());
         let name = customer();
-        let asked = worst.map(|worst| (&name, worst));
-        let mut items = self.nodes[at].funds.demands(&keeper, asked);
-        items.iter_mut().for_each(|told| told.ahead = ahead);
+        let wanted = worst.map(|worst| (&name, worst));
+        let mut items = self.nodes[at].funds.demands(&keeper, wanted);
+        items.iter_mut().for_each(|demand| demand.ahead = ahead);
         let request = KeeperRequest { from, keeper, items };
         self.requests.push(request.clone());
         if arrives && let Some(response) = self.deliver_request(request) {
             self.responses.push(response.clone());
             if answered {
-                self.response(response);
+                self.deliver_response(response);
             }
         }
     }
@@ -437,13 +443,13 @@
         })?;
         let funds = &self.nodes[at].funds;
         funds.receive_report(&request.from, &request.items);
-        for told in &request.items {
-            if told.need > 0 && funds.try_pass_on(&request.from, told) {
-                let tokens = funds.given(&request.from, std::slice::from_ref(told))[0].given;
+        for demand in &request.items {
+            if demand.need > 0 && funds.try_pass_on(&request.from, demand) {
+                let tokens = funds.given(&request.from, std::slice::from_ref(demand))[0].given;
                 if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
-                    let share = ledger::Share { given: tokens, returned: tokens, ..told.share };
-                    let back = Demand { share, need: 0, least: 0, ..told.clone() };
+                    let share = ledger::Share { given: tokens, returned: tokens, ..demand.share };
+                    let back = Demand { share, need: 0, least: 0, ..demand.clone() };
                     funds.receive_report(&request.from, &[back]);
                 }
             }
@@ -452,7 +458,7 @@
         Some(KeeperResponse { to: request.from.clone(), request, given })
     }
 
-    fn response(&mut self, response: KeeperResponse) {
+    fn deliver_response(&mut self, response: KeeperResponse) {
         let Some(at) = self.nodes.iter().position(|node| node.name == response.to) else { return };
         let node = &self.nodes[at];
         let KeeperRequest { keeper, items, .. } = &response.request;
@@ -464,7 +470,7 @@
         node.funds.drawn(&keeper, items, &response.given);
     }
 
-    fn crash(&mut self, at: usize, asked: bool) {
+    fn crash(&mut self, at: usize, witness_asked: bool) {
         // The use of its running requests is unknown: assume their worst case.
         let lost: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
         self.used += lost;
@@ -478,7 +484,7 @@
             self.reclaim_from_dead(at);
         }
         let name = self.nodes[at].name.clone();
-        let untouched = if asked { self.untouched(&name) } else { None };
+        let untouched = if witness_asked { self.untouched(&name) } else { None };
         self.restart(at);
         self.nodes[at].earlier.extend(untouched);
     }
@@ -487,16 +493,16 @@
     fn reclaim_from_dead(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         for node in &self.nodes {
-            let told = Demand {
+            let demand = Demand {
                 customer: customer(),
                 share: Default::default(),
                 need: 0,
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.given(&name, std::slice::from_ref(&told))[0].given;
+            let given = node.funds.given(&name, std::slice::from_ref(&demand))[0].given;
             let share = ledger::Share { given, returned: given, ..Default::default() };
-            node.funds.receive_report(&name, &[Demand { share, ..told }]);
+            node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
     }
 
@@ -522,7 +528,7 @@
     fn restart(&mut self, at: usize) {
         self.incarnations += 1;
         self.nodes[at] = Node::start(at, self.incarnations);
-        self.name(at, (at + 1) % BOXES);
+        self.name_witness(at, (at + 1) % BOXES);
     }
 
     /// Tokens used, plus those that running requests may still use.
@@ -599,7 +605,7 @@
         2 => (0usize..1_000).prop_map(|which| Step::RepeatRequest { which }),
         2 => (0usize..1_000).prop_map(|which| Step::RepeatResponse { which }),
         1 => (at.clone(), prop::bool::weighted(0.6))
-            .prop_map(|(at, asked)| Step::Crash { at, asked }),
+            .prop_map(|(at, witness_asked)| Step::Crash { at, witness_asked }),
         2 => (at.clone(), 0usize..10).prop_map(|(at, which)| Step::Collect { at, which }),
         1 => at.prop_map(|at| Step::ShutDown { at }),
     ]
@@ -670,7 +676,7 @@
     let settle = |at| [Step::Plan { at }, Step::Write { at, answered: true }];
     let promise = |arrives| Step::Promise { at: 0, arrives, answered: arrives };
     let large_hold = || Step::Hold { at: 0, tokens: 8_000 };
-    let dies = [Step::Crash { at: 0, asked: true }].into_iter().chain(settle(0));
+    let dies = [Step::Crash { at: 0, witness_asked: true }].into_iter().chain(settle(0));
     // An unserved request makes the box draw its third of the tokens, which it promises to keep.
     let oversized_hold = || Step::Hold { at: 0, tokens: 3 * 8_000 };
     let keeps = || [oversized_hold()].into_iter().chain(settle(0)).chain([promise(true)]);
@@ -682,15 +688,15 @@
         all.collect::<Vec<_>>()
     };
     let draw = Step::Draw { at: 0, keeper: 1, need: 50, ahead: 0, arrives: true, answered: true };
-    let demands = Step::Report { at: 0, keeper: 1, arrives: true, answered: true };
+    let report = Step::Report { at: 0, keeper: 1, arrives: true, answered: true };
     // A return to one incarnation of a keeper is delivered again to the next one.
-    let wrong_incarnation = [draw.clone(), demands, Step::ShutDown { at: 1 }];
+    let wrong_incarnation = [draw.clone(), report, Step::ShutDown { at: 1 }];
     let wrong_incarnation =
         wrong_incarnation.into_iter().chain(settle(1)).chain(settle(1)).chain([draw]);
     let wrong_incarnation =
         wrong_incarnation.chain([Step::RepeatRequest { which: 1 }]).chain(holds_all());
     // A box dies while its witness is unreachable, its next incarnation opens the claim, another box collects.
-    let dies_unasked = [Step::Crash { at: 0, asked: false }].into_iter().chain(settle(0));
+    let dies_unasked = [Step::Crash { at: 0, witness_asked: false }].into_iter().chain(settle(0));
     let collects = || [Step::Collect { at: 2, which: 0 }].into_iter().chain(settle(2));
     // Uses enough tokens first that those freed twice can be spent.
     let uses = [oversized_hold()]
@@ -748,13 +754,13 @@
     };
     let until = tokio::time::Instant::now() + std::time::Duration::from_secs(60);
     let funds = node.funds.clone();
-    let waits =
+    let pending_hold =
         tokio::spawn(async move { funds.hold(&customer(), PAID + 1, until).await.is_some() });
     tokio::task::yield_now().await;
     assert!(node.funds.is_urgent(), "a request is waiting");
     settle(&mut node);
     assert!(!node.funds.is_urgent(), "the book has too few tokens");
-    assert!(!waits.await.expect("no panic"), "refused without waiting for its deadline");
+    assert!(!pending_hold.await.expect("no panic"), "refused without waiting for its deadline");
     let funds = node.funds.clone();
     let small = tokio::spawn(async move { funds.hold(&customer(), 100, until).await.is_some() });
     tokio::task::yield_now().await;
