--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -208,8 +208,8 @@
     fn signals_affect_only_their_endpoint(signals in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
         let view = View::open(&["i-1", "i-2"]);
         let sender = view.chosen("i-1");
-        for word in signals {
-            view.receive(&sender, &Said { leaves: word.map(Word::Read), ..Said::default() });
+        for signal in signals {
+            view.receive(&sender, &Said { leaves: signal.map(Word::Read), ..Said::default() });
         }
         prop_assert!(view.is_chosen("i-2"));
     }
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -31,7 +31,7 @@
 /// Fault that a variant of the model has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    NoFault,
+    None,
     /// A settlement whose response was lost is made again under a new number.
     RepeatUnknownWrite,
     /// A loan counts each time that its response arrives.
@@ -639,7 +639,7 @@
 
     #[test]
     fn no_order_of_events_overspends(steps in prop::collection::vec(step(), 0..120)) {
-        if let Err(error) = run(&steps, Fault::NoFault) {
+        if let Err(error) = run(&steps, Fault::None) {
             prop_assert!(false, "{}", error);
         }
     }
@@ -732,7 +732,7 @@
     ];
     for (fault, steps) in cases {
         assert_eq!(
-            run(&steps, Fault::NoFault),
+            run(&steps, Fault::None),
             Ok(()),
             "the steps for {fault:?} pass without the fault"
         );
