--- a/crates/member/src/home.rs
+++ b/crates/member/src/home.rs
@@ -1,13 +1,12 @@
-//! Rendezvous hashing: everyone computes the same order of candidates with no word exchanged.
+//! Rendezvous hashing: all boxes compute the same order of candidates without communication.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Weight of a candidate for a key.
 pub fn weight(key: &str, candidate: &str) -> u64 {
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64(key.as_bytes()))
 }
 
-/// Position of `me` among the candidates for `key`; 0 is the home.
+/// Position of `me` among the candidates for `key`; 0 is the owner.
 pub fn rank<'a>(key: &str, me: &str, candidates: impl IntoIterator<Item = &'a str>) -> usize {
     let mine = weight(key, me);
     let ahead = |other: &&str| *other != me && (weight(key, other), *other) > (mine, me);
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which incarnations exist, which are silent, and who looks after what.
+//! Membership: which incarnations exist, which are silent, and which box owns a key.
 //!
-//! All of this only makes things fast. A box that is wrong about another seals a journal too
-//! early, which the platform's conditional updates make harmless; two boxes that both believe
-//! they are home for a thing cost each other a conflict.
+//! Membership is an optimization and need not be exact. Sealing the journal of a live box is
+//! harmless, since all updates of the platform are conditional; two boxes that both consider
+//! themselves the owner of a key only cause a conflict.
 
 mod home;
 mod members;
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -5,23 +5,20 @@
 use ledger::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// What an incarnation says of itself.
+/// State that an incarnation publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
     pub incarnation: Incarnation,
-    /// Availability zone.
     pub zone: Arc<str>,
-    /// Region.
     pub region: Arc<str>,
-    /// Address for other boxes, empty if it takes no peers.
+    /// Address for other boxes; empty if it serves none.
     #[serde(default)]
     pub peer: Arc<str>,
     /// Platform version up to which it has configuration in force.
     pub watched: u64,
-    /// Grows with every sign of life.
+    /// Heartbeat counter.
     pub beat: u64,
-    /// It is being stopped by plan.
+    /// Whether a planned stop has begun.
     #[serde(default)]
     pub stopping: bool,
 }
@@ -46,7 +43,7 @@
 }
 
 impl Members {
-    /// A member object was read, newly or again.
+    /// Records a member object that was read; only a changed one counts as a heartbeat.
     pub fn saw(&mut self, member: Member, now: u64) {
         let known = self.known.get_mut(&member.incarnation);
         match known {
@@ -56,22 +53,22 @@
         }
     }
 
-    /// An incarnation was heard of in another way, such as by a peer's frame.
+    /// Records another sign of life, such as a message from the incarnation.
     pub fn heard(&mut self, incarnation: &Incarnation, now: u64) {
         if let Some(seen) = self.known.get_mut(incarnation) {
             seen.at = now;
         }
     }
 
-    /// A member object was deleted.
+    /// Removes an incarnation whose member object was deleted.
     pub fn removed(&mut self, incarnation: &Incarnation) {
         self.known.remove(incarnation);
     }
 
-    /// This box was out of touch: nobody's silence before `now` means anything.
+    /// Restarts the silence of all members at `now`.
     ///
-    /// The paper has the same rule: a replica that could not reach the store takes nobody for
-    /// gone, and the absence of others counts again from when its own lease is current.
+    /// For a box that was disconnected itself: it received no heartbeats, so their absence proves
+    /// nothing.
     pub fn restart_counting(&mut self, now: u64) {
         for seen in self.known.values_mut() {
             seen.at = now;
@@ -84,13 +81,13 @@
         self.known.iter().filter(silent).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Members with a sign of life within `after` milliseconds.
+    /// Members with a sign of life within the last `after` milliseconds.
     pub fn live(&self, now: u64, after: u64) -> impl Iterator<Item = &Member> {
         let live = move |seen: &&Seen| seen.at + after > now;
         self.known.values().filter(live).map(|seen| &seen.member)
     }
 
-    /// Number of boxes that live, at least one.
+    /// Number of live boxes, at least one.
     pub fn boxes(&self, now: u64, after: u64) -> u64 {
         let mut names: Vec<&str> =
             self.live(now, after).map(|member| member.incarnation.box_name()).collect();
@@ -99,7 +96,7 @@
         names.len().max(1) as u64
     }
 
-    /// Position of `me` among the live members for `key`; 0 is the home.
+    /// Position of `me` among the live members for `key`; 0 is the owner.
     pub fn rank(&self, key: &str, me: &Incarnation, now: u64, after: u64) -> usize {
         let names = self.live(now, after).map(|member| member.incarnation.as_str());
         crate::rank(key, me.as_str(), names)
--- a/crates/member/tests/members.rs
+++ b/crates/member/tests/members.rs
@@ -1,4 +1,4 @@
-//! Silence, and homes that everyone agrees on.
+//! Detection of silent members, and agreement on the owner of a key.
 
 use ledger::Incarnation;
 use member::{Member, Members};
--- a/crates/objects/src/call.rs
+++ b/crates/objects/src/call.rs
@@ -1,19 +1,19 @@
-//! The ledger of platform calls: every call is counted by kind and operation.
+//! Counters of platform calls, by kind of object and operation.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use parking_lot::Mutex;
 
-/// What a call does.
+/// Operation of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Operation {
-    /// Reads one object or the box list.
+    /// Reads one object or the list of boxes.
     Get,
-    /// Reads one object as it stood a little earlier, which is cheaper.
+    /// Reads one object, possibly stale, at a lower price.
     OldGet,
     /// Reads all objects of a kind.
     List,
-    /// Reads all objects of a kind as they stood a little earlier, which is cheaper.
+    /// Reads all objects of a kind, possibly stale, at a lower price.
     OldList,
     /// Writes or deletes an object.
     Put,
@@ -21,7 +21,7 @@
     Watch,
 }
 
-/// Calls made, by kind of object and operation.
+/// Counters of one operation on one kind of object.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Count {
     /// Calls sent.
@@ -35,7 +35,7 @@
 /// Counters by operation and kind of object.
 pub type Counts = BTreeMap<(Operation, Arc<str>), Count>;
 
-/// Shared counters of one client.
+/// Counters of one client, shared between its clones.
 #[derive(Debug, Clone, Default)]
 pub struct Calls(Arc<Mutex<Counts>>);
 
@@ -49,7 +49,6 @@
         count.received += received as u64;
     }
 
-    /// All counters so far.
     pub fn snapshot(&self) -> Counts {
         self.0.lock().clone()
     }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,9 +1,8 @@
-//! The platform's object API as the fleet sees it.
+//! Interface to the platform's object store.
 //!
-//! [`Store`] is the narrow edge between decisions and the platform: objects with versions,
-//! conditional updates, watches and the list of boxes. `platform::store` speaks it over HTTP; tests
-//! use the stand-in's own implementation. A write has three results, never two: it landed, it was
-//! refused by version, or it is *not known* whether it landed.
+//! [`Store`] offers versioned objects, conditional updates, watches and the list of boxes.
+//! `platform::store` implements it over HTTP; tests use an in-memory implementation. A write may
+//! have an unknown result besides success and failure: see [`Write`].
 
 mod call;
 mod object;
@@ -15,25 +14,24 @@
 
 use snafu::Snafu;
 
-/// Why a read gave nothing.
+/// Why a read failed.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// No answer in time, or no connection.
     #[snafu(display("the platform did not answer: {reason}"))]
     Unreachable { reason: String },
-    /// The platform asked for fewer calls.
-    #[snafu(display("the platform's rate is used up"))]
+    /// The platform's rate limit was exceeded.
+    #[snafu(display("platform rate limit exceeded"))]
     Limited,
-    /// An answer that does not fit the protocol.
-    #[snafu(display("the platform's answer was not understood: {reason}"))]
+    /// The answer violates the protocol.
+    #[snafu(display("malformed answer from the platform: {reason}"))]
     Malformed { reason: String },
 }
 
-/// The object API, bounded in time by whoever implements it.
+/// The object store. Implementations bound the time of each call.
 #[async_trait::async_trait]
 pub trait Store: Send + Sync {
-    /// Newest version of one object, `None` where there is none.
+    /// Newest version of an object, `None` if it does not exist.
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, Error>;
 
     /// All objects of a kind whose names start with `prefix`.
@@ -45,9 +43,9 @@
     /// Deletes the object if its version is `version`.
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write;
 
-    /// Waits for changes of the kinds after `from`; empty when none came in time.
+    /// Waits for changes of the kinds after `from`; empty if there were none in time.
     async fn watch(&self, kinds: &[&str], from: u64) -> Result<Watch, Error>;
 
-    /// The platform's list of boxes, which lags.
+    /// The platform's list of boxes, which may be stale.
     async fn hosts(&self) -> Result<Vec<Host>, Error>;
 }
--- a/crates/objects/src/object.rs
+++ b/crates/objects/src/object.rs
@@ -4,70 +4,67 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One stored object: its value is JSON text.
+/// A stored object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
     /// Kind, such as `ledger`.
     pub kind: Arc<str>,
     /// Name within the kind.
     pub name: Arc<str>,
-    /// Version, growing over all objects of the platform.
+    /// Version, which grows over all objects of the platform.
     pub version: u64,
     /// JSON text.
     pub value: Arc<str>,
 }
 
-/// What a conditional write expects to find.
+/// Precondition of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
-    /// No object: create only.
+    /// The object does not exist: create only.
     Absent,
-    /// The object at exactly this version.
+    /// The object has exactly this version.
     Version(u64),
 }
 
 /// Result of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Landed(u64),
-    /// It did not take effect: the object was not as expected.
+    /// The write did not take effect: the precondition did not hold.
     Refused,
-    /// It certainly was not carried out: the platform said so before acting.
+    /// The write was certainly not carried out: the platform rejected it before acting.
     Failed,
-    /// It may have taken effect, now or later.
+    /// The write may have taken effect, or may still do so.
     Unknown,
 }
 
-/// One change seen by a watch; no value means deleted.
+/// A change seen by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Kind of the object.
     pub kind: Arc<str>,
-    /// Name of the object.
     pub name: Arc<str>,
-    /// Version this change made.
+    /// Version that the change created.
     pub version: u64,
-    /// JSON text, or `None` once deleted.
+    /// JSON text; `None` if the object was deleted.
     pub value: Option<Arc<str>>,
 }
 
-/// What a watch returned.
+/// Result of a watch.
 #[derive(Debug, Clone, Default)]
 pub struct Watch {
     /// Changes in order of version.
     pub changes: Vec<Change>,
-    /// Where the next watch starts.
+    /// Version from which the next watch starts.
     pub next: u64,
-    /// The platform forgot changes in between: list again.
+    /// The platform has discarded changes in between: list the objects again.
     pub gap: bool,
 }
 
-/// One box of the platform's list.
+/// A box in the platform's list.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Host {
-    /// Box name.
     pub name: Arc<str>,
-    /// Whether the box is about to go.
+    /// Whether the box is about to be removed.
     pub leaving: bool,
 }
--- a/crates/objects/src/settle.rs
+++ b/crates/objects/src/settle.rs
@@ -1,21 +1,22 @@
-//! Resolving a write whose answer was lost.
+//! Resolution of a write whose answer was lost.
 //!
-//! A conditional update can only land while the object is still at the version it expected. So
-//! after reading back there are three cases, and only one of them allows the same update again.
+//! A conditional write can only take effect while the object has the version that it expects.
+//! Reading the object back therefore tells whether the write took effect, can no longer do so, or
+//! still might.
 
-/// What reading back says about an earlier write.
+/// State of an earlier write after the object was read back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
     /// The write took effect.
     Landed,
-    /// It did not, and no longer can.
+    /// The write did not take effect and no longer can.
     Lost,
-    /// It did not yet, and still could: send the identical update again.
+    /// The write has not taken effect but still might: send the identical one again.
     Open,
 }
 
-/// Resolves a write that expected `expected` (0: absent) from the version read back and whether
-/// the object carries the writer's mark.
+/// Resolves a write that expected version `expected` (0: absent) from the version that was read
+/// back and whether the object carries the writer's mark.
 pub fn settle(expected: u64, read: u64, marked: bool) -> Settled {
     match (marked, read == expected) {
         (true, _) => Settled::Landed,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,24 +1,23 @@
-//! What can go wrong between boxes.
+//! Errors of the protocol between boxes.
 
 use snafu::Snafu;
 
-/// Why a question to a peer got no answer, or a message was not understood.
+/// Why a request to a peer got no answer, or a message could not be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The peer speaks a format that this box does not know.
+    /// The peer uses a format that this box does not support.
     #[snafu(display("format {format} is not between {} and {}", crate::OLDEST, crate::NEWEST))]
     Format { format: u16 },
-    /// The message is larger than any of ours.
+    /// The message exceeds [`MAX_BYTES`](crate::MAX_BYTES).
     #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_BYTES))]
     TooLarge { bytes: usize },
-    /// The message ends too early or is not one of ours.
+    /// The message is truncated, has trailing bytes, or is not a known frame.
     #[snafu(display("the message was not understood: {reason}"))]
     Malformed { reason: String },
-    /// No connection, or it broke.
-    #[snafu(display("the peer is out of reach: {reason}"))]
+    /// The connection failed or could not be opened.
+    #[snafu(display("peer unreachable: {reason}"))]
     Unreachable { reason: String },
-    /// No answer in time.
     #[snafu(display("the peer did not answer in time"))]
     Late,
 }
--- a/crates/wire/src/format.rs
+++ b/crates/wire/src/format.rs
@@ -1,18 +1,18 @@
-//! Encoding with a format number in front.
+//! Encoding of messages, with the format number first.
 //!
-//! The number is read before anything else is decoded. A box answers in the format it was asked
-//! in, so old and new boxes speak to each other during an upgrade as long as the older format is
-//! kept: frames are only ever added at the end, and a format goes when no box speaks it any more.
+//! The number is read before anything else is decoded. A box answers in the format of the request,
+//! so that boxes of two versions understand each other during an upgrade. New frames are only
+//! appended to [`Frame`](crate::Frame); a format is dropped once no running version uses it.
 
 use bincode::config::{Configuration, Fixint, Limit, LittleEndian};
 
 use crate::{Error, Message};
 
-/// Newest format spoken.
+/// Newest supported format.
 pub const NEWEST: u16 = 2;
-/// Oldest format understood.
+/// Oldest supported format.
 pub const OLDEST: u16 = 1;
-/// Largest message, in bytes.
+/// Largest encoded message, in bytes.
 pub const MAX_BYTES: usize = 2 << 20;
 
 const HEAD: usize = 2;
@@ -26,7 +26,6 @@
         .with_limit::<MAX_BYTES>()
 }
 
-/// Encodes a message in a format.
 pub fn encode(message: &Message, format: u16) -> Result<Vec<u8>, Error> {
     let mut bytes = format.to_le_bytes().to_vec();
     let body = bincode::serde::encode_to_vec(message, config())
@@ -38,7 +37,7 @@
     Ok(bytes)
 }
 
-/// Decodes a message; returns the format it came in.
+/// Decodes a message; also returns its format.
 pub fn decode(bytes: &[u8]) -> Result<(Message, u16), Error> {
     if bytes.len() > MAX_BYTES {
         return Err(Error::TooLarge { bytes: bytes.len() });
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames.
+//! Messages between boxes.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -8,34 +8,33 @@
 use serde::{Deserialize, Serialize};
 use timeline::Stamp;
 
-/// A frame with its sender and its moment.
+/// A frame with its sender and time stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// Sender.
     pub from: Incarnation,
-    /// Hybrid logical time of the sender.
+    /// Hybrid logical clock of the sender.
     pub stamp: Stamp,
-    /// What it says.
     pub frame: Frame,
 }
 
-/// What a box tells of itself now and then.
+/// State that boxes exchange periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Requests under way at endpoints, by pool.
+    /// Requests in flight to endpoints, by pool.
     pub in_flight: Vec<(Arc<str>, Vec<Snapshot>)>,
-    /// Newest source version in force.
+    /// Newest source version of the configuration in force.
     pub newest: u64,
-    /// Sum of all versions in force, so that a gap below the newest shows.
+    /// Sum of all versions in force, which reveals a gap below the newest.
     pub versions: u64,
     /// Whether the sender reaches the platform.
     pub platform: bool,
 }
 
-/// Where a request is or was run.
+/// Where a request is or was executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// Incarnation that runs it.
+    /// Incarnation of the box that executes it.
     pub by: Incarnation,
     /// Address of the endpoint.
     pub endpoint: Arc<str>,
@@ -43,259 +42,258 @@
     pub dispatch: Arc<str>,
 }
 
-/// What the home of a key knows of it.
+/// What the box that tracks an idempotency key knows about it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum There {
-    /// Nobody runs it: whoever asked may.
+    /// Nobody executes the request: the sender may.
     Nowhere,
-    /// Another incarnation is about to run it.
+    /// Another incarnation is about to execute it.
     Soon,
-    /// It is or was run there.
+    /// It is or was executed there.
     Place(Place),
 }
 
-/// A stored object passed on.
+/// A stored object, as read on behalf of another box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// Kind.
     pub kind: Arc<str>,
-    /// Name.
     pub name: Arc<str>,
-    /// Version.
     pub version: u64,
     /// JSON text.
     pub value: Arc<str>,
 }
 
-/// Result of a write passed on.
+/// Result of a write on behalf of another box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
-    /// It made this version.
+    /// The write took effect and created this version.
     Landed(u64),
-    /// The object was not as expected.
+    /// The object was not in the expected state.
     Refused,
-    /// It was certainly not carried out.
+    /// The write was certainly not carried out.
     Failed,
-    /// It may have taken effect.
+    /// The write may have taken effect.
     Unknown,
 }
 
-/// A platform call made for a box that does not reach the platform itself.
+/// A platform call on behalf of a box that does not reach the platform itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
     /// Reads one object.
     Get { kind: Arc<str>, name: Arc<str> },
-    /// Reads all objects of a kind with a prefix.
+    /// Reads all objects of a kind whose names start with a prefix.
     List { kind: Arc<str>, prefix: Arc<str> },
-    /// Writes an object; version 0 means create only.
+    /// Writes an object; version 0 creates it and fails if it exists.
     Put { kind: Arc<str>, name: Arc<str>, value: String, version: u64 },
     /// Deletes an object.
     Delete { kind: Arc<str>, name: Arc<str>, version: u64 },
 }
 
-/// What a box tells its keeper and wants of it.
+/// Usage totals and demand that a box sends to its keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Draw {
-    /// The life of the keeper that is meant: another one knows nothing of these totals.
+    /// Incarnation of the keeper that is addressed; another one does not have the totals before.
     pub keeper: Incarnation,
-    /// Customers of whom there is something to tell or to ask.
+    /// Customers with new totals or demand.
     pub items: Vec<ledger::Told>,
-    /// How long the keeper may look for tokens, in milliseconds.
+    /// How long the keeper may wait for tokens, in milliseconds.
     pub within_ms: u64,
-    /// The sender ends by plan: nothing comes after this.
+    /// The sender is about to stop; this is its last message.
     pub leaves: bool,
 }
 
 /// A keeper's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drawn {
-    /// Customers asked for.
+    /// Customers that were asked for.
     pub items: Vec<Given>,
-    /// The keeper does not reach the store: another one may.
+    /// The keeper does not reach the store; another one may.
     pub cut: bool,
-    /// The keeper ends by plan: it wants back what is not used, and another one is to be asked.
+    /// The keeper is about to stop: unused tokens go back to it, and another keeper is to be used.
     pub leaves: bool,
 }
 
-/// Where a box is that has just registered.
+/// Address and capacity of a box that has just registered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// Its availability zone.
+    /// Availability zone of the box.
     pub zone: Arc<str>,
-    /// Where it answers other boxes.
+    /// Address on which it serves other boxes.
     pub peer: SocketAddr,
-    /// What it can carry.
+    /// Its capacity, for the choice of keepers and watchers.
     pub strength: u64,
     /// Version of its entry in the store.
     pub version: u64,
 }
 
-/// A page of bills as the store takes it.
+/// A page of bills in its stored form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sheet {
-    /// Its name, which is the writer's alone.
+    /// Object name, which only its writer uses.
     pub name: String,
     /// JSON text.
     pub text: String,
 }
 
-/// An object of the store as it stands, or that it went.
+/// The current state of a stored object, or its deletion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Kind.
     pub kind: Arc<str>,
-    /// Name.
     pub name: Arc<str>,
-    /// Version that the store gave it; of one that went, the last that was seen.
+    /// Version in the store; for a deleted object, the last one seen.
     pub version: u64,
-    /// JSON text; nothing if it went.
+    /// JSON text; `None` if the object was deleted.
     pub value: Option<Arc<str>>,
 }
 
-/// What a box that listens knows already.
+/// A subscriber's request for updates, with what it knows already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listen {
-    /// The life of the teller that is meant: another one counts its changes anew.
+    /// Incarnation of the watcher that is addressed; another one numbers its changes differently.
     pub teller: Incarnation,
-    /// Number of the newest change known, 0 for none; nothing where no changes are wanted, but whether
-    /// the teller reaches the store.
+    /// Number of the newest change known, 0 for none. `None` asks for no changes, only whether the
+    /// watcher reaches the store.
     pub since: Option<u64>,
-    /// Version of the configuration known: an older one is not told.
+    /// Version of the configuration known; only a newer one is sent.
     pub config: u64,
-    /// Whether the listener was told that the teller does not reach the store.
+    /// Whether the subscriber knows that the watcher does not reach the store.
     pub away: bool,
-    /// How long the teller waits for news before it answers all the same, in milliseconds.
+    /// How long the watcher may hold the request while nothing changes, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What a box that looks at the store tells.
+/// A watcher's answer to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Number of the newest change told.
+    /// Number of the newest change included.
     pub last: u64,
-    /// What is told is all there is.
+    /// Whether the changes are a full snapshot.
     pub whole: bool,
-    /// Objects that changed, the oldest change first.
+    /// Changed objects, oldest change first.
     pub changes: Vec<Change>,
-    /// Version of the store up to which the teller has seen all entries of endpoints.
+    /// Store version up to which the watcher has seen all entries of endpoints.
     pub endpoints_at: u64,
-    /// Version of the store up to which it has seen all entries of boxes.
+    /// Store version up to which the watcher has seen all entries of boxes.
     pub boxes_at: u64,
-    /// How long the store has not answered the teller, in milliseconds, if it does not.
+    /// How long the watcher has not reached the store, in milliseconds; `None` while it does.
     pub away_ms: Option<u64>,
 }
 
-/// What an endpoint said of the requests that it takes from all boxes together, and how long ago.
+/// The rate limit that an endpoint named for all boxes together, and how long ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limited {
-    /// This life of the endpoint.
+    /// Instance of the endpoint.
     pub endpoint: Arc<str>,
-    /// How much it takes; nothing where it named no limit.
+    /// The limit; `None` if the endpoint named none.
     pub limit: Option<Limit>,
-    /// Milliseconds since the request was sent whose answer said so.
+    /// Milliseconds since the request was sent whose answer carried the signal.
     pub asked_ms: u64,
-    /// Milliseconds since that answer came.
+    /// Milliseconds since that answer was received.
     pub heard_ms: u64,
 }
 
-/// Asks the box that hands out turns at an endpoint for one.
+/// Asks the issuer of an endpoint's permits for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// What the asker knows of the endpoint.
+    /// What the sender knows of the endpoint's limit.
     pub said: Limited,
-    /// Boxes that passed this question on.
+    /// How often this request has been forwarded.
     pub hops: u8,
 }
 
-/// What came of asking for a turn.
+/// Answer to a request for a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Turned {
-    /// A request may be sent at once.
+    /// One request may be sent now.
     Given,
-    /// None is left; to be asked for again after so many milliseconds.
+    /// No permit is available; retry after this many milliseconds.
     After { ms: u64 },
-    /// The endpoint named no limit last.
+    /// The endpoint no longer names a limit.
     Free { said: Limited },
-    /// The box that was asked hands out no turns any more: it is about to stop.
+    /// The box is about to stop and issues no more permits.
     Leaves,
 }
 
-/// One question or answer.
+/// A request or an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Regular exchange; answered in kind.
+    /// Periodic exchange of state; the answer is the receiver's own.
     Tell(Told),
-    /// Entries to carry while the platform is out of reach.
+    /// Entries to hold while the platform is unreachable.
     Carry { by: Incarnation, entries: Vec<Entry> },
-    /// How many were taken.
+    /// How many of the entries were accepted.
     Taken { count: u64 },
-    /// Wants all accepted objects.
+    /// Requests all accepted objects.
     Accepted,
     /// Accepted objects as JSON text.
     Objects { objects: Vec<Arc<str>> },
-    /// A platform call to pass on.
+    /// A platform call on behalf of the sender.
     Call(Question),
-    /// Objects found, or that the platform did not answer.
+    /// Objects found; `None` if the platform did not answer.
     Found { objects: Option<Vec<Value>> },
-    /// Result of a write passed on.
+    /// Result of a write on behalf of the sender.
     Written(Write),
-    /// A ledger has not enough left for a request of this size: return what can be spared.
+    /// The ledger lacks tokens for a request of this size: return what can be spared.
     Spare { budget: Arc<str>, tokens: u64 },
-    /// Whether anything was returned.
+    /// Whether any tokens were returned.
     Spared { returned: bool },
-    /// Asks for offline tokens, for a request of this size.
+    /// Requests offline tokens for a request of this size.
     Lend { budget: Arc<str>, tokens: u64 },
-    /// Offline tokens passed on, or nothing.
+    /// Lent offline tokens, if any.
     Lent { transfer: Option<Transfer> },
-    /// A request with a key is run here.
+    /// The sender executes the request with this idempotency key.
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
-    /// Where is the request with this key run? If nowhere, the asker is about to run it.
+    /// Asks where the request with this key is executed; if nowhere, the sender is about to execute
+    /// it.
     Where { customer: Arc<str>, key: Arc<str> },
-    /// What the key's home knows.
+    /// Answer to [`Frame::Where`].
     There(There),
-    /// Understood, nothing to say.
+    /// Accepted; there is nothing to return.
     Done,
-    /// The question made no sense to this box.
+    /// The receiver cannot serve the request.
     Refused { reason: Arc<str> },
-    /// Tokens that the sender keeps untouched until its witness, who is asked, knows better.
+    /// Tokens that the sender leaves untouched until its witness, the receiver, accepts a newer
+    /// promise.
     Promise(Promise),
-    /// The promise with this number counts now.
+    /// The promise with this number is in force.
     Promised { number: u64 },
-    /// The holder died: take no more promises from it. What had it promised under this naming?
+    /// The holder died: accept no more promises from it, and return the last one it made in this
+    /// term.
     Seal { holder: Incarnation, term: u64 },
-    /// Tokens by customer that it had promised last; nothing if no promise is known.
+    /// Tokens by customer in the sealed promise; `None` if there is none.
     Sealed { tokens: Option<BTreeMap<Arc<str>, u64>> },
-    /// A large prompt that the sender sent to an endpoint, or that was read there.
+    /// A large prompt that the sender sent to an endpoint, or whose processing there has ended.
     Prompt(Prompt),
-    /// Asks a keeper for tokens, and tells what became of those it passed on before.
+    /// Requests tokens from a keeper, and reports the use of earlier ones.
     Draw(Draw),
     /// Totals of what the keeper passed on.
     Drawn(Drawn),
-    /// Pages of bills that the sender could not write before it ends: the receiver writes them. Boxes of the version
-    /// before send it.
+    /// Pages of bills that the sender could not write before it stops, for the receiver to write.
+    /// Sent by older versions only.
     Bills { pages: Vec<Sheet> },
-    /// Wants news of what the store holds.
+    /// Requests updates about the store.
     Listen(Listen),
-    /// News.
+    /// Answer to [`Frame::Listen`].
     News(News),
-    /// What the sender found of requests and an endpoint, for the receiver to pass on.
+    /// A crash report for the receiver to distribute.
     Crash { name: Arc<str>, report: Report },
-    /// Asks for a turn at an endpoint.
+    /// Requests a permit for an endpoint.
     Turn(Turn),
-    /// What came of that.
+    /// Answer to [`Frame::Turn`].
     Turned(Turned),
-    /// What an endpoint named last, for the receiver to pass on.
+    /// The latest limit of an endpoint, for the receiver to distribute.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
-    /// Pages of bills that the sender could not write before it ends, for this life of the receiver to write.
+    /// Pages of bills that the sender could not write before it stops, for this incarnation of the
+    /// receiver to write.
     HandOver { to: Incarnation, pages: Vec<Sheet> },
-    /// The sender registered after this life of the receiver did, which may not have heard of it.
+    /// The sender registered later than the receiver, which may not know of it yet.
     Greet { to: Incarnation, sender: Greeting },
-    /// An endpoint at this address said that it leaves, for the receiver to pass on.
+    /// The endpoint at this address is leaving; for the receiver to distribute.
     Departure { endpoint: Arc<str>, address: SocketAddr },
 }
 
 impl Frame {
-    /// What it is about, for counters: a question and its answer are alike.
+    /// Topic for traffic counters; a request and its answer have the same one.
     pub fn topic(&self) -> &'static str {
         match self {
             Frame::Listen(_) | Frame::News(_) => "news",
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! What boxes say to each other: `bincode` frames in `h2` streams.
+//! Protocol between boxes: `bincode` frames in `h2` streams.
 //!
-//! One stream carries one question and its answer. Every message starts with a format number and
-//! is bounded before it is decoded; a newer format or an unknown frame is a typed error. Nothing
-//! here is agreed or kept: peers only tell, carry and pass on.
+//! Each stream carries one request and its answer. A message starts with its format number and its
+//! size is checked before it is decoded; an unknown format or frame is a typed error. The protocol
+//! has no consensus and stores nothing.
 
 mod error;
 mod format;
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -1,8 +1,8 @@
-//! Large answers are packed on their way, if whoever asks says that it can unpack them.
+//! Compression of large answers.
 //!
-//! The whole of what a home of news knows of 3,000 endpoints is 0.7 MB, nearly all of it the same words again
-//! and again. Over the link of a narrow box (10 Mbit/s) that takes about as long as such a box waits. With 300 boxes the
-//! busiest one moved 8.4 MB a second with answers as they are, and 1.9 MB with packed ones (one day's play each). Boxes that do not say so, or that do not pack, are spoken to as before.
+//! A request names the encodings that the sender can decode in `accept-encoding`. Without this, a
+//! full update about a few thousand endpoints, which is highly repetitive, takes longer to transfer
+//! over a 10 Mbit/s link than a subscriber waits for it.
 
 use std::io::{Read, Write};
 
@@ -10,12 +10,12 @@
 
 use crate::{Error, MAX_BYTES};
 
-/// What a question says, and an answer that is packed.
+/// Value of `accept-encoding` in requests and of `content-encoding` in compressed answers.
 pub const ENCODING: &str = "deflate";
-/// Answers of fewer bytes go as they are: they fit a few packets.
+/// Smaller answers are sent uncompressed: they fit in a few packets.
 const PACKED_FROM: usize = 4 << 10;
 
-/// Packs an answer if that is worth it.
+/// Compresses an answer; `None` if it is small or would not become smaller.
 pub fn pack(bytes: &[u8]) -> Option<Vec<u8>> {
     if bytes.len() < PACKED_FROM {
         return None;
@@ -26,7 +26,7 @@
     (packed.len() < bytes.len()).then_some(packed)
 }
 
-/// Unpacks an answer, as long as it is no larger than any message.
+/// Decompresses an answer; fails if it is larger than any valid message.
 pub fn unpack(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut unpacked = Vec::new();
     let most = MAX_BYTES as u64 + 1;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Asking another box.
+//! Client side: requests to another box.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -16,7 +16,7 @@
 
 use crate::{Error, MAX_BYTES, Message, NEWEST, decode, encode, packed, server::read_all};
 
-/// A peer that is asked over one connection, opened when it is needed.
+/// Client for one peer, with a single connection that is opened on demand.
 #[derive(Clone)]
 pub struct Peer {
     address: SocketAddr,
@@ -25,37 +25,37 @@
     format: u16,
 }
 
-/// Bytes of a question and its answer, as they went over the link.
+/// Bytes of a request and its answer on the wire.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Of the question.
+    /// Request.
     pub sent: u64,
-    /// Of the answer.
+    /// Answer, as compressed.
     pub heard: u64,
 }
 
 impl Peer {
-    /// A peer at an address, reached from this box's own IP number; nothing is sent yet.
+    /// Creates a client for `address` that connects from the local address `source`; opens nothing
+    /// yet.
     pub fn new(address: SocketAddr, source: IpAddr) -> Peer {
         Peer { address, source, connection: Arc::default(), format: NEWEST }
     }
 
-    /// The same peer, spoken to in a given format.
+    /// Uses a given format instead of the newest.
     pub fn speaking(self, format: u16) -> Peer {
         Peer { format, ..self }
     }
 
-    /// Where it is.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for the answer.
     pub async fn ask(&self, question: &Message, within: Duration) -> Result<Message, Error> {
         self.ask_counted(question, within).await.map(|(answer, _)| answer)
     }
 
-    /// Asks and waits for the answer; says what both took.
+    /// Sends a request and waits for the answer; also returns the size of both.
     pub async fn ask_counted(
         &self,
         question: &Message,
@@ -65,7 +65,8 @@
         match tokio::time::timeout(within, self.exchange(bytes)).await {
             Ok(answer) => answer,
             Err(_) => {
-                // A connection that does not answer may be one end of a cut link.
+                // The connection may be half-open after a network fault: the next request opens a
+                // new one.
                 self.connection.lock().await.take();
                 Err(Error::Late)
             }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering other boxes.
+//! Server side: answers to other boxes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,19 +11,18 @@
 
 use crate::{Error, MAX_BYTES, Message, decode, encode, packed};
 
-/// Streams at once on one connection.
+/// Concurrent streams on one connection.
 const STREAMS: u32 = 256;
-/// Longest time for a peer to send one question.
+/// Longest time to receive one request.
 const READ: Duration = Duration::from_secs(5);
 
-/// What answers questions.
+/// Handler of requests.
 #[async_trait::async_trait]
 pub trait Answer: Send + Sync + 'static {
-    /// Answers one question.
     async fn answer(&self, question: Message) -> Message;
 }
 
-/// A running listener for other boxes.
+/// A running server for other boxes; it stops when dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -31,7 +30,7 @@
 }
 
 impl Server {
-    /// Binds an address and answers on it until dropped.
+    /// Binds an address and serves requests until dropped.
     pub async fn bind(address: SocketAddr, answer: Arc<dyn Answer>) -> std::io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -39,7 +38,7 @@
         Ok(Server { address, task })
     }
 
-    /// Where it listens.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -100,7 +99,7 @@
             Err(error) => (500, error.to_string().into_bytes()),
         },
         Err(error) => {
-            tracing::debug!(%error, "a peer's message was refused");
+            tracing::debug!(%error, "rejected a message from a peer");
             (400, error.to_string().into_bytes())
         }
     };
@@ -115,7 +114,7 @@
     }
 }
 
-/// Reads a body, giving up as soon as it is larger than any message.
+/// Reads a body; fails as soon as it exceeds [`MAX_BYTES`].
 pub(crate) async fn read_all(mut body: h2::RecvStream) -> Result<BytesMut, Error> {
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames survive the trip; everything else is a typed error, never a panic.
+//! Messages survive encoding and decoding; malformed input gives a typed error, never a panic.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -107,8 +107,8 @@
     assert!(gone.is_err(), "{gone:?}");
 }
 
-/// Forwards to `target`, but for connections that were open when `lost` last grew: they stay open
-/// and carry nothing more.
+/// Forwards connections to `target`. Those opened before `lost` last grew stay open but forward no
+/// more data.
 async fn lossy_link(
     target: std::net::SocketAddr,
     lost: tokio::sync::watch::Receiver<u64>,
@@ -128,7 +128,7 @@
                     silent = silent => silent,
                 };
                 if silent {
-                    // Both ends stay open.
+                    // Keeps both ends open.
                     std::future::pending::<()>().await;
                 }
             });
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -1,7 +1,5 @@
-//! What large answers take on their way.
-//!
-//! The load: 301 boxes and 3,000 endpoints. The whole of what a home of news knows goes to each of 50
-//! listeners, many of them in other availability zones and behind 10 Mbit/s.
+//! Size of a full update about 3,000 endpoints, which must reach subscribers behind a slow link
+//! within their timeout.
 
 use std::{
     net::SocketAddr,
@@ -20,14 +18,14 @@
 };
 use wire::{Answer, Change, Frame, Listen, Message, News, Peer, Server, encode};
 
-/// Endpoints of the load.
+/// Number of endpoints in the update.
 const ENDPOINTS: u64 = 3_000;
 
 fn message(frame: Frame) -> Message {
     Message { from: Incarnation::new("box-1", 1), stamp: Stamp::default(), frame }
 }
 
-/// All that a home knows.
+/// A full update.
 fn whole(endpoints: u64) -> Frame {
     let change = |n: u64| {
         Change {
@@ -51,7 +49,7 @@
     Frame::News(News { last, whole: true, changes, endpoints_at: at, boxes_at: at, away_ms: None })
 }
 
-/// Tells the whole of this many endpoints.
+/// Answers each request with a full update about this many endpoints.
 struct Home(u64);
 
 #[async_trait::async_trait]
@@ -67,7 +65,7 @@
     message(Frame::Listen(listen))
 }
 
-/// Passes everything on to `to`, and counts what comes back.
+/// Forwards one connection to `to` and counts the bytes that come back.
 async fn counting(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
     let address = listener.local_addr().expect("a bound socket has an address");
@@ -104,7 +102,7 @@
     assert_eq!(answer, message(whole(ENDPOINTS)), "nothing is lost on the way");
     let plain = encode(&answer, wire::NEWEST).expect("it fits").len();
     let took = count.load(Ordering::Relaxed);
-    // A fifth: 10 Mbit/s carry it within the 0.6 s that a box waits, with room for what goes beside it.
+    // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
     assert!(took * 5 < plain, "{took} bytes on the way of {plain}");
 }
 
