--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,12 +1,12 @@
-//! Time, also that for which the box was suspended.
+//! Time that includes suspension of the box.
 //!
-//! The steady clock, by which all timers run, stands still while a box is suspended. Whatever a caller, an
-//! endpoint or another box relies on goes by the time that passed for them: how long a request has, how old
-//! news is, for how long something counts. Those ages are taken from here.
+//! The monotonic clock, which drives all timers, stops while a box is suspended. Request deadlines,
+//! ages of updates and expiry times go by real time, as callers, endpoints and other boxes see it;
+//! they are measured with [`Moment`].
 //!
-//! [`Pulse`] notices that the box did not run for a while, suspended or held up in another way. What it knows
-//! is old then, and connections may be dead without a sign of it, so that everything is read anew; requests
-//! wait for that, a moment at most.
+//! [`Pulse`] detects that the box was suspended or did not run for a while. Its state may then be
+//! stale and its connections dead, so that connections are closed and all state is read again.
+//! Requests wait for that for a short time.
 
 use std::{
     fmt,
@@ -24,38 +24,39 @@
     time::{Instant, sleep, timeout_at},
 };
 
-/// Time between two looks whether the box runs.
+/// Interval between checks that the box runs.
 const BEAT: Duration = Duration::from_millis(250);
-/// Time without a beat after which what is known counts as old: four beats, so that a busy box that is late
-/// by some of them reads nothing anew. Half of the shortest bound on news, 2 s on small deployments.
+/// Time without a check after which the box counts as suspended. Four intervals, so that a busy box
+/// does not; half of the shortest bound on the age of state, 2 s on small deployments.
 const HELD_UP: Duration = Duration::from_millis(1_000);
-/// Longest wait of a request for news after the box was held up: a read of a store that is slow. Without it a
-/// box that slept through a drain sends to an endpoint that left.
+/// Longest time that a request waits for state to be read again after a suspension; covers a read
+/// of a slow store. Without the wait, a box that was suspended during a drain sends requests to
+/// endpoints that have left.
 const FRESH_WITHIN: Duration = Duration::from_millis(400);
 
-/// Says for how long the box was suspended.
+/// Source of time that knows how long the box was suspended.
 #[derive(Debug, Clone)]
 pub struct Clock(Source);
 
 #[derive(Debug, Clone)]
 enum Source {
     System,
-    /// Milliseconds, set by a test.
+    /// Milliseconds of suspension, set by a test.
     ByHand(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// The clocks of the system.
+    /// The system's clocks.
     pub fn system() -> Clock {
         Clock(Source::System)
     }
 
-    /// A box that is suspended only when [`Clock::suspend`] says so.
+    /// A clock on which the box is suspended only by [`Clock::suspend`].
     pub fn by_hand() -> Clock {
         Clock(Source::ByHand(Arc::default()))
     }
 
-    /// The box was suspended for so long, if this is a clock by hand.
+    /// Simulates a suspension on a manual clock; does nothing on the system's.
     pub fn suspend(&self, time: Duration) {
         match &self.0 {
             Source::System => {}
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Time for which the box was suspended so far.
+    /// Total time that the box was suspended.
     fn suspended(&self) -> Duration {
         match &self.0 {
             Source::System => {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// This moment.
+    /// The current moment.
     pub fn now(&self) -> Moment {
         Moment { clock: self.clone(), at: Instant::now(), suspended: self.suspended() }
     }
@@ -86,7 +87,7 @@
     Duration::new(time.tv_sec.try_into().unwrap_or(0), time.tv_nsec.try_into().unwrap_or(0))
 }
 
-/// A moment, from which time is counted whether the box runs or not.
+/// A moment in time whose age includes suspension.
 #[derive(Debug, Clone)]
 pub struct Moment {
     clock: Clock,
@@ -95,32 +96,32 @@
 }
 
 impl Moment {
-    /// The same moment of the steady clock.
+    /// The same moment on the monotonic clock.
     pub fn at(&self) -> Instant {
         self.at
     }
 
-    /// Time since then.
+    /// Time since this moment, including suspension.
     pub fn elapsed(&self) -> Duration {
         self.at.elapsed() + self.suspended()
     }
 
-    /// Time since then for which the box was suspended.
+    /// Time since this moment that the box was suspended.
     pub fn suspended(&self) -> Duration {
         self.clock.suspended().saturating_sub(self.suspended)
     }
 }
 
-/// A part of what a box knows that must not be old.
+/// State that must be read again after a suspension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
     /// The configuration.
     Config,
-    /// Which endpoints take work.
+    /// The endpoints.
     Endpoints,
 }
 
-/// Notices that the box did not run for a while.
+/// Detects that the box was suspended or did not run for a while.
 #[derive(Debug, Clone)]
 pub struct Pulse(Arc<Shared>);
 
@@ -132,7 +133,7 @@
     forget: Forget,
 }
 
-/// Closes connections that may be dead, before anything is read anew.
+/// Closes connections that may be dead, before state is read again.
 struct Forget(Box<dyn Fn() + Send + Sync>);
 
 impl fmt::Debug for Forget {
@@ -143,12 +144,12 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Times that the box was held up.
+    /// Number of suspensions so far.
     times: u64,
-    /// Which of them each part was read anew after.
+    /// Number of suspensions when the last read of each dataset began.
     config: u64,
     endpoints: u64,
-    /// Until when requests wait for that.
+    /// Until when requests wait for state to be read again.
     until: Option<Instant>,
 }
 
@@ -159,14 +160,15 @@
 }
 
 impl Pulse {
-    /// The box runs. `forget` closes connections that may be dead once it was held up.
+    /// Creates a detector; after each suspension it calls `forget`, which closes connections that
+    /// may be dead.
     pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Pulse {
         let last = Mutex::new(clock.now());
         let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
         Pulse(Arc::new(Shared { clock, last, state, forget }))
     }
 
-    /// Looks for as long as the box runs.
+    /// Checks periodically for as long as the box runs.
     pub async fn run(self) {
         loop {
             sleep(BEAT).await;
@@ -190,19 +192,19 @@
         });
     }
 
-    /// How often the box was held up so far: what was asked for before the last time may be old.
+    /// Number of suspensions so far. What was requested before the last one may be stale.
     pub fn times(&self) -> u64 {
         self.beat();
         self.0.state.borrow().times
     }
 
-    /// Waits until the box was held up once more than `times`.
+    /// Waits for a suspension after the first `times`.
     pub async fn held_up(&self, times: u64) {
-        // The sender lives as long as `self`.
+        // Cannot fail: `self` holds the sender.
         let _ = self.0.state.subscribe().wait_for(|state| state.times > times).await;
     }
 
-    /// A part was read, by a call that began when the box had been held up so often.
+    /// Records a read that began after `times` suspensions.
     pub fn read(&self, part: Part, times: u64) {
         self.0.state.send_if_modified(|state| {
             let of = match part {
@@ -215,13 +217,13 @@
         });
     }
 
-    /// Waits until what is known was read since the box was held up last, for a moment at most.
+    /// Waits until all state was read after the last suspension, for at most [`FRESH_WITHIN`].
     pub async fn fresh(&self) {
         self.beat();
         let mut state = self.0.state.subscribe();
         let until = state.borrow().until;
         let Some(until) = until.filter(|until| *until > Instant::now()) else { return };
-        // Old news are better than none.
+        // On a timeout the request goes on with stale state.
         let _ = timeout_at(until, state.wait_for(State::is_fresh)).await;
     }
 }
--- a/crates/gateway/src/door/desk.rs
+++ b/crates/gateway/src/door/desk.rs
@@ -1,9 +1,9 @@
-//! Answering other boxes.
+//! Serves requests of other boxes.
 //!
-//! Only boxes that are known are answered, but for one that greets, draws tokens or hands bills over: a box may have
-//! started a moment ago, or while this one did not reach the store, and it names this life of the box that it
-//! asks, of which 64 random bits are known to the store and the fleet alone. Whoever seals a promise must know
-//! the whole name of the box that made it, for the same reason.
+//! Most requests are served to known boxes only. A box that announces itself, draws tokens or hands
+//! over bills may be unknown: it may have just started, or this box may not reach the store. Such a
+//! request names the incarnation of the receiver, whose 64 random bits only the store and the fleet
+//! know. Sealing a promise requires the incarnation of the box that made it, for the same reason.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,16 +18,16 @@
     way::{endpoints::Endpoints, turns::Turns},
 };
 
-/// Longest wait of a box that asks for tokens, while this one frees some that it promised to keep:
-/// half of the time after which that box asks the next ones.
+/// Longest wait for promised tokens to be released for a box that borrows: half of its timeout for
+/// one lender.
 const WITHIN: Duration = Duration::from_millis(25);
-/// Time for a settlement that brings what another box draws: a few calls of the store. Then other
-/// keepers are asked.
+/// Longest wait for a settlement that covers a draw, before other keepers are asked: a few calls to
+/// the store.
 const FROM_STORE: Duration = Duration::from_millis(100);
 
-/// Answers other boxes.
+/// Handler of requests from other boxes.
 pub struct Desk {
-    /// This life of the box.
+    /// This incarnation of the box.
     pub me: Incarnation,
     pub funds: Funds,
     pub peers: Peers,
@@ -36,12 +36,12 @@
     pub bills: Bills,
     pub view: View,
     pub turns: Turns,
-    /// Whether this box is about to stop.
+    /// Whether a planned stop has begun.
     pub stopping: watch::Receiver<bool>,
 }
 
 impl Desk {
-    /// Takes over what another box tells, and passes on what it needs.
+    /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
             return Frame::Refused { reason: "another life of this box is meant".into() };
@@ -93,8 +93,9 @@
         Frame::Lent { transfer }
     }
 
-    /// A later life of the same box asks, or any box that is known here: it knows the whole name of the
-    /// life that ended, of which 64 bits are random, from the book.
+    /// Seals the promise of an incarnation that ended. The sender is a later incarnation of the
+    /// same box or any known box; it proves that it read the book by naming the incarnation, of
+    /// which 64 bits are random.
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
--- a/crates/gateway/src/door/handle.rs
+++ b/crates/gateway/src/door/handle.rs
@@ -1,4 +1,4 @@
-//! The way of one request, from its head to the answer of an endpoint or of the box's own.
+//! Handling of one request, from its head to the answer of an endpoint or of the box itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,10 +18,9 @@
     trip::{End, Trip},
 };
 
-/// How long a request without a deadline of its own may take.
+/// Time limit of a request that names no deadline.
 const LONGEST: Duration = Duration::from_secs(60);
 
-/// Body of an answer to a caller.
 pub type Body = Either<Full<Bytes>, Relay>;
 
 impl Gate {
--- a/crates/gateway/src/door/mod.rs
+++ b/crates/gateway/src/door/mod.rs
@@ -1,7 +1,7 @@
-//! Who comes in: callers, the balancer, operators and other boxes.
+//! Inbound connections: callers, the balancer, operators and other boxes.
 //!
-//! `serve` accepts connections, `handle` takes a request from its head to the last byte of its answer,
-//! `pages` answers the balancer and scrapers, and `desk` answers other boxes.
+//! `serve` accepts connections, `handle` serves the requests of callers, `pages` serves readiness
+//! checks and metrics, and `desk` serves other boxes.
 
 pub mod desk;
 pub mod handle;
--- a/crates/gateway/src/door/pages.rs
+++ b/crates/gateway/src/door/pages.rs
@@ -1,4 +1,4 @@
-//! Answers for the balancer and for scrapers of metrics.
+//! Readiness checks for the balancer, and metrics for scrapers.
 
 use std::sync::Arc;
 
@@ -22,8 +22,8 @@
     response
 }
 
-/// Whether the box takes connections: it has a configuration, room on its link, and is not being
-/// stopped.
+/// Answers whether the box accepts connections: it has a configuration, its link is not overloaded,
+/// and no stop has begun.
 pub fn answer_ready(
     gate: Arc<Gate>,
 ) -> impl Fn(Request<Incoming>) -> std::future::Ready<Page> + Clone + Send + 'static {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The metrics as text.
+/// Answers with the metrics as text.
 pub fn answer_metrics(
     gate: Arc<Gate>,
     view: View,
--- a/crates/gateway/src/door/serve.rs
+++ b/crates/gateway/src/door/serve.rs
@@ -1,6 +1,7 @@
-//! Listening sockets and the connections of callers, on `hyper`'s server, which is what lies
-//! beneath `salvo`: an answer that breaks off must break its connection, and a caller that leaves
-//! must end its request at once.
+//! Listeners and connections of callers.
+//!
+//! Built directly on `hyper`: an answer that breaks off must close its connection, and a caller
+//! that disconnects must cancel its request at once.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,12 +19,12 @@
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Pause after a failed `accept`, such as for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Smallest buffer for a head that the library allows, in bytes.
+/// Smallest head buffer that `hyper` allows, in bytes.
 const LEAST_HEAD: usize = 8_192;
 
-/// Binds a listener; port 0 takes any free one.
+/// Binds a listener; port 0 takes any free port.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address.is_ipv4() {
         true => TcpSocket::new_v4()?,
@@ -34,10 +35,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until its task is aborted; every connection is tracked in `tasks`, and has
-/// the bounds of the moment at which it was accepted.
+/// Accepts connections until its task is aborted. Each connection is tracked in `tasks` and keeps
+/// the bounds in force when it was accepted.
 ///
-/// Once `closing` holds, each connection ends after the answer under way, or at once if it rests.
+/// Once `closing` is true, each connection closes after its current answer, or at once if it is
+/// idle.
 pub async fn accept<S, F, B>(
     listener: TcpListener,
     connections: usize,
@@ -75,7 +77,7 @@
     }
 }
 
-/// Waits until connections are to end, or for ever if nobody can say so any more.
+/// Waits until connections have to close; forever if the sender is gone.
 async fn closes(closing: &mut watch::Receiver<bool>) {
     let gone = closing.wait_for(|closing| *closing).await.is_err();
     if gone {
@@ -116,7 +118,7 @@
             connection.await
         }
     };
-    // Callers that leave, answers that break off and heads that cannot be parsed end here; the
+    // Callers that disconnect, answers that break off and heads that cannot be parsed end here; the
     // first two have log lines of their own.
     if let Err(error) = ended {
         tracing::debug!(event = "connection_ended", %error);
--- a/crates/gateway/src/fleet/entry.rs
+++ b/crates/gateway/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! What a box says of itself in the store: where it is, and what it can carry.
+//! Entries of boxes in the store: address and capacity.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,31 +9,31 @@
 
 use crate::fleet::order::Place;
 
-/// Kind of the objects, named by box.
+/// Kind of the objects, which are named after the box.
 pub const BOXES: &str = "boxes";
 
-/// Where a box is.
+/// Entry of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// This life of the box.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where other boxes ask it.
+    /// Address on which it serves other boxes.
     pub peer: SocketAddr,
-    /// What it can carry.
+    /// Its capacity.
     pub strength: u64,
 }
 
 impl Entry {
-    /// What the choice of keepers needs.
+    /// What the choice of keepers and watchers needs to know.
     pub fn place(&self) -> Place {
         let Entry { incarnation, zone, strength, .. } = self;
         Place { name: incarnation.clone(), zone: zone.clone(), strength: *strength }
     }
 }
 
-/// Removes the entry of a box that ends by plan.
+/// Removes the entry of a box in a planned stop.
 pub async fn remove(store: &Client, me: &Incarnation, version: u64) {
     let removed = store.delete(BOXES, me.box_name(), version).await;
     tracing::info!(event = "box_removed", outcome = ?removed);
--- a/crates/gateway/src/fleet/homes.rs
+++ b/crates/gateway/src/fleet/homes.rs
@@ -1,15 +1,14 @@
-//! Which boxes look at the store for all others.
+//! Choice of the boxes that watch the store on behalf of all others.
 //!
-//! One box for each [`SERVED`], two at least, so that the loss of one costs its listeners a question and
-//! no call of the store. Only boxes with at least half of what the strongest one can carry are chosen,
-//! by rendezvous hashing, with another word than for keepers of tokens: those have work enough. They stand
-//! in as many availability zones as they can, since news is heard from the own zone where that has a home:
-//! with 3,000 endpoints, 301 boxes sent 0.316 GB from zone to zone in a day's play where homes stood anywhere,
-//! and 0.157 GB so. As many boxes stand by: they begin to look once they are asked, which is when
-//! homes are silent.
+//! There is one watcher for each [`SERVED`] boxes and at least two, so that subscribers survive the
+//! loss of one without a call to the store. Rendezvous hashing chooses among boxes with at least
+//! half of the largest capacity; it uses another key than the choice of keepers, which have enough
+//! to do. Watchers are spread over availability zones, since subscribers prefer one in their own
+//! zone and traffic between zones costs money. As many boxes again are on standby: they start to
+//! watch when a subscriber asks them, because the watchers are silent.
 //!
-//! All boxes that know the same others choose the same homes. Where they know different ones, some more
-//! boxes look, which costs calls and nothing else.
+//! Boxes that know the same fleet choose the same watchers. Where their views differ, more boxes
+//! watch, which only costs calls.
 
 use std::{cmp::Reverse, collections::BTreeMap, sync::Arc};
 
@@ -17,36 +16,36 @@
 
 use crate::fleet::order::Place;
 
-/// Boxes for which one home looks. Each of its listeners asks twice a second: 100 answers of 150 bytes
-/// are a hundredth of a narrow link.
+/// Boxes per watcher. Each subscriber asks twice a second; 100 small answers per second take one
+/// percent of a 10 Mbit/s link.
 const SERVED: usize = 50;
-/// Homes at least.
+/// Minimum number of watchers.
 const LEAST: usize = 2;
-/// What boxes are hashed with.
+/// Key of the rendezvous hash.
 const WORD: &str = "news";
 
-/// Who looks, in the order in which one box asks them.
+/// Watchers, in the order in which one box asks them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Homes {
-    /// Boxes that look.
+    /// Boxes that watch the store.
     pub first: Vec<Incarnation>,
-    /// Boxes that look once they are asked.
+    /// Boxes that start to watch when they are asked.
     pub standby: Vec<Incarnation>,
 }
 
 impl Homes {
-    /// Homes first, then those that stand by.
+    /// All watchers, then those on standby.
     pub fn all(&self) -> impl Iterator<Item = &Incarnation> {
         self.first.iter().chain(&self.standby)
     }
 
-    /// Whether a box looks without being asked.
+    /// Whether a box watches the store without being asked.
     pub fn has(&self, name: &Incarnation) -> bool {
         self.first.contains(name)
     }
 }
 
-/// Chooses the homes of a fleet, as seen from one of its boxes.
+/// Chooses the watchers of a fleet, in the order of preference of one of its boxes.
 pub fn homes(me: &Place, others: &[Place]) -> Homes {
     let fleet = || others.iter().chain([me]);
     let strongest = fleet().map(|place| place.strength).max().unwrap_or_default();
@@ -63,7 +62,7 @@
     Homes { first: near(first.to_vec()), standby: near(standby.to_vec()) }
 }
 
-/// The first box of each zone, then the second of each, and so on.
+/// Orders the first box of each zone, then the second of each, and so on.
 fn over_zones(places: Vec<&Place>) -> Vec<&Place> {
     let mut seen: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
     let mut turns: Vec<(usize, &Place)> = Vec::with_capacity(places.len());
@@ -76,8 +75,8 @@
     turns.into_iter().map(|(_, place)| place).collect()
 }
 
-/// A home of the own availability zone is asked first; among others, each box has its own order, so
-/// that homes share the listeners.
+/// Preference for a watcher: those in the same availability zone first, and otherwise an order that
+/// differs between boxes, so that watchers share the subscribers.
 fn nearness(me: &Place, home: &Place) -> (bool, u64, Arc<str>) {
     let name = home.name.box_name();
     (home.zone == me.zone, member::weight(me.name.box_name(), name), name.into())
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! The other boxes: who they are, how they are asked, and which of them do something for all.
+//! The other boxes, requests to them, and the choice of those with a role for the fleet.
 //!
-//! `entry` is what a box says of itself in the store, `peers` are all that are known. `order` chooses who
-//! keeps tokens and `homes` who looks at the store, the same on every box with no word exchanged.
-//! `records` is what others promised this box, and `traffic` what its questions to others took.
+//! `entry` is a box's entry in the store, `peers` are all known boxes. `order` chooses the keepers
+//! of tokens and `homes` the watchers of the store; every box computes the same choice without
+//! communication. `records` holds promises of other boxes to this one, `traffic` counts the bytes
+//! of requests to others.
 
 pub mod entry;
 pub mod homes;
--- a/crates/gateway/src/fleet/order.rs
+++ b/crates/gateway/src/fleet/order.rs
@@ -1,43 +1,44 @@
-//! Whom a box asks for tokens, in which order.
+//! Choice of keepers: the boxes that hold tokens for others, in the order in which a box asks them.
 //!
-//! In some availability zones the strongest box keeps tokens for the others; among boxes that are alike,
-//! rendezvous hashing chooses. There are three such zones, and one more for each [`SERVED`] boxes beyond
-//! that, where there are as many. A box of such a zone asks there first, the next boxes of it if that one is
-//! silent, then the keepers of the others; any other box asks those keepers first. All boxes that know the
-//! same others choose the same ones with no word exchanged. Where they know different ones, two boxes draw
-//! from the book and meet there now and then, which costs calls and nothing else.
+//! At least [`ZONES`] availability zones have a keeper, and one zone for each [`SERVED`] boxes, as
+//! far as there are zones. The keeper is the box with the largest capacity in its zone; rendezvous
+//! hashing decides between equals. A box in such a zone asks that keeper first, then the next boxes
+//! of the zone, then the keepers of other zones. A box in any other zone asks the keepers first.
+//!
+//! Boxes that know the same fleet choose the same keepers. Where their views differ, two boxes draw
+//! from the book and their writes conflict at times, which only costs calls.
 
 use std::{cmp::Reverse, sync::Arc};
 
 use ledger::Incarnation;
 
-/// Boxes of the own zone that are tried. A box whose own link is full finds all others silent: with
-/// few to try it does not make each of them draw from the book in turn (38 of 73 boxes did).
+/// Boxes of the own zone that are tried. A box with a congested link finds all others silent; the
+/// bound keeps it from making each of them draw from the book in turn.
 const OWN_ZONE: usize = 3;
 /// Boxes of each other zone that are tried.
 const OTHER_ZONE: usize = 1;
-/// Zones with a keeper at least: what one keeper holds is out of reach while it is paused or cut off, and
-/// partly lost with it. With two in the whole fleet, 7 boxes refused 12.1% of their requests, with one in
-/// each of three zones 9.8% (12 days).
+/// Minimum number of zones with a keeper. The tokens of a keeper are unavailable while it is paused
+/// or unreachable, and partly lost if it dies, so they are spread over several.
 const ZONES: usize = 3;
-/// Boxes for which there is a zone with a keeper. With one in each of six zones 18 boxes made 1,025
-/// calls of the store a day, with three keepers 771: writes of the book met each other (12 days).
+/// Boxes per zone with a keeper. More keepers than this cause conflicting writes of the book and so
+/// more calls to the store.
 const SERVED: usize = 50;
-/// What zones are hashed with to choose those that have keepers.
+/// Key of the rendezvous hash that chooses zones.
 const KEEPERS: &str = "keepers";
 
-/// A box, as far as the choice needs to know it.
+/// A box as the choice of keepers and watchers sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// This life of it.
+    /// Incarnation of the box.
     pub name: Incarnation,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// What it can carry: the more, the sooner it is chosen.
+    /// Its capacity; boxes with more are preferred.
     pub strength: u64,
 }
 
-/// Boxes to ask for tokens, the best first; `me` stands where it is its own best choice.
+/// Boxes to ask for tokens, most preferred first; includes `me` where this box itself is one of
+/// them.
 pub fn order(me: &Place, others: &[Place]) -> Vec<Incarnation> {
     let of_zone = |zone: &Arc<str>, most: usize| {
         let all = others.iter().chain([me]).filter(|place| place.zone == *zone);
@@ -59,7 +60,7 @@
     places.into_iter().map(|place| place.name.clone()).collect()
 }
 
-/// Zones in which a box keeps tokens.
+/// Zones that have a keeper.
 fn kept_zones<'a>(me: &'a Place, others: &'a [Place]) -> Vec<&'a Arc<str>> {
     let count = (others.len() + 1).div_ceil(SERVED).max(ZONES);
     let mut zones: Vec<&Arc<str>> = others.iter().chain([me]).map(|place| &place.zone).collect();
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -1,8 +1,8 @@
-//! Boxes that registered before this one are told of it.
+//! Announcement of this box to those that registered before it.
 //!
-//! A box reads who registered before it. Of those that come later it hears from the store, from which it may be cut off the
-//! moment after it registered: then it knows nobody, and has nobody to leave its bills with when it stops. So each box
-//! greets the few that registered just before it.
+//! A box reads the entries of boxes that registered before it, and learns of later ones from the
+//! store. If it loses the store right after it registered, it knows no box that could take over its
+//! bills when it stops. Each new box therefore announces itself to the few that registered last.
 
 use ledger::Incarnation;
 use wire::{Frame, Greeting};
@@ -10,11 +10,11 @@
 use super::{Peers, questions::TOLD_WITHIN};
 use crate::fleet::entry::Entry;
 
-/// Boxes that one greets: any one that stands is enough for a box to know whom to ask, and three may be starting anew.
+/// Boxes that are notified. A single one is enough to know whom to ask; a few more cover restarts.
 const GREETED: usize = 3;
 
 impl Peers {
-    /// Greets the boxes that registered just before this one did, but for those that it `greeted` before.
+    /// Announces this box to those that registered just before it, except those in `greeted`.
     pub fn greet(&self, me: &Entry, version: u64, greeted: &mut Vec<Incarnation>) {
         let before = self.registered_before(version);
         for name in before.into_iter().filter(|name| !greeted.contains(name)).collect::<Vec<_>>() {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The newest boxes with entries older than a version.
+    /// The boxes with the newest entries older than `version`.
     fn registered_before(&self, version: u64) -> Vec<Incarnation> {
         let state = self.state.lock();
         let known = state.known.iter().map(|(name, known)| (known.version, name.clone()));
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -1,9 +1,9 @@
-//! Other boxes, and asking them.
+//! The other boxes, and requests to them.
 //!
-//! A box knows the others from the objects that each keeps in the store. It draws tokens from its
-//! keeper, borrows from other keepers while the store cannot give them, tells its witness what it
-//! keeps, and tells some of the large prompts that it sends. Nothing is agreed between boxes: of
-//! tokens passed on, a lost answer strands some in a grant and never doubles them.
+//! A box knows the others by their entries in the store. It draws tokens from its keeper, borrows
+//! from other keepers while the store is unavailable, sends promises to its witness, and publishes
+//! large prompts. None of this needs consensus: if the answer to a transfer of tokens is lost, the
+//! tokens are stranded in a grant but never doubled.
 
 mod greetings;
 mod questions;
@@ -36,27 +36,27 @@
     traffic::Traffic,
 };
 
-/// Boxes told of one prompt.
+/// Boxes that a prompt is published to.
 const MOST_ASKED: usize = 12;
-/// A box that did not answer is passed over for this long: shorter than outages are.
+/// How long a box that did not answer is not asked again; shorter than most outages.
 const REST: Duration = Duration::from_millis(2_000);
-/// A keeper that ends by plan is passed over for this long: it is gone by then, and its next life
-/// has another name.
+/// How long a box that announced its stop is not asked again. It has ended by then, and the next
+/// start has another incarnation.
 const LEAVES: Duration = Duration::from_secs(10);
 
-/// The other boxes, as the store lists them.
+/// The other boxes, as listed in the store.
 #[derive(Clone)]
 pub struct Peers {
     me: Incarnation,
     source: IpAddr,
     state: Arc<Mutex<State>>,
-    /// What others promised this box.
+    /// Promises of other boxes to this one.
     pub records: Records,
-    /// Number of the next prompt that others are told of.
+    /// Number of the next published prompt.
     prompts: Arc<AtomicU64>,
-    /// Something shows that the list of boxes is old.
+    /// Notified when the list of boxes turns out to be stale.
     unknown: Arc<Notify>,
-    /// What this box's questions and their answers took.
+    /// Bytes of this box's requests and their answers.
     pub traffic: Traffic,
 }
 
@@ -71,7 +71,7 @@
     place: Place,
     known: HashMap<Incarnation, Known>,
     random: SmallRng,
-    /// When another box was heard last, and when one that was asked was silent.
+    /// When another box was last heard from, and when a request last got no answer.
     heard: Option<Instant>,
     silent: Option<Instant>,
 }
@@ -91,7 +91,8 @@
 }
 
 impl Peers {
-    /// No others yet; questions leave from the address at which this box answers.
+    /// Knows no other boxes yet. Requests are sent from the IP address on which this box serves
+    /// others.
     pub fn open(me: Place, address: Option<SocketAddr>, seed: u64) -> Peers {
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
@@ -109,18 +110,18 @@
         }
     }
 
-    /// This box answers at an address.
+    /// Sets the address on which this box serves others.
     pub fn listens_at(&self, address: SocketAddr) {
         self.state.lock().address = Some(address);
     }
 
-    /// Where this box answers.
+    /// Address on which this box serves others.
     pub fn address(&self) -> Option<SocketAddr> {
         self.state.lock().address
     }
 
-    /// Takes over the list of boxes as it stood at a version of the store, with the version of each
-    /// entry. What is known of a box only goes forwards, however old the list is.
+    /// Updates the list of boxes to its state at version `at` of the store; each entry comes with
+    /// its own version. A stale list never replaces a newer entry.
     pub fn update(&self, entries: Vec<(Entry, u64)>, at: u64) {
         let is_listed = |name: &Incarnation| {
             entries.iter().any(|(entry, _)| entry.incarnation.box_name() == name.box_name())
@@ -142,18 +143,18 @@
         }
     }
 
-    /// Waits until something shows that the list of boxes is old.
+    /// Waits until the list of boxes turns out to be stale.
     pub async fn unknown(&self) {
         self.unknown.notified().await;
     }
 
-    /// Something shows that the list of boxes is old.
+    /// Reports that the list of boxes is stale.
     pub fn note_unknown(&self) {
         self.unknown.notify_one();
     }
 
-    /// Boxes to ask for tokens, those left out that did not answer lately; this one stands where
-    /// it is its own best choice.
+    /// Reachable boxes to ask for tokens, most preferred first; includes this box where it is one
+    /// of them.
     pub fn keepers(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
@@ -163,25 +164,25 @@
         keepers
     }
 
-    /// Whom this box listens to.
+    /// The watchers that this box subscribes to.
     pub fn homes(&self) -> Homes {
         let state = self.state.lock();
         let others: Vec<Place> = state.known.values().map(|known| known.entry.place()).collect();
         homes(&state.place, &others)
     }
 
-    /// Whether a box that is known did not fail to answer lately.
+    /// Whether a box is known and has not recently failed to answer.
     pub fn is_awake(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
         state.known.get(name).is_some_and(|known| known.is_awake(Instant::now()))
     }
 
-    /// Whether this box keeps tokens for its availability zone.
+    /// Whether this box is the keeper that it would ask itself.
     pub fn am_keeper(&self) -> bool {
         self.keepers().first() == Some(&self.me)
     }
 
-    /// This start of the box.
+    /// This incarnation of the box.
     pub fn me(&self) -> &Incarnation {
         &self.me
     }
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Another life of a box answered: it stands in the place of the one that was asked.
+    /// Replaces an incarnation by a later one of the same box that answered in its place.
     fn replace(&self, name: &Incarnation, now: &Incarnation) {
         let mut state = self.state.lock();
         if let Some(Known { entry, version, peer, .. }) = state.known.remove(name) {
@@ -202,45 +203,43 @@
         }
     }
 
-    /// All boxes by name, whichever life they are in.
+    /// Names of all boxes, regardless of their incarnation.
     pub fn fleet(&self) -> Fleet {
         let state = self.state.lock();
         let others = state.known.keys().map(|name| name.box_name().into()).collect();
         Fleet { me: self.me.box_name().into(), others }
     }
 
-    /// Number of other boxes that are known.
+    /// Number of other known boxes.
     pub fn len(&self) -> usize {
         self.state.lock().known.len()
     }
 
-    /// Boxes of the fleet, this one among them.
+    /// Number of boxes in the fleet, including this one.
     pub fn boxes(&self) -> u64 {
         self.len() as u64 + 1
     }
 
-    /// Whether no other box is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether a box is known.
     pub fn knows(&self, name: &Incarnation) -> bool {
         self.state.lock().known.contains_key(name)
     }
 
-    /// A box that is known and did not fail to answer lately, other than `not`.
+    /// A reachable box other than `not`.
     pub fn any_in_reach(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
         let others = self.in_reach().into_iter().map(|(name, _)| name);
         others.into_iter().find(|name| Some(name) != not)
     }
 
-    /// This box is about to stop: it is nobody's witness any more.
+    /// Stops being a witness, before a planned stop.
     pub fn forget_promises(&self) {
         self.records.close();
     }
 
-    /// Another life of a box, if one is known: it answers that the one which was meant is gone.
+    /// The current incarnation of a box, if known; it answers that the one in question has ended.
     fn peer_of_box(&self, name: &Incarnation) -> Option<Peer> {
         let state = self.state.lock();
         let mut known = state.known.iter();
@@ -248,13 +247,13 @@
         of_box.map(|(_, known)| known.peer.clone())
     }
 
-    /// Whether a box is in the own availability zone.
+    /// Whether a box is in the same availability zone.
     fn is_near(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
         state.known.get(name).is_some_and(|known| known.entry.zone == state.place.zone)
     }
 
-    /// Where a box is asked, if it is known.
+    /// Address of a box, if known.
     pub fn address_of(&self, name: &Incarnation) -> Option<SocketAddr> {
         self.peer(name).map(|peer| peer.address())
     }
@@ -263,20 +262,21 @@
         self.state.lock().known.get(name).map(|known| known.peer.clone())
     }
 
-    /// Boxes that may lend: the keepers of the zones.
+    /// Boxes that may lend tokens: the keepers other than this box.
     pub fn lenders(&self) -> Vec<Incarnation> {
         self.keepers().into_iter().filter(|name| *name != self.me).collect()
     }
 
-    /// Boxes that did not fail to answer lately, in random order, at most [`MOST_ASKED`].
+    /// Reachable boxes in random order, at most [`MOST_ASKED`].
     fn in_reach(&self) -> Vec<(Incarnation, Peer)> {
         let mut peers = self.awake();
         peers.truncate(MOST_ASKED);
         peers.into_iter().map(|(name, peer, _)| (name, peer)).collect()
     }
 
-    /// Boxes to tell of a prompt: those in reach of the own availability zone first. What goes to another zone
-    /// has its price, and a box is told by as many others either way.
+    /// Boxes to publish a prompt to, at most [`MOST_ASKED`]. Boxes in the same availability zone
+    /// come first, since traffic between zones costs money; each box learns of as many prompts
+    /// either way.
     pub fn told_of_prompts(&self) -> Vec<Incarnation> {
         let mut peers = self.awake();
         peers.sort_by_key(|(.., is_near)| !is_near);
@@ -284,7 +284,7 @@
         peers.into_iter().map(|(name, ..)| name).collect()
     }
 
-    /// All boxes that did not fail to answer lately, in random order, and whether they are of the own zone.
+    /// All reachable boxes in random order, and whether they are in the same zone.
     fn awake(&self) -> Vec<(Incarnation, Peer, bool)> {
         let now = Instant::now();
         let mut state = self.state.lock();
--- a/crates/gateway/src/fleet/peers/questions.rs
+++ b/crates/gateway/src/fleet/peers/questions.rs
@@ -1,4 +1,4 @@
-//! What boxes ask and tell each other, and what came of it.
+//! Requests to other boxes, and their results.
 
 use std::{
     collections::BTreeMap,
@@ -15,30 +15,30 @@
 
 use super::{LEAVES, Peers, REST};
 
-/// Longest wait for an answer. What arrives until then is taken over, also if the request that
-/// asked has gone: tokens passed on would be stranded otherwise.
+/// Timeout of a loan. An answer within it is accepted even if the request that needed the tokens
+/// has ended; they would be stranded otherwise.
 const LENT_WITHIN: Duration = Duration::from_millis(1_000);
-/// Longest wait for the witness to take a promise; a request may be waiting for it. Many times
-/// the way there and back between availability zones.
+/// Timeout of a promise, for which a request may be waiting: many round trips between availability
+/// zones.
 const PROMISE_WITHIN: Duration = Duration::from_millis(150);
-/// Longest wait of a start for the witness of the box's earlier life: the boxes know each other
-/// for longer than this before the first tokens are granted.
+/// Timeout of sealing a promise, at the start of a box: the boxes know each other for longer than
+/// this before they are granted tokens.
 const SEAL_WITHIN: Duration = Duration::from_millis(400);
-/// Longest wait until another box heard of a prompt, which an engine reads in less, or of a report.
+/// Timeout of a published prompt, which endpoints process in less time, and of other notifications.
 pub(super) const TOLD_WITHIN: Duration = Duration::from_millis(200);
-/// Longest wait until another box took pages of bills: some 200 KB each over a narrow link.
+/// Timeout of handing over a page of bills: some 200 KB over a slow link.
 const BILLS_WITHIN: Duration = Duration::from_millis(500);
-/// Boxes that take pages of bills over.
+/// Boxes that bills are handed over to.
 const BILLS_WITH: usize = 2;
 
-/// What a witness says of a life that ended.
+/// What a witness reports of an incarnation that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Word {
-    /// What that one certainly left untouched, by customer.
+    /// Tokens that it certainly left untouched, by customer.
     Untouched(BTreeMap<Arc<str>, u64>),
-    /// It was promised nothing, or died itself: nobody knows.
+    /// The witness has no promise, or has ended itself: nothing is known.
     Nothing,
-    /// It did not answer.
+    /// The witness did not answer.
     Unheard,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What was left untouched, if the witness knows.
+    /// Tokens left untouched, if the witness knows them.
     pub fn untouched(&self) -> Option<&BTreeMap<Arc<str>, u64>> {
         match self {
             Word::Untouched(tokens) => Some(tokens),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A prompt that other boxes were told of, until it was read.
+/// A published prompt; when dropped, it is published that the endpoint has processed the prompt.
 #[derive(Debug)]
 pub struct Reading {
     peers: Peers,
@@ -76,32 +76,32 @@
     }
 }
 
-/// Whether a box knows what it was told.
+/// Whether a box received a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
-    /// It does.
+    /// It was accepted.
     Taken,
-    /// It certainly does not; what it was told before, it knows.
+    /// It was certainly not accepted; an earlier one is still in force.
     Not,
-    /// It knows nothing of this box any more: it is about to stop, or a later start of it answers.
+    /// The box is about to stop or has restarted, and has forgotten all earlier messages too.
     Gone,
-    /// It may.
+    /// It may have been accepted.
     Unknown,
 }
 
-/// What came of asking a box.
+/// Result of a request.
 #[derive(Debug)]
 pub(super) enum Heard {
-    /// It answered.
+    /// The box answered.
     Frame(Frame),
-    /// Another start of the box answered: the one that was asked has ended.
+    /// A later incarnation of the box answered: the one that was asked has ended.
     Replaced,
     /// No answer.
     Nothing,
 }
 
 impl Peers {
-    /// Listens to a home once; `None` if it does not answer in time, or does not look at the store.
+    /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
     pub async fn listen(&self, listen: Listen, within: Duration) -> Option<News> {
         let home = listen.teller.clone();
         let peer = self.peer(&home)?;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Asks a keeper, or tells it; `None` if it did not answer, or not as this life of it.
+    /// Sends usage and demand to a keeper; `None` if that incarnation of it did not answer.
     pub async fn draw(&self, keeper: &Incarnation, draw: Draw, within: Duration) -> Option<Drawn> {
         let peer = self.peer(keeper)?;
         match self.ask(keeper, &peer, Frame::Draw(draw), within).await {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Tells other boxes of a large prompt that this one sent to an endpoint; those that do not
-    /// answer do not matter. When what is returned is dropped, they are told that it was read.
+    /// Publishes a large prompt that this box sent to an endpoint. Delivery is best effort. When
+    /// the returned value is dropped, it is published that the prompt was processed.
     pub fn tell_prompt(&self, endpoint: &Arc<str>, prefix: &Prefix, size: u64) -> Reading {
         let number = self.prompts.fetch_add(1, Ordering::Relaxed);
         let (endpoint, blocks) = (endpoint.clone(), prefix.hashes());
@@ -136,7 +136,7 @@
     }
 
     fn tell(&self, prompt: &Prompt) {
-        // There is none while the process ends.
+        // Dropped after the runtime has shut down: nothing can be sent.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else { return };
         for name in self.told_of_prompts() {
             let Some(peer) = self.peer(&name) else { continue };
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Tells a box what this one keeps untouched from now on.
+    /// Sends a promise to this box's witness.
     pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Told {
         let number = promise.number;
         let Some(peer) = self.peer(witness) else { return Told::Not };
@@ -157,8 +157,9 @@
         }
     }
 
-    /// Gives pages of bills to boxes that write them; says which took them. One of those may be killed before it reaches
-    /// the store, so that two of them have each page; it is there once, whoever writes it first.
+    /// Hands over pages of bills to other boxes, which write them; returns those that accepted.
+    /// Each page goes to two boxes, since one may die before it reaches the store; the page is
+    /// stored once, whoever writes it first.
     pub async fn hand_bills(&self, pages: &[Sheet]) -> Vec<Incarnation> {
         let mut took = Vec::new();
         for (name, peer) in self.in_reach() {
@@ -173,7 +174,7 @@
         took
     }
 
-    /// Asks the witness of a life that ended what that one had kept, and to take no more promises from it.
+    /// Asks the witness of an incarnation that ended for its last promise, and to accept no more.
     pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> Word {
         let Claim { witness: Witness { by, term }, at } = claim;
         let told_where = || at.map(|address| Peer::new(address, self.source));
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Asks a box for tokens.
+    /// Borrows tokens from another box.
     pub async fn borrow(
         &self,
         name: &Incarnation,
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Tells the homes of news of a report; what they miss, the store tells.
+    /// Publishes a crash report to the watchers; those that miss it read it from the store.
     pub fn tell_crash(&self, name: &Arc<str>, report: &Report) {
         let homes = self.homes();
         for home in homes.all().filter(|home| **home != self.me) {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Asks a box.
+    /// Sends a request to a box and records whether it is reachable.
     pub(super) async fn ask(
         &self,
         name: &Incarnation,
@@ -234,7 +235,8 @@
             Ok(answer) if answer.from != *name => {
                 let (peer, now) = (name.as_str(), answer.from.as_str());
                 tracing::info!(event = "peer_replaced", peer, now);
-                // A box has one life at a time; of another box at its address nothing follows.
+                // A box has one incarnation at a time. An answer from a different box proves
+                // nothing about it.
                 match answer.from.box_name() == name.box_name() {
                     true => {
                         self.replace(name, &answer.from);
@@ -266,9 +268,9 @@
         }
     }
 
-    /// A frame of this box's.
+    /// Builds a message from this box.
     pub fn message(&self, frame: Frame) -> Message {
-        // The order of events does not matter here: log lines carry the times.
+        // The time stamp is not used by this kind of box.
         Message { from: self.me.clone(), stamp: Stamp::default(), frame }
     }
 }
--- a/crates/gateway/src/fleet/peers/turns.rs
+++ b/crates/gateway/src/fleet/peers/turns.rs
@@ -1,8 +1,9 @@
-//! Which box hands out turns at an endpoint that names a limit, and asking it.
+//! Choice of the issuer of an endpoint's permits, and requests to it.
 //!
-//! The first in reach of all boxes, by rendezvous hashing with the endpoint's life, so that all boxes which know the same
-//! others ask the same one, and each endpoint has its own. Where it is silent the next one stands in; that one asks
-//! the first itself before it gives a turn, so that a box which merely lost its way to the first makes no second source.
+//! The issuer is the first reachable box by rendezvous hashing with the endpoint's instance, so
+//! that boxes that know the same fleet ask the same issuer, and endpoints are spread over boxes. If
+//! it is silent the next box takes its place, but asks the first one itself before it issues a
+//! permit: a sender that merely lost its connection to the issuer must not create a second one.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,14 +17,16 @@
     questions::{Heard, TOLD_WITHIN},
 };
 
-/// Boxes that pass a question for a turn on at most: one that stands in asks the one that it stands in for.
+/// How often a request for a permit may be forwarded: from a substitute to the box that it
+/// substitutes.
 pub const MOST_HOPS: u8 = 2;
-/// Time for each hop that a question may still take. An answer takes a millisecond or two, the shortest requests have 100;
-/// a box that is slow once is asked by the one that stands in, so that nothing is lost by a short time but the wait.
+/// Timeout per remaining hop. An answer takes a few milliseconds, and the shortest requests have
+/// 100; after a timeout the substitute is asked.
 const A_HOP: Duration = Duration::from_millis(30);
 
 impl Peers {
-    /// The box that hands out turns at an endpoint; `None` if it is this one, which does not where it `leaves`.
+    /// The issuer of an endpoint's permits; `None` if it is this box, which is not chosen if it
+    /// `leaves`.
     pub fn giver(&self, life: &str, leaves: bool) -> Option<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
@@ -34,7 +37,8 @@
         best.filter(|best| leaves || *best > mine).map(|(_, name)| name.clone())
     }
 
-    /// Asks a box for a turn; `None` if it is silent or about to stop, and another one is to be asked.
+    /// Requests a permit; `None` if the issuer is silent or about to stop and another box is to be
+    /// asked.
     pub async fn turn(&self, giver: &Incarnation, turn: Turn) -> Option<Turned> {
         let within = A_HOP * u32::from(MOST_HOPS + 1 - turn.hops.min(MOST_HOPS));
         let peer = self.peer(giver)?;
@@ -44,18 +48,20 @@
                 None
             }
             Heard::Frame(Frame::Turned(turned)) => Some(turned),
-            // It does not know this box yet.
+            // The issuer does not know this box yet.
             Heard::Frame(_) => Some(Turned::After { ms: A_HOP.as_millis() as u64 }),
             Heard::Replaced | Heard::Nothing => None,
         }
     }
 
-    /// Tells the homes of news what an endpoint named last; what they miss shows in its next answer.
+    /// Publishes the latest limit of an endpoint to the watchers. A lost message is repaired by the
+    /// endpoint's next answer.
     pub fn tell_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) {
         self.tell_homes(|| Frame::Limit { endpoint: endpoint.clone(), limit });
     }
 
-    /// Tells the homes of news that an endpoint said that it leaves; whoever misses it hears it from the endpoint.
+    /// Publishes to the watchers that an endpoint leaves. Boxes that miss it learn it from the
+    /// endpoint.
     pub fn tell_departure(&self, endpoint: &Arc<str>, address: SocketAddr) {
         self.tell_homes(|| Frame::Departure { endpoint: endpoint.clone(), address });
     }
@@ -69,14 +75,14 @@
         }
     }
 
-    /// Whether the last box that was asked was silent, and none was heard since: this one may be cut off, and
-    /// others may take it for gone.
+    /// Whether the latest request got no answer and no box has been heard from since: this box may
+    /// be disconnected, and others may consider it gone.
     pub fn may_be_cut_off(&self) -> bool {
         let state = self.state.lock();
         state.silent > state.heard
     }
 
-    /// Another box asks this one.
+    /// Records that another box was heard from.
     pub fn note_heard(&self) {
         self.state.lock().heard = Some(Instant::now());
     }
--- a/crates/gateway/src/fleet/records.rs
+++ b/crates/gateway/src/fleet/records.rs
@@ -1,4 +1,4 @@
-//! What other boxes promised this one to keep untouched: the witness's side of a promise.
+//! Promises of other boxes to this one, their witness, to leave tokens untouched.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,37 +8,37 @@
 use ledger::{Incarnation, Promise};
 use parking_lot::Mutex;
 
-/// What other boxes promised this one.
+/// Promises of other boxes to this one.
 #[derive(Debug, Clone, Default)]
 pub struct Records(Arc<Mutex<Kept>>);
 
 #[derive(Debug, Default)]
 struct Kept {
     records: HashMap<Incarnation, Record>,
-    /// Nothing is taken any more.
+    /// Whether new promises are refused.
     closed: bool,
 }
 
 #[derive(Debug)]
 struct Record {
     promise: Promise,
-    /// The box died: nothing newer is taken.
+    /// The holder died: no newer promise is accepted.
     sealed: bool,
 }
 
-/// What became of a promise.
+/// Result of offering a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Taken {
-    /// It counts now.
+    /// The promise is in force.
     Newest,
-    /// A newer one counts, or the box that promised counts as dead.
+    /// A newer promise is in force, or the holder counts as dead.
     Not,
-    /// This box is no witness any more: no promise counts.
+    /// This box is no longer a witness: none of the holder's promises is in force.
     Closed,
 }
 
 impl Records {
-    /// Takes a promise.
+    /// Accepts a promise if it is newer than the last one and not sealed.
     pub fn take(&self, holder: &Incarnation, promise: Promise) -> Taken {
         let mut kept = self.0.lock();
         let known = kept.records.get(holder);
@@ -48,7 +48,7 @@
             (new.term, new.number) > (old.term, old.number)
         });
         match is_newer && !is_sealed {
-            // Whoever is told so is bound by nothing that it promised here.
+            // The answer releases the holder from all promises that it made here.
             _ if kept.closed && !is_sealed => {
                 kept.records.remove(holder);
                 Taken::Closed
@@ -61,7 +61,8 @@
         }
     }
 
-    /// What a box that died had promised last under a naming. Nothing newer is taken from then on.
+    /// Seals the promises of a box that died: accepts no newer ones, and returns the last one if it
+    /// was made in `term`.
     pub fn seal(&self, holder: &Incarnation, term: u64) -> Option<BTreeMap<Arc<str>, u64>> {
         let mut kept = self.0.lock();
         let record = kept.records.get_mut(holder)?;
@@ -69,12 +70,12 @@
         (record.promise.term == term).then(|| record.promise.tokens.clone())
     }
 
-    /// Forgets lives of boxes that are not listed any more.
+    /// Forgets incarnations that are not listed any more.
     pub fn retain(&self, stands: impl Fn(&Incarnation) -> bool) {
         self.0.lock().records.retain(|name, _| stands(name));
     }
 
-    /// Takes no promise any more; what was promised before can still be told of boxes that died.
+    /// Accepts no more promises; those of dead boxes can still be sealed.
     pub fn close(&self) {
         self.0.lock().closed = true;
     }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a box on the users' platform.
+//! Start and stop of a box on the users' platform.
 
 mod sockets;
 
@@ -54,9 +54,9 @@
     },
 };
 
-/// Connections of the balancer and of scrapers at once.
+/// Concurrent connections of the balancer, and of scrapers.
 const FEW: usize = 64;
-/// Time for the last settlement of a planned stop, beyond the time for requests.
+/// Time for the last settlement of a planned stop, beyond the limit for requests.
 const LEAVE: Duration = Duration::from_millis(600);
 
 /// A running box.
@@ -71,24 +71,24 @@
     closing: watch::Sender<bool>,
     /// Connections of callers.
     tasks: TaskTracker,
-    /// When the last settlement is given up, once this box leaves.
+    /// Deadline of the last settlement; set once the box stops.
     leaving: watch::Sender<Option<Instant>>,
     settler: Option<JoinHandle<()>>,
-    /// Answers other boxes; it ends when dropped.
+    /// Serves other boxes until dropped.
     lender: Option<wire::Server>,
-    /// Accepts callers' connections.
+    /// Accepts connections of callers.
     accepting: JoinHandle<()>,
     loops: Vec<JoinHandle<()>>,
 }
 
 impl Gateway {
-    /// Starts a box. `seed` feeds its random choices, its incarnation among them: it must be
-    /// fresh.
+    /// Starts a box. `seed` feeds its random choices, including its incarnation, and must be
+    /// different at each start.
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Gateway, Error> {
         Gateway::spawn_with(settings, seed, Clock::system()).await
     }
 
-    /// Starts a box by a clock that says for how long it was suspended.
+    /// Starts a box with a given clock.
     pub async fn spawn_with(settings: Settings, seed: u64, clock: Clock) -> Result<Gateway, Error> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&settings.box_name, random.random());
@@ -288,62 +288,62 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where the balancer asks whether the box takes requests.
+    /// Address for readiness checks.
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Where metrics are read.
+    /// Address for metrics.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes ask for tokens, if they may.
+    /// Address for other boxes, if this one serves them.
     pub fn peers(&self) -> Option<SocketAddr> {
         self.lender.as_ref().map(wire::Server::address)
     }
 
-    /// The incarnation of this start.
+    /// Incarnation of this start.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// The counters of its calls to the store.
+    /// Counters of calls to the store.
     pub fn calls(&self) -> &Calls {
         &self.calls
     }
 
-    /// What this box holds of a customer's budget.
+    /// Tokens that this box holds of a customer's budget.
     pub fn balance(&self, customer: &str) -> Balance {
         self.gate.funds.balance(customer)
     }
 
-    /// Bills that are not written yet, with pages that other boxes handed over.
+    /// Number of bills that are not written yet, plus pages handed over by other boxes.
     pub fn bills_waiting(&self) -> usize {
         self.gate.bills.waiting()
     }
 
-    /// Number of other boxes that this one can ask for tokens.
+    /// Number of other known boxes.
     pub fn knows_peers(&self) -> usize {
         self.gate.peers.len()
     }
 
-    /// Limits that endpoints name, by their lives, in requests a second.
+    /// Limits that endpoints name, by instance, in requests per second.
     pub fn limits(&self) -> Vec<(Arc<str>, f64)> {
         self.gate.endpoints.limits()
     }
 
-    /// Endpoints that said that they leave and are still listed.
+    /// Number of listed endpoints that announced that they leave.
     pub fn leaving(&self) -> usize {
         self.gate.endpoints.count_leaving()
     }
 
-    /// Endpoints that want nothing from this box for now.
+    /// Number of endpoints in a back-off towards this box.
     pub fn resting(&self) -> usize {
         self.gate.endpoints.count_resting()
     }
@@ -353,13 +353,13 @@
         self.gate.metrics.text()
     }
 
-    /// Tells the metrics how many log lines were dropped so far.
+    /// Sets the source of the counter of dropped log lines.
     pub fn count_dropped_lines(&self, count: impl Fn() -> usize + Send + Sync + 'static) {
         *self.gate.dropped_lines.lock() = Some(Box::new(count));
     }
 
-    /// Takes over settings that were read again: sizes of grants, repeats, and the times of a
-    /// planned stop are in force at once; the rest is at the next start of the process.
+    /// Applies settings that were read again. Grant sizes, retries and the times of a planned stop
+    /// take effect at once, everything else at the next start.
     pub fn reload(&self, settings: Settings) {
         let later = self.gate.settings().read_at_start(&settings);
         let changed = *self.gate.settings() != settings;
@@ -367,7 +367,7 @@
         self.gate.settings.send_replace(Arc::new(settings));
     }
 
-    /// The planned stop: not ready first, then every request to its end, then all tokens returned.
+    /// Planned stop: reports not ready, finishes all requests, then returns all tokens.
     pub async fn stop(mut self) {
         let began = self.gate.clock.now();
         let settings = self.gate.settings();
@@ -378,7 +378,7 @@
         self.gate.peers.forget_promises();
         self.tasks.close();
         let notice = Duration::from_millis(limits.notice_ms);
-        // The balancer sends connections until it has noticed; they are all served.
+        // The balancer keeps sending connections until it notices; all are served.
         tokio::time::sleep(notice.min(limit)).await;
         self.accepting.abort();
         self.closing.send_replace(true);
@@ -387,7 +387,7 @@
         let rest = limit.saturating_sub(began.elapsed());
         self.leaving.send_replace(Some(Instant::now() + rest + LEAVE));
         if let Some(settler) = self.settler.take() {
-            // It bounds itself in time; a panic in it was printed already.
+            // The task bounds its own time, and a panic in it was already printed.
             let _ = settler.await;
         }
         let took_ms = began.elapsed().as_millis() as u64;
@@ -396,7 +396,7 @@
 }
 
 impl Drop for Gateway {
-    /// Ends at once, as a crash would: nothing is returned.
+    /// Ends at once, as in a crash: no tokens are returned.
     fn drop(&mut self) {
         self.accepting.abort();
         for task in self.loops.iter().chain(&self.settler) {
--- a/crates/gateway/src/gateway/sockets.rs
+++ b/crates/gateway/src/gateway/sockets.rs
@@ -1,4 +1,4 @@
-//! The addresses at which a box is reached.
+//! Listening sockets of a box.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -20,7 +20,7 @@
     Bind { address: SocketAddr, source: std::io::Error },
 }
 
-/// The sockets of a box, but for the one that other boxes ask.
+/// The sockets of a box, except the one for other boxes.
 pub struct Sockets {
     pub callers: TcpListener,
     pub ready: TcpListener,
@@ -28,7 +28,6 @@
 }
 
 impl Sockets {
-    /// Binds all of them.
     pub fn bind(listen: &Listen) -> Result<Sockets, Error> {
         let bind = |address| serve::bind(address).context(BindSnafu { address });
         Ok(Sockets {
@@ -38,14 +37,14 @@
         })
     }
 
-    /// Where they listen, in this order: for callers, for the balancer, for operators.
+    /// Addresses for callers, for readiness checks and for metrics, in this order.
     pub fn addresses(&self) -> [SocketAddr; 3] {
         [&self.callers, &self.ready, &self.operators]
             .map(|socket| socket.local_addr().expect("a bound socket has an address"))
     }
 }
 
-/// Answers other boxes, if they may ask.
+/// Starts the server for other boxes, if one is configured.
 pub async fn bind_lender(
     address: Option<SocketAddr>,
     desk: Desk,
@@ -58,8 +57,7 @@
     Ok(Some(server))
 }
 
-/// Bounds on connections of the balancer and of scrapers: those of the platform where nothing
-/// else is configured.
+/// Bounds on connections of the balancer and of scrapers: the platform's defaults.
 pub fn few_bounds() -> Bounds {
     Bounds::of(&platform::config::Limits::default())
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,16 +1,16 @@
-//! A box on the users' platform: plain requests in, plain requests out to endpoints.
+//! Gateway for the users' platform: forwards HTTP requests of callers to endpoints.
 //!
-//! [`Gateway::spawn`] starts one, [`Gateway::stop`] is the planned stop. Nothing is kept on the box.
+//! [`Gateway::spawn`] starts a box, [`Gateway::stop`] stops it gracefully. A box keeps no state on
+//! disk.
 //!
-//! The rooms of the crate, each of which needs only those after it:
+//! Modules, each of which depends only on those after it:
 //!
-//! - `door`: callers, the balancer, operators and other boxes come in here;
-//! - `news`: the configuration, the endpoints and the other boxes, as the platform's store holds them;
-//! - `way`: a request on its way to an endpoint and back;
-//! - `money`: what this box may spend of each budget, and how it comes by more;
-//! - `fleet`: the other boxes, and asking them.
-//!
-//! A request comes in at the door, goes its way, and takes its tokens from the money.
+//! - `door`: connections of callers, the balancer, operators and other boxes;
+//! - `news`: this box's view of the configuration, the endpoints and the other boxes in the
+//!   platform's store;
+//! - `way`: one request, from its head to the end of the endpoint's answer;
+//! - `money`: the tokens that this box may spend of each budget, and how it gets more;
+//! - `fleet`: the other boxes and requests to them.
 
 mod clock;
 mod door;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,62 +14,59 @@
 pub struct Finished {
     /// `answered`, `not_run`, `unknown`, `broken` or `left`.
     pub outcome: &'static str,
-    /// Reason, where there is one.
+    /// Reason, empty if there is none.
     pub reason: &'static str,
 }
 
 /// Labels of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Purpose {
-    /// What the call does.
     pub operation: String,
     /// Kind of object.
     pub kind: String,
 }
 
-/// Labels of what questions to other boxes take.
+/// Labels of traffic to other boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Flow {
-    /// What they are about.
+    /// Topic of the frames.
     pub topic: &'static str,
-    /// `own` or `other`: the availability zone of the box that was asked.
+    /// Availability zone of the other box: `own` or `other`.
     pub zone: &'static str,
-    /// `sent` or `heard`.
+    /// Direction: `sent` or `heard`.
     pub way: &'static str,
 }
 
 /// Labels of a budget.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Budget {
-    /// Customer whose budget it is.
+    /// Customer that owns the budget.
     pub customer: String,
 }
 
 /// Labels of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Named {
-    /// This life of it.
+    /// Instance of the endpoint.
     pub endpoint: String,
 }
 
 /// Labels of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Service {
-    /// Its name.
     pub service: String,
 }
 
-/// Labels of headers of endpoints that nobody read.
+/// Labels of an unreadable header of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Header {
-    /// Its name.
     pub name: String,
 }
 
-/// Labels of questions for turns at endpoints that name a limit.
+/// Labels of requests for permits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Asked {
-    /// `given`, `none` or `free`: the endpoint names no limit any more.
+    /// `given`, `none`, or `free` if the endpoint no longer names a limit.
     pub outcome: &'static str,
 }
 
@@ -77,67 +74,68 @@
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
-    /// Requests by how they ended.
+    /// Finished requests by outcome.
     pub requests: Family<Finished, Counter>,
-    /// Requests under way.
+    /// Requests in flight.
     pub under_way: Gauge,
     /// Tokens charged.
     pub tokens: Counter,
     /// Seconds to the first byte of an endpoint's answer.
     pub first_byte: Histogram,
-    /// Requests sent to a second endpoint.
+    /// Requests retried at a second endpoint.
     pub repeats: Counter,
     /// Connections opened to endpoints.
     pub connections: Gauge,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub callers: Gauge,
-    /// Calls to the store by purpose.
+    /// Calls to the store by operation and kind of object.
     pub calls: Family<Purpose, Gauge>,
-    /// Bytes of questions to other boxes and their answers.
+    /// Bytes of requests to other boxes and their answers.
     pub peer_bytes: Family<Flow, Gauge>,
-    /// Tokens free in this box, by customer.
+    /// Free tokens of this box, by customer.
     pub free: Family<Budget, Gauge>,
     /// Tokens paid and not known to be spent, by customer.
     pub unspent: Family<Budget, Gauge>,
-    /// Free tokens that are kept untouched by a promise.
+    /// Free tokens that this box promised its witness to leave untouched, by customer.
     pub kept: Family<Budget, Gauge>,
     /// Log lines dropped because the reader was too slow.
     pub dropped_lines: Gauge,
-    /// Availability zones that are to get no more work.
+    /// Evacuated availability zones.
     pub evacuated: Gauge,
-    /// Boxes that died and of whom it is open what they left untouched.
+    /// Open claims: boxes that died and whose witness has not yet reported their untouched tokens.
     pub claims: Gauge,
-    /// Endpoints that bear little for now.
+    /// Cold endpoints.
     pub cold: Gauge,
-    /// Endpoints that said in an answer that they leave.
+    /// Listed endpoints that announced that they leave.
     pub leaving: Gauge,
-    /// Endpoints that want nothing from this box for now.
+    /// Endpoints in a back-off towards this box.
     pub resting: Gauge,
-    /// Headers of endpoints that are not known, or whose values cannot be read.
+    /// Unknown headers of endpoints, and headers with unreadable values.
     pub unread: Family<Header, Gauge>,
-    /// Requests a second that endpoints in need take from all boxes together.
+    /// Limits that endpoints name for all boxes together, in requests per second.
     pub limits: Family<Named, Gauge<f64, AtomicU64>>,
-    /// Requests that this box sent to endpoints while they named a limit, by service; lines name the endpoint.
+    /// Requests sent to endpoints that named a limit, by service; the log lines name the endpoint.
     pub limited: Family<Service, Counter>,
-    /// Questions of this box for turns at endpoints that name a limit.
+    /// Requests of this box for permits.
     pub turns: Family<Asked, Counter>,
-    /// Turns that this box handed out, to itself and to others.
+    /// Permits issued to this box and others.
     pub turns_given: Counter,
-    /// Reports of endpoints that ended, and of requests that were answered after all.
+    /// Crash reports, and suspect requests that were answered completely.
     pub crashes: Gauge,
-    /// Requests that are not run any more.
+    /// Quarantined requests.
     pub quarantined: Gauge,
-    /// 1 while this box looks at the store itself.
+    /// 1 while this box is a watcher of the store, 0 while it is a subscriber.
     pub looks: Gauge,
-    /// Milliseconds since the store, or a home that reaches it, was heard; -1 before that.
+    /// Milliseconds since the last contact with the store, directly or through a watcher; -1 before
+    /// the first.
     pub news_age: Gauge,
 }
 
-/// Bounds of the buckets for the first byte, in seconds: round the targets of the deployments.
+/// Upper bounds of the buckets of `first_byte`, in seconds.
 const FIRST_BYTE: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.5, 6.0];
 
 impl Metrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub fn open() -> Metrics {
         let metrics = Metrics {
             registry: Arc::new(Mutex::new(Registry::with_prefix("flintstall"))),
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,34 +1,34 @@
-//! Whether a dependency answers, with one log line for each change.
+//! Availability of a dependency, with one log line for each change.
 //!
-//! A call that waits for news cannot tell a quiet store from a dead connection. So whichever task
-//! first finds the store answering again says so to the others through [`Contact`], and they read
-//! anew at once.
+//! A call that waits for changes cannot tell an idle store from a dead connection. The task that
+//! first gets an answer from the store after an outage notifies the others through [`Contact`], and
+//! they read their state again.
 
 use std::{fmt::Display, sync::Arc, time::Duration};
 
 use parking_lot::Mutex;
 use tokio::{sync::watch, time::Instant};
 
-/// Time for which the store counts as found: each of the tasks that lost it finds it again about
-/// then, and what was read anew at the first word needs no other read at the next ones. Shorter
-/// than an outage that a connection notices.
+/// Time after a notification during which further ones are ignored. All tasks that lost the store
+/// reach it again at about the same time, and one read is enough. Shorter than any outage that
+/// breaks connections.
 const FOUND: Duration = Duration::from_secs(1);
-/// First pause after a call that failed; doubles up to the longest of the task.
+/// Initial pause after a failed call; doubles up to the limit of the probe.
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// How soon a task looks for the store again.
+/// How often a task retries calls while the store does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
-    /// It finds the store for all tasks of the box, and for boxes that listen to it. What happened since
-    /// the store's return cannot be told from what happened before: with 1.2 s between two calls, an endpoint that left 0.5 s
-    /// after the return was taken for one whose entry had lapsed, and got work for 0.7 s too long.
+    /// Retries often, on behalf of all tasks of the box and its subscribers. Changes after the end
+    /// of an outage cannot be told from those before: late detection mistakes an endpoint that has
+    /// just left for one whose entry lapsed, and keeps sending it requests.
     First,
-    /// It waits for the first, and looks itself now and then.
+    /// Retries seldom and relies on notification.
     Later,
 }
 
 impl Probe {
-    /// Longest pause between two calls while the store does not answer. Each call is paid for.
+    /// Longest pause between calls while the store does not answer. Each call costs money.
     fn pause_most(self) -> Duration {
         match self {
             Probe::First => Duration::from_millis(300),
@@ -37,36 +37,37 @@
     }
 }
 
-/// Tells all tasks of a box when one of them finds the store answering again.
+/// Notifies all tasks of a box when the store answers again.
 #[derive(Debug, Clone)]
 pub struct Contact(Arc<Found>);
 
 #[derive(Debug)]
 struct Found {
-    /// When the outage began that ended last, as the task saw it that found the store.
+    /// Start of the last outage, as seen by the task that detected its end.
     lost_since: watch::Sender<Option<Instant>>,
     at: Mutex<Option<Instant>>,
 }
 
 impl Contact {
-    /// Nothing was lost yet.
+    /// Creates a notifier; no outage is known yet.
     pub fn open() -> Contact {
         Contact(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
     }
 
-    /// Waits until some task finds the store answering again; returns since when that one had not.
-    /// A task that looks seldom finds the end of an outage long after the others: what began before
-    /// they read anew is no news to them.
+    /// Waits until a task detects the end of an outage; returns when that outage began.
+    ///
+    /// A task that calls seldom detects the end later than others; its notification must not make
+    /// them treat changes read since as new.
     pub async fn regained(&self) -> Instant {
         let mut lost_since = self.0.lost_since.subscribe();
         lost_since.mark_unchanged();
-        // The sender lives as long as `self`.
+        // Cannot fail: `self` holds the sender.
         let _ = lost_since.changed().await;
         let since = *lost_since.borrow();
         since.unwrap_or_else(Instant::now)
     }
 
-    /// The store answers again, which it had not since `lost_since`.
+    /// Reports that the store answers again after an outage that began at `lost_since`.
     pub fn tell(&self, lost_since: Instant) {
         let now = Instant::now();
         let before = self.0.at.lock().replace(now);
@@ -76,7 +77,7 @@
     }
 }
 
-/// State of one dependency.
+/// Availability of one dependency.
 #[derive(Debug)]
 pub struct Outage {
     what: &'static str,
@@ -88,22 +89,22 @@
 }
 
 impl Outage {
-    /// A dependency that is taken to answer.
+    /// Creates the state of a dependency that is assumed to answer.
     pub fn new(what: &'static str, probe: Probe, contact: Contact) -> Outage {
         Outage { what, contact, since: None, failures: 0, pause: PAUSE, probe }
     }
 
-    /// The dependency has not answered since then, as somebody else found.
+    /// Records an outage that another task or box detected.
     pub fn lost_since(&mut self, since: Instant) {
         self.since = Some(since);
     }
 
-    /// Since when it has not answered, if it does not.
+    /// Start of the current outage, if any.
     pub fn since(&self) -> Option<Instant> {
         self.since
     }
 
-    /// A call failed.
+    /// Records a failed call.
     pub fn failed(&mut self, reason: &impl Display) {
         self.failures += 1;
         if self.since.is_none() {
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Waits after a call that failed, until some other task finds the store at the longest.
+    /// Waits before the next attempt; ends early if another task reaches the store.
     pub async fn pause(&mut self) {
         let _ = tokio::time::timeout(self.pause, self.contact.regained()).await;
         self.pause = (self.pause * 2).min(self.probe.pause_most());
     }
 
-    /// A call was answered; returns for how many milliseconds none was.
+    /// Records an answered call; returns the length of the outage that it ended, in milliseconds.
     pub fn answered(&mut self) -> Option<u64> {
         self.pause = PAUSE;
         let since = self.since.take()?;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,18 +5,18 @@
 use jsonc::{Error, Violation};
 use serde::Deserialize;
 
-/// All settings. Addresses and names have no defaults; everything else does.
+/// All settings. Addresses and names are required; everything else has defaults.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the box, the same over all its lives.
+    /// Name of the box, the same over all its incarnations.
     #[serde(rename = "box")]
     pub box_name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the box.
     pub zone: Arc<str>,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// What the box can carry.
+    /// Resources of the box.
     #[serde(default)]
     pub machine: Machine,
     /// The platform's store.
@@ -24,24 +24,23 @@
     /// Grants of prepaid tokens.
     #[serde(default)]
     pub money: Money,
-    /// Requests sent to a second endpoint.
+    /// Retries of requests at a second endpoint.
     #[serde(default)]
     pub retries: Retries,
-    /// Requests to endpoints that are cold.
+    /// Requests to cold endpoints.
     #[serde(default)]
     pub cold: Cold,
-    /// Requests that endpoints end with.
+    /// Quarantine of requests that crash endpoints.
     #[serde(default)]
     pub quarantine: Quarantine,
-    /// Bounds in time and number.
+    /// Limits on time and resources.
     #[serde(default)]
     pub limits: Limits,
-    /// Log lines.
     #[serde(default)]
     pub log: Log,
 }
 
-/// Log lines.
+/// Log output.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
@@ -55,57 +54,57 @@
     }
 }
 
-/// What the box can carry, by which boxes choose whom they ask for tokens.
+/// Resources of the box, by which boxes choose keepers and watchers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Machine {
-    /// Share of a processor core.
+    /// Processor cores, possibly a fraction.
     pub cores: f64,
     /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: f64,
 }
 
 impl Default for Machine {
-    /// All boxes alike.
+    /// The same for all boxes.
     fn default() -> Machine {
         Machine { cores: 1.0, link_mbps: 1_000.0 }
     }
 }
 
 impl Machine {
-    /// What the box can carry: hundredths of a core or Mbit/s, whichever are less. A message of a
-    /// kilobyte takes about as much of either.
+    /// Capacity of the box: the smaller of hundredths of a core and Mbit/s. A message of one
+    /// kilobyte uses about the same amount of each.
     pub fn strength(&self) -> u64 {
         (self.cores * 100.0).min(self.link_mbps) as u64
     }
 }
 
-/// Addresses.
+/// Addresses to listen on.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the box takes requests.
+    /// For the balancer's readiness checks.
     pub ready: SocketAddr,
     /// For metrics.
     pub operators: SocketAddr,
-    /// For other boxes; without it, boxes do not pass tokens on.
+    /// For other boxes. Without it, this box does not exchange tokens with others.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
 }
 
-/// How to reach the platform's store.
+/// Access to the platform's store.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Its address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Bound on one call, in milliseconds. Four times what the store takes when it is slow.
+    /// Timeout of a call, in milliseconds: four times the latency of a slow store.
     #[serde(default = "store_timeout")]
     pub timeout_ms: u64,
-    /// How long a watch waits for a change, in milliseconds. Each one is a call that is paid for;
-    /// a dead connection is found sooner, by keep-alive probes.
+    /// How long a watch waits for a change, in milliseconds. Each watch is a paid call; keep-alive
+    /// probes detect a dead connection sooner.
     #[serde(default = "store_watch")]
     pub watch_ms: u64,
 }
@@ -118,38 +117,39 @@
     20_000
 }
 
-/// Time between two settlements that requests wait for, in milliseconds: those that come meanwhile
-/// share the next one. A tenth of what the shortest requests may take.
+/// Shortest time between two settlements that requests wait for, in milliseconds; requests that
+/// arrive in between share the next one. A tenth of the shortest deadlines.
 pub const GATHER_MS: u64 = 40;
 
-/// Part of what is paid, in thousandths, below which the share that boxes may hold shrinks with what is
-/// unspent, before an outage was seen.
+/// Unspent part of what was paid, in thousandths, below which boxes may hold a smaller share before
+/// the first outage.
 const PLENTY: u64 = 500;
 
-/// How much of each budget a box holds, to serve without the store.
+/// How much of each budget a box holds, to serve requests without the store.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Money {
-    /// Share of what is unspent that all boxes may hold together, in thousandths.
+    /// Share of the unspent tokens that all boxes together may hold, in thousandths.
     pub share: u64,
-    /// Seconds of use that a box holds at most; outages of the store up to this are ridden out.
+    /// Longest use for which a box holds tokens, in seconds; it survives store outages of that
+    /// length.
     pub horizon_s: u64,
-    /// Time between two settlements that nothing asks for, in milliseconds.
+    /// Interval between periodic settlements, in milliseconds.
     pub settle_ms: u64,
     /// Shortest time between two settlements that no request waits for, in milliseconds.
     pub spacing_ms: u64,
     /// Longest time that a request waits for tokens, in milliseconds.
     pub wait_ms: u64,
-    /// Time that a request waits for a settlement before other boxes are asked, in milliseconds:
-    /// [`GATHER_MS`] since the one before it, and a few calls of the store.
+    /// How long a request waits for a settlement before other boxes are asked, in milliseconds:
+    /// [`GATHER_MS`] and a few calls to the store.
     pub store_ms: u64,
-    /// Longest time that a keeper looks for tokens before it answers, in milliseconds: a settlement
-    /// that waits for the one before it, and a question to other keepers.
+    /// How long a keeper may wait for tokens before it answers, in milliseconds: a settlement
+    /// queued behind another one, and a request to other keepers.
     pub keeper_ms: u64,
 }
 
 impl Default for Money {
-    /// Weighed in `docs/design/0005-platform.md` and `docs/DECISIONS.md`.
+    /// See `docs/design/0005-platform.md` and `docs/DECISIONS.md`.
     fn default() -> Money {
         Money {
             share: 600,
@@ -163,15 +163,15 @@
     }
 }
 
-/// Bounds on sending a request to a second endpoint.
+/// Limits on retries at a second endpoint.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Retries {
-    /// Share of the requests of this box that may be sent once more.
+    /// Share of this box's requests that may be retried.
     pub ratio: f64,
-    /// Repeats allowed besides, so that a box with little traffic has some.
+    /// Retries allowed in addition, for a box with little traffic.
     pub extra: u32,
-    /// Seconds over which both are counted.
+    /// Window over which requests and retries are counted, in seconds.
     pub window_s: u64,
 }
 
@@ -181,67 +181,63 @@
     }
 }
 
-/// Most requests that all boxes together send a cold endpoint within any second: what the operator's
-/// configuration says that it bears, times a factor, and some more.
+/// Limit on the requests that all boxes together send to a cold endpoint per second: the rate in
+/// the operator's configuration times `factor`, plus `extra`.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Cold {
-    /// The factor.
     pub factor: f64,
-    /// Requests beyond that.
     pub extra: f64,
 }
 
 impl Default for Cold {
-    /// Just what it bears.
+    /// Exactly the configured rate.
     fn default() -> Cold {
         Cold { factor: 1.0, extra: 0.0 }
     }
 }
 
-/// When a request that endpoints end with is not run any more.
+/// When a request that crashes endpoints is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Quarantine {
-    /// Endpoints that ended with it.
+    /// Number of endpoints that have to crash while running the request.
     pub ended: usize,
-    /// Time for which each of them counts, in seconds.
+    /// How long each crash counts, in seconds.
     pub keep_s: u64,
 }
 
 impl Default for Quarantine {
-    /// Three ends in a day. Of some 72,000 innocent requests of a model of nine engines and two guilty requests, 206
-    /// were refused after two ends and none after three, for 3 engines a guilty request instead of 2
-    /// (27 with no quarantine).
+    /// Three crashes: an innocent request is sometimes running during two crashes that others
+    /// cause, and hardly ever during three.
     fn default() -> Quarantine {
         Quarantine { ended: 3, keep_s: 86_400 }
     }
 }
 
-/// Bounds in time and number.
+/// Limits on time and resources.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections of callers at once.
+    /// Concurrent connections of callers.
     pub connections: usize,
-    /// Bytes of request bodies held at once.
+    /// Total size of buffered request bodies, in bytes.
     pub bodies: usize,
-    /// Time for a connection to an endpoint to come up, in milliseconds.
+    /// Timeout to connect to an endpoint, in milliseconds.
     pub connect_ms: u64,
-    /// A connection to an endpoint is given up after this long without an acknowledgement, in
-    /// milliseconds.
+    /// How long data sent to an endpoint may stay unacknowledged before the connection is closed,
+    /// in milliseconds.
     pub silent_ms: u64,
-    /// Rest of a connection to an endpoint that does not say how long it keeps one, in
-    /// milliseconds.
+    /// Idle timeout of a connection to an endpoint that does not announce its own, in milliseconds.
     pub rest_ms: u64,
-    /// Time from a planned stop until requests under way are given up, in milliseconds.
+    /// Time from a planned stop until running requests are aborted, in milliseconds.
     pub stop_ms: u64,
-    /// Time from a planned stop until no more requests are taken, in milliseconds. The balancer
-    /// asks every second and believes the second answer; a request that comes later than three
-    /// seconds after the stop began might not end before the process has to.
+    /// Time from a planned stop until new connections are no longer accepted, in milliseconds. The
+    /// balancer checks every second and reacts to the second failure. A request accepted later than
+    /// three seconds into the stop might not end before the process has to.
     pub notice_ms: u64,
-    /// Time after the store's return during which an endpoint without an entry is still used, in
-    /// milliseconds. The platform puts entries that lapsed back within about two seconds.
+    /// How long after an outage of the store an endpoint without an entry is still used, in
+    /// milliseconds. The platform restores lapsed entries within about two seconds.
     pub lapse_ms: u64,
 }
 
@@ -261,7 +257,7 @@
 }
 
 impl Settings {
-    /// Reads and checks settings; the error names the key, its line and what is allowed.
+    /// Parses and validates settings; the error names the key, its line and the allowed values.
     pub fn read(text: &str) -> Result<Settings, Error> {
         let (settings, lines) = jsonc::read::<Settings>(text)?;
         match settings.check().first() {
@@ -323,8 +319,8 @@
         found
     }
 
-    /// Groups of settings in which `next` differs and which are read at a start alone: addresses
-    /// are bound then, and connections and buffers made.
+    /// Groups of settings in which `next` differs and that take effect only at a restart:
+    /// addresses, connections and buffers are set up at the start.
     pub fn read_at_start(&self, next: &Settings) -> Vec<&'static str> {
         let limits =
             |settings: &Settings| Limits { stop_ms: 0, notice_ms: 0, ..settings.limits.clone() };
@@ -342,13 +338,12 @@
         groups.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
     }
 
-    /// When a request that endpoints end with is not run any more.
     pub fn quarantine(&self) -> quarantine::Limits {
         let Quarantine { ended, keep_s } = self.quarantine;
         quarantine::Limits { ended, keep_s }
     }
 
-    /// Connections to endpoints.
+    /// Options of connections to endpoints.
     pub fn links(&self) -> forward::Options {
         let ms = Duration::from_millis;
         forward::Options {
@@ -359,7 +354,7 @@
         }
     }
 
-    /// Calls of the store.
+    /// Options of the store's client.
     pub fn store(&self) -> platform::store::Options {
         platform::store::Options {
             address: format!("http://{}", self.store.address),
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,23 +1,23 @@
-//! The configuration in force, prepared for look-ups.
+//! Lookup tables for the configuration in force.
 
 use std::{collections::HashMap, sync::Arc};
 
 use platform::config::{Config, Customer, Route, Service};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One version of the configuration.
+/// One version of the configuration, indexed.
 #[derive(Debug, Default)]
 pub struct Table {
     config: Config,
-    /// Routes of a host, the longest prefix first.
+    /// Indices of a host's routes, the longest prefix first.
     hosts: HashMap<Arc<str>, Vec<usize>>,
-    /// Customers by API key.
+    /// Indices of customers by API key.
     keys: HashMap<Arc<str>, usize>,
     services: HashMap<Arc<str>, usize>,
 }
 
 impl Table {
-    /// Prepares a configuration.
+    /// Indexes a configuration.
     pub fn new(config: Config) -> Table {
         let mut hosts: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
         for (at, route) in config.routes.iter().enumerate() {
@@ -35,17 +35,15 @@
         Table { hosts, keys, services, config }
     }
 
-    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// The configuration itself.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The route of a host (with or without a port) and a path.
+    /// The route for a host (with or without a port) and a path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(&*name)?;
@@ -53,23 +51,23 @@
         routes.find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The customer that holds a key.
+    /// The customer that owns an API key.
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         let customers = self.config.customers.as_ref()?;
         self.keys.get(key).map(|at| &customers[*at])
     }
 
-    /// Whether requests need a key.
+    /// Whether requests need an API key.
     pub fn needs_keys(&self) -> bool {
         self.config.customers.is_some()
     }
 
-    /// The service of a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name).map(|at| &self.config.services[*at])
     }
 
-    /// The service that a request goes to, by weight; the same id always gives the same one.
+    /// The service that a request goes to: chosen by weight, and always the same one for the same
+    /// id.
     pub fn target<'a>(&self, route: &'a Route, id: &str) -> Option<&'a Arc<str>> {
         let sum: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut point = xxh3_64(id.as_bytes()) % sum.max(1);
