--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -26,7 +26,7 @@
 impl Member {
     /// JSON text for the platform.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("members always serialize")
+        serde_json::to_string(self).expect("a member always serializes")
     }
 }
 
--- a/crates/member/tests/members.rs
+++ b/crates/member/tests/members.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn after_own_absence_silence_counts_anew() {
+fn silence_restarts_after_a_disconnection() {
     let (mut members, me) = (Members::default(), Incarnation::from("a.1"));
     members.saw(member("a.1", 1), 0);
     members.saw(member("b.1", 1), 0);
@@ -31,7 +31,7 @@
 
 proptest! {
     #[test]
-    fn every_key_has_one_home(count in 1usize..20, key in "[a-z]{1,8}") {
+    fn every_key_has_one_owner(count in 1usize..20, key in "[a-z]{1,8}") {
         let mut members = Members::default();
         let names: Vec<String> = (0..count).map(|i| format!("b{i}.1")).collect();
         for name in &names {
--- a/crates/objects/src/settle.rs
+++ b/crates/objects/src/settle.rs
@@ -30,7 +30,7 @@
     use super::*;
 
     #[test]
-    fn only_an_unmoved_version_leaves_the_write_open() {
+    fn a_write_stays_open_only_at_the_expected_version() {
         let cases = [
             (4, 5, true, Settled::Landed),
             (4, 4, false, Settled::Open),
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -21,8 +21,8 @@
         return None;
     }
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    encoder.write_all(bytes).expect("a vector takes all bytes");
-    let packed = encoder.finish().expect("a vector takes all bytes");
+    encoder.write_all(bytes).expect("writing to a vector cannot fail");
+    let packed = encoder.finish().expect("writing to a vector cannot fail");
     (packed.len() < bytes.len()).then_some(packed)
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -87,7 +87,7 @@
         let request = http::Request::post("http://peer/")
             .header(header::ACCEPT_ENCODING, packed::ENCODING)
             .body(())
-            .expect("a plain request");
+            .expect("a valid request");
         let (response, mut stream) = sender.send_request(request, false).map_err(unreachable)?;
         stream.send_data(bytes.into(), true).map_err(unreachable)?;
         let response = response.await.map_err(unreachable)?;
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -108,7 +108,7 @@
         Some(packed) => (response.header(header::CONTENT_ENCODING, packed::ENCODING), packed),
         None => (response, body),
     };
-    let response = response.body(()).expect("a plain response");
+    let response = response.body(()).expect("a valid response");
     if let Ok(mut stream) = respond.send_response(response, false) {
         let _ = stream.send_data(body.into(), true);
     }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -42,14 +42,14 @@
 
 proptest! {
     #[test]
-    fn frames_survive_in_every_format(frame in frame(), format in OLDEST..=NEWEST) {
+    fn messages_round_trip_in_every_format(frame in frame(), format in OLDEST..=NEWEST) {
         let sent = message(frame);
         let bytes = encode(&sent, format).unwrap();
         prop_assert_eq!(decode(&bytes).unwrap(), (sent, format));
     }
 
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn newer_formats_and_large_messages_are_refused_by_name() {
+fn newer_formats_and_large_messages_are_typed_errors() {
     let mut bytes = encode(&message(Frame::Done), NEWEST).unwrap();
     bytes[0] = (NEWEST + 1) as u8;
     assert!(matches!(decode(&bytes), Err(Error::Format { format }) if format == NEWEST + 1));
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn old_and_new_boxes_understand_each_other() {
+async fn all_supported_formats_are_answered() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
     for format in OLDEST..=NEWEST {
         let peer = Peer::new(server.address(), LOOPBACK).speaking(format);
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_is_a_typed_error() {
+async fn a_stopped_peer_is_a_typed_error() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
     let peer = Peer::new(server.address(), LOOPBACK);
     peer.ask(&message(Frame::Done), Duration::from_secs(5)).await.unwrap();
@@ -113,7 +113,8 @@
     target: std::net::SocketAddr,
     lost: tokio::sync::watch::Receiver<u64>,
 ) -> std::net::SocketAddr {
-    let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+    let listener =
+        tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     tokio::spawn(async move {
         while let Ok((mut near, _)) = listener.accept().await {
@@ -138,14 +139,14 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_went_silent_is_replaced() {
+async fn a_half_open_connection_is_replaced() {
     let server =
-        Server::bind((Ipv4Addr::LOCALHOST, 0).into(), Arc::new(Echo)).await.expect("a port");
+        Server::bind((Ipv4Addr::LOCALHOST, 0).into(), Arc::new(Echo)).await.expect("a free port");
     let (lose, lost) = tokio::sync::watch::channel(0);
     let peer = Peer::new(lossy_link(server.address(), lost).await, IpAddr::V4(Ipv4Addr::LOCALHOST));
     let ask = async |within| peer.ask(&message(Frame::Done), Duration::from_millis(within)).await;
     assert!(ask(5_000).await.is_ok());
     lose.send_replace(1);
-    assert!(matches!(ask(100).await, Err(Error::Late)), "it went silent");
-    assert!(ask(5_000).await.is_ok(), "a new one is opened");
+    assert!(matches!(ask(100).await, Err(Error::Late)), "the connection is half-open");
+    assert!(ask(5_000).await.is_ok(), "a new connection replaces it");
 }
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -67,8 +67,8 @@
 
 /// Forwards one connection to `to` and counts the bytes that come back.
 async fn counting(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
-    let address = listener.local_addr().expect("a bound socket has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound address");
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
     tokio::spawn(async move {
@@ -90,42 +90,43 @@
 
 async fn server(endpoints: u64) -> Server {
     let any = "127.0.0.1:0".parse().expect("an address");
-    Server::bind(any, Arc::new(Home(endpoints))).await.expect("loopback has free ports")
+    Server::bind(any, Arc::new(Home(endpoints))).await.expect("a free port")
 }
 
 #[tokio::test]
-async fn the_whole_of_many_endpoints_takes_a_narrow_link_a_moment() {
+async fn a_full_update_is_compressed_to_a_fifth() {
     let server = server(ENDPOINTS).await;
     let (address, count) = counting(server.address()).await;
     let peer = Peer::new(address, address.ip());
     let answer = peer.ask(&question(), Duration::from_secs(30)).await.expect("an answer");
-    assert_eq!(answer, message(whole(ENDPOINTS)), "nothing is lost on the way");
-    let plain = encode(&answer, wire::NEWEST).expect("it fits").len();
+    assert_eq!(answer, message(whole(ENDPOINTS)), "decompression restores the message");
+    let plain = encode(&answer, wire::NEWEST).expect("below the size limit").len();
     let took = count.load(Ordering::Relaxed);
     // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
-    assert!(took * 5 < plain, "{took} bytes on the way of {plain}");
+    assert!(took * 5 < plain, "{took} of {plain} bytes transferred");
 }
 
 #[tokio::test]
-async fn boxes_that_do_not_unpack_are_answered_as_before() {
+async fn clients_without_compression_get_plain_answers() {
     let server = server(ENDPOINTS).await;
-    let stream = TcpStream::connect(server.address()).await.expect("it listens");
+    let stream = TcpStream::connect(server.address()).await.expect("the server listens");
     let (sender, connection) = h2::client::handshake(stream).await.expect("a connection");
     tokio::spawn(connection);
     let mut sender = sender.ready().await.expect("a stream");
-    let request = http::Request::post("http://peer/").body(()).expect("a plain request");
-    let (response, mut stream) = sender.send_request(request, false).expect("it is sent");
-    let bytes = encode(&question(), wire::NEWEST).expect("it fits");
-    stream.send_data(bytes.into(), true).expect("it is sent");
+    let request = http::Request::post("http://peer/").body(()).expect("a valid request");
+    let (response, mut stream) =
+        sender.send_request(request, false).expect("the connection is open");
+    let bytes = encode(&question(), wire::NEWEST).expect("below the size limit");
+    stream.send_data(bytes.into(), true).expect("the connection is open");
     let response = response.await.expect("an answer");
     assert!(!response.headers().contains_key("content-encoding"));
     let mut body = response.into_body();
     let mut bytes = Vec::new();
     while let Some(part) = body.data().await {
-        let part = part.expect("it arrives");
-        body.flow_control().release_capacity(part.len()).expect("it was counted");
+        let part = part.expect("a body part");
+        body.flow_control().release_capacity(part.len()).expect("received capacity");
         bytes.extend_from_slice(&part);
     }
-    let (answer, _) = wire::decode(&bytes).expect("it can be read");
+    let (answer, _) = wire::decode(&bytes).expect("a valid message");
     assert_eq!(answer, message(whole(ENDPOINTS)));
 }
