--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -217,7 +217,7 @@
         });
     }
 
-    /// Waits until all state was read after the last suspension, for at most [`FRESH_WITHIN`].
+    /// Waits until all state was read after the last suspension, for a short time at most.
     pub async fn fresh(&self) {
         self.beat();
         let mut state = self.0.state.subscribe();
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -274,9 +274,8 @@
         peers.into_iter().map(|(name, peer, _)| (name, peer)).collect()
     }
 
-    /// Boxes to publish a prompt to, at most [`MOST_ASKED`]. Boxes in the same availability zone
-    /// come first, since traffic between zones costs money; each box learns of as many prompts
-    /// either way.
+    /// Some reachable boxes to publish a prompt to. Boxes in the same availability zone come first,
+    /// since traffic between zones costs money; each box learns of as many prompts either way.
     pub fn told_of_prompts(&self) -> Vec<Incarnation> {
         let mut peers = self.awake();
         peers.sort_by_key(|(.., is_near)| !is_near);
