--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,8 +4,8 @@
 //! ages of updates and expiry times go by real time, as callers, endpoints and other boxes see it;
 //! they are measured with [`Moment`].
 //!
-//! [`Pulse`] detects that the box was suspended or did not run for a while. Its state may then be
-//! stale and its connections dead, so that connections are closed and all state is read again.
+//! [`Pulse`] detects that the box was suspended or did not run for a while. What it knows may then
+//! be stale and its connections dead, so it closes its connections and reads all state again.
 //! Requests wait for that for a short time.
 
 use std::{
@@ -27,7 +27,8 @@
 /// Interval between checks that the box runs.
 const BEAT: Duration = Duration::from_millis(250);
 /// Time without a check after which the box counts as suspended. Four intervals, so that a busy box
-/// does not; half of the shortest bound on the age of state, 2 s on small deployments.
+/// does not count as suspended, and half of the shortest bound on the age of state, which is 2 s on
+/// small deployments.
 const HELD_UP: Duration = Duration::from_millis(1_000);
 /// Longest time that a request waits for state to be read again after a suspension; covers a read
 /// of a slow store. Without the wait, a box that was suspended during a drain sends requests to
--- a/crates/gateway/src/fleet/homes.rs
+++ b/crates/gateway/src/fleet/homes.rs
@@ -5,7 +5,7 @@
 //! half of the largest capacity; it uses another key than the choice of keepers, which have enough
 //! to do. Watchers are spread over availability zones, since subscribers prefer one in their own
 //! zone and traffic between zones costs money. As many boxes again are on standby: they start to
-//! watch when a subscriber asks them, because the watchers are silent.
+//! watch when a subscriber asks them, which it does when the watchers are silent.
 //!
 //! Boxes that know the same fleet choose the same watchers. Where their views differ, more boxes
 //! watch, which only costs calls.
