--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,7 +4,7 @@
 //! ages of updates and expiry times go by real time, as callers, endpoints and other boxes see it;
 //! they are measured with [`Moment`].
 //!
-//! [`Pulse`] detects that the box was suspended or did not run for a while. What it knows may then
+//! [`Watchdog`] detects that the box was suspended or did not run for a while. What it knows may then
 //! be stale and its connections dead, so it closes its connections and reads all state again.
 //! Requests wait for that for a short time.
 
@@ -53,7 +53,7 @@
     }
 
     /// A clock on which the box is suspended only by [`Clock::suspend`].
-    pub fn by_hand() -> Clock {
+    pub fn manual() -> Clock {
         Clock(Source::ByHand(Arc::default()))
     }
 
@@ -115,7 +115,7 @@
 
 /// State that must be read again after a suspension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Dataset {
     /// The configuration.
     Config,
     /// The endpoints.
@@ -124,7 +124,7 @@
 
 /// Detects that the box was suspended or did not run for a while.
 #[derive(Debug, Clone)]
-pub struct Pulse(Arc<Shared>);
+pub struct Watchdog(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
@@ -146,7 +146,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Number of suspensions so far.
-    times: u64,
+    suspensions: u64,
     /// Number of suspensions when the last read of each dataset began.
     config: u64,
     endpoints: u64,
@@ -156,17 +156,17 @@
 
 impl State {
     fn is_fresh(&self) -> bool {
-        self.config == self.times && self.endpoints == self.times
+        self.config == self.suspensions && self.endpoints == self.suspensions
     }
 }
 
-impl Pulse {
+impl Watchdog {
     /// Creates a detector; after each suspension it calls `forget`, which closes connections that
     /// may be dead.
-    pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Pulse {
+    pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
         let last = Mutex::new(clock.now());
         let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
-        Pulse(Arc::new(Shared { clock, last, state, forget }))
+        Watchdog(Arc::new(Shared { clock, last, state, forget }))
     }
 
     /// Checks periodically for as long as the box runs.
@@ -188,38 +188,38 @@
         tracing::warn!(event = "held_up", gap_ms, suspended_ms);
         (self.0.forget.0)();
         self.0.state.send_modify(|state| {
-            state.times += 1;
+            state.suspensions += 1;
             state.until = Some(Instant::now() + FRESH_WITHIN);
         });
     }
 
     /// Number of suspensions so far. What was requested before the last one may be stale.
-    pub fn times(&self) -> u64 {
+    pub fn suspensions(&self) -> u64 {
         self.beat();
-        self.0.state.borrow().times
+        self.0.state.borrow().suspensions
     }
 
-    /// Waits for a suspension after the first `times`.
-    pub async fn held_up(&self, times: u64) {
+    /// Waits for a suspension after the first `suspensions`.
+    pub async fn next_suspension(&self, suspensions: u64) {
         // Cannot fail: `self` holds the sender.
-        let _ = self.0.state.subscribe().wait_for(|state| state.times > times).await;
+        let _ = self.0.state.subscribe().wait_for(|state| state.suspensions > suspensions).await;
     }
 
-    /// Records a read that began after `times` suspensions.
-    pub fn read(&self, part: Part, times: u64) {
+    /// Records a read that began after `suspensions` suspensions.
+    pub fn read(&self, part: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
             let of = match part {
-                Part::Config => &mut state.config,
-                Part::Endpoints => &mut state.endpoints,
+                Dataset::Config => &mut state.config,
+                Dataset::Endpoints => &mut state.endpoints,
             };
-            let is_news = *of < times;
-            *of = times.max(*of);
+            let is_news = *of < suspensions;
+            *of = suspensions.max(*of);
             is_news
         });
     }
 
     /// Waits until all state was read after the last suspension, for a short time at most.
-    pub async fn fresh(&self) {
+    pub async fn wait_until_fresh(&self) {
         self.beat();
         let mut state = self.0.state.subscribe();
         let until = state.borrow().until;
--- a/crates/gateway/src/door/mod.rs
+++ b/crates/gateway/src/door/mod.rs
@@ -1,9 +1,9 @@
 //! Inbound connections: callers, the balancer, operators and other boxes.
 //!
-//! `serve` accepts connections, `handle` serves the requests of callers, `pages` serves readiness
-//! checks and metrics, and `desk` serves other boxes.
+//! `serve` accepts connections, `handle` serves the requests of callers, `admin` serves readiness
+//! checks and metrics, and `peer_service` serves other boxes.
 
-pub mod desk;
+pub mod peer_service;
 pub mod handle;
-pub mod pages;
+pub mod admin;
 pub mod serve;
--- a/crates/gateway/src/fleet/homes.rs
+++ b/crates/gateway/src/fleet/homes.rs
@@ -14,7 +14,7 @@
 
 use ledger::Incarnation;
 
-use crate::fleet::order::Place;
+use crate::fleet::keepers::Profile;
 
 /// Boxes per watcher. Each subscriber asks twice a second; 100 small answers per second take one
 /// percent of a 10 Mbit/s link.
@@ -26,58 +26,58 @@
 
 /// Watchers, in the order in which one box asks them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Homes {
+pub struct Watchers {
     /// Boxes that watch the store.
     pub first: Vec<Incarnation>,
     /// Boxes that start to watch when they are asked.
     pub standby: Vec<Incarnation>,
 }
 
-impl Homes {
+impl Watchers {
     /// All watchers, then those on standby.
     pub fn all(&self) -> impl Iterator<Item = &Incarnation> {
         self.first.iter().chain(&self.standby)
     }
 
     /// Whether a box watches the store without being asked.
-    pub fn has(&self, name: &Incarnation) -> bool {
+    pub fn is_active(&self, name: &Incarnation) -> bool {
         self.first.contains(name)
     }
 }
 
 /// Chooses the watchers of a fleet, in the order of preference of one of its boxes.
-pub fn homes(me: &Place, others: &[Place]) -> Homes {
+pub fn watchers(me: &Profile, others: &[Profile]) -> Watchers {
     let fleet = || others.iter().chain([me]);
-    let strongest = fleet().map(|place| place.strength).max().unwrap_or_default();
-    let mut able: Vec<&Place> = fleet().filter(|place| place.strength * 2 >= strongest).collect();
-    able.sort_by_key(|place| (Reverse(member::weight(WORD, place.name.box_name())), &place.name));
+    let strongest = fleet().map(|profile| profile.strength).max().unwrap_or_default();
+    let mut able: Vec<&Profile> = fleet().filter(|profile| profile.strength * 2 >= strongest).collect();
+    able.sort_by_key(|profile| (Reverse(member::weight(WORD, profile.name.box_name())), &profile.name));
     let able = over_zones(able);
     let count = (others.len() + 1).div_ceil(SERVED).max(LEAST).min(able.len());
     let (first, rest) = able.split_at(count);
-    let near = |mut places: Vec<&Place>| -> Vec<Incarnation> {
-        places.sort_by_key(|place| Reverse(nearness(me, place)));
-        places.into_iter().map(|place| place.name.clone()).collect()
+    let near = |mut places: Vec<&Profile>| -> Vec<Incarnation> {
+        places.sort_by_key(|profile| Reverse(nearness(me, profile)));
+        places.into_iter().map(|profile| profile.name.clone()).collect()
     };
     let standby = &rest[..count.min(rest.len())];
-    Homes { first: near(first.to_vec()), standby: near(standby.to_vec()) }
+    Watchers { first: near(first.to_vec()), standby: near(standby.to_vec()) }
 }
 
 /// Orders the first box of each zone, then the second of each, and so on.
-fn over_zones(places: Vec<&Place>) -> Vec<&Place> {
+fn over_zones(places: Vec<&Profile>) -> Vec<&Profile> {
     let mut seen: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
-    let mut turns: Vec<(usize, &Place)> = Vec::with_capacity(places.len());
-    for place in places {
-        let turn = seen.entry(&place.zone).or_default();
-        turns.push((*turn, place));
+    let mut turns: Vec<(usize, &Profile)> = Vec::with_capacity(places.len());
+    for profile in places {
+        let turn = seen.entry(&profile.zone).or_default();
+        turns.push((*turn, profile));
         *turn += 1;
     }
     turns.sort_by_key(|(turn, _)| *turn);
-    turns.into_iter().map(|(_, place)| place).collect()
+    turns.into_iter().map(|(_, profile)| profile).collect()
 }
 
 /// Preference for a watcher: those in the same availability zone first, and otherwise an order that
 /// differs between boxes, so that watchers share the subscribers.
-fn nearness(me: &Place, home: &Place) -> (bool, u64, Arc<str>) {
+fn nearness(me: &Profile, home: &Profile) -> (bool, u64, Arc<str>) {
     let name = home.name.box_name();
     (home.zone == me.zone, member::weight(me.name.box_name(), name), name.into())
 }
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -7,7 +7,7 @@
 use ledger::Incarnation;
 use wire::{Frame, Greeting};
 
-use super::{Peers, questions::TOLD_WITHIN};
+use super::{Peers, requests::TOLD_WITHIN};
 use crate::fleet::entry::Entry;
 
 /// Boxes that are notified. A single one is enough to know whom to ask; a few more cover restarts.
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -6,11 +6,11 @@
 //! tokens are stranded in a grant but never doubled.
 
 mod greetings;
-mod questions;
-mod turns;
+mod requests;
+mod permits;
 
-pub use questions::{Reading, Told, Word};
-pub use turns::MOST_HOPS;
+pub use requests::{PromptNotice, Delivery, WitnessReply};
+pub use permits::MAX_HOPS;
 
 use std::{
     collections::HashMap,
@@ -30,9 +30,9 @@
 
 use crate::fleet::{
     entry::Entry,
-    homes::{Homes, homes},
-    order::{Place, order},
-    records::Records,
+    watchers::{Watchers, watchers},
+    keepers::{Profile, keepers},
+    promises::Promises,
     traffic::Traffic,
 };
 
@@ -51,7 +51,7 @@
     source: IpAddr,
     state: Arc<Mutex<State>>,
     /// Promises of other boxes to this one.
-    pub records: Records,
+    pub promises: Promises,
     /// Number of the next published prompt.
     prompts: Arc<AtomicU64>,
     /// Notified when the list of boxes turns out to be stale.
@@ -68,7 +68,7 @@
 
 struct State {
     address: Option<SocketAddr>,
-    place: Place,
+    profile: Profile,
     known: HashMap<Incarnation, Known>,
     random: SmallRng,
     /// When another box was last heard from, and when a request last got no answer.
@@ -85,7 +85,7 @@
 }
 
 impl Known {
-    fn is_awake(&self, now: Instant) -> bool {
+    fn is_reachable(&self, now: Instant) -> bool {
         self.rests_until.is_none_or(|end| end <= now)
     }
 }
@@ -93,17 +93,17 @@
 impl Peers {
     /// Knows no other boxes yet. Requests are sent from the IP address on which this box serves
     /// others.
-    pub fn open(me: Place, address: Option<SocketAddr>, seed: u64) -> Peers {
+    pub fn open(me: Profile, address: Option<SocketAddr>, seed: u64) -> Peers {
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
         let name = me.name.clone();
         let (address, heard, silent) = Default::default();
-        let state = State { address, place: me, known: HashMap::new(), random, heard, silent };
+        let state = State { address, profile: me, known: HashMap::new(), random, heard, silent };
         Peers {
             me: name,
             source,
             state: Arc::new(Mutex::new(state)),
-            records: Records::default(),
+            promises: Promises::default(),
             prompts: Arc::default(),
             unknown: Arc::default(),
             traffic: Traffic::default(),
@@ -128,7 +128,7 @@
         };
         let mut state = self.state.lock();
         state.known.retain(|name, known| known.version > at || is_listed(name));
-        self.records.retain(|name| state.known.contains_key(name) || is_listed(name));
+        self.promises.retain(|name| state.known.contains_key(name) || is_listed(name));
         for (entry, version) in entries {
             let name = entry.incarnation.clone();
             let is_same = |known: &Incarnation| known.box_name() == name.box_name();
@@ -158,27 +158,27 @@
     pub fn keepers(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
-        let others: Vec<Place> = state.known.values().map(|known| known.entry.place()).collect();
-        let mut keepers = order(&state.place, &others);
-        keepers.retain(|name| state.known.get(name).is_none_or(|known| known.is_awake(now)));
+        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        let mut keepers = keepers(&state.profile, &others);
+        keepers.retain(|name| state.known.get(name).is_none_or(|known| known.is_reachable(now)));
         keepers
     }
 
     /// The watchers that this box subscribes to.
-    pub fn homes(&self) -> Homes {
+    pub fn watchers(&self) -> Watchers {
         let state = self.state.lock();
-        let others: Vec<Place> = state.known.values().map(|known| known.entry.place()).collect();
-        homes(&state.place, &others)
+        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        watchers(&state.profile, &others)
     }
 
     /// Whether a box is known and has not recently failed to answer.
-    pub fn is_awake(&self, name: &Incarnation) -> bool {
+    pub fn is_reachable(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
-        state.known.get(name).is_some_and(|known| known.is_awake(Instant::now()))
+        state.known.get(name).is_some_and(|known| known.is_reachable(Instant::now()))
     }
 
     /// Whether this box is the keeper that it would ask itself.
-    pub fn am_keeper(&self) -> bool {
+    pub fn is_keeper(&self) -> bool {
         self.keepers().first() == Some(&self.me)
     }
 
@@ -229,14 +229,14 @@
     }
 
     /// A reachable box other than `not`.
-    pub fn any_in_reach(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
+    pub fn any_reachable(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
         let others = self.in_reach().into_iter().map(|(name, _)| name);
         others.into_iter().find(|name| Some(name) != not)
     }
 
     /// Stops being a witness, before a planned stop.
     pub fn forget_promises(&self) {
-        self.records.close();
+        self.promises.close();
     }
 
     /// The current incarnation of a box, if known; it answers that the one in question has ended.
@@ -250,7 +250,7 @@
     /// Whether a box is in the same availability zone.
     fn is_near(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
-        state.known.get(name).is_some_and(|known| known.entry.zone == state.place.zone)
+        state.known.get(name).is_some_and(|known| known.entry.zone == state.profile.zone)
     }
 
     /// Address of a box, if known.
@@ -276,7 +276,7 @@
 
     /// Some reachable boxes to publish a prompt to. Boxes in the same availability zone come first,
     /// since traffic between zones costs money; each box learns of as many prompts either way.
-    pub fn told_of_prompts(&self) -> Vec<Incarnation> {
+    pub fn prompt_recipients(&self) -> Vec<Incarnation> {
         let mut peers = self.awake();
         peers.sort_by_key(|(.., is_near)| !is_near);
         peers.truncate(MOST_ASKED);
@@ -287,10 +287,10 @@
     fn awake(&self) -> Vec<(Incarnation, Peer, bool)> {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let State { known, random, place, .. } = &mut *state;
-        let awake = known.iter().filter(|(_, known)| known.is_awake(now));
+        let State { known, random, profile, .. } = &mut *state;
+        let awake = known.iter().filter(|(_, known)| known.is_reachable(now));
         let told = |(name, known): (&Incarnation, &Known)| {
-            (name.clone(), known.peer.clone(), known.entry.zone == place.zone)
+            (name.clone(), known.peer.clone(), known.entry.zone == profile.zone)
         };
         let mut peers: Vec<(Incarnation, Peer, bool)> = awake.map(told).collect();
         peers.sort_by(|a, b| a.0.cmp(&b.0));
--- a/crates/gateway/src/fleet/records.rs
+++ b/crates/gateway/src/fleet/records.rs
@@ -10,11 +10,11 @@
 
 /// Promises of other boxes to this one.
 #[derive(Debug, Clone, Default)]
-pub struct Records(Arc<Mutex<Kept>>);
+pub struct Promises(Arc<Mutex<Kept>>);
 
 #[derive(Debug, Default)]
 struct Kept {
-    records: HashMap<Incarnation, Record>,
+    promises: HashMap<Incarnation, Record>,
     /// Whether new promises are refused.
     closed: bool,
 }
@@ -28,20 +28,20 @@
 
 /// Result of offering a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acceptance {
     /// The promise is in force.
-    Newest,
+    Accepted,
     /// A newer promise is in force, or the holder counts as dead.
-    Not,
+    Rejected,
     /// This box is no longer a witness: none of the holder's promises is in force.
     Closed,
 }
 
-impl Records {
+impl Promises {
     /// Accepts a promise if it is newer than the last one and not sealed.
-    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Taken {
+    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
         let mut kept = self.0.lock();
-        let known = kept.records.get(holder);
+        let known = kept.promises.get(holder);
         let is_sealed = known.is_some_and(|known| known.sealed);
         let is_newer = known.is_none_or(|known| {
             let (old, new) = (&known.promise, &promise);
@@ -50,13 +50,13 @@
         match is_newer && !is_sealed {
             // The answer releases the holder from all promises that it made here.
             _ if kept.closed && !is_sealed => {
-                kept.records.remove(holder);
-                Taken::Closed
+                kept.promises.remove(holder);
+                Acceptance::Closed
             }
-            false => Taken::Not,
+            false => Acceptance::Rejected,
             true => {
-                kept.records.insert(holder.clone(), Record { promise, sealed: false });
-                Taken::Newest
+                kept.promises.insert(holder.clone(), Record { promise, sealed: false });
+                Acceptance::Accepted
             }
         }
     }
@@ -65,14 +65,14 @@
     /// was made in `term`.
     pub fn seal(&self, holder: &Incarnation, term: u64) -> Option<BTreeMap<Arc<str>, u64>> {
         let mut kept = self.0.lock();
-        let record = kept.records.get_mut(holder)?;
+        let record = kept.promises.get_mut(holder)?;
         record.sealed = true;
         (record.promise.term == term).then(|| record.promise.tokens.clone())
     }
 
     /// Forgets incarnations that are not listed any more.
     pub fn retain(&self, stands: impl Fn(&Incarnation) -> bool) {
-        self.0.lock().records.retain(|name, _| stands(name));
+        self.0.lock().promises.retain(|name, _| stands(name));
     }
 
     /// Accepts no more promises; those of dead boxes can still be sealed.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,54 +5,54 @@
 //!
 //! Modules, each of which depends only on those after it:
 //!
-//! - `door`: connections of callers, the balancer, operators and other boxes;
-//! - `news`: this box's view of the configuration, the endpoints and the other boxes in the
+//! - `inbound`: connections of callers, the balancer, operators and other boxes;
+//! - `sync`: this box's view of the configuration, the endpoints and the other boxes in the
 //!   platform's store;
-//! - `way`: one request, from its head to the end of the endpoint's answer;
-//! - `money`: the tokens that this box may spend of each budget, and how it gets more;
+//! - `proxy`: one request, from its head to the end of the endpoint's answer;
+//! - `tokens`: the tokens that this box may spend of each budget, and how it gets more;
 //! - `fleet`: the other boxes and requests to them.
 
 mod clock;
-mod door;
+mod inbound;
 mod fleet;
 mod gateway;
 mod metrics;
-mod money;
-mod news;
+mod tokens;
+mod sync;
 mod outage;
 pub mod settings;
 mod table;
-mod way;
+mod proxy;
 
-pub use clock::{Clock, Part, Pulse};
+pub use clock::{Clock, Dataset, Watchdog};
 pub use fleet::{
     entry::Entry,
-    homes::{Homes, homes},
-    order::{Place, order},
+    watchers::{Watchers, watchers},
+    keepers::{Profile, keepers},
     peers::Peers,
-    records::{Records, Taken},
+    promises::{Promises, Acceptance},
 };
 pub use gateway::{Error, Gateway};
-pub use money::{
+pub use tokens::{
     bills::Bills,
-    ends::Ends,
-    funds::{Balance, Funds, Hold, Lack},
-    outlook::Outlook,
-    spacing::times_apart,
+    participation::Participation,
+    funds::{Balance, Funds, Hold, Shortage},
+    forecast::Forecast,
+    spacing::interval_factor,
 };
-pub use news::{
+pub use sync::{
     directory::Directory,
     evacuations::{Evacuations, Zones},
-    shelf::Shelf,
+    change_log::ChangeLog,
 };
-pub use outage::{Contact, Outage, Probe};
+pub use outage::{Recovery, Outage, Probe};
 pub use settings::Settings;
 pub use table::Table;
-pub use way::{
-    crashes::{Crashes, Found, Prove},
-    endpoints::{Chosen, Endpoints, Heard},
+pub use proxy::{
+    crashes::{Crashes, Liveness, Prober},
+    endpoints::{Chosen, Endpoints, Changes},
     link::Link,
-    meter::Meter,
+    event_counter::EventCounter,
     refusal::{Reason, Refusal},
     retries::Retries,
 };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -20,7 +20,7 @@
 
 /// Labels of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Purpose {
+pub struct StoreCall {
     pub operation: String,
     /// Kind of object.
     pub kind: String,
@@ -46,7 +46,7 @@
 
 /// Labels of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Named {
+pub struct Endpoint {
     /// Instance of the endpoint.
     pub endpoint: String,
 }
@@ -65,7 +65,7 @@
 
 /// Labels of requests for permits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Asked {
+pub struct PermitOutcome {
     /// `given`, `none`, or `free` if the endpoint no longer names a limit.
     pub outcome: &'static str,
 }
@@ -77,7 +77,7 @@
     /// Finished requests by outcome.
     pub requests: Family<Finished, Counter>,
     /// Requests in flight.
-    pub under_way: Gauge,
+    pub in_flight: Gauge,
     /// Tokens charged.
     pub tokens: Counter,
     /// Seconds to the first byte of an endpoint's answer.
@@ -89,7 +89,7 @@
     /// Open connections of callers.
     pub callers: Gauge,
     /// Calls to the store by operation and kind of object.
-    pub calls: Family<Purpose, Gauge>,
+    pub calls: Family<StoreCall, Gauge>,
     /// Bytes of requests to other boxes and their answers.
     pub peer_bytes: Family<Flow, Gauge>,
     /// Free tokens of this box, by customer.
@@ -109,23 +109,23 @@
     /// Listed endpoints that announced that they leave.
     pub leaving: Gauge,
     /// Endpoints in a back-off towards this box.
-    pub resting: Gauge,
+    pub backing_off: Gauge,
     /// Unknown headers of endpoints, and headers with unreadable values.
     pub unread: Family<Header, Gauge>,
     /// Limits that endpoints name for all boxes together, in requests per second.
-    pub limits: Family<Named, Gauge<f64, AtomicU64>>,
+    pub limits: Family<Endpoint, Gauge<f64, AtomicU64>>,
     /// Requests sent to endpoints that named a limit, by service; the log lines name the endpoint.
-    pub limited: Family<Service, Counter>,
+    pub limited_sends: Family<Service, Counter>,
     /// Requests of this box for permits.
-    pub turns: Family<Asked, Counter>,
+    pub permits: Family<PermitOutcome, Counter>,
     /// Permits issued to this box and others.
-    pub turns_given: Counter,
+    pub permits_issued: Counter,
     /// Crash reports, and suspect requests that were answered completely.
     pub crashes: Gauge,
     /// Quarantined requests.
     pub quarantined: Gauge,
     /// 1 while this box is a watcher of the store, 0 while it is a subscriber.
-    pub looks: Gauge,
+    pub watches: Gauge,
     /// Milliseconds since the last contact with the store, directly or through a watcher; -1 before
     /// the first.
     pub news_age: Gauge,
@@ -140,7 +140,7 @@
         let metrics = Metrics {
             registry: Arc::new(Mutex::new(Registry::with_prefix("flintstall"))),
             requests: Family::default(),
-            under_way: Gauge::default(),
+            in_flight: Gauge::default(),
             tokens: Counter::default(),
             first_byte: Histogram::new(FIRST_BYTE),
             repeats: Counter::default(),
@@ -156,15 +156,15 @@
             claims: Gauge::default(),
             cold: Gauge::default(),
             leaving: Gauge::default(),
-            resting: Gauge::default(),
+            backing_off: Gauge::default(),
             unread: Family::default(),
             limits: Family::default(),
-            limited: Family::default(),
-            turns: Family::default(),
-            turns_given: Counter::default(),
+            limited_sends: Family::default(),
+            permits: Family::default(),
+            permits_issued: Counter::default(),
             crashes: Gauge::default(),
             quarantined: Gauge::default(),
-            looks: Gauge::default(),
+            watches: Gauge::default(),
             news_age: Gauge::default(),
         };
         metrics.register();
@@ -174,7 +174,7 @@
     fn register(&self) {
         let mut registry = self.registry.lock();
         registry.register("requests", "Requests by how they ended", self.requests.clone());
-        registry.register("requests_under_way", "Requests under way", self.under_way.clone());
+        registry.register("requests_under_way", "Requests under way", self.in_flight.clone());
         registry.register("tokens_charged", "Tokens charged", self.tokens.clone());
         registry.register(
             "first_byte_seconds",
@@ -228,7 +228,7 @@
         registry.register(
             "resting_endpoints",
             "Endpoints that want nothing from this box for now",
-            self.resting.clone(),
+            self.backing_off.clone(),
         );
         registry.register(
             "unread_headers",
@@ -243,17 +243,17 @@
         registry.register(
             "limited_sends",
             "Requests that this box sent to endpoints of a service while they named a limit",
-            self.limited.clone(),
+            self.limited_sends.clone(),
         );
         registry.register(
             "turns",
             "Questions of this box for turns at endpoints that name a limit, by what came of them",
-            self.turns.clone(),
+            self.permits.clone(),
         );
         registry.register(
             "turns_given",
             "Turns at endpoints that name a limit which this box handed out",
-            self.turns_given.clone(),
+            self.permits_issued.clone(),
         );
         registry.register(
             "crash_reports",
@@ -268,7 +268,7 @@
         registry.register(
             "news_from_store",
             "1 while this box looks at the store itself, 0 while it listens to another box",
-            self.looks.clone(),
+            self.watches.clone(),
         );
         registry.register(
             "news_age_milliseconds",
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,7 +1,7 @@
 //! Availability of a dependency, with one log line for each change.
 //!
 //! A call that waits for changes cannot tell an idle store from a dead connection. The task that
-//! first gets an answer from the store after an outage notifies the others through [`Contact`], and
+//! first gets an answer from the store after an outage notifies the others through [`Recovery`], and
 //! they read their state again.
 
 use std::{fmt::Display, sync::Arc, time::Duration};
@@ -22,24 +22,24 @@
     /// Retries often, on behalf of all tasks of the box and its subscribers. Changes after the end
     /// of an outage cannot be told from those before: late detection mistakes an endpoint that has
     /// just left for one whose entry lapsed, and keeps sending it requests.
-    First,
+    Eager,
     /// Retries seldom and relies on notification.
-    Later,
+    Lazy,
 }
 
 impl Probe {
     /// Longest pause between calls while the store does not answer. Each call costs money.
     fn pause_most(self) -> Duration {
         match self {
-            Probe::First => Duration::from_millis(300),
-            Probe::Later => Duration::from_millis(1_200),
+            Probe::Eager => Duration::from_millis(300),
+            Probe::Lazy => Duration::from_millis(1_200),
         }
     }
 }
 
 /// Notifies all tasks of a box when the store answers again.
 #[derive(Debug, Clone)]
-pub struct Contact(Arc<Found>);
+pub struct Recovery(Arc<Found>);
 
 #[derive(Debug)]
 struct Found {
@@ -48,17 +48,17 @@
     at: Mutex<Option<Instant>>,
 }
 
-impl Contact {
+impl Recovery {
     /// Creates a notifier; no outage is known yet.
-    pub fn open() -> Contact {
-        Contact(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
+    pub fn open() -> Recovery {
+        Recovery(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
     }
 
     /// Waits until a task detects the end of an outage; returns when that outage began.
     ///
     /// A task that calls seldom detects the end later than others; its notification must not make
     /// them treat changes read since as new.
-    pub async fn regained(&self) -> Instant {
+    pub async fn recovered(&self) -> Instant {
         let mut lost_since = self.0.lost_since.subscribe();
         lost_since.mark_unchanged();
         // Cannot fail: `self` holds the sender.
@@ -68,7 +68,7 @@
     }
 
     /// Reports that the store answers again after an outage that began at `lost_since`.
-    pub fn tell(&self, lost_since: Instant) {
+    pub fn announce(&self, lost_since: Instant) {
         let now = Instant::now();
         let before = self.0.at.lock().replace(now);
         if before.is_none_or(|before| now.saturating_duration_since(before) > FOUND) {
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Outage {
     what: &'static str,
-    contact: Contact,
+    recovery: Recovery,
     since: Option<Instant>,
     failures: u64,
     pause: Duration,
@@ -90,8 +90,8 @@
 
 impl Outage {
     /// Creates the state of a dependency that is assumed to answer.
-    pub fn new(what: &'static str, probe: Probe, contact: Contact) -> Outage {
-        Outage { what, contact, since: None, failures: 0, pause: PAUSE, probe }
+    pub fn new(what: &'static str, probe: Probe, recovery: Recovery) -> Outage {
+        Outage { what, recovery, since: None, failures: 0, pause: PAUSE, probe }
     }
 
     /// Records an outage that another task or box detected.
@@ -115,7 +115,7 @@
 
     /// Waits before the next attempt; ends early if another task reaches the store.
     pub async fn pause(&mut self) {
-        let _ = tokio::time::timeout(self.pause, self.contact.regained()).await;
+        let _ = tokio::time::timeout(self.pause, self.recovery.recovered()).await;
         self.pause = (self.pause * 2).min(self.probe.pause_most());
     }
 
@@ -125,7 +125,7 @@
         let since = self.since.take()?;
         let lost = since.elapsed().as_millis() as u64;
         let failures = std::mem::take(&mut self.failures);
-        self.contact.tell(since);
+        self.recovery.announce(since);
         tracing::info!(event = "dependency_back", what = self.what, lost_ms = lost, failures);
         Some(lost)
     }
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -44,7 +44,7 @@
 
 impl Members {
     /// Records a member object that was read; only a changed one counts as a heartbeat.
-    pub fn saw(&mut self, member: Member, now: u64) {
+    pub fn observe(&mut self, member: Member, now: u64) {
         let known = self.known.get_mut(&member.incarnation);
         match known {
             Some(seen) if seen.member == member => {}
@@ -54,14 +54,14 @@
     }
 
     /// Records another sign of life, such as a message from the incarnation.
-    pub fn heard(&mut self, incarnation: &Incarnation, now: u64) {
+    pub fn touch(&mut self, incarnation: &Incarnation, now: u64) {
         if let Some(seen) = self.known.get_mut(incarnation) {
             seen.at = now;
         }
     }
 
     /// Removes an incarnation whose member object was deleted.
-    pub fn removed(&mut self, incarnation: &Incarnation) {
+    pub fn remove(&mut self, incarnation: &Incarnation) {
         self.known.remove(incarnation);
     }
 
@@ -69,7 +69,7 @@
     ///
     /// For a box that was disconnected itself: it received no heartbeats, so their absence proves
     /// nothing.
-    pub fn restart_counting(&mut self, now: u64) {
+    pub fn reset_silence(&mut self, now: u64) {
         for seen in self.known.values_mut() {
             seen.at = now;
         }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -7,10 +7,14 @@
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The peer uses a format that this box does not support.
-    #[snafu(display("format {format} is not between {} and {}", crate::OLDEST, crate::NEWEST))]
+    #[snafu(display(
+        "format {format} is not between {} and {}",
+        crate::OLDEST_FORMAT,
+        crate::NEWEST_FORMAT
+    ))]
     Format { format: u16 },
-    /// The message exceeds [`MAX_BYTES`](crate::MAX_BYTES).
-    #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_BYTES))]
+    /// The message exceeds [`MAX_MESSAGE_BYTES`](crate::MAX_BYTES).
+    #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_MESSAGE_BYTES))]
     TooLarge { bytes: usize },
     /// The message is truncated, has trailing bytes, or is not a known frame.
     #[snafu(display("the message was not understood: {reason}"))]
@@ -19,5 +23,5 @@
     #[snafu(display("peer unreachable: {reason}"))]
     Unreachable { reason: String },
     #[snafu(display("the peer did not answer in time"))]
-    Late,
+    Timeout,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -20,7 +20,7 @@
 
 /// State that boxes exchange periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Status {
     /// Requests in flight to endpoints, by pool.
     pub in_flight: Vec<(Arc<str>, Vec<Snapshot>)>,
     /// Newest source version of the configuration in force.
@@ -44,7 +44,7 @@
 
 /// What the box that tracks an idempotency key knows about it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum There {
+pub enum Location {
     /// Nobody executes the request: the sender may.
     Nowhere,
     /// Another incarnation is about to execute it.
@@ -95,7 +95,7 @@
     /// Incarnation of the keeper that is addressed; another one does not have the totals before.
     pub keeper: Incarnation,
     /// Customers with new totals or demand.
-    pub items: Vec<ledger::Told>,
+    pub items: Vec<ledger::Status>,
     /// How long the keeper may wait for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender is about to stop; this is its last message.
@@ -128,7 +128,7 @@
 
 /// A page of bills in its stored form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct BillPage {
     /// Object name, which only its writer uses.
     pub name: String,
     /// JSON text.
@@ -148,9 +148,9 @@
 
 /// A subscriber's request for updates, with what it knows already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listen {
+pub struct Subscribe {
     /// Incarnation of the watcher that is addressed; another one numbers its changes differently.
-    pub teller: Incarnation,
+    pub watcher: Incarnation,
     /// Number of the newest change known, 0 for none. `None` asks for no changes, only whether the
     /// watcher reaches the store.
     pub since: Option<u64>,
@@ -164,7 +164,7 @@
 
 /// A watcher's answer to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Number of the newest change included.
     pub last: u64,
     /// Whether the changes are a full snapshot.
@@ -181,35 +181,35 @@
 
 /// The rate limit that an endpoint named for all boxes together, and how long ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct LimitNotice {
     /// Instance of the endpoint.
     pub endpoint: Arc<str>,
     /// The limit; `None` if the endpoint named none.
     pub limit: Option<Limit>,
     /// Milliseconds since the request was sent whose answer carried the signal.
-    pub asked_ms: u64,
+    pub sent_ms: u64,
     /// Milliseconds since that answer was received.
-    pub heard_ms: u64,
+    pub answered_ms: u64,
 }
 
 /// Asks the issuer of an endpoint's permits for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct PermitRequest {
     /// What the sender knows of the endpoint's limit.
-    pub said: Limited,
+    pub signal: LimitNotice,
     /// How often this request has been forwarded.
     pub hops: u8,
 }
 
 /// Answer to a request for a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum PermitReply {
     /// One request may be sent now.
     Given,
     /// No permit is available; retry after this many milliseconds.
     After { ms: u64 },
     /// The endpoint no longer names a limit.
-    Free { said: Limited },
+    Free { signal: LimitNotice },
     /// The box is about to stop and issues no more permits.
     Leaves,
 }
@@ -218,7 +218,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Periodic exchange of state; the answer is the receiver's own.
-    Tell(Told),
+    Status(Status),
     /// Entries to hold while the platform is unreachable.
     Carry { by: Incarnation, entries: Vec<Entry> },
     /// How many of the entries were accepted.
@@ -245,9 +245,9 @@
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
     /// Asks where the request with this key is executed; if nowhere, the sender is about to execute
     /// it.
-    Where { customer: Arc<str>, key: Arc<str> },
-    /// Answer to [`Frame::Where`].
-    There(There),
+    Locate { customer: Arc<str>, key: Arc<str> },
+    /// Answer to [`Frame::Locate`].
+    Location(Location),
     /// Accepted; there is nothing to return.
     Done,
     /// The receiver cannot serve the request.
@@ -270,22 +270,22 @@
     Drawn(Drawn),
     /// Pages of bills that the sender could not write before it stops, for the receiver to write.
     /// Sent by older versions only.
-    Bills { pages: Vec<Sheet> },
+    Bills { pages: Vec<BillPage> },
     /// Requests updates about the store.
-    Listen(Listen),
-    /// Answer to [`Frame::Listen`].
-    News(News),
+    Subscribe(Subscribe),
+    /// Answer to [`Frame::Subscribe`].
+    Update(Update),
     /// A crash report for the receiver to distribute.
     Crash { name: Arc<str>, report: Report },
     /// Requests a permit for an endpoint.
-    Turn(Turn),
-    /// Answer to [`Frame::Turn`].
-    Turned(Turned),
+    PermitRequest(PermitRequest),
+    /// Answer to [`Frame::PermitRequest`].
+    PermitReply(PermitReply),
     /// The latest limit of an endpoint, for the receiver to distribute.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
     /// Pages of bills that the sender could not write before it stops, for this incarnation of the
     /// receiver to write.
-    HandOver { to: Incarnation, pages: Vec<Sheet> },
+    HandOver { to: Incarnation, pages: Vec<BillPage> },
     /// The sender registered later than the receiver, which may not know of it yet.
     Greet { to: Incarnation, sender: Greeting },
     /// The endpoint at this address is leaving; for the receiver to distribute.
@@ -296,7 +296,7 @@
     /// Topic for traffic counters; a request and its answer have the same one.
     pub fn topic(&self) -> &'static str {
         match self {
-            Frame::Listen(_) | Frame::News(_) => "news",
+            Frame::Subscribe(_) | Frame::Update(_) => "news",
             Frame::Draw(_) | Frame::Drawn(_) => "draws",
             Frame::Lend { .. } | Frame::Lent { .. } => "loans",
             Frame::Promise(_) | Frame::Promised { .. } => "promises",
@@ -304,7 +304,7 @@
             Frame::Prompt(_) => "prompts",
             Frame::Bills { .. } | Frame::HandOver { .. } => "bills",
             Frame::Crash { .. } => "crashes",
-            Frame::Turn(_) | Frame::Turned(_) => "turns",
+            Frame::PermitRequest(_) | Frame::PermitReply(_) => "turns",
             Frame::Limit { .. } => "limits",
             Frame::Departure { .. } => "departures",
             Frame::Greet { .. } => "greetings",
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -14,7 +14,9 @@
     sync::Mutex,
 };
 
-use crate::{Error, MAX_BYTES, Message, NEWEST, decode, encode, packed, server::read_all};
+use crate::{
+    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all,
+};
 
 /// Client for one peer, with a single connection that is opened on demand.
 #[derive(Clone)]
@@ -31,14 +33,14 @@
     /// Request.
     pub sent: u64,
     /// Answer, as compressed.
-    pub heard: u64,
+    pub received: u64,
 }
 
 impl Peer {
     /// Creates a client for `address` that connects from the local address `source`; opens nothing
     /// yet.
     pub fn new(address: SocketAddr, source: IpAddr) -> Peer {
-        Peer { address, source, connection: Arc::default(), format: NEWEST }
+        Peer { address, source, connection: Arc::default(), format: NEWEST_FORMAT }
     }
 
     /// Uses a given format instead of the newest.
@@ -68,7 +70,7 @@
                 // The connection may be half-open after a network fault: the next request opens a
                 // new one.
                 self.connection.lock().await.take();
-                Err(Error::Late)
+                Err(Error::Timeout)
             }
         }
     }
@@ -94,7 +96,7 @@
         let status = response.status();
         let is_packed = response.headers().contains_key(header::CONTENT_ENCODING);
         let body = read_all(response.into_body()).await?;
-        let size = Size { sent, heard: body.len() as u64 };
+        let size = Size { sent, received: body.len() as u64 };
         let body = if is_packed { packed::unpack(&body)? } else { body.to_vec() };
         if !status.is_success() {
             let reason = String::from_utf8_lossy(&body).into_owned();
@@ -120,7 +122,9 @@
         let stream = self.connect().await.map_err(unreachable)?;
         let _ = stream.set_nodelay(true);
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(MAX_BYTES as u32).initial_connection_window_size(4 << 20);
+        builder
+            .initial_window_size(MAX_MESSAGE_BYTES as u32)
+            .initial_connection_window_size(4 << 20);
         let (sender, driver) = builder.handshake(stream).await.map_err(unreachable)?;
         tokio::spawn(async move {
             let _ = driver.await;
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -16,7 +16,7 @@
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
 };
-use wire::{Answer, Change, Frame, Listen, Message, News, Peer, Server, encode};
+use wire::{Answer, Change, Frame, Message, Peer, Server, Subscribe, Update, encode};
 
 /// Number of endpoints in the update.
 const ENDPOINTS: u64 = 3_000;
@@ -46,7 +46,14 @@
     };
     let changes = (0..endpoints).map(change).collect();
     let (last, at) = (endpoints, endpoints + 400);
-    Frame::News(News { last, whole: true, changes, endpoints_at: at, boxes_at: at, away_ms: None })
+    Frame::Update(Update {
+        last,
+        whole: true,
+        changes,
+        endpoints_at: at,
+        boxes_at: at,
+        away_ms: None,
+    })
 }
 
 /// Answers each request with a full update about this many endpoints.
@@ -60,9 +67,9 @@
 }
 
 fn question() -> Message {
-    let teller = Incarnation::new("box-1", 1);
-    let listen = Listen { teller, since: Some(0), config: 0, away: false, wait_ms: 0 };
-    message(Frame::Listen(listen))
+    let watcher = Incarnation::new("box-1", 1);
+    let listen = Subscribe { watcher, since: Some(0), config: 0, away: false, wait_ms: 0 };
+    message(Frame::Subscribe(listen))
 }
 
 /// Forwards one connection to `to` and counts the bytes that come back.
@@ -100,7 +107,7 @@
     let peer = Peer::new(address, address.ip());
     let answer = peer.ask(&question(), Duration::from_secs(30)).await.expect("an answer");
     assert_eq!(answer, message(whole(ENDPOINTS)), "decompression restores the message");
-    let plain = encode(&answer, wire::NEWEST).expect("below the size limit").len();
+    let plain = encode(&answer, wire::NEWEST_FORMAT).expect("below the size limit").len();
     let took = count.load(Ordering::Relaxed);
     // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
     assert!(took * 5 < plain, "{took} of {plain} bytes transferred");
@@ -116,7 +123,7 @@
     let request = http::Request::post("http://peer/").body(()).expect("a valid request");
     let (response, mut stream) =
         sender.send_request(request, false).expect("the connection is open");
-    let bytes = encode(&question(), wire::NEWEST).expect("below the size limit");
+    let bytes = encode(&question(), wire::NEWEST_FORMAT).expect("below the size limit");
     stream.send_data(bytes.into(), true).expect("the connection is open");
     let response = response.await.expect("an answer");
     assert!(!response.headers().contains_key("content-encoding"));
