--- a/crates/balance/tests/rest.rs
+++ b/crates/balance/tests/back_off.rs
@@ -97,7 +97,7 @@
     assert_eq!(availability(&pool, 400), Availability::Waits { ms: 600 });
     let limit = Some(balance::Limit::per_s(1.0));
     let e0 = pool.get_mut("e0").expect("it is there");
-    e0.update_limit(balance::LimitSignal { limit, asked: 0, heard: 0 });
+    e0.update_limit(balance::LimitSignal { limit, sent_at: 0, answered_at: 0 });
     e0.defer_permits(5_000, 0);
     assert_eq!(availability(&pool, 400), Availability::Waits { ms: 4_600 }, "the longer wait");
     pool.set_departures(|_| Some(balance::Departure::now(0)));
--- a/crates/forward/src/links.rs
+++ b/crates/forward/src/connections.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Time for a connection to come up.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// A connection on which sent bytes stay unacknowledged for this long is given up.
     pub ack_timeout: Duration,
     /// Rest of a connection where the endpoint does not say how long it keeps one.
-    pub rest: Duration,
+    pub idle_timeout: Duration,
     /// A connection is not used again this long before the endpoint may close it.
     pub idle_margin: Duration,
 }
@@ -85,7 +85,9 @@
         let mut place = self.place(address, most)?;
         let reused = place.connection.is_some();
         if !reused {
-            let opened = Connection::open(address, self.options.connect, self.options.ack_timeout).await?;
+            let opened =
+                Connection::open(address, self.options.connect_timeout, self.options.ack_timeout)
+                    .await?;
             self.peers.lock().entry(address).or_default().opened += 1;
             place.connection = Some(opened);
         }
@@ -163,7 +165,8 @@
     pub fn release(self) {
         let connection = self.place.connection.as_ref().map(|connection| connection.rests_until);
         let until = connection.filter(|_| self.reused);
-        let fresh = Instant::now() + self.options.rest.saturating_sub(self.options.idle_margin);
+        let fresh =
+            Instant::now() + self.options.idle_timeout.saturating_sub(self.options.idle_margin);
         self.place.keep(until.unwrap_or(fresh));
     }
 }
@@ -175,7 +178,7 @@
         .get_all(header::CONNECTION)
         .iter()
         .any(|value| value.as_bytes().to_ascii_lowercase().windows(5).any(|w| w == b"close"));
-    let rest = kept_for(headers).unwrap_or(options.rest);
+    let rest = kept_for(headers).unwrap_or(options.idle_timeout);
     (!ends).then(|| rest.saturating_sub(options.idle_margin))
 }
 
@@ -220,7 +223,7 @@
 impl Lease {
     /// The answer was read to its end.
     pub fn end(self) {
-        debug_assert!(self.options.idle_margin <= self.options.rest);
+        debug_assert!(self.options.idle_margin <= self.options.idle_timeout);
         if let Some(rest) = self.rest {
             self.place.keep(Instant::now() + rest);
         }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -14,5 +14,5 @@
 mod connections;
 
 pub use body::Body;
-pub use fault::Fault;
 pub use connections::{Answer, Connections, Options, Ready, Request};
+pub use fault::Fault;
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,8 +4,8 @@
 //! ages of updates and expiry times go by real time, as callers, endpoints and other boxes see it;
 //! they are measured with [`Moment`].
 //!
-//! [`Watchdog`] detects that the box was suspended or did not run for a while. What it knows may then
-//! be stale and its connections dead, so it closes its connections and reads all state again.
+//! [`Watchdog`] detects that the box was suspended or did not run for a while. What it knows may
+//! then be stale and its connections dead, so it closes its connections and reads all state again.
 //! Requests wait for that for a short time.
 
 use std::{
@@ -199,13 +199,13 @@
         self.0.state.borrow().suspensions
     }
 
-    /// Waits for a suspension after the first `suspensions`.
+    /// Waits for a suspension after the first `suspensions` ones.
     pub async fn next_suspension(&self, suspensions: u64) {
         // Cannot fail: `self` holds the sender.
         let _ = self.0.state.subscribe().wait_for(|state| state.suspensions > suspensions).await;
     }
 
-    /// Records a read that began after `suspensions` suspensions.
+    /// Records a read that began after this many suspensions.
     pub fn read(&self, part: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
             let of = match part {
@@ -218,7 +218,7 @@
         });
     }
 
-    /// Waits until all state was read after the last suspension, for a short time at most.
+    /// Waits until all state was read after the last suspension; gives up after a short time.
     pub async fn wait_until_fresh(&self) {
         self.beat();
         let mut state = self.0.state.subscribe();
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! The other boxes, requests to them, and the choice of those with a role for the fleet.
 //!
-//! `entry` is a box's entry in the store, `peers` are all known boxes. `keepers` chooses the keepers
-//! of tokens and `watchers` the watchers of the store; every box computes the same choice without
-//! communication. `promises` holds promises of other boxes to this one, `traffic` counts the bytes
-//! of requests to others.
+//! `entry` is a box's entry in the store, `peers` are all known boxes. `keepers` chooses the
+//! keepers of tokens and `watchers` the watchers of the store; every box computes the same choice
+//! without communication. `promises` holds promises of other boxes to this one, `traffic` counts
+//! the bytes of requests to others.
 
 pub mod entry;
 pub mod watchers;
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,8 +1,8 @@
 //! Availability of a dependency, with one log line for each change.
 //!
 //! A call that waits for changes cannot tell an idle store from a dead connection. The task that
-//! first gets an answer from the store after an outage notifies the others through [`Recovery`], and
-//! they read their state again.
+//! first gets an answer from the store after an outage notifies the others through [`Recovery`],
+//! and they read their state again.
 
 use std::{fmt::Display, sync::Arc, time::Duration};
 
--- a/crates/gateway/src/news/roster.rs
+++ b/crates/gateway/src/sync/discovery.rs
@@ -16,8 +16,8 @@
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    sync::{watcher, view::View},
-    outage::{Recovery, Outage, Probe},
+    outage::{Outage, Probe, Recovery},
+    sync::{view::View, watcher},
 };
 
 /// Time for which questions for a new list are gathered.
@@ -40,7 +40,13 @@
 
 impl Discovery {
     /// Nothing is written or read yet.
-    pub fn new(store: Client, me: Entry, peers: Peers, view: View, recovery: Recovery) -> Discovery {
+    pub fn new(
+        store: Client,
+        me: Entry,
+        peers: Peers,
+        view: View,
+        recovery: Recovery,
+    ) -> Discovery {
         let outage = Outage::new("boxes", Probe::Lazy, recovery);
         Discovery { store, me, peers, view, outage, registered: watch::channel(None).0 }
     }
--- a/crates/gateway/src/news/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -6,7 +6,7 @@
 use platform::endpoint::Entry as Endpoint;
 use tokio::time::Instant;
 
-use super::{State, Consumers, View, note_unreadable};
+use super::{Consumers, State, View, note_unreadable};
 use crate::clock::Dataset;
 
 impl View {
--- a/crates/gateway/src/money/funds/mod.rs
+++ b/crates/gateway/src/tokens/funds/mod.rs
@@ -19,8 +19,8 @@
 };
 
 use crate::{
-    tokens::wallet::{Parts, Wallet},
     table::Table,
+    tokens::wallet::{Parts, Wallet},
 };
 
 /// Why tokens could not be held.
@@ -49,7 +49,9 @@
                 let ago = age.as_millis();
                 write!(f, "{free} free here, {kept} of them kept, {left} left {ago} ms ago")
             }
-            Shortage::Local { free, age: None, .. } => write!(f, "{free} free here, none settled yet"),
+            Shortage::Local { free, age: None, .. } => {
+                write!(f, "{free} free here, none settled yet")
+            }
         }
     }
 }
@@ -277,7 +279,8 @@
     pub fn parts(&self, most: usize) -> Vec<(Arc<str>, Parts)> {
         let state = self.0.state.lock();
         let wallets = state.wallets.iter();
-        let mut parts: Vec<_> = wallets.map(|(name, wallet)| (name.clone(), wallet.parts())).collect();
+        let mut parts: Vec<_> =
+            wallets.map(|(name, wallet)| (name.clone(), wallet.parts())).collect();
         drop(state);
         parts.retain(|(_, parts)| parts.total() > 0);
         parts.sort_by_key(|(_, parts)| Reverse(parts.total()));
--- a/crates/gateway/src/money/purse/settling.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -38,7 +38,12 @@
 
     /// What the next settlement says of this customer. What it reports and returns is out of the
     /// account once planned.
-    pub fn item(&mut self, customer: &Arc<str>, participation: Participation, now: Instant) -> Item {
+    pub fn item(
+        &mut self,
+        customer: &Arc<str>,
+        participation: Participation,
+        now: Instant,
+    ) -> Item {
         if participation == Participation::Leaving {
             self.give_up();
         }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -1,4 +1,4 @@
-//! Whom boxes ask for tokens.
+//! The order in which a box asks keepers for tokens.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
     keepers(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
-/// Zones of so many boxes each, the first box of each zone the strongest.
+/// A fleet with this number of boxes in each zone; the first box of a zone is the strongest.
 fn fleet(zones: &[(&str, usize)]) -> Vec<Profile> {
     let boxes = zones.iter().flat_map(|(zone, count)| {
         (0..*count)
@@ -48,10 +48,9 @@
     assert_eq!(zones[3..].iter().collect::<BTreeSet<_>>().len(), 2, "{zones:?}");
 }
 
-/// The load: 18 boxes in six zones, of which 12 wrote the book in turn when each zone had a keeper, and
-/// every second write met another one.
+/// With a keeper in each zone, a small fleet in many zones would have too many writers of the book.
 #[test]
-fn keepers_grow_with_boxes_and_not_with_zones() {
+fn number_of_keepers_depends_on_boxes_not_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
         let zone = ["a", "b", "c", "d", "e", "f"];
         let fleet: Vec<Profile> =
@@ -64,7 +63,7 @@
             let keeps = first.iter().any(|first| **first == name);
             assert_eq!(keeps, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
-            assert!(first.is_subset(&tried), "all keepers are tried: {asked:?}");
+            assert!(first.is_subset(&tried), "all keepers are asked: {asked:?}");
         }
     }
 }
@@ -82,8 +81,8 @@
 }
 
 #[test]
-fn boxes_that_are_alike_share_the_work_over_zones() {
-    // Names decide: the first box by name is not the keeper of every zone.
+fn equal_boxes_share_the_work_across_zones() {
+    // The same box name must not become the keeper in every zone.
     let boxes =
         |zone: &str| (0..8).map(|n| profile(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
     let firsts: BTreeSet<String> = ["a", "b", "c", "d", "e", "f"]
@@ -93,10 +92,10 @@
     assert!(firsts.len() > 1, "{firsts:?}");
 }
 
-/// The load: six keepers of a large fleet and those that stood in for them, all of whom write one book.
+/// Guards against contention when the keepers of a large fleet and their standbys all write the one book.
 #[test]
-fn many_that_write_the_book_settle_no_more_often_together_than_few() {
+fn settlement_interval_grows_with_the_number_of_writers() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(interval_factor(writers), times, "{writers} boxes write");
+        assert_eq!(interval_factor(writers), times, "{writers} writers");
     }
 }
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -143,7 +143,7 @@
         let State { pools, places, .. } = &mut *state;
         let pool = places.get(endpoint).and_then(|place| pools.get_mut(&place.pool));
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
-        if pool.is_some_and(|pool| pool.rest(endpoint, rest_ms, now)) {
+        if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
             tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
         }
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -13,7 +13,7 @@
         crate::NEWEST_FORMAT
     ))]
     Format { format: u16 },
-    /// The message exceeds [`MAX_MESSAGE_BYTES`](crate::MAX_BYTES).
+    /// The message exceeds [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES).
     #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_MESSAGE_BYTES))]
     TooLarge { bytes: usize },
     /// The message is truncated, has trailing bytes, or is not a known frame.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
 use balance::{Limit, Prompt, Snapshot};
-use ledger::{Entry, Given, Incarnation, Promise, Transfer};
+use ledger::{Entry, Incarnation, Promise, Supply, Transfer};
 use quarantine::Report;
 use serde::{Deserialize, Serialize};
 use timeline::Stamp;
@@ -95,7 +95,7 @@
     /// Incarnation of the keeper that is addressed; another one does not have the totals before.
     pub keeper: Incarnation,
     /// Customers with new totals or demand.
-    pub items: Vec<ledger::Status>,
+    pub items: Vec<ledger::Demand>,
     /// How long the keeper may wait for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender is about to stop; this is its last message.
@@ -106,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drawn {
     /// Customers that were asked for.
-    pub items: Vec<Given>,
+    pub items: Vec<Supply>,
     /// The keeper does not reach the store; another one may.
     pub cut: bool,
     /// The keeper is about to stop: unused tokens go back to it, and another keeper is to be used.
@@ -150,6 +150,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscribe {
     /// Incarnation of the watcher that is addressed; another one numbers its changes differently.
+    #[serde(rename = "teller")]
     pub watcher: Incarnation,
     /// Number of the newest change known, 0 for none. `None` asks for no changes, only whether the
     /// watcher reaches the store.
@@ -187,8 +188,10 @@
     /// The limit; `None` if the endpoint named none.
     pub limit: Option<Limit>,
     /// Milliseconds since the request was sent whose answer carried the signal.
+    #[serde(rename = "asked_ms")]
     pub sent_ms: u64,
     /// Milliseconds since that answer was received.
+    #[serde(rename = "heard_ms")]
     pub answered_ms: u64,
 }
 
@@ -196,6 +199,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// What the sender knows of the endpoint's limit.
+    #[serde(rename = "said")]
     pub signal: LimitNotice,
     /// How often this request has been forwarded.
     pub hops: u8,
@@ -209,7 +213,10 @@
     /// No permit is available; retry after this many milliseconds.
     After { ms: u64 },
     /// The endpoint no longer names a limit.
-    Free { signal: LimitNotice },
+    Free {
+        #[serde(rename = "said")]
+        signal: LimitNotice,
+    },
     /// The box is about to stop and issues no more permits.
     Leaves,
 }
@@ -218,6 +225,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Periodic exchange of state; the answer is the receiver's own.
+    #[serde(rename = "Tell")]
     Status(Status),
     /// Entries to hold while the platform is unreachable.
     Carry { by: Incarnation, entries: Vec<Entry> },
@@ -245,8 +253,10 @@
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
     /// Asks where the request with this key is executed; if nowhere, the sender is about to execute
     /// it.
+    #[serde(rename = "Where")]
     Locate { customer: Arc<str>, key: Arc<str> },
     /// Answer to [`Frame::Locate`].
+    #[serde(rename = "There")]
     Location(Location),
     /// Accepted; there is nothing to return.
     Done,
@@ -272,14 +282,18 @@
     /// Sent by older versions only.
     Bills { pages: Vec<BillPage> },
     /// Requests updates about the store.
+    #[serde(rename = "Listen")]
     Subscribe(Subscribe),
     /// Answer to [`Frame::Subscribe`].
+    #[serde(rename = "News")]
     Update(Update),
     /// A crash report for the receiver to distribute.
     Crash { name: Arc<str>, report: Report },
     /// Requests a permit for an endpoint.
+    #[serde(rename = "Turn")]
     PermitRequest(PermitRequest),
     /// Answer to [`Frame::PermitRequest`].
+    #[serde(rename = "Turned")]
     PermitReply(PermitReply),
     /// The latest limit of an endpoint, for the receiver to distribute.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
