--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -25,15 +25,15 @@
 };
 
 /// Interval between checks that the box runs.
-const BEAT: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time without a check after which the box counts as suspended. Four intervals, so that a busy box
 /// does not count as suspended, and half of the shortest bound on the age of state, which is 2 s on
 /// small deployments.
-const HELD_UP: Duration = Duration::from_millis(1_000);
+const SUSPENDED_AFTER: Duration = Duration::from_millis(1_000);
 /// Longest time that a request waits for state to be read again after a suspension; covers a read
 /// of a slow store. Without the wait, a box that was suspended during a drain sends requests to
 /// endpoints that have left.
-const FRESH_WITHIN: Duration = Duration::from_millis(400);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Source of time that knows how long the box was suspended.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
 enum Source {
     System,
     /// Milliseconds of suspension, set by a test.
-    ByHand(Arc<AtomicU64>),
+    Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
@@ -54,14 +54,14 @@
 
     /// A clock on which the box is suspended only by [`Clock::suspend`].
     pub fn manual() -> Clock {
-        Clock(Source::ByHand(Arc::default()))
+        Clock(Source::Manual(Arc::default()))
     }
 
     /// Simulates a suspension on a manual clock; does nothing on the system's.
     pub fn suspend(&self, time: Duration) {
         match &self.0 {
             Source::System => {}
-            Source::ByHand(ms) => {
+            Source::Manual(ms) => {
                 ms.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
             }
         }
@@ -71,10 +71,10 @@
     fn suspended(&self) -> Duration {
         match &self.0 {
             Source::System => {
-                let steady = duration(clock_gettime(ClockId::Monotonic));
-                duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
+                let monotonic = duration(clock_gettime(ClockId::Monotonic));
+                duration(clock_gettime(ClockId::Boottime)).saturating_sub(monotonic)
             }
-            Source::ByHand(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
+            Source::Manual(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
         }
     }
 
@@ -129,7 +129,7 @@
 #[derive(Debug)]
 struct Shared {
     clock: Clock,
-    last: Mutex<Moment>,
+    last_check: Mutex<Moment>,
     state: watch::Sender<State>,
     forget: Forget,
 }
@@ -151,7 +151,7 @@
     config: u64,
     endpoints: u64,
     /// Until when requests wait for state to be read again.
-    until: Option<Instant>,
+    deadline: Option<Instant>,
 }
 
 impl State {
@@ -164,24 +164,24 @@
     /// Creates a detector; after each suspension it calls `forget`, which closes connections that
     /// may be dead.
     pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
-        let last = Mutex::new(clock.now());
+        let last_check = Mutex::new(clock.now());
         let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
-        Watchdog(Arc::new(Shared { clock, last, state, forget }))
+        Watchdog(Arc::new(Shared { clock, last_check, state, forget }))
     }
 
     /// Checks periodically for as long as the box runs.
     pub async fn run(self) {
         loop {
-            sleep(BEAT).await;
-            self.beat();
+            sleep(CHECK_INTERVAL).await;
+            self.check();
         }
     }
 
-    fn beat(&self) {
+    fn check(&self) {
         let now = self.0.clock.now();
-        let before = std::mem::replace(&mut *self.0.last.lock(), now);
-        let (gap, suspended) = (before.elapsed(), before.suspended());
-        if gap <= HELD_UP {
+        let previous = std::mem::replace(&mut *self.0.last_check.lock(), now);
+        let (gap, suspended) = (previous.elapsed(), previous.suspended());
+        if gap <= SUSPENDED_AFTER {
             return;
         }
         let (gap_ms, suspended_ms) = (gap.as_millis() as u64, suspended.as_millis() as u64);
@@ -189,13 +189,13 @@
         (self.0.forget.0)();
         self.0.state.send_modify(|state| {
             state.suspensions += 1;
-            state.until = Some(Instant::now() + FRESH_WITHIN);
+            state.deadline = Some(Instant::now() + REFRESH_TIMEOUT);
         });
     }
 
     /// Number of suspensions so far. What was requested before the last one may be stale.
     pub fn suspensions(&self) -> u64 {
-        self.beat();
+        self.check();
         self.0.state.borrow().suspensions
     }
 
@@ -206,25 +206,25 @@
     }
 
     /// Records a read that began after this many suspensions.
-    pub fn read(&self, part: Dataset, suspensions: u64) {
+    pub fn read(&self, dataset: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
-            let of = match part {
+            let last_read = match dataset {
                 Dataset::Config => &mut state.config,
                 Dataset::Endpoints => &mut state.endpoints,
             };
-            let is_news = *of < suspensions;
-            *of = suspensions.max(*of);
-            is_news
+            let is_newer = *last_read < suspensions;
+            *last_read = suspensions.max(*last_read);
+            is_newer
         });
     }
 
     /// Waits until all state was read after the last suspension; gives up after a short time.
     pub async fn wait_until_fresh(&self) {
-        self.beat();
+        self.check();
         let mut state = self.0.state.subscribe();
-        let until = state.borrow().until;
-        let Some(until) = until.filter(|until| *until > Instant::now()) else { return };
+        let deadline = state.borrow().deadline;
+        let Some(deadline) = deadline.filter(|deadline| *deadline > Instant::now()) else { return };
         // On a timeout the request goes on with stale state.
-        let _ = timeout_at(until, state.wait_for(State::is_fresh)).await;
+        let _ = timeout_at(deadline, state.wait_for(State::is_fresh)).await;
     }
 }
--- a/crates/gateway/src/fleet/keepers.rs
+++ b/crates/gateway/src/fleet/keepers.rs
@@ -1,9 +1,10 @@
 //! Choice of keepers: the boxes that hold tokens for others, in the order in which a box asks them.
 //!
-//! At least [`ZONES`] availability zones have a keeper, and one zone for each [`SERVED`] boxes, as
-//! far as there are zones. The keeper is the box with the largest capacity in its zone; rendezvous
-//! hashing decides between equals. A box in such a zone asks that keeper first, then the next boxes
-//! of the zone, then the keepers of other zones. A box in any other zone asks the keepers first.
+//! At least [`MIN_ZONES`] availability zones have a keeper, and one zone for each
+//! [`BOXES_PER_ZONE`] boxes, as far as there are zones. The keeper is the box with the largest
+//! capacity in its zone; rendezvous hashing decides between equals. A box in such a zone asks that
+//! keeper first, then the next boxes of the zone, then the keepers of other zones. A box in any
+//! other zone asks the keepers first.
 //!
 //! Boxes that know the same fleet choose the same keepers. Where their views differ, two boxes draw
 //! from the book and their writes conflict at times, which only costs calls.
@@ -14,17 +15,17 @@
 
 /// Boxes of the own zone that are tried. A box with a congested link finds all others silent; the
 /// bound keeps it from making each of them draw from the book in turn.
-const OWN_ZONE: usize = 3;
+const MAX_OWN_ZONE: usize = 3;
 /// Boxes of each other zone that are tried.
-const OTHER_ZONE: usize = 1;
+const MAX_OTHER_ZONE: usize = 1;
 /// Minimum number of zones with a keeper. The tokens of a keeper are unavailable while it is paused
 /// or unreachable, and partly lost if it dies, so they are spread over several.
-const ZONES: usize = 3;
+const MIN_ZONES: usize = 3;
 /// Boxes per zone with a keeper. More keepers than this cause conflicting writes of the book and so
 /// more calls to the store.
-const SERVED: usize = 50;
+const BOXES_PER_ZONE: usize = 50;
 /// Key of the rendezvous hash that chooses zones.
-const KEEPERS: &str = "keepers";
+const HASH_KEY: &str = "keepers";
 
 /// A box as the choice of keepers and watchers sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,32 +41,32 @@
 /// Boxes to ask for tokens, most preferred first; includes `me` where this box itself is one of
 /// them.
 pub fn keepers(me: &Profile, others: &[Profile]) -> Vec<Incarnation> {
-    let of_zone = |zone: &Arc<str>, most: usize| {
+    let of_zone = |zone: &Arc<str>, max: usize| {
         let all = others.iter().chain([me]).filter(|profile| profile.zone == *zone);
-        let mut places: Vec<&Profile> = all.collect();
-        places.sort_by_key(|profile| (Reverse(rank(profile)), &profile.name));
-        places.truncate(most);
-        places
+        let mut profiles: Vec<&Profile> = all.collect();
+        profiles.sort_by_key(|profile| (Reverse(rank(profile)), &profile.name));
+        profiles.truncate(max);
+        profiles
     };
-    let mut zones = kept_zones(me, others);
+    let mut zones = keeper_zones(me, others);
     zones.sort_by_key(|zone| Reverse((member::weight(&me.zone, zone), *zone)));
-    let is_kept = zones.contains(&&me.zone);
+    let has_keeper = zones.contains(&&me.zone);
     let elsewhere = zones.into_iter().filter(|zone| **zone != me.zone);
-    let elsewhere = elsewhere.flat_map(|zone| of_zone(zone, OTHER_ZONE));
-    let own = of_zone(&me.zone, OWN_ZONE).into_iter();
-    let places: Vec<&Profile> = match is_kept {
+    let elsewhere = elsewhere.flat_map(|zone| of_zone(zone, MAX_OTHER_ZONE));
+    let own = of_zone(&me.zone, MAX_OWN_ZONE).into_iter();
+    let profiles: Vec<&Profile> = match has_keeper {
         true => own.chain(elsewhere).collect(),
         false => elsewhere.chain(own).collect(),
     };
-    places.into_iter().map(|profile| profile.name.clone()).collect()
+    profiles.into_iter().map(|profile| profile.name.clone()).collect()
 }
 
 /// Zones that have a keeper.
-fn kept_zones<'a>(me: &'a Profile, others: &'a [Profile]) -> Vec<&'a Arc<str>> {
-    let count = (others.len() + 1).div_ceil(SERVED).max(ZONES);
+fn keeper_zones<'a>(me: &'a Profile, others: &'a [Profile]) -> Vec<&'a Arc<str>> {
+    let count = (others.len() + 1).div_ceil(BOXES_PER_ZONE).max(MIN_ZONES);
     let mut zones: Vec<&Arc<str>> =
         others.iter().chain([me]).map(|profile| &profile.zone).collect();
-    zones.sort_by_key(|zone| Reverse((member::weight(KEEPERS, zone), *zone)));
+    zones.sort_by_key(|zone| Reverse((member::weight(HASH_KEY, zone), *zone)));
     zones.dedup();
     zones.truncate(count);
     zones
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -7,11 +7,11 @@
 use ledger::Incarnation;
 use wire::{Frame, Greeting};
 
-use super::{Peers, requests::TOLD_WITHIN};
+use super::{Peers, requests::NOTIFY_TIMEOUT};
 use crate::fleet::entry::Entry;
 
 /// Boxes that are notified. A single one is enough to know whom to ask; a few more cover restarts.
-const GREETED: usize = 3;
+const MAX_GREETED: usize = 3;
 
 impl Peers {
     /// Announces this box to those that registered just before it, except those in `greeted`.
@@ -24,7 +24,7 @@
             let frame = Frame::Greet { to: name.clone(), sender };
             greeted.push(name.clone());
             let peers = self.clone();
-            tokio::spawn(async move { peers.ask(&name, &peer, frame, TOLD_WITHIN).await });
+            tokio::spawn(async move { peers.ask(&name, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
@@ -34,6 +34,6 @@
         let known = state.known.iter().map(|(name, known)| (known.version, name.clone()));
         let mut before: Vec<(u64, Incarnation)> = known.filter(|(of, _)| *of < version).collect();
         before.sort_unstable_by(|a, b| b.cmp(a));
-        before.into_iter().take(GREETED).map(|(_, name)| name).collect()
+        before.into_iter().take(MAX_GREETED).map(|(_, name)| name).collect()
     }
 }
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -37,12 +37,12 @@
 };
 
 /// Boxes that a prompt is published to.
-const MOST_ASKED: usize = 12;
+const MAX_RECIPIENTS: usize = 12;
 /// How long a box that did not answer is not asked again; shorter than most outages.
-const REST: Duration = Duration::from_millis(2_000);
+const SILENT_RETRY_DELAY: Duration = Duration::from_millis(2_000);
 /// How long a box that announced its stop is not asked again. It has ended by then, and the next
 /// start has another incarnation.
-const LEAVES: Duration = Duration::from_secs(10);
+const STOPPING_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// The other boxes, as listed in the store.
 #[derive(Clone)]
@@ -72,8 +72,8 @@
     known: HashMap<Incarnation, Known>,
     random: SmallRng,
     /// When another box was last heard from, and when a request last got no answer.
-    heard: Option<Instant>,
-    silent: Option<Instant>,
+    last_received: Option<Instant>,
+    last_unanswered: Option<Instant>,
 }
 
 struct Known {
@@ -81,12 +81,12 @@
     /// Version of the entry in the store.
     version: u64,
     peer: Peer,
-    rests_until: Option<Instant>,
+    avoid_until: Option<Instant>,
 }
 
 impl Known {
     fn is_reachable(&self, now: Instant) -> bool {
-        self.rests_until.is_none_or(|end| end <= now)
+        self.avoid_until.is_none_or(|end| end <= now)
     }
 }
 
@@ -97,8 +97,15 @@
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
         let name = me.name.clone();
-        let (address, heard, silent) = Default::default();
-        let state = State { address, profile: me, known: HashMap::new(), random, heard, silent };
+        let (address, last_received, last_unanswered) = Default::default();
+        let state = State {
+            address,
+            profile: me,
+            known: HashMap::new(),
+            random,
+            last_received,
+            last_unanswered,
+        };
         Peers {
             me: name,
             source,
@@ -111,7 +118,7 @@
     }
 
     /// Sets the address on which this box serves others.
-    pub fn listens_at(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         self.state.lock().address = Some(address);
     }
 
@@ -139,7 +146,7 @@
             }
             state.known.retain(|known, _| !is_same(known));
             let peer = Peer::new(entry.peer, self.source);
-            state.known.insert(name, Known { entry, version, peer, rests_until: None });
+            state.known.insert(name, Known { entry, version, peer, avoid_until: None });
         }
     }
 
@@ -149,7 +156,7 @@
     }
 
     /// Reports that the list of boxes is stale.
-    pub fn note_unknown(&self) {
+    pub fn report_stale_list(&self) {
         self.unknown.notify_one();
     }
 
@@ -189,9 +196,9 @@
         &self.me
     }
 
-    fn rest(&self, name: &Incarnation, time: Duration) {
+    fn avoid_for(&self, name: &Incarnation, time: Duration) {
         if let Some(known) = self.state.lock().known.get_mut(name) {
-            known.rests_until = Some(Instant::now() + time);
+            known.avoid_until = Some(Instant::now() + time);
         }
     }
 
@@ -200,7 +207,7 @@
         let mut state = self.state.lock();
         if let Some(Known { entry, version, peer, .. }) = state.known.remove(name) {
             let entry = Entry { incarnation: now.clone(), ..entry };
-            let known = Known { entry, version, peer, rests_until: None };
+            let known = Known { entry, version, peer, avoid_until: None };
             state.known.entry(now.clone()).or_insert(known);
         }
     }
@@ -230,27 +237,27 @@
         self.state.lock().known.contains_key(name)
     }
 
-    /// A reachable box other than `not`.
-    pub fn any_reachable(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
-        let others = self.in_reach().into_iter().map(|(name, _)| name);
-        others.into_iter().find(|name| Some(name) != not)
+    /// A reachable box other than `excluded`.
+    pub fn any_reachable(&self, excluded: Option<&Incarnation>) -> Option<Incarnation> {
+        let others = self.some_reachable().into_iter().map(|(name, _)| name);
+        others.into_iter().find(|name| Some(name) != excluded)
     }
 
     /// Stops being a witness, before a planned stop.
-    pub fn forget_promises(&self) {
+    pub fn stop_witnessing(&self) {
         self.promises.close();
     }
 
     /// The current incarnation of a box, if known; it answers that the one in question has ended.
-    fn peer_of_box(&self, name: &Incarnation) -> Option<Peer> {
+    fn current_peer(&self, name: &Incarnation) -> Option<Peer> {
         let state = self.state.lock();
         let mut known = state.known.iter();
-        let of_box = known.find(|(other, _)| other.box_name() == name.box_name());
-        of_box.map(|(_, known)| known.peer.clone())
+        let same_box = known.find(|(other, _)| other.box_name() == name.box_name());
+        same_box.map(|(_, known)| known.peer.clone())
     }
 
     /// Whether a box is in the same availability zone.
-    fn is_near(&self, name: &Incarnation) -> bool {
+    fn is_same_zone(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
         state.known.get(name).is_some_and(|known| known.entry.zone == state.profile.zone)
     }
@@ -269,32 +276,32 @@
         self.keepers().into_iter().filter(|name| *name != self.me).collect()
     }
 
-    /// Reachable boxes in random order, at most [`MOST_ASKED`].
-    fn in_reach(&self) -> Vec<(Incarnation, Peer)> {
-        let mut peers = self.awake();
-        peers.truncate(MOST_ASKED);
+    /// Reachable boxes in random order, at most [`MAX_RECIPIENTS`].
+    fn some_reachable(&self) -> Vec<(Incarnation, Peer)> {
+        let mut peers = self.reachable();
+        peers.truncate(MAX_RECIPIENTS);
         peers.into_iter().map(|(name, peer, _)| (name, peer)).collect()
     }
 
     /// Some reachable boxes to publish a prompt to. Boxes in the same availability zone come first,
     /// since traffic between zones costs money; each box learns of as many prompts either way.
     pub fn prompt_recipients(&self) -> Vec<Incarnation> {
-        let mut peers = self.awake();
-        peers.sort_by_key(|(.., is_near)| !is_near);
-        peers.truncate(MOST_ASKED);
+        let mut peers = self.reachable();
+        peers.sort_by_key(|(.., is_same_zone)| !is_same_zone);
+        peers.truncate(MAX_RECIPIENTS);
         peers.into_iter().map(|(name, ..)| name).collect()
     }
 
     /// All reachable boxes in random order, and whether they are in the same zone.
-    fn awake(&self) -> Vec<(Incarnation, Peer, bool)> {
+    fn reachable(&self) -> Vec<(Incarnation, Peer, bool)> {
         let now = Instant::now();
         let mut state = self.state.lock();
         let State { known, random, profile, .. } = &mut *state;
-        let awake = known.iter().filter(|(_, known)| known.is_reachable(now));
-        let told = |(name, known): (&Incarnation, &Known)| {
+        let reachable = known.iter().filter(|(_, known)| known.is_reachable(now));
+        let info = |(name, known): (&Incarnation, &Known)| {
             (name.clone(), known.peer.clone(), known.entry.zone == profile.zone)
         };
-        let mut peers: Vec<(Incarnation, Peer, bool)> = awake.map(told).collect();
+        let mut peers: Vec<(Incarnation, Peer, bool)> = reachable.map(info).collect();
         peers.sort_by(|a, b| a.0.cmp(&b.0));
         peers.shuffle(random);
         peers
--- a/crates/gateway/src/fleet/peers/permits.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -13,8 +13,8 @@
 use wire::{Frame, PermitReply, PermitRequest};
 
 use super::{
-    LEAVES, Peers,
-    requests::{Heard, TOLD_WITHIN},
+    Peers, STOPPING_RETRY_DELAY,
+    requests::{NOTIFY_TIMEOUT, Reply},
 };
 
 /// How often a request for a permit may be forwarded: from a substitute to the box that it
@@ -22,56 +22,56 @@
 pub const MAX_HOPS: u8 = 2;
 /// Timeout per remaining hop. An answer takes a few milliseconds, and the shortest requests have
 /// 100; after a timeout the substitute is asked.
-const A_HOP: Duration = Duration::from_millis(30);
+const HOP_TIMEOUT: Duration = Duration::from_millis(30);
 
 impl Peers {
     /// The issuer of an endpoint's permits; `None` if it is this box, which is not chosen if it
-    /// `leaves`.
-    pub fn issuer(&self, life: &str, leaves: bool) -> Option<Incarnation> {
+    /// `is_stopping`.
+    pub fn issuer(&self, instance: &str, is_stopping: bool) -> Option<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
-        let awake = state.known.iter().filter(|(_, known)| known.is_reachable(now));
-        let weight = |name: &Incarnation| member::weight(life, name.box_name());
-        let best = awake.map(|(name, _)| (weight(name), name)).max();
+        let reachable = state.known.iter().filter(|(_, known)| known.is_reachable(now));
+        let weight = |name: &Incarnation| member::weight(instance, name.box_name());
+        let best = reachable.map(|(name, _)| (weight(name), name)).max();
         let mine = (weight(&self.me), &self.me);
-        best.filter(|best| leaves || *best > mine).map(|(_, name)| name.clone())
+        best.filter(|best| is_stopping || *best > mine).map(|(_, name)| name.clone())
     }
 
     /// Requests a permit; `None` if the issuer is silent or about to stop and another box is to be
     /// asked.
     pub async fn permit(&self, issuer: &Incarnation, permit: PermitRequest) -> Option<PermitReply> {
-        let within = A_HOP * u32::from(MAX_HOPS + 1 - permit.hops.min(MAX_HOPS));
+        let timeout = HOP_TIMEOUT * u32::from(MAX_HOPS + 1 - permit.hops.min(MAX_HOPS));
         let peer = self.peer(issuer)?;
-        match self.ask(issuer, &peer, Frame::PermitRequest(permit), within).await {
-            Heard::Frame(Frame::PermitReply(PermitReply::Leaves)) => {
-                self.rest(issuer, LEAVES);
+        match self.ask(issuer, &peer, Frame::PermitRequest(permit), timeout).await {
+            Reply::Frame(Frame::PermitReply(PermitReply::Leaves)) => {
+                self.avoid_for(issuer, STOPPING_RETRY_DELAY);
                 None
             }
-            Heard::Frame(Frame::PermitReply(turned)) => Some(turned),
+            Reply::Frame(Frame::PermitReply(reply)) => Some(reply),
             // The issuer does not know this box yet.
-            Heard::Frame(_) => Some(PermitReply::After { ms: A_HOP.as_millis() as u64 }),
-            Heard::Replaced | Heard::Nothing => None,
+            Reply::Frame(_) => Some(PermitReply::After { ms: HOP_TIMEOUT.as_millis() as u64 }),
+            Reply::Replaced | Reply::Nothing => None,
         }
     }
 
     /// Publishes the latest limit of an endpoint to the watchers. A lost message is repaired by the
     /// endpoint's next answer.
     pub fn publish_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) {
-        self.tell_homes(|| Frame::Limit { endpoint: endpoint.clone(), limit });
+        self.notify_watchers(|| Frame::Limit { endpoint: endpoint.clone(), limit });
     }
 
     /// Publishes to the watchers that an endpoint leaves. Boxes that miss it learn it from the
     /// endpoint.
     pub fn publish_departure(&self, endpoint: &Arc<str>, address: SocketAddr) {
-        self.tell_homes(|| Frame::Departure { endpoint: endpoint.clone(), address });
+        self.notify_watchers(|| Frame::Departure { endpoint: endpoint.clone(), address });
     }
 
-    fn tell_homes(&self, frame: impl Fn() -> Frame) {
+    fn notify_watchers(&self, frame: impl Fn() -> Frame) {
         let watchers = self.watchers();
-        for home in watchers.all().filter(|home| **home != self.me) {
-            let Some(peer) = self.peer(home) else { continue };
-            let (peers, home, frame) = (self.clone(), home.clone(), frame());
-            tokio::spawn(async move { peers.ask(&home, &peer, frame, TOLD_WITHIN).await });
+        for watcher in watchers.all().filter(|watcher| **watcher != self.me) {
+            let Some(peer) = self.peer(watcher) else { continue };
+            let (peers, watcher, frame) = (self.clone(), watcher.clone(), frame());
+            tokio::spawn(async move { peers.ask(&watcher, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
@@ -79,11 +79,11 @@
     /// be disconnected, and others may consider it gone.
     pub fn may_be_cut_off(&self) -> bool {
         let state = self.state.lock();
-        state.silent > state.heard
+        state.last_unanswered > state.last_received
     }
 
     /// Records that another box was heard from.
-    pub fn note_heard(&self) {
-        self.state.lock().heard = Some(Instant::now());
+    pub fn record_contact(&self) {
+        self.state.lock().last_received = Some(Instant::now());
     }
 }
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -13,23 +13,23 @@
 use tokio::time::Instant;
 use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
 
-use super::{LEAVES, Peers, REST};
+use super::{Peers, SILENT_RETRY_DELAY, STOPPING_RETRY_DELAY};
 
 /// Timeout of a loan. An answer within it is accepted even if the request that needed the tokens
 /// has ended; they would be stranded otherwise.
-const LENT_WITHIN: Duration = Duration::from_millis(1_000);
+const BORROW_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Timeout of a promise, for which a request may be waiting: many round trips between availability
 /// zones.
-const PROMISE_WITHIN: Duration = Duration::from_millis(150);
+const PROMISE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Timeout of sealing a promise, at the start of a box: the boxes know each other for longer than
 /// this before they are granted tokens.
-const SEAL_WITHIN: Duration = Duration::from_millis(400);
+const SEAL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Timeout of a published prompt, which endpoints process in less time, and of other notifications.
-pub(super) const TOLD_WITHIN: Duration = Duration::from_millis(200);
+pub(super) const NOTIFY_TIMEOUT: Duration = Duration::from_millis(200);
 /// Timeout of handing over a page of bills: some 200 KB over a slow link.
-const BILLS_WITHIN: Duration = Duration::from_millis(500);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Boxes that bills are handed over to.
-const BILLS_WITH: usize = 2;
+const HAND_OVER_COPIES: usize = 2;
 
 /// What a witness reports of an incarnation that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -72,7 +72,7 @@
     fn drop(&mut self) {
         self.prompt.size = 0;
         self.prompt.blocks = Arc::default();
-        self.peers.tell(&self.prompt);
+        self.peers.publish(&self.prompt);
     }
 }
 
@@ -91,7 +91,7 @@
 
 /// Result of a request.
 #[derive(Debug)]
-pub(super) enum Heard {
+pub(super) enum Reply {
     /// The box answered.
     Frame(Frame),
     /// A later incarnation of the box answered: the one that was asked has ended.
@@ -102,26 +102,26 @@
 
 impl Peers {
     /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
-    pub async fn listen(&self, listen: Subscribe, within: Duration) -> Option<Update> {
-        let home = listen.watcher.clone();
-        let peer = self.peer(&home)?;
-        match self.ask(&home, &peer, Frame::Subscribe(listen), within).await {
-            Heard::Frame(Frame::Update(news)) => Some(news),
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+    pub async fn listen(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
+        let watcher = listen.watcher.clone();
+        let peer = self.peer(&watcher)?;
+        match self.ask(&watcher, &peer, Frame::Subscribe(listen), timeout).await {
+            Reply::Frame(Frame::Update(update)) => Some(update),
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
     /// Sends usage and demand to a keeper; `None` if that incarnation of it did not answer.
-    pub async fn draw(&self, keeper: &Incarnation, draw: Draw, within: Duration) -> Option<Drawn> {
+    pub async fn draw(&self, keeper: &Incarnation, draw: Draw, timeout: Duration) -> Option<Drawn> {
         let peer = self.peer(keeper)?;
-        match self.ask(keeper, &peer, Frame::Draw(draw), within).await {
-            Heard::Frame(Frame::Drawn(drawn)) => {
+        match self.ask(keeper, &peer, Frame::Draw(draw), timeout).await {
+            Reply::Frame(Frame::Drawn(drawn)) => {
                 if drawn.leaves {
-                    self.rest(keeper, LEAVES);
+                    self.avoid_for(keeper, STOPPING_RETRY_DELAY);
                 }
                 Some(drawn)
             }
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
@@ -131,17 +131,17 @@
         let number = self.prompts.fetch_add(1, Ordering::Relaxed);
         let (endpoint, blocks) = (endpoint.clone(), prefix.hashes());
         let prompt = Prompt { endpoint, number, size, blocks };
-        self.tell(&prompt);
+        self.publish(&prompt);
         PromptNotice { peers: self.clone(), prompt }
     }
 
-    fn tell(&self, prompt: &Prompt) {
+    fn publish(&self, prompt: &Prompt) {
         // Dropped after the runtime has shut down: nothing can be sent.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else { return };
         for name in self.prompt_recipients() {
             let Some(peer) = self.peer(&name) else { continue };
             let (peers, frame) = (self.clone(), Frame::Prompt(prompt.clone()));
-            runtime.spawn(async move { peers.ask(&name, &peer, frame, TOLD_WITHIN).await });
+            runtime.spawn(async move { peers.ask(&name, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
@@ -149,11 +149,13 @@
     pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Delivery {
         let number = promise.number;
         let Some(peer) = self.peer(witness) else { return Delivery::Not };
-        match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_WITHIN).await {
-            Heard::Frame(Frame::Promised { number: taken }) if taken == number => Delivery::Taken,
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => Delivery::Gone,
-            Heard::Frame(Frame::Refused { .. }) => Delivery::Not,
-            Heard::Frame(_) | Heard::Nothing => Delivery::Unknown,
+        match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_TIMEOUT).await {
+            Reply::Frame(Frame::Promised { number: accepted }) if accepted == number => {
+                Delivery::Taken
+            }
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => Delivery::Gone,
+            Reply::Frame(Frame::Refused { .. }) => Delivery::Not,
+            Reply::Frame(_) | Reply::Nothing => Delivery::Unknown,
         }
     }
 
@@ -161,30 +163,32 @@
     /// Each page goes to two boxes, since one may die before it reaches the store; the page is
     /// stored once, whoever writes it first.
     pub async fn hand_over_bills(&self, pages: &[BillPage]) -> Vec<Incarnation> {
-        let mut took = Vec::new();
-        for (name, peer) in self.in_reach() {
+        let mut accepted = Vec::new();
+        for (name, peer) in self.some_reachable() {
             let frame = Frame::HandOver { to: name.clone(), pages: pages.to_vec() };
-            if let Heard::Frame(Frame::Done) = self.ask(&name, &peer, frame, BILLS_WITHIN).await {
-                took.push(name);
+            if let Reply::Frame(Frame::Done) =
+                self.ask(&name, &peer, frame, HAND_OVER_TIMEOUT).await
+            {
+                accepted.push(name);
             }
-            if took.len() >= BILLS_WITH {
+            if accepted.len() >= HAND_OVER_COPIES {
                 break;
             }
         }
-        took
+        accepted
     }
 
     /// Asks the witness of an incarnation that ended for its last promise, and to accept no more.
     pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> WitnessReply {
         let Claim { witness: Witness { by, term }, at } = claim;
-        let told_where = || at.map(|address| Peer::new(address, self.source));
-        let peer = self.peer(by).or_else(|| self.peer_of_box(by)).or_else(told_where);
+        let last_known = || at.map(|address| Peer::new(address, self.source));
+        let peer = self.peer(by).or_else(|| self.current_peer(by)).or_else(last_known);
         let Some(peer) = peer else { return WitnessReply::NoAnswer };
         let frame = Frame::Seal { holder: holder.clone(), term: *term };
-        match self.ask(by, &peer, frame, SEAL_WITHIN).await {
-            Heard::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => WitnessReply::Nothing,
-            Heard::Frame(_) | Heard::Nothing => WitnessReply::NoAnswer,
+        match self.ask(by, &peer, frame, SEAL_TIMEOUT).await {
+            Reply::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => WitnessReply::Nothing,
+            Reply::Frame(_) | Reply::Nothing => WitnessReply::NoAnswer,
         }
     }
 
@@ -197,22 +201,22 @@
     ) -> Option<Transfer> {
         let peer = self.peer(name)?;
         let frame = Frame::Lend { budget: customer.clone(), tokens };
-        match self.ask(name, &peer, frame, LENT_WITHIN).await {
-            Heard::Frame(Frame::Lent { transfer }) => {
+        match self.ask(name, &peer, frame, BORROW_TIMEOUT).await {
+            Reply::Frame(Frame::Lent { transfer }) => {
                 transfer.filter(|transfer| transfer.from == *name && transfer.to == self.me)
             }
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
     /// Publishes a crash report to the watchers; those that miss it read it from the store.
     pub fn publish_crash(&self, name: &Arc<str>, report: &Report) {
         let watchers = self.watchers();
-        for home in watchers.all().filter(|home| **home != self.me) {
-            let Some(peer) = self.peer(home) else { continue };
+        for watcher in watchers.all().filter(|watcher| **watcher != self.me) {
+            let Some(peer) = self.peer(watcher) else { continue };
             let frame = Frame::Crash { name: name.clone(), report: report.clone() };
-            let (peers, home) = (self.clone(), home.clone());
-            tokio::spawn(async move { peers.ask(&home, &peer, frame, TOLD_WITHIN).await });
+            let (peers, watcher) = (self.clone(), watcher.clone());
+            tokio::spawn(async move { peers.ask(&watcher, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
@@ -222,13 +226,13 @@
         name: &Incarnation,
         peer: &Peer,
         frame: Frame,
-        within: Duration,
-    ) -> Heard {
+        timeout: Duration,
+    ) -> Reply {
         let topic = frame.topic();
-        let asked = peer.ask_counted(&self.message(frame), within).await;
+        let asked = peer.ask_with_size(&self.message(frame), timeout).await;
         let answered = asked.map(|(answer, size)| {
-            self.note_heard();
-            self.traffic.add(topic, self.is_near(name), size);
+            self.record_contact();
+            self.traffic.add(topic, self.is_same_zone(name), size);
             answer
         });
         match answered {
@@ -240,12 +244,12 @@
                 match answer.from.box_name() == name.box_name() {
                     true => {
                         self.replace(name, &answer.from);
-                        Heard::Replaced
+                        Reply::Replaced
                     }
                     false => {
-                        self.rest(name, REST);
-                        self.note_unknown();
-                        Heard::Nothing
+                        self.avoid_for(name, SILENT_RETRY_DELAY);
+                        self.report_stale_list();
+                        Reply::Nothing
                     }
                 }
             }
@@ -257,13 +261,13 @@
                         reason = &**reason
                     );
                 }
-                Heard::Frame(answer.frame)
+                Reply::Frame(answer.frame)
             }
             Err(error) => {
                 tracing::info!(event = "peer_silent", peer = name.as_str(), %error);
-                self.state.lock().silent = Some(Instant::now());
-                self.rest(name, REST);
-                Heard::Nothing
+                self.state.lock().last_unanswered = Some(Instant::now());
+                self.avoid_for(name, SILENT_RETRY_DELAY);
+                Reply::Nothing
             }
         }
     }
--- a/crates/gateway/src/fleet/promises.rs
+++ b/crates/gateway/src/fleet/promises.rs
@@ -10,10 +10,10 @@
 
 /// Promises of other boxes to this one.
 #[derive(Debug, Clone, Default)]
-pub struct Promises(Arc<Mutex<Kept>>);
+pub struct Promises(Arc<Mutex<State>>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct State {
     promises: HashMap<Incarnation, Record>,
     /// Whether new promises are refused.
     closed: bool,
@@ -40,8 +40,8 @@
 impl Promises {
     /// Accepts a promise if it is newer than the last one and not sealed.
     pub fn take(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
-        let mut kept = self.0.lock();
-        let known = kept.promises.get(holder);
+        let mut state = self.0.lock();
+        let known = state.promises.get(holder);
         let is_sealed = known.is_some_and(|known| known.sealed);
         let is_newer = known.is_none_or(|known| {
             let (old, new) = (&known.promise, &promise);
@@ -49,13 +49,13 @@
         });
         match is_newer && !is_sealed {
             // The answer releases the holder from all promises that it made here.
-            _ if kept.closed && !is_sealed => {
-                kept.promises.remove(holder);
+            _ if state.closed && !is_sealed => {
+                state.promises.remove(holder);
                 Acceptance::Closed
             }
             false => Acceptance::Rejected,
             true => {
-                kept.promises.insert(holder.clone(), Record { promise, sealed: false });
+                state.promises.insert(holder.clone(), Record { promise, sealed: false });
                 Acceptance::Accepted
             }
         }
@@ -64,15 +64,15 @@
     /// Seals the promises of a box that died: accepts no newer ones, and returns the last one if it
     /// was made in `term`.
     pub fn seal(&self, holder: &Incarnation, term: u64) -> Option<BTreeMap<Arc<str>, u64>> {
-        let mut kept = self.0.lock();
-        let record = kept.promises.get_mut(holder)?;
+        let mut state = self.0.lock();
+        let record = state.promises.get_mut(holder)?;
         record.sealed = true;
         (record.promise.term == term).then(|| record.promise.tokens.clone())
     }
 
     /// Forgets incarnations that are not listed any more.
-    pub fn retain(&self, stands: impl Fn(&Incarnation) -> bool) {
-        self.0.lock().promises.retain(|name, _| stands(name));
+    pub fn retain(&self, is_listed: impl Fn(&Incarnation) -> bool) {
+        self.0.lock().promises.retain(|name, _| is_listed(name));
     }
 
     /// Accepts no more promises; those of dead boxes can still be sealed.
--- a/crates/gateway/src/fleet/traffic.rs
+++ b/crates/gateway/src/fleet/traffic.rs
@@ -15,9 +15,9 @@
 
 impl Traffic {
     /// Counts an answered request.
-    pub fn add(&self, topic: &'static str, is_near: bool, size: Size) {
+    pub fn add(&self, topic: &'static str, is_same_zone: bool, size: Size) {
         let mut flows = self.0.lock();
-        let flow = flows.entry((topic, is_near)).or_default();
+        let flow = flows.entry((topic, is_same_zone)).or_default();
         flow.sent += size.sent;
         flow.received += size.received;
     }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -3,7 +3,7 @@
 mod sockets;
 
 pub use sockets::Error;
-use sockets::{Sockets, bind_lender, few_bounds};
+use sockets::{Sockets, admin_bounds, bind_peers};
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -55,9 +55,9 @@
 };
 
 /// Concurrent connections of the balancer, and of scrapers.
-const FEW: usize = 64;
+const MAX_ADMIN_CONNECTIONS: usize = 64;
 /// Time for the last settlement of a planned stop, beyond the limit for requests.
-const LEAVE: Duration = Duration::from_millis(600);
+const FINAL_SETTLEMENT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A running box.
 pub struct Gateway {
@@ -72,13 +72,13 @@
     /// Connections of callers.
     tasks: TaskTracker,
     /// Deadline of the last settlement; set once the box stops.
-    leaving: watch::Sender<Option<Instant>>,
+    settle_deadline: watch::Sender<Option<Instant>>,
     settler: Option<JoinHandle<()>>,
     /// Serves other boxes until dropped.
-    lender: Option<wire::Server>,
+    peer_server: Option<wire::Server>,
     /// Accepts connections of callers.
     accepting: JoinHandle<()>,
-    loops: Vec<JoinHandle<()>>,
+    background: Vec<JoinHandle<()>>,
 }
 
 impl Gateway {
@@ -133,7 +133,7 @@
             watchdog: watchdog.clone(),
             started: clock.now(),
         });
-        let (announcer, told) = Announcer::open();
+        let (announcer, announcements) = Announcer::open();
         let permits = Permits::open(permits::Setup {
             endpoints: endpoints.clone(),
             peers: peers.clone(),
@@ -153,7 +153,7 @@
             permits: permits.clone(),
             stopping: stops.clone(),
         };
-        let lender = bind_lender(settings.listen.peers, peer_service, &peers).await?;
+        let peer_server = bind_peers(settings.listen.peers, peer_service, &peers).await?;
         let context = Arc::new(Context {
             table,
             endpoints: endpoints.clone(),
@@ -179,7 +179,7 @@
         let sockets = Sockets::bind(&settings.listen)?;
         let [callers, ready, operators] = sockets.addresses();
         let tasks = TaskTracker::new();
-        let (leaving, leaves) = watch::channel(None);
+        let (settle_deadline, deadline) = watch::channel(None);
         let discovery = peers.address().map(|peer| {
             let me = Entry {
                 incarnation: incarnation.clone(),
@@ -216,7 +216,7 @@
             view: view.clone(),
             recovery: recovery.clone(),
         };
-        let looks = watcher::Setup {
+        let watcher_setup = watcher::Setup {
             store: store.clone(),
             view: view.clone(),
             recovery,
@@ -224,7 +224,8 @@
             name,
             lapse,
         };
-        let subscriber = Subscriber::new(context.peers.clone(), looks, registered, random.random());
+        let subscriber =
+            Subscriber::new(context.peers.clone(), watcher_setup, registered, random.random());
         let (serving, bounding) = (context.clone(), context.clone());
         let accepting = tokio::spawn(serve::accept(
             sockets.callers,
@@ -237,8 +238,8 @@
         ));
         let for_balancer = serve::accept(
             sockets.ready,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes.clone(),
             metrics.clone(),
@@ -246,21 +247,21 @@
         );
         let for_operators = serve::accept(
             sockets.operators,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes,
             metrics,
             admin::answer_metrics(context.clone(), view.clone(), calls.clone()),
         );
-        let mut loops = vec![
+        let mut background = vec![
             tokio::spawn(subscriber.run()),
             tokio::spawn(reporter.run(reports)),
             tokio::spawn(signals::publish(
                 view.clone(),
                 context.peers.clone(),
                 endpoints.clone(),
-                told,
+                announcements,
             )),
             tokio::spawn(watchdog.run()),
             tokio::spawn(promiser.run()),
@@ -268,8 +269,8 @@
             tokio::spawn(for_balancer),
             tokio::spawn(for_operators),
         ];
-        loops.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
-        let settler = Some(tokio::spawn(settle(settler, leaves)));
+        background.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
+        let settler = Some(tokio::spawn(settle(settler, deadline)));
         tracing::info!(
             event = "started",
             incarnation = incarnation.as_str(),
@@ -287,11 +288,11 @@
             stopping,
             closing,
             tasks,
-            leaving,
+            settle_deadline,
             settler,
-            lender,
+            peer_server,
             accepting,
-            loops,
+            background,
         })
     }
 
@@ -312,7 +313,7 @@
 
     /// Address for other boxes, if this one serves them.
     pub fn peers(&self) -> Option<SocketAddr> {
-        self.lender.as_ref().map(wire::Server::address)
+        self.peer_server.as_ref().map(wire::Server::address)
     }
 
     /// Incarnation of this start.
@@ -382,17 +383,18 @@
         let limit = Duration::from_millis(limits.stop_ms);
         tracing::info!(event = "stopping", limit_ms = limits.stop_ms);
         self.stopping.send_replace(true);
-        self.context.peers.forget_promises();
+        self.context.peers.stop_witnessing();
         self.tasks.close();
         let notice = Duration::from_millis(limits.notice_ms);
         // The balancer keeps sending connections until it notices; all are served.
         tokio::time::sleep(notice.min(limit)).await;
         self.accepting.abort();
         self.closing.send_replace(true);
-        let rest = limit.saturating_sub(began.elapsed());
-        let finished = tokio::time::timeout(rest, self.tasks.wait()).await.is_ok();
-        let rest = limit.saturating_sub(began.elapsed());
-        self.leaving.send_replace(Some(Instant::now() + rest + LEAVE));
+        let remaining = limit.saturating_sub(began.elapsed());
+        let finished = tokio::time::timeout(remaining, self.tasks.wait()).await.is_ok();
+        let remaining = limit.saturating_sub(began.elapsed());
+        self.settle_deadline
+            .send_replace(Some(Instant::now() + remaining + FINAL_SETTLEMENT_TIMEOUT));
         if let Some(settler) = self.settler.take() {
             // The task bounds its own time, and a panic in it was already printed.
             let _ = settler.await;
@@ -406,16 +408,16 @@
     /// Ends at once, as in a crash: no tokens are returned.
     fn drop(&mut self) {
         self.accepting.abort();
-        for task in self.loops.iter().chain(&self.settler) {
+        for task in self.background.iter().chain(&self.settler) {
             task.abort();
         }
     }
 }
 
-async fn settle(mut settler: Settler, mut leaving: watch::Receiver<Option<Instant>>) {
+async fn settle(mut settler: Settler, mut deadline: watch::Receiver<Option<Instant>>) {
     let until = tokio::select! {
         () = settler.run() => None,
-        until = leaving.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
+        until = deadline.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
     };
     if let Some(until) = until {
         settler.leave(until).await;
--- a/crates/gateway/src/gateway/sockets.rs
+++ b/crates/gateway/src/gateway/sockets.rs
@@ -45,7 +45,7 @@
 }
 
 /// Starts the server for other boxes, if one is configured.
-pub async fn bind_lender(
+pub async fn bind_peers(
     address: Option<SocketAddr>,
     peer_service: PeerService,
     peers: &Peers,
@@ -53,11 +53,11 @@
     let Some(address) = address else { return Ok(None) };
     let server = wire::Server::bind(address, Arc::new(peer_service)).await;
     let server = server.context(BindSnafu { address })?;
-    peers.listens_at(server.address());
+    peers.set_address(server.address());
     Ok(Some(server))
 }
 
 /// Bounds on connections of the balancer and of scrapers: the platform's defaults.
-pub fn few_bounds() -> Bounds {
+pub fn admin_bounds() -> Bounds {
     Bounds::of(&platform::config::Limits::default())
 }
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -50,11 +50,11 @@
         for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
             metrics.free.get_or_create(&budget).set(balance.free as i64);
-            metrics.kept.get_or_create(&budget).set(balance.kept as i64);
+            metrics.promised.get_or_create(&budget).set(balance.kept as i64);
             metrics.unspent.get_or_create(&budget).set(balance.unspent as i64);
         }
-        for ((topic, is_near), size) in context.peers.traffic.snapshot() {
-            let zone = if is_near { "own" } else { "other" };
+        for ((topic, is_same_zone), size) in context.peers.traffic.snapshot() {
+            let zone = if is_same_zone { "own" } else { "other" };
             for (way, bytes) in [("sent", size.sent), ("heard", size.received)] {
                 metrics.peer_bytes.get_or_create(&Flow { topic, zone, way }).set(bytes as i64);
             }
@@ -67,7 +67,7 @@
         metrics.leaving.set(context.endpoints.count_leaving() as i64);
         metrics.backing_off.set(context.endpoints.count_backing_off() as i64);
         for (name, count) in context.endpoints.unread() {
-            metrics.unread.get_or_create(&Header { name: name.to_string() }).set(count as i64);
+            metrics.unreadable.get_or_create(&Header { name: name.to_string() }).set(count as i64);
         }
         metrics.limits.clear();
         for (endpoint, per_s) in context.endpoints.limits() {
@@ -78,7 +78,7 @@
         metrics.crashes.set(reports as i64);
         metrics.quarantined.set(quarantined as i64);
         metrics.watches.set(i64::from(status.watches));
-        metrics.news_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
+        metrics.store_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
         metrics.connections.set(context.connections.opened() as i64);
         std::future::ready(page(StatusCode::OK, metrics.text()))
     }
--- a/crates/gateway/src/inbound/handle.rs
+++ b/crates/gateway/src/inbound/handle.rs
@@ -19,20 +19,22 @@
 };
 
 /// Time limit of a request that names no deadline.
-const LONGEST: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub type Body = Either<Full<Bytes>, Relay>;
 
 impl Context {
     /// Serves one request.
     pub async fn handle(self: Arc<Context>, request: Request<Incoming>) -> Response<Body> {
-        let since = self.clock.now();
+        let start = self.clock.now();
         let head = Head::read(request.headers());
-        let until = since.at() + head.deadline.unwrap_or(LONGEST);
+        let deadline = start.at() + head.deadline.unwrap_or(DEFAULT_TIMEOUT);
         let mut exchange =
-            Exchange::begin(&head, since, until, self.metrics.clone(), self.bills.clone());
+            Exchange::begin(&head, start, deadline, self.metrics.clone(), self.bills.clone());
         let mut response = match self.answer(request, head, &mut exchange).await {
-            Ok((answer, in_flight)) => relayed(*answer, in_flight, exchange, self.link.clone()),
+            Ok((answer, in_flight)) => {
+                relay_answer(*answer, in_flight, exchange, self.link.clone())
+            }
             Err(refusal) => {
                 let response = refusal.response(exchange.id.as_deref());
                 exchange.end(Outcome::Refused(refusal), 0);
@@ -60,7 +62,7 @@
     }
 }
 
-fn relayed(
+fn relay_answer(
     answer: Answer,
     in_flight: InFlight,
     exchange: Exchange,
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -20,10 +20,10 @@
 
 /// Longest wait for promised tokens to be released for a box that borrows: half of its timeout for
 /// one lender.
-const WITHIN: Duration = Duration::from_millis(25);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(25);
 /// Longest wait for a settlement that covers a draw, before other keepers are asked: a few calls to
 /// the store.
-const FROM_STORE: Duration = Duration::from_millis(100);
+const SETTLEMENT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Handler of requests from other boxes.
 pub struct PeerService {
@@ -46,42 +46,42 @@
         if draw.keeper != self.me {
             return Frame::Refused { reason: "another life of this box is meant".into() };
         }
-        let believed = self.funds.receive_report(from, &draw.items);
-        if !believed {
+        let is_accepted = self.funds.receive_report(from, &draw.items);
+        if !is_accepted {
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
         let leaves = *self.stopping.borrow();
         if !draw.leaves && !leaves {
-            let until = Instant::now() + Duration::from_millis(draw.within_ms);
-            for told in draw.items.iter().filter(|told| told.need > 0) {
-                self.pass_on(from, told, until).await;
+            let deadline = Instant::now() + Duration::from_millis(draw.within_ms);
+            for demand in draw.items.iter().filter(|demand| demand.need > 0) {
+                self.pass_on(from, demand, deadline).await;
             }
         }
         let (items, cut) = (self.funds.given(from, &draw.items), self.funds.is_store_unreachable());
         Frame::Drawn(Drawn { items, cut, leaves })
     }
 
-    async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) {
-        let from_store = until.min(Instant::now() + FROM_STORE);
-        if self.funds.pass_on(to, told, from_store).await {
+    async fn pass_on(&self, to: &Incarnation, demand: &Demand, deadline: Instant) {
+        let settlement_deadline = deadline.min(Instant::now() + SETTLEMENT_TIMEOUT);
+        if self.funds.pass_on(to, demand, settlement_deadline).await {
             return;
         }
-        let pass_on = || self.funds.try_pass_on(to, told).then_some(());
-        let customer = &told.customer;
-        let borrowed = self.borrower.borrow_until(customer, told.least, until, pass_on).await;
+        let pass_on = || self.funds.try_pass_on(to, demand).then_some(());
+        let customer = &demand.customer;
+        let borrowed = self.borrower.borrow_until(customer, demand.least, deadline, pass_on).await;
         if borrowed.is_none() {
             tracing::info!(
                 event = "tokens_not_passed_on",
                 customer = &**customer,
                 to = to.as_str(),
-                least = told.least,
-                lack = %self.funds.shortage(customer, told.least),
+                least = demand.least,
+                lack = %self.funds.shortage(customer, demand.least),
             );
         }
     }
 
     async fn lend(&self, to: &Incarnation, customer: &Arc<str>, wanted: u64) -> Frame {
-        self.funds.wait_for_release(customer, wanted, Instant::now() + WITHIN).await;
+        self.funds.wait_for_release(customer, wanted, Instant::now() + RELEASE_TIMEOUT).await;
         let transfer = self.funds.lend(customer, wanted, &self.me, to);
         tracing::info!(
             event = "tokens_passed_on",
@@ -114,9 +114,9 @@
 
 #[async_trait::async_trait]
 impl wire::Answer for PeerService {
-    async fn answer(&self, question: Message) -> Message {
-        self.peers.note_heard();
-        let frame = match question.frame {
+    async fn answer(&self, request: Message) -> Message {
+        self.peers.record_contact();
+        let frame = match request.frame {
             Frame::Lend { .. }
             | Frame::Promise(_)
             | Frame::Prompt(_)
@@ -125,15 +125,15 @@
             | Frame::PermitRequest(_)
             | Frame::Limit { .. }
             | Frame::Departure { .. }
-                if !self.peers.knows(&question.from) =>
+                if !self.peers.knows(&request.from) =>
             {
-                self.peers.note_unknown();
+                self.peers.report_stale_list();
                 Frame::Refused { reason: "this box is not known here yet".into() }
             }
-            Frame::Lend { budget, tokens } => self.lend(&question.from, &budget, tokens).await,
+            Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
                 let number = promise.number;
-                match self.peers.promises.take(&question.from, promise) {
+                match self.peers.promises.take(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
                     Acceptance::Rejected => {
                         Frame::Refused { reason: "a newer promise or a seal is known".into() }
@@ -142,7 +142,7 @@
                 }
             }
             Frame::Prompt(prompt) => {
-                self.endpoints.receive_prompt(&question.from.as_str().into(), &prompt);
+                self.endpoints.receive_prompt(&request.from.as_str().into(), &prompt);
                 Frame::Done
             }
             Frame::Crash { name, report } => {
@@ -150,14 +150,14 @@
                 Frame::Done
             }
             Frame::PermitRequest(permit) => {
-                Frame::PermitReply(self.permits.answer(permit, question.from.as_str()).await)
+                Frame::PermitReply(self.permits.answer(permit, request.from.as_str()).await)
             }
             Frame::Limit { endpoint, limit } => {
                 self.view.receive_limit(&endpoint, limit);
                 Frame::Done
             }
             Frame::Greet { to, sender } if to == self.me => {
-                self.view.receive_greeting(&question.from, sender);
+                self.view.receive_greeting(&request.from, sender);
                 Frame::Done
             }
             Frame::Departure { endpoint, address } => {
@@ -173,7 +173,7 @@
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
                     event = "bills_taken_over",
-                    of = question.from.as_str(),
+                    of = request.from.as_str(),
                     pages = pages.len()
                 );
                 self.bills.take_over(pages);
@@ -182,15 +182,15 @@
             Frame::Subscribe(_) if *self.stopping.borrow() => {
                 Frame::Refused { reason: "this box is about to stop itself".into() }
             }
-            Frame::Subscribe(listen) if listen.watcher != self.me => {
+            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
                 Frame::Refused { reason: "another life of this box is meant".into() }
             }
-            Frame::Subscribe(listen) => match self.view.updates(&listen).await {
+            Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
                 None => Frame::Refused { reason: "this box does not look at the store yet".into() },
             },
-            Frame::Draw(draw) => self.draw(&question.from, draw).await,
-            Frame::Seal { holder, term } => self.seal(&question.from, &holder, term),
+            Frame::Draw(draw) => self.draw(&request.from, draw).await,
+            Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
             _ => Frame::Refused { reason: "no question that boxes ask each other".into() },
         };
         self.peers.message(frame)
--- a/crates/gateway/src/inbound/serve.rs
+++ b/crates/gateway/src/inbound/serve.rs
@@ -22,7 +22,7 @@
 /// Pause after a failed `accept`, such as for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Smallest head buffer that `hyper` allows, in bytes.
-const LEAST_HEAD: usize = 8_192;
+const MIN_HEAD_BYTES: usize = 8_192;
 
 /// Binds a listener; port 0 takes any free port.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -55,9 +55,9 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let places = Arc::new(Semaphore::new(connections));
+    let slots = Arc::new(Semaphore::new(connections));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(slot) = slots.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
@@ -72,15 +72,15 @@
             metrics.callers.inc();
             connection.await;
             metrics.callers.dec();
-            drop(place);
+            drop(slot);
         });
     }
 }
 
 /// Waits until connections have to close; forever if the sender is gone.
-async fn closes(closing: &mut watch::Receiver<bool>) {
-    let gone = closing.wait_for(|closing| *closing).await.is_err();
-    if gone {
+async fn wait_closing(closing: &mut watch::Receiver<bool>) {
+    let is_sender_gone = closing.wait_for(|closing| *closing).await.is_err();
+    if is_sender_gone {
         std::future::pending::<()>().await;
     }
 }
@@ -108,12 +108,12 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.head_timeout)
-        .max_buf_size(bounds.head_bytes.max(LEAST_HEAD))
+        .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = closes(&mut closing) => {
+        () = wait_closing(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -97,7 +97,7 @@
     /// Tokens paid and not known to be spent, by customer.
     pub unspent: Family<Budget, Gauge>,
     /// Free tokens that this box promised its witness to leave untouched, by customer.
-    pub kept: Family<Budget, Gauge>,
+    pub promised: Family<Budget, Gauge>,
     /// Log lines dropped because the reader was too slow.
     pub dropped_lines: Gauge,
     /// Evacuated availability zones.
@@ -111,7 +111,7 @@
     /// Endpoints in a back-off towards this box.
     pub backing_off: Gauge,
     /// Unknown headers of endpoints, and headers with unreadable values.
-    pub unread: Family<Header, Gauge>,
+    pub unreadable: Family<Header, Gauge>,
     /// Limits that endpoints name for all boxes together, in requests per second.
     pub limits: Family<Endpoint, Gauge<f64, AtomicU64>>,
     /// Requests sent to endpoints that named a limit, by service; the log lines name the endpoint.
@@ -128,7 +128,7 @@
     pub watches: Gauge,
     /// Milliseconds since the last contact with the store, directly or through a watcher; -1 before
     /// the first.
-    pub news_age: Gauge,
+    pub store_age: Gauge,
 }
 
 /// Upper bounds of the buckets of `first_byte`, in seconds.
@@ -150,14 +150,14 @@
             peer_bytes: Family::default(),
             free: Family::default(),
             unspent: Family::default(),
-            kept: Family::default(),
+            promised: Family::default(),
             dropped_lines: Gauge::default(),
             evacuated: Gauge::default(),
             claims: Gauge::default(),
             cold: Gauge::default(),
             leaving: Gauge::default(),
             backing_off: Gauge::default(),
-            unread: Family::default(),
+            unreadable: Family::default(),
             limits: Family::default(),
             limited_sends: Family::default(),
             permits: Family::default(),
@@ -165,7 +165,7 @@
             crashes: Gauge::default(),
             quarantined: Gauge::default(),
             watches: Gauge::default(),
-            news_age: Gauge::default(),
+            store_age: Gauge::default(),
         };
         metrics.register();
         metrics
@@ -198,7 +198,7 @@
         registry.register(
             "tokens_kept",
             "Free tokens that this box promised its witness to keep untouched",
-            self.kept.clone(),
+            self.promised.clone(),
         );
         registry.register(
             "tokens_unspent",
@@ -233,7 +233,7 @@
         registry.register(
             "unread_headers",
             "Headers of endpoints that are not known, or whose values cannot be read",
-            self.unread.clone(),
+            self.unreadable.clone(),
         );
         registry.register(
             "endpoint_limit",
@@ -273,7 +273,7 @@
         registry.register(
             "news_age_milliseconds",
             "Time since the store, or a box that reaches it, was heard; -1 before that",
-            self.news_age.clone(),
+            self.store_age.clone(),
         );
         registry.register(
             "log_lines_dropped",
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -12,9 +12,9 @@
 /// Time after a notification during which further ones are ignored. All tasks that lost the store
 /// reach it again at about the same time, and one read is enough. Shorter than any outage that
 /// breaks connections.
-const FOUND: Duration = Duration::from_secs(1);
+const DEDUP_INTERVAL: Duration = Duration::from_secs(1);
 /// Initial pause after a failed call; doubles up to the limit of the probe.
-const PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_PAUSE: Duration = Duration::from_millis(200);
 
 /// How often a task retries calls while the store does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 impl Probe {
     /// Longest pause between calls while the store does not answer. Each call costs money.
-    fn pause_most(self) -> Duration {
+    fn max_pause(self) -> Duration {
         match self {
             Probe::Eager => Duration::from_millis(300),
             Probe::Lazy => Duration::from_millis(1_200),
@@ -39,19 +39,22 @@
 
 /// Notifies all tasks of a box when the store answers again.
 #[derive(Debug, Clone)]
-pub struct Recovery(Arc<Found>);
+pub struct Recovery(Arc<Shared>);
 
 #[derive(Debug)]
-struct Found {
+struct Shared {
     /// Start of the last outage, as seen by the task that detected its end.
     lost_since: watch::Sender<Option<Instant>>,
-    at: Mutex<Option<Instant>>,
+    announced_at: Mutex<Option<Instant>>,
 }
 
 impl Recovery {
     /// Creates a notifier; no outage is known yet.
     pub fn open() -> Recovery {
-        Recovery(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
+        Recovery(Arc::new(Shared {
+            lost_since: watch::channel(None).0,
+            announced_at: Mutex::default(),
+        }))
     }
 
     /// Waits until a task detects the end of an outage; returns when that outage began.
@@ -70,8 +73,9 @@
     /// Reports that the store answers again after an outage that began at `lost_since`.
     pub fn announce(&self, lost_since: Instant) {
         let now = Instant::now();
-        let before = self.0.at.lock().replace(now);
-        if before.is_none_or(|before| now.saturating_duration_since(before) > FOUND) {
+        let previous = self.0.announced_at.lock().replace(now);
+        if previous.is_none_or(|previous| now.saturating_duration_since(previous) > DEDUP_INTERVAL)
+        {
             self.0.lost_since.send_replace(Some(lost_since));
         }
     }
@@ -80,7 +84,7 @@
 /// Availability of one dependency.
 #[derive(Debug)]
 pub struct Outage {
-    what: &'static str,
+    dependency: &'static str,
     recovery: Recovery,
     since: Option<Instant>,
     failures: u64,
@@ -90,8 +94,8 @@
 
 impl Outage {
     /// Creates the state of a dependency that is assumed to answer.
-    pub fn new(what: &'static str, probe: Probe, recovery: Recovery) -> Outage {
-        Outage { what, recovery, since: None, failures: 0, pause: PAUSE, probe }
+    pub fn new(dependency: &'static str, probe: Probe, recovery: Recovery) -> Outage {
+        Outage { dependency, recovery, since: None, failures: 0, pause: INITIAL_PAUSE, probe }
     }
 
     /// Records an outage that another task or box detected.
@@ -109,24 +113,29 @@
         self.failures += 1;
         if self.since.is_none() {
             self.since = Some(Instant::now());
-            tracing::warn!(event = "dependency_lost", what = self.what, %reason);
+            tracing::warn!(event = "dependency_lost", what = self.dependency, %reason);
         }
     }
 
     /// Waits before the next attempt; ends early if another task reaches the store.
     pub async fn pause(&mut self) {
         let _ = tokio::time::timeout(self.pause, self.recovery.recovered()).await;
-        self.pause = (self.pause * 2).min(self.probe.pause_most());
+        self.pause = (self.pause * 2).min(self.probe.max_pause());
     }
 
     /// Records an answered call; returns the length of the outage that it ended, in milliseconds.
     pub fn answered(&mut self) -> Option<u64> {
-        self.pause = PAUSE;
+        self.pause = INITIAL_PAUSE;
         let since = self.since.take()?;
-        let lost = since.elapsed().as_millis() as u64;
+        let outage_ms = since.elapsed().as_millis() as u64;
         let failures = std::mem::take(&mut self.failures);
         self.recovery.announce(since);
-        tracing::info!(event = "dependency_back", what = self.what, lost_ms = lost, failures);
-        Some(lost)
+        tracing::info!(
+            event = "dependency_back",
+            what = self.dependency,
+            lost_ms = outage_ms,
+            failures
+        );
+        Some(outage_ms)
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -123,7 +123,7 @@
 
 /// Unspent part of what was paid, in thousandths, below which boxes may hold a smaller share before
 /// the first outage.
-const PLENTY: u64 = 500;
+const SCARCITY_PERMILLE: u64 = 500;
 
 /// How much of each budget a box holds, to serve requests without the store.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -290,10 +290,8 @@
         ];
         let mut found: Vec<Violation> = ranges
             .into_iter()
-            .filter(|(_, value, least, most)| !(least..=most).contains(&value))
-            .map(|(path, _, least, most)| {
-                Violation::new(path, format!("between {least} and {most}"))
-            })
+            .filter(|(_, value, min, max)| !(min..=max).contains(&value))
+            .map(|(path, _, min, max)| Violation::new(path, format!("between {min} and {max}")))
             .collect();
         if self.box_name.is_empty() {
             found.push(Violation::new("box", "a name"));
@@ -370,7 +368,7 @@
             online_horizon: 0,
             offline_horizon: self.money.horizon_s,
             boxes: 1,
-            scarcity_permille: PLENTY,
+            scarcity_permille: SCARCITY_PERMILLE,
         }
     }
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -4,8 +4,8 @@
 //! harmless, since all updates of the platform are conditional; two boxes that both consider
 //! themselves the owner of a key only cause a conflict.
 
-mod home;
+mod rendezvous;
 mod members;
 
-pub use home::{rank, weight};
 pub use members::{Member, Members};
+pub use rendezvous::{rank, weight};
--- a/crates/member/src/home.rs
+++ b/crates/member/src/rendezvous.rs
@@ -9,6 +9,6 @@
 /// Position of `me` among the candidates for `key`; 0 is the owner.
 pub fn rank<'a>(key: &str, me: &str, candidates: impl IntoIterator<Item = &'a str>) -> usize {
     let mine = weight(key, me);
-    let ahead = |other: &&str| *other != me && (weight(key, other), *other) > (mine, me);
-    candidates.into_iter().filter(ahead).count()
+    let precedes = |other: &&str| *other != me && (weight(key, other), *other) > (mine, me);
+    candidates.into_iter().filter(precedes).count()
 }
--- a/crates/wire/src/format.rs
+++ b/crates/wire/src/format.rs
@@ -15,7 +15,7 @@
 /// Largest encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
-const HEAD: usize = 2;
+const HEADER_BYTES: usize = 2;
 
 type Config = Configuration<LittleEndian, Fixint, Limit<MAX_MESSAGE_BYTES>>;
 
@@ -30,8 +30,8 @@
     let mut bytes = format.to_le_bytes().to_vec();
     let body = bincode::serde::encode_to_vec(message, config())
         .map_err(|error| Error::Malformed { reason: error.to_string() })?;
-    if body.len() + HEAD > MAX_MESSAGE_BYTES {
-        return Err(Error::TooLarge { bytes: body.len() + HEAD });
+    if body.len() + HEADER_BYTES > MAX_MESSAGE_BYTES {
+        return Err(Error::TooLarge { bytes: body.len() + HEADER_BYTES });
     }
     bytes.extend_from_slice(&body);
     Ok(bytes)
@@ -43,7 +43,7 @@
         return Err(Error::TooLarge { bytes: bytes.len() });
     }
     let (head, body) = bytes
-        .split_first_chunk::<HEAD>()
+        .split_first_chunk::<HEADER_BYTES>()
         .ok_or_else(|| Error::Malformed { reason: "no format number".into() })?;
     let format = u16::from_le_bytes(*head);
     if !(OLDEST_FORMAT..=NEWEST_FORMAT).contains(&format) {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -7,7 +7,7 @@
 mod error;
 mod format;
 mod frame;
-mod packed;
+mod compression;
 mod peer;
 mod server;
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all,
+    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, compression, decode, encode, server::read_all,
 };
 
 /// Client for one peer, with a single connection that is opened on demand.
@@ -44,7 +44,7 @@
     }
 
     /// Uses a given format instead of the newest.
-    pub fn speaking(self, format: u16) -> Peer {
+    pub fn with_format(self, format: u16) -> Peer {
         Peer { format, ..self }
     }
 
@@ -53,18 +53,18 @@
     }
 
     /// Sends a request and waits for the answer.
-    pub async fn ask(&self, question: &Message, within: Duration) -> Result<Message, Error> {
-        self.ask_counted(question, within).await.map(|(answer, _)| answer)
+    pub async fn ask(&self, message: &Message, timeout: Duration) -> Result<Message, Error> {
+        self.ask_with_size(message, timeout).await.map(|(answer, _)| answer)
     }
 
     /// Sends a request and waits for the answer; also returns the size of both.
-    pub async fn ask_counted(
+    pub async fn ask_with_size(
         &self,
-        question: &Message,
-        within: Duration,
+        message: &Message,
+        timeout: Duration,
     ) -> Result<(Message, Size), Error> {
-        let bytes = encode(question, self.format)?;
-        match tokio::time::timeout(within, self.exchange(bytes)).await {
+        let bytes = encode(message, self.format)?;
+        match tokio::time::timeout(timeout, self.exchange(bytes)).await {
             Ok(answer) => answer,
             Err(_) => {
                 // The connection may be half-open after a network fault: the next request opens a
@@ -87,17 +87,17 @@
         let sent = bytes.len() as u64;
         let mut sender = self.sender().await?.ready().await.map_err(unreachable)?;
         let request = http::Request::post("http://peer/")
-            .header(header::ACCEPT_ENCODING, packed::ENCODING)
+            .header(header::ACCEPT_ENCODING, compression::ENCODING)
             .body(())
             .expect("a valid request");
         let (response, mut stream) = sender.send_request(request, false).map_err(unreachable)?;
         stream.send_data(bytes.into(), true).map_err(unreachable)?;
         let response = response.await.map_err(unreachable)?;
         let status = response.status();
-        let is_packed = response.headers().contains_key(header::CONTENT_ENCODING);
+        let is_compressed = response.headers().contains_key(header::CONTENT_ENCODING);
         let body = read_all(response.into_body()).await?;
         let size = Size { sent, received: body.len() as u64 };
-        let body = if is_packed { packed::unpack(&body)? } else { body.to_vec() };
+        let body = if is_compressed { compression::decompress(&body)? } else { body.to_vec() };
         if !status.is_success() {
             let reason = String::from_utf8_lossy(&body).into_owned();
             return Err(Error::Malformed { reason });
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -9,17 +9,17 @@
     task::{JoinHandle, JoinSet},
 };
 
-use crate::{Error, MAX_MESSAGE_BYTES, Message, decode, encode, packed};
+use crate::{Error, MAX_MESSAGE_BYTES, Message, compression, decode, encode};
 
 /// Concurrent streams on one connection.
-const STREAMS: u32 = 256;
+const MAX_STREAMS: u32 = 256;
 /// Longest time to receive one request.
-const READ: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Handler of requests.
 #[async_trait::async_trait]
 pub trait Answer: Send + Sync + 'static {
-    async fn answer(&self, question: Message) -> Message;
+    async fn answer(&self, request: Message) -> Message;
 }
 
 /// A running server for other boxes; it stops when dropped.
@@ -67,33 +67,38 @@
 async fn serve(stream: TcpStream, answer: Arc<dyn Answer>) {
     let _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
-    builder.max_concurrent_streams(STREAMS).max_header_list_size(4 << 10);
+    builder.max_concurrent_streams(MAX_STREAMS).max_header_list_size(4 << 10);
     builder.initial_window_size(MAX_MESSAGE_BYTES as u32).initial_connection_window_size(4 << 20);
     let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
     let mut streams = JoinSet::new();
     while let Some(Ok((request, respond))) = connection.accept().await {
-        let unpacks = request
+        let accepts_compression = request
             .headers()
             .get(header::ACCEPT_ENCODING)
-            .is_some_and(|encoding| encoding == packed::ENCODING);
-        streams.spawn(one(request.into_body(), respond, answer.clone(), unpacks));
+            .is_some_and(|encoding| encoding == compression::ENCODING);
+        streams.spawn(serve_stream(
+            request.into_body(),
+            respond,
+            answer.clone(),
+            accepts_compression,
+        ));
         while streams.try_join_next().is_some() {}
     }
 }
 
-async fn one(
+async fn serve_stream(
     body: h2::RecvStream,
     mut respond: h2::server::SendResponse<Bytes>,
     answer: Arc<dyn Answer>,
-    unpacks: bool,
+    accepts_compression: bool,
 ) {
-    let read = tokio::time::timeout(READ, read_all(body)).await;
-    let question = match read {
+    let read = tokio::time::timeout(READ_TIMEOUT, read_all(body)).await;
+    let request = match read {
         Ok(Ok(bytes)) => decode(&bytes),
         Ok(Err(error)) => Err(error),
         Err(_) => Err(Error::Timeout),
     };
-    let (status, body) = match question {
+    let (status, body) = match request {
         Ok((message, format)) => match encode(&answer.answer(message).await, format) {
             Ok(bytes) => (200, bytes),
             Err(error) => (500, error.to_string().into_bytes()),
@@ -104,8 +109,11 @@
         }
     };
     let response = http::Response::builder().status(status);
-    let (response, body) = match unpacks.then(|| packed::pack(&body)).flatten() {
-        Some(packed) => (response.header(header::CONTENT_ENCODING, packed::ENCODING), packed),
+    let (response, body) = match accepts_compression.then(|| compression::compress(&body)).flatten()
+    {
+        Some(compressed) => {
+            (response.header(header::CONTENT_ENCODING, compression::ENCODING), compressed)
+        }
         None => (response, body),
     };
     let response = response.body(()).expect("a valid response");
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -87,11 +87,11 @@
 async fn all_supported_formats_are_answered() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
     for format in OLDEST_FORMAT..=NEWEST_FORMAT {
-        let peer = Peer::new(server.address(), LOOPBACK).speaking(format);
+        let peer = Peer::new(server.address(), LOOPBACK).with_format(format);
         let answer = peer.ask(&message(Frame::Accepted), Duration::from_secs(5)).await.unwrap();
         assert_eq!(answer.frame, Frame::Accepted);
     }
-    let newer = Peer::new(server.address(), LOOPBACK).speaking(NEWEST_FORMAT + 1);
+    let newer = Peer::new(server.address(), LOOPBACK).with_format(NEWEST_FORMAT + 1);
     let refused = newer.ask(&message(Frame::Done), Duration::from_secs(5)).await;
     assert!(matches!(refused, Err(Error::Malformed { .. })), "{refused:?}");
 }
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -57,16 +57,16 @@
 }
 
 /// Answers each request with a full update about this many endpoints.
-struct Home(u64);
+struct FullUpdate(u64);
 
 #[async_trait::async_trait]
-impl Answer for Home {
+impl Answer for FullUpdate {
     async fn answer(&self, _: Message) -> Message {
         message(whole(self.0))
     }
 }
 
-fn question() -> Message {
+fn subscribe_message() -> Message {
     let watcher = Incarnation::new("box-1", 1);
     let listen = Subscribe { watcher, since: Some(0), config: 0, away: false, wait_ms: 0 };
     message(Frame::Subscribe(listen))
@@ -97,7 +97,7 @@
 
 async fn server(endpoints: u64) -> Server {
     let any = "127.0.0.1:0".parse().expect("an address");
-    Server::bind(any, Arc::new(Home(endpoints))).await.expect("a free port")
+    Server::bind(any, Arc::new(FullUpdate(endpoints))).await.expect("a free port")
 }
 
 #[tokio::test]
@@ -105,7 +105,7 @@
     let server = server(ENDPOINTS).await;
     let (address, count) = counting(server.address()).await;
     let peer = Peer::new(address, address.ip());
-    let answer = peer.ask(&question(), Duration::from_secs(30)).await.expect("an answer");
+    let answer = peer.ask(&subscribe_message(), Duration::from_secs(30)).await.expect("an answer");
     assert_eq!(answer, message(whole(ENDPOINTS)), "decompression restores the message");
     let plain = encode(&answer, wire::NEWEST_FORMAT).expect("below the size limit").len();
     let took = count.load(Ordering::Relaxed);
@@ -123,7 +123,7 @@
     let request = http::Request::post("http://peer/").body(()).expect("a valid request");
     let (response, mut stream) =
         sender.send_request(request, false).expect("the connection is open");
-    let bytes = encode(&question(), wire::NEWEST_FORMAT).expect("below the size limit");
+    let bytes = encode(&subscribe_message(), wire::NEWEST_FORMAT).expect("below the size limit");
     stream.send_data(bytes.into(), true).expect("the connection is open");
     let response = response.await.expect("an answer");
     assert!(!response.headers().contains_key("content-encoding"));
