--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -161,7 +161,7 @@
 }
 
 impl Watchdog {
-    /// Creates a detector; after each suspension it calls `forget`, which closes connections that
+    /// Creates a watchdog; after each suspension it calls `forget`, which closes connections that
     /// may be dead.
     pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
         let last_check = Mutex::new(clock.now());
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -1,8 +1,8 @@
 //! Announcement of this box to those that registered before it.
 //!
 //! A box reads the entries of boxes that registered before it, and learns of later ones from the
-//! store. If it loses the store right after it registered, it knows no box that could take over its
-//! bills when it stops. Each new box therefore announces itself to the few that registered last.
+//! store. If it loses the store right after it registered, it may know no box that could take over
+//! its bills when it stops. Each new box therefore announces itself to the few that registered last.
 
 use ledger::Incarnation;
 use wire::{Frame, Greeting};
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -36,7 +36,7 @@
     watchers::{Watchers, watchers},
 };
 
-/// Boxes that a prompt is published to.
+/// Maximum number of boxes that a prompt is published to, or that bills are offered to.
 const MAX_RECIPIENTS: usize = 12;
 /// How long a box that did not answer is not asked again; shorter than most outages.
 const SILENT_RETRY_DELAY: Duration = Duration::from_millis(2_000);
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -107,9 +107,9 @@
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
         let endpoints = Arc::new(Endpoints::new(zone, settings.cold, &clock, seed));
-        let prove = connect_prober(settings.connections().connect_timeout);
+        let prober = connect_prober(settings.connections().connect_timeout);
         let (crashes, reports) =
-            Crashes::open(incarnation.clone(), settings.quarantine(), prove, &clock);
+            Crashes::open(incarnation.clone(), settings.quarantine(), prober, &clock);
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
         let profile = Profile {
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -44,8 +44,8 @@
     move |_| {
         let metrics = &context.metrics;
         for ((operation, kind), count) in calls.snapshot() {
-            let purpose = StoreCall { operation: format!("{operation:?}"), kind: kind.to_string() };
-            metrics.calls.get_or_create(&purpose).set(count.calls as i64);
+            let call = StoreCall { operation: format!("{operation:?}"), kind: kind.to_string() };
+            metrics.calls.get_or_create(&call).set(count.calls as i64);
         }
         for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
@@ -71,8 +71,8 @@
         }
         metrics.limits.clear();
         for (endpoint, per_s) in context.endpoints.limits() {
-            let named = Endpoint { endpoint: endpoint.to_string() };
-            metrics.limits.get_or_create(&named).set(per_s);
+            let labels = Endpoint { endpoint: endpoint.to_string() };
+            metrics.limits.get_or_create(&labels).set(per_s);
         }
         let (reports, quarantined) = context.crashes.counts();
         metrics.crashes.set(reports as i64);
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -59,8 +59,8 @@
 
     /// Waits until a task detects the end of an outage; returns when that outage began.
     ///
-    /// A task that calls seldom detects the end later than others; its notification must not make
-    /// them treat changes read since as new.
+    /// Callers compare that time with their last read: a task that calls seldom reports an outage
+    /// late, when others have already read their state again.
     pub async fn recovered(&self) -> Instant {
         let mut lost_since = self.0.lost_since.subscribe();
         lost_since.mark_unchanged();
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -26,7 +26,7 @@
 }
 
 /// A full update.
-fn whole(endpoints: u64) -> Frame {
+fn full_update(endpoints: u64) -> Frame {
     let change = |n: u64| {
         Change {
         kind: "endpoints".into(),
@@ -62,7 +62,7 @@
 #[async_trait::async_trait]
 impl Answer for FullUpdate {
     async fn answer(&self, _: Message) -> Message {
-        message(whole(self.0))
+        message(full_update(self.0))
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 /// Forwards one connection to `to` and counts the bytes that come back.
-async fn counting(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
+async fn counting_proxy(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let count = Arc::new(AtomicUsize::new(0));
@@ -103,10 +103,10 @@
 #[tokio::test]
 async fn a_full_update_is_compressed_to_a_fifth() {
     let server = server(ENDPOINTS).await;
-    let (address, count) = counting(server.address()).await;
+    let (address, count) = counting_proxy(server.address()).await;
     let peer = Peer::new(address, address.ip());
     let answer = peer.ask(&subscribe_message(), Duration::from_secs(30)).await.expect("an answer");
-    assert_eq!(answer, message(whole(ENDPOINTS)), "decompression restores the message");
+    assert_eq!(answer, message(full_update(ENDPOINTS)), "decompression restores the message");
     let plain = encode(&answer, wire::NEWEST_FORMAT).expect("below the size limit").len();
     let took = count.load(Ordering::Relaxed);
     // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
@@ -135,5 +135,5 @@
         bytes.extend_from_slice(&part);
     }
     let (answer, _) = wire::decode(&bytes).expect("a valid message");
-    assert_eq!(answer, message(whole(ENDPOINTS)));
+    assert_eq!(answer, message(full_update(ENDPOINTS)));
 }
