--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -121,8 +121,8 @@
 /// arrive in between share the next one. A tenth of the shortest deadlines.
 pub const SETTLEMENT_BATCH_MS: u64 = 40;
 
-/// Unspent part of what was paid, in thousandths, below which boxes may hold a smaller share before
-/// the first outage.
+/// Unspent part of what was paid, in thousandths, below which the share that boxes may hold shrinks
+/// along with it. Applies as long as no outage has been seen.
 const SCARCITY_PERMILLE: u64 = 500;
 
 /// How much of each budget a box holds, to serve requests without the store.
