--- a/crates/gateway/src/gateway/sockets.rs
+++ b/crates/gateway/src/gateway/sockets.rs
@@ -1,4 +1,4 @@
-//! The addresses at which a box is reached.
+//! Listening sockets of a box.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -20,7 +20,7 @@
     Bind { address: SocketAddr, source: std::io::Error },
 }
 
-/// The sockets of a box, but for the one that other boxes ask.
+/// The sockets of a box, except the one for other boxes.
 pub struct Sockets {
     pub callers: TcpListener,
     pub ready: TcpListener,
@@ -28,7 +28,6 @@
 }
 
 impl Sockets {
-    /// Binds all of them.
     pub fn bind(listen: &Listen) -> Result<Sockets, Error> {
         let bind = |address| serve::bind(address).context(BindSnafu { address });
         Ok(Sockets {
@@ -38,15 +37,15 @@
         })
     }
 
-    /// Where they listen, in this order: for callers, for the balancer, for operators.
+    /// Addresses for callers, for readiness checks and for metrics, in this order.
     pub fn addresses(&self) -> [SocketAddr; 3] {
         [&self.callers, &self.ready, &self.operators]
             .map(|socket| socket.local_addr().expect("a bound socket has an address"))
     }
 }
 
-/// Answers other boxes, if they may ask.
-pub async fn bind_lender(
+/// Starts the server for other boxes, if one is configured.
+pub async fn bind_peers(
     address: Option<SocketAddr>,
     peer_service: PeerService,
     peers: &Peers,
@@ -54,12 +53,11 @@
     let Some(address) = address else { return Ok(None) };
     let server = wire::Server::bind(address, Arc::new(peer_service)).await;
     let server = server.context(BindSnafu { address })?;
-    peers.listens_at(server.address());
+    peers.set_address(server.address());
     Ok(Some(server))
 }
 
-/// Bounds on connections of the balancer and of scrapers: those of the platform where nothing
-/// else is configured.
-pub fn few_bounds() -> Bounds {
+/// Bounds on connections of the balancer and of scrapers: the platform's defaults.
+pub fn admin_bounds() -> Bounds {
     Bounds::of(&platform::config::Limits::default())
 }
