--- a/crates/admit/src/gate.rs
+++ b/crates/admit/src/gate.rs
@@ -1,41 +1,39 @@
-//! The queue before one pool on one box.
+//! Queue of one pool on one box.
 
 use std::{collections::HashMap, sync::Arc};
 
 use resource::Class;
 
-/// What a pool can take, as a box estimates it.
+/// Load and capacity of a pool, as estimated by a box.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
-    /// Requests at its endpoints now, over all boxes.
+    /// Requests in flight at its endpoints, from all boxes.
     pub load: f64,
-    /// Requests that its endpoints batch.
+    /// Requests that its endpoints can run in their batches.
     pub slots: f64,
 }
 
-/// A request at the gate.
+/// A request to be scheduled.
 #[derive(Debug, Clone)]
 pub struct Ticket {
     /// Unique number.
     pub id: u64,
-    /// Kind of work.
     pub class: Class,
-    /// Who asks.
     pub customer: Arc<str>,
-    /// Share against other customers.
+    /// Weight of the customer in fair queueing.
     pub weight: u32,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: u64,
 }
 
-/// What becomes of a request.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Dispatch it.
+    /// Dispatch the request.
     Run,
-    /// It waits for its turn.
+    /// The request is queued.
     Wait,
-    /// It cannot start in time: come back after this many milliseconds.
+    /// The request would not start in time; the caller may retry after this many milliseconds.
     Refuse { after: u64 },
 }
 
@@ -50,12 +48,12 @@
     waiting: Vec<Waiting>,
     turns: HashMap<Arc<str>, f64>,
     clock: f64,
-    /// Milliseconds between two starts lately, by class.
+    /// Moving average of the milliseconds between two starts, by class.
     pace: HashMap<Class, f64>,
     started: HashMap<Class, u64>,
 }
 
-/// Share of the slots up to which a class may start new work.
+/// Load, as a share of the slots, below which a class may start new requests.
 fn share(class: Class) -> f64 {
     match class {
         Class::Interactive => 1.5,
@@ -65,12 +63,12 @@
 }
 
 impl Gate {
-    /// Whether a class may start now.
+    /// Whether a class may start a request now.
     fn is_open(class: Class, capacity: Capacity) -> bool {
         capacity.load < (capacity.slots * share(class)).max(1.0)
     }
 
-    /// A request comes.
+    /// Runs, queues or refuses a new request.
     pub fn offer(&mut self, ticket: Ticket, capacity: Capacity, now: u64) -> Verdict {
         let ahead = self.waiting.iter().filter(|w| w.ticket.class == ticket.class).count();
         if ahead == 0 && Gate::is_open(ticket.class, capacity) {
@@ -89,7 +87,7 @@
         Verdict::Wait
     }
 
-    /// The next request to dispatch, the most urgent class first and customers by turn.
+    /// Takes the next request to dispatch: the most urgent class first, then by fair queueing among customers.
     pub fn next(&mut self, capacity: Capacity, now: u64) -> Option<u64> {
         let open = |waiting: &&Waiting| Gate::is_open(waiting.ticket.class, capacity);
         let key = |waiting: &Waiting| (waiting.ticket.class, waiting.turn);
@@ -106,7 +104,7 @@
         Some(id)
     }
 
-    /// A waiting request left or ran out of time.
+    /// Removes a queued request that was cancelled or whose deadline passed.
     pub fn remove(&mut self, id: u64) {
         self.waiting.retain(|waiting| waiting.ticket.id != id);
         if self.waiting.is_empty() {
@@ -115,12 +113,12 @@
         }
     }
 
-    /// Requests waiting.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -128,7 +126,7 @@
     fn start(&mut self, ticket: &Ticket, now: u64) {
         let before = self.started.insert(ticket.class, now);
         let queued = self.waiting.iter().any(|w| w.ticket.class == ticket.class);
-        // Only starts that had to wait tell how fast the queue moves.
+        // Only starts while requests are queued measure the speed of the queue.
         if let (Some(before), true) = (before, queued) {
             let gap = now.saturating_sub(before) as f64;
             let pace = self.pace.entry(ticket.class).or_insert(gap);
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which request runs next, which waits, and which is refused early.
+//! Admission control: which request runs, which one waits, and which one is refused early.
 //!
-//! Each class of work has a share of a pool that the others cannot fill, so a confirmation never
-//! waits behind a long calendar. Within a class customers take turns by weight. A request that
-//! cannot start before its caller stops waiting is refused at once and told when to come back.
+//! Less urgent classes of work may fill only a part of a pool, so that urgent requests do not wait behind
+//! long ones. Within a class, requests are scheduled by weighted fair queueing among customers. A request
+//! that is not expected to start before its deadline is refused at once, with a delay after which to retry.
 //! All times are milliseconds of a monotonic clock.
 
 mod gate;
--- a/crates/admit/src/limit.rs
+++ b/crates/admit/src/limit.rs
@@ -1,17 +1,17 @@
-//! Requests under way at once, by customer and by route.
+//! Limits of concurrent requests, by customer and by route.
 
 use std::{collections::HashMap, sync::Arc};
 
-/// Which limit a request ran into.
+/// Which limit a request exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reached {
-    /// Too many of this customer.
+    /// Too many requests of this customer.
     Customer,
-    /// Too many on this route.
+    /// Too many requests on this route.
     Route,
 }
 
-/// Counts of one box.
+/// Concurrent requests of one box.
 #[derive(Debug, Default)]
 pub struct Limits {
     customers: HashMap<Arc<str>, u32>,
@@ -19,7 +19,7 @@
 }
 
 impl Limits {
-    /// Counts a request in, unless a limit is reached.
+    /// Counts a request that begins, unless a limit is reached.
     pub fn enter(
         &mut self,
         (customer, most_of_customer): (&Arc<str>, u32),
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Counts a request out.
+    /// Removes a request that ended from the counts.
     pub fn leave(&mut self, customer: &Arc<str>, route: &Arc<str>) {
         for (counts, name) in [(&mut self.customers, customer), (&mut self.routes, route)] {
             if let Some(count) = counts.get_mut(name) {
--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Urgent work passes long work, customers take turns, nobody waits in vain.
+//! Priority of urgent classes, fairness between customers, and early refusal.
 
 use std::{collections::HashMap, sync::Arc};
 
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, tied to the connection that it comes on.
+//! Body of a response, tied to its connection.
 
 use std::{
     pin::Pin,
@@ -11,7 +11,7 @@
 
 use crate::{Fault, links::Lease};
 
-/// Body of an answer. Read to its end, it frees its connection; dropped before, it closes it.
+/// Body of a response. Reading it to its end releases the connection; dropping it earlier closes the connection.
 #[derive(Debug)]
 pub struct Body {
     incoming: Incoming,
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,12 +1,12 @@
-//! Connections to endpoints and the bytes on them; nothing here decides where a request goes.
+//! HTTP/1 connections to endpoints; the caller decides where a request goes.
 //!
-//! [`Links::send`] puts one request on a connection that carries nothing else meanwhile, and says
-//! of every failure whether the request can have been received: [`Fault::Unsent`] or
-//! [`Fault::Unknown`]. A connection is used again only after a whole answer to a wholly sent
-//! request; in all other cases it is closed, so nothing left over reaches another request.
+//! [`Links::send`] sends one request on a connection that carries nothing else meanwhile. Every failure
+//! states whether the endpoint may have received the request: [`Fault::Unsent`] or [`Fault::Unknown`]. A
+//! connection is reused only after a complete request and a complete response; otherwise it is closed, so
+//! that no leftover bytes reach another request.
 //!
-//! This is `hyper`'s connection-level client, the layer beneath `reqwest`: a pool that hides which
-//! connection carried what cannot tell the two faults apart.
+//! Built on `hyper`'s connection-level client, since a client with a hidden connection pool cannot tell
+//! these two failures apart.
 
 mod body;
 mod fault;
--- a/crates/forward/src/link.rs
+++ b/crates/forward/src/link.rs
@@ -12,17 +12,17 @@
 
 use crate::Fault;
 
-/// A connection that is not in use, or whose answer is being read.
+/// A connection, idle or in use.
 #[derive(Debug)]
 pub struct Link {
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// When the endpoint may close it for having rested.
+    /// When it must not be reused any more, as the endpoint may close it for being idle.
     pub rests_until: Instant,
 }
 
 impl Link {
-    /// Connects; nothing is sent yet.
+    /// Connects, without sending anything.
     pub async fn open(
         address: SocketAddr,
         connect: Duration,
@@ -31,7 +31,7 @@
         let unsent = |reason: String| Fault::Unsent { reason };
         let stream = tokio::time::timeout(connect, TcpStream::connect(address))
             .await
-            .map_err(|_| unsent(format!("no connection within {} ms", connect.as_millis())))?
+            .map_err(|_| unsent(format!("connecting timed out after {} ms", connect.as_millis())))?
             .map_err(|error| unsent(error.to_string()))?;
         stream.set_nodelay(true).map_err(|error| unsent(error.to_string()))?;
         SockRef::from(&stream)
@@ -40,22 +40,22 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| unsent(error.to_string()))?;
-        // Its result also reaches whoever waits for the answer, so nothing is lost here.
+        // The pending request receives the error too, so it may be ignored here.
         let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
         Ok(Link { sender, task, rests_until: Instant::now() })
     }
 
-    /// Whether a request can be sent now: no earlier one is still being sent.
+    /// Whether a request can be sent now, as no earlier one is still being sent.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the connection is of no more use.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -71,7 +71,7 @@
 }
 
 impl Drop for Link {
-    /// Closes the connection at once, so that the endpoint stops working on what it carries.
+    /// Closes the connection at once, so that the endpoint cancels the request on it.
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/forward/src/links.rs
+++ b/crates/forward/src/links.rs
@@ -1,4 +1,4 @@
-//! All connections of this box to endpoints.
+//! Reuse and limits of connections to endpoints.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,44 +11,41 @@
 
 use crate::{Body, Fault, link::Link};
 
-/// Bounds on connections.
+/// Timeouts of connections.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Time for a connection to come up.
+    /// Timeout for connecting.
     pub connect: Duration,
-    /// A connection on which sent bytes stay unacknowledged for this long is given up.
+    /// A connection fails when sent bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
     pub silent: Duration,
-    /// Rest of a connection where the endpoint does not say how long it keeps one.
+    /// Idle timeout where the endpoint sends no `Keep-Alive` timeout.
     pub rest: Duration,
-    /// A connection is not used again this long before the endpoint may close it.
+    /// Connections are not reused during this last part of the idle timeout, since the endpoint may close them.
     pub margin: Duration,
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// Headers, the length of the body among them.
+    /// Headers, which must include `Content-Length`.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
-/// The answer of an endpoint.
+/// The response of an endpoint.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status and headers.
     pub head: response::Parts,
-    /// Body; reading it to its end frees the connection, dropping it closes the connection.
+    /// Reading it to its end releases the connection; dropping it earlier closes the connection.
     pub body: Body,
-    /// Whether it came on a connection that was used before.
+    /// Whether it arrived on a reused connection.
     pub reused: bool,
 }
 
-/// All connections of this box to endpoints.
+/// All connections to endpoints.
 #[derive(Debug, Clone)]
 pub struct Links {
     options: Arc<Options>,
@@ -63,12 +60,12 @@
 }
 
 impl Links {
-    /// No connections yet.
+    /// Starts without connections.
     pub fn new(options: Options) -> Links {
         Links { options: Arc::new(options), peers: Arc::default() }
     }
 
-    /// Sends a request on a connection of its own, at most `most` of them to this address.
+    /// Sends a request on an exclusive connection; at most `most` may be open to this address.
     ///
     /// Dropping the future closes the connection.
     pub async fn send(
@@ -80,7 +77,7 @@
         self.connect(address, most).await?.send(request).await
     }
 
-    /// Finds a resting connection to an address or opens one, at most `most` of them; nothing is sent yet.
+    /// Reuses an idle connection to an address or opens one, without sending anything. At most `most` may be open.
     pub async fn connect(&self, address: SocketAddr, most: usize) -> Result<Ready, Fault> {
         let mut place = self.place(address, most)?;
         let reused = place.link.is_some();
@@ -92,7 +89,7 @@
         Ok(Ready { place, reused, options: self.options.clone() })
     }
 
-    /// A place among the connections to an address, with a resting connection if there is one.
+    /// Reserves one of the connections allowed to an address, with an idle connection if there is one.
     fn place(&self, address: SocketAddr, most: usize) -> Result<Place, Fault> {
         let mut peers = self.peers.lock();
         let peer = peers.entry(address).or_default();
@@ -110,7 +107,7 @@
         Ok(Place { address, link, peers: self.peers.clone() })
     }
 
-    /// Closes the resting connections to an address that is of no more use.
+    /// Closes the idle connections to an address that is no longer used.
     pub fn forget(&self, address: SocketAddr) {
         let mut peers = self.peers.lock();
         if let Some(peer) = peers.get_mut(&address) {
@@ -120,7 +117,7 @@
         peers.retain(|_, peer| peer.open > 0);
     }
 
-    /// Closes all resting connections: they may be dead without a sign of it.
+    /// Closes all idle connections, which may have broken unnoticed.
     pub fn close_resting(&self) {
         let mut peers = self.peers.lock();
         for peer in peers.values_mut() {
@@ -129,18 +126,18 @@
         }
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far to addresses in use.
     pub fn opened(&self) -> u64 {
         self.peers.lock().values().map(|peer| peer.opened).sum()
     }
 
-    /// Connections open to an address.
+    /// Number of open connections to an address.
     pub fn open(&self, address: SocketAddr) -> usize {
         self.peers.lock().get(&address).map_or(0, |peer| peer.open)
     }
 }
 
-/// A connection on which a request may be sent.
+/// An established connection, ready for one request.
 #[derive(Debug)]
 pub struct Ready {
     place: Place,
@@ -151,7 +148,7 @@
 impl Ready {
     /// Sends a request. Dropping the future closes the connection.
     pub async fn send(mut self, request: Request) -> Result<Answer, Fault> {
-        let link = self.place.link.as_mut().expect("it is there until it is given up");
+        let link = self.place.link.as_mut().expect("a ready connection is present");
         let response = link.send(outgoing(request)).await?;
         let rest = rest(&response, &self.options);
         let lease = Lease { place: self.place, rest, options: self.options };
@@ -159,7 +156,7 @@
         Ok(Answer { head, body: Body::new(body, lease), reused: self.reused })
     }
 
-    /// Gives the connection back unused.
+    /// Returns the connection unused.
     pub fn release(self) {
         let link = self.place.link.as_ref().map(|link| link.rests_until);
         let until = link.filter(|_| self.reused);
@@ -168,7 +165,7 @@
     }
 }
 
-/// How long the connection of an answer may rest; `None` if it ends with the answer.
+/// How long the connection may stay idle after a response; `None` if it closes with the response.
 fn rest(response: &Response<Incoming>, options: &Options) -> Option<Duration> {
     let headers = response.headers();
     let ends = headers
@@ -179,7 +176,7 @@
     (!ends).then(|| rest.saturating_sub(options.margin))
 }
 
-/// One of the connections that may be open to an address, counted while this lives.
+/// One of the connections allowed to an address; counted as open until dropped.
 #[derive(Debug)]
 struct Place {
     address: SocketAddr,
@@ -188,13 +185,13 @@
 }
 
 impl Place {
-    /// Keeps the connection for the next request.
+    /// Keeps the connection idle for the next request.
     fn keep(mut self, until: Instant) {
         let Some(mut link) = self.link.take() else { return };
         link.rests_until = until;
         let mut peers = self.peers.lock();
         let peer = peers.entry(self.address).or_default();
-        // What `drop` counts down when this ends stays counted for the resting connection.
+        // Offsets the decrement in `drop`: the idle connection stays open.
         peer.open += 1;
         peer.resting.push(link);
     }
@@ -209,7 +206,7 @@
     }
 }
 
-/// The connection of an answer that is being read.
+/// The connection of a response whose body is being read.
 #[derive(Debug)]
 pub struct Lease {
     place: Place,
@@ -218,7 +215,7 @@
 }
 
 impl Lease {
-    /// The answer was read to its end.
+    /// Releases the connection after the end of the response.
     pub fn end(self) {
         debug_assert!(self.options.margin <= self.options.rest);
         if let Some(rest) = self.rest {
@@ -236,7 +233,7 @@
     outgoing
 }
 
-/// Seconds that `Keep-Alive: timeout=N` grants.
+/// The idle timeout of `Keep-Alive: timeout=N`.
 fn kept_for(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/forward/tests/links.rs
+++ b/crates/forward/tests/links.rs
@@ -1,4 +1,4 @@
-//! What a connection may be used for after each way in which an endpoint answers.
+//! Reuse of connections after each kind of response, and their release.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use standin::{Reply, Scripted};
 use tokio::net::TcpListener;
 
-/// Longest that anything here waits; reached only when a test fails.
+/// Timeout of every wait; reached only when a test fails.
 const BOUND: Duration = Duration::from_secs(20);
 
 fn links() -> Links {
@@ -41,8 +41,7 @@
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
-/// Sends two requests, one after the other; returns what the first came to and how many
-/// connections the endpoint saw.
+/// Sends two requests one after the other; returns the result of the first and the number of connections.
 async fn two(first: Reply) -> (Result<String, Fault>, usize) {
     let script = move |arrived: &standin::Arrived| match arrived.line.contains("first") {
         true => first.clone(),
@@ -56,7 +55,7 @@
         Ok(answer) => text(answer).await,
         Err(fault) => Err(fault),
     };
-    // Bytes that follow an answer arrive a moment after it.
+    // Surplus bytes may arrive shortly after the response.
     tokio::time::sleep(Duration::from_millis(30)).await;
     let answer =
         links.send(endpoint.address(), 4, request()).await.expect("the second is answered");
--- a/crates/retry-after/src/lib.rs
+++ b/crates/retry-after/src/lib.rs
@@ -1,10 +1,10 @@
-//! How long whoever answered wants to be left alone: `Retry-After` (RFC 9110, section 10.2.3), with fractions of a second.
+//! Reads `Retry-After` (RFC 9110, section 10.2.3), extended by fractions of a second.
 
 use std::time::{Duration, SystemTime};
 
 use http::{HeaderMap, header};
 
-/// The longest time that the headers ask for; the first value if none of them can be read, `None` if there is none.
+/// The longest delay in the headers, `Err` with the first value if none can be parsed, `None` if there is none.
 pub fn read(headers: &HeaderMap) -> Option<Result<Duration, &[u8]>> {
     let sent = headers.get(header::DATE).and_then(|date| date.to_str().ok());
     let sent = sent.and_then(|date| httpdate::parse_http_date(date).ok());
@@ -16,7 +16,7 @@
     }
 }
 
-/// A date counts from the moment at which the answer was sent: the clocks of both sides may differ.
+/// Parses a delay in seconds, or a date relative to the `Date` of the response, since the clocks of both sides may differ.
 fn delay(text: &str, sent: Option<SystemTime>) -> Option<Duration> {
     match text.parse::<f64>() {
         Ok(seconds) => Duration::try_from_secs_f64(seconds).ok(),
