--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -38,7 +38,7 @@
     for id in 0..4 {
         gate.offer(ticket(id, Class::Long, "a", 1), FULL, 0);
     }
-    // The queue moves once in 4 seconds.
+    // One request starts every 4 seconds.
     for now in [0, 4_000, 8_000] {
         gate.next(EMPTY, now);
     }
--- a/crates/forward/tests/links.rs
+++ b/crates/forward/tests/links.rs
@@ -57,9 +57,15 @@
     };
     // Surplus bytes may arrive shortly after the response.
     tokio::time::sleep(Duration::from_millis(30)).await;
-    let answer =
-        links.send(endpoint.address(), 4, request()).await.expect("the second is answered");
-    assert_eq!(text(answer).await.as_deref(), Ok("done"), "the second answer is its own");
+    let answer = links
+        .send(endpoint.address(), 4, request())
+        .await
+        .expect("the second request gets a response");
+    assert_eq!(
+        text(answer).await.as_deref(),
+        Ok("done"),
+        "the second response belongs to the second request"
+    );
     (came, endpoint.connections())
 }
 
@@ -74,38 +80,33 @@
     let late = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate".to_owned();
     let events = vec!["data: 1\n\n".to_owned()];
     let cases = [
-        ("a whole answer", whole(), Some("done"), 1),
+        ("complete response", whole(), Some("done"), 1),
         (
-            "a whole stream",
+            "complete stream",
             Reply::Events(none.clone(), events.clone(), Duration::ZERO),
             Some("data: 1\n\n"),
             1,
         ),
-        ("the endpoint ends it", Reply::Whole(ok, closes, "done".into()), Some("done"), 2),
-        ("it may not rest for long", Reply::Whole(ok, short, "done".into()), Some("done"), 2),
+        ("Connection: close", Reply::Whole(ok, closes, "done".into()), Some("done"), 2),
+        ("short keep-alive timeout", Reply::Whole(ok, short, "done".into()), Some("done"), 2),
+        ("surplus response", Reply::Extra(ok, none.clone(), "done".into(), late), Some("done"), 2),
         (
-            "an answer too many",
-            Reply::Extra(ok, none.clone(), "done".into(), late),
-            Some("done"),
-            2,
-        ),
-        (
-            "bytes too many",
+            "surplus bytes",
             Reply::Extra(ok, none.clone(), "done".into(), "xx".into()),
             Some("done"),
             2,
         ),
         ("without a length", Reply::Unframed(none.clone(), "done".into()), Some("done"), 2),
         ("without a length, reset", Reply::UnframedReset(none.clone(), "do".into()), None, 2),
-        ("a torn stream", Reply::Torn(none, events), None, 2),
-        ("no answer", Reply::Close, None, 2),
+        ("truncated stream", Reply::Torn(none, events), None, 2),
+        ("no response", Reply::Close, None, 2),
     ];
     for (name, reply, want, connections) in cases {
         let (came, used) = tokio::time::timeout(BOUND, two(reply)).await.expect(name);
         assert_eq!(came.as_deref().ok(), want, "{name}: {came:?}");
         assert_eq!(used, connections, "{name}: connections");
         if let Err(fault) = came {
-            assert!(!fault.is_unsent(), "{name}: it was sent, so it may have run");
+            assert!(!fault.is_unsent(), "{name}: the request was sent, so it may have run");
         }
     }
 }
@@ -142,7 +143,7 @@
     let endpoint = Scripted::spawn(move |_| reply.clone()).await;
     let links = links();
     let mut answer = links.send(endpoint.address(), 4, request()).await.expect("a head");
-    answer.body.frame().await.expect("an event").expect("a whole one");
+    answer.body.frame().await.expect("an event").expect("a complete event");
     drop(answer);
     let closed = async {
         while endpoint.closed() == 0 {
@@ -166,7 +167,7 @@
     while endpoint.arrived().len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let fault = links.send(address, 2, request()).await.expect_err("both are in use");
+    let fault = links.send(address, 2, request()).await.expect_err("both connections are in use");
     assert_eq!(fault, Fault::Full { most: 2 });
     busy.iter().for_each(tokio::task::JoinHandle::abort);
 }
