--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -5,8 +5,8 @@
 //! that is not expected to start before its deadline is refused at once, with a delay after which to retry.
 //! All times are milliseconds of a monotonic clock.
 
-mod gate;
+mod queue;
 mod limit;
 
-pub use gate::{Capacity, Gate, Ticket, Verdict};
-pub use limit::{Limits, Reached};
+pub use queue::{Capacity, Queue, Request, Verdict};
+pub use limit::{Limits, Exceeded};
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -9,7 +9,7 @@
 use http_body::Frame;
 use hyper::body::Incoming;
 
-use crate::{Fault, links::Lease};
+use crate::{Fault, connections::Lease};
 
 /// Body of a response. Reading it to its end releases the connection; dropping it earlier closes the connection.
 #[derive(Debug)]
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,6 +1,6 @@
 //! HTTP/1 connections to endpoints; the caller decides where a request goes.
 //!
-//! [`Links::send`] sends one request on a connection that carries nothing else meanwhile. Every failure
+//! [`Connections::send`] sends one request on a connection that carries nothing else meanwhile. Every failure
 //! states whether the endpoint may have received the request: [`Fault::Unsent`] or [`Fault::Unknown`]. A
 //! connection is reused only after a complete request and a complete response; otherwise it is closed, so
 //! that no leftover bytes reach another request.
@@ -10,9 +10,9 @@
 
 mod body;
 mod fault;
-mod link;
-mod links;
+mod connection;
+mod connections;
 
 pub use body::Body;
 pub use fault::Fault;
-pub use links::{Answer, Links, Options, Ready, Request};
+pub use connections::{Answer, Connections, Options, Ready, Request};
--- a/crates/gateway/src/way/bounds.rs
+++ b/crates/gateway/src/way/bounds.rs
@@ -10,12 +10,12 @@
     /// Maximum size of a request head.
     pub head_bytes: usize,
     /// Time within which a head must arrive, including the idle time before it.
-    pub idle: Duration,
+    pub head_timeout: Duration,
 }
 
 impl Bounds {
     /// Limits from the configuration.
     pub fn of(limits: &Limits) -> Bounds {
-        Bounds { head_bytes: limits.head_bytes, idle: Duration::from_millis(limits.idle_ms) }
+        Bounds { head_bytes: limits.head_bytes, head_timeout: Duration::from_millis(limits.idle_ms) }
     }
 }
--- a/crates/gateway/src/way/crashes.rs
+++ b/crates/gateway/src/way/crashes.rs
@@ -20,7 +20,7 @@
 use futures_util::future::BoxFuture;
 use ledger::Incarnation;
 use parking_lot::Mutex;
-use quarantine::{Finding, Fingerprint, Limits, Record, Report, Verdict};
+use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
 use tokio::{
     net::TcpStream,
     sync::{mpsc, watch},
@@ -45,45 +45,45 @@
 
 /// What probing an endpoint shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum Liveness {
     /// The port is closed.
     Ended,
     /// The endpoint accepts connections.
-    Stands,
+    Running,
     /// The endpoint does not respond.
-    OutOfReach,
+    Unreachable,
 }
 
-impl Found {
+impl Liveness {
     /// Name in log lines.
     fn as_str(self) -> &'static str {
         match self {
-            Found::Ended => "ended",
-            Found::Stands => "stands",
-            Found::OutOfReach => "out_of_reach",
+            Liveness::Ended => "ended",
+            Liveness::Running => "stands",
+            Liveness::Unreachable => "out_of_reach",
         }
     }
 }
 
 /// Probes whether an endpoint crashed.
-pub type Prove = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Found> + Send + Sync>;
+pub type Prober = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Liveness> + Send + Sync>;
 
 /// A prober that connects to the endpoint, with this timeout.
-pub fn by_connecting(within: Duration) -> Prove {
+pub fn connect_prober(within: Duration) -> Prober {
     Box::new(move |address| {
         Box::pin(async move {
             sleep(GATHER).await;
             match timeout(within, TcpStream::connect(address)).await {
-                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Found::Ended,
-                Ok(Err(_)) | Err(_) => Found::OutOfReach,
-                Ok(Ok(_)) => Found::Stands,
+                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
+                Ok(Err(_)) | Err(_) => Liveness::Unreachable,
+                Ok(Ok(_)) => Liveness::Running,
             }
         })
     })
 }
 
 /// A report of this box and its name in the store.
-pub type Named = (Arc<str>, Report);
+pub type NamedReport = (Arc<str>, Report);
 
 /// Requests that crash endpoints, as known to this box.
 #[derive(Debug, Clone)]
@@ -91,10 +91,10 @@
 
 struct Shared {
     me: Incarnation,
-    prove: Prove,
+    prove: Prober,
     started: Moment,
     state: Mutex<State>,
-    reports: mpsc::Sender<Named>,
+    reports: mpsc::Sender<NamedReport>,
     /// Counts completed probes; wakes requests that wait for one.
     proofs: watch::Sender<u64>,
 }
@@ -107,7 +107,7 @@
 
 #[derive(Debug)]
 struct State {
-    record: Record,
+    record: Registry,
     /// Requests whose connections broke, by endpoint instance, until the probe completes.
     unproved: HashMap<Arc<str>, Vec<Fingerprint>>,
     /// Abandoned requests with the time in milliseconds and the endpoint instance, oldest first.
@@ -118,11 +118,11 @@
 
 impl State {
     /// Removes and returns the requests abandoned recently at a crashed endpoint instance.
-    fn take_given_up(&mut self, life: &str, now_ms: u64) -> Vec<Fingerprint> {
+    fn take_given_up(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
         let since = now_ms.saturating_sub(GIVEN_UP);
         self.given_up.retain(|(at, ..)| *at >= since);
         let (there, elsewhere): (VecDeque<_>, VecDeque<_>) =
-            self.given_up.drain(..).partition(|(_, at, _)| **at == *life);
+            self.given_up.drain(..).partition(|(_, at, _)| **at == *instance);
         self.given_up = elsewhere;
         there.into_iter().map(|(.., request)| request).collect()
     }
@@ -133,12 +133,12 @@
     pub fn open(
         me: Incarnation,
         limits: Limits,
-        prove: Prove,
+        prove: Prober,
         clock: &Clock,
-    ) -> (Crashes, mpsc::Receiver<Named>) {
+    ) -> (Crashes, mpsc::Receiver<NamedReport>) {
         let (reports, named) = mpsc::channel(WAITING);
         let (unproved, given_up) = Default::default();
-        let state = State { record: Record::new(limits), unproved, given_up, next: 0 };
+        let state = State { record: Registry::new(limits), unproved, given_up, next: 0 };
         let (started, state) = (clock.now(), Mutex::new(state));
         let proofs = watch::channel(0).0;
         (Crashes(Arc::new(Shared { me, prove, started, state, reports, proofs })), named)
@@ -169,10 +169,10 @@
     }
 
     /// Drops expired reports; returns whether this one still counts.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         let mut state = self.0.state.lock();
         state.record.expire(unix_s());
-        state.record.holds(name)
+        state.record.contains(name)
     }
 
     /// Whether a request may run; waits briefly if that depends on a probe in progress.
@@ -182,7 +182,7 @@
         loop {
             proofs.borrow_and_update();
             let verdict = self.verdict_now(request);
-            let is_open = matches!(verdict, Verdict::Unproved { .. });
+            let is_open = matches!(verdict, Verdict::Unconfirmed { .. });
             if !is_open || timeout_at(until, proofs.changed()).await.is_err() {
                 return verdict;
             }
@@ -192,7 +192,7 @@
     fn verdict_now(&self, request: &Fingerprint) -> Verdict {
         let state = self.0.state.lock();
         let broken = state.unproved.iter().filter(|(_, requests)| requests.contains(request));
-        let lives: Vec<Arc<str>> = broken.map(|(life, _)| life.clone()).collect();
+        let lives: Vec<Arc<str>> = broken.map(|(instance, _)| instance.clone()).collect();
         state.record.verdict(request, &lives, unix_s())
     }
 
@@ -203,10 +203,10 @@
     }
 
     /// Watches a request that is sent to an endpoint.
-    pub fn watch(&self, life: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
+    pub fn watch(&self, instance: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
         Watch {
             crashes: self.clone(),
-            life: life.clone(),
+            instance: instance.clone(),
             address,
             request: request.clone(),
             is_over: false,
@@ -233,18 +233,18 @@
     }
 
     /// Probes an endpoint, and reports a crash.
-    async fn prove(self, life: Arc<str>, address: SocketAddr) {
+    async fn prove(self, instance: Arc<str>, address: SocketAddr) {
         let found = (self.0.prove)(address).await;
-        let requests = self.0.state.lock().unproved.remove(&life).unwrap_or_default();
+        let requests = self.0.state.lock().unproved.remove(&instance).unwrap_or_default();
         let (count, shows) = (requests.len(), found.as_str());
         tracing::info!(
             event = "connections_broke",
-            endpoint = &*life,
+            endpoint = &*instance,
             found = shows,
             requests = count
         );
-        if found == Found::Ended {
-            self.report(Finding::Ended { endpoint: life }, requests);
+        if found == Liveness::Ended {
+            self.report(Finding::Ended { endpoint: instance }, requests);
         }
         self.0.proofs.send_modify(|count| *count += 1);
     }
@@ -254,7 +254,7 @@
 #[derive(Debug)]
 pub struct Watch {
     crashes: Crashes,
-    life: Arc<str>,
+    instance: Arc<str>,
     address: SocketAddr,
     request: Fingerprint,
     /// The outcome at the endpoint is known.
@@ -273,7 +273,7 @@
     pub fn broke(&mut self) {
         self.is_over = true;
         let mut state = self.crashes.0.state.lock();
-        let requests = state.unproved.entry(self.life.clone()).or_default();
+        let requests = state.unproved.entry(self.instance.clone()).or_default();
         let is_first = requests.is_empty();
         if !requests.contains(&self.request) {
             requests.push(self.request.clone());
@@ -281,7 +281,7 @@
         drop(state);
         // There is no runtime during process shutdown.
         if let (true, Ok(runtime)) = (is_first, tokio::runtime::Handle::try_current()) {
-            runtime.spawn(self.crashes.clone().prove(self.life.clone(), self.address));
+            runtime.spawn(self.crashes.clone().prove(self.instance.clone(), self.address));
         }
     }
 
@@ -312,7 +312,7 @@
         }
         let now_ms = self.crashes.now_ms();
         let mut state = self.crashes.0.state.lock();
-        state.given_up.push_back((now_ms, self.life.clone(), self.request.clone()));
+        state.given_up.push_back((now_ms, self.instance.clone(), self.request.clone()));
         if state.given_up.len() > MOST_GIVEN_UP {
             state.given_up.pop_front();
         }
--- a/crates/gateway/src/way/gate.rs
+++ b/crates/gateway/src/way/gate.rs
@@ -2,26 +2,26 @@
 
 use std::sync::Arc;
 
-use forward::Links;
+use forward::Connections;
 use parking_lot::Mutex;
 use platform::config::Limits;
 use tokio::sync::{Semaphore, watch};
 
 use crate::{
-    clock::{Clock, Moment, Pulse},
+    clock::{Clock, Moment, Watchdog},
     fleet::peers::Peers,
     metrics::Metrics,
-    money::{bills::Bills, draws::Draws, funds::Funds},
+    tokens::{bills::Bills, acquirer::Acquirer, funds::Funds},
     settings::Settings,
     table::Table,
-    way::{
+    proxy::{
         bounds::Bounds, crashes::Crashes, endpoints::Endpoints, link::Link, retries::Retries,
-        teller::Teller, turns::Turns,
+        announcer::Announcer, permits::Permits,
     },
 };
 
 /// State shared by all steps of handling a request.
-pub struct Gate {
+pub struct Context {
     /// Current settings; `Gateway` replaces them at run time.
     pub settings: watch::Sender<Arc<Settings>>,
     pub table: watch::Receiver<Option<Arc<Table>>>,
@@ -29,13 +29,13 @@
     /// Requests that crashed endpoints.
     pub crashes: Crashes,
     /// Permits for endpoints that name a rate limit.
-    pub turns: Turns,
+    pub permits: Permits,
     /// Forwards signals of endpoints to other boxes.
-    pub teller: Teller,
-    pub links: Links,
+    pub announcer: Announcer,
+    pub connections: Connections,
     pub funds: Funds,
     pub peers: Peers,
-    pub draws: Draws,
+    pub acquirer: Acquirer,
     /// Load of the network link of this box.
     pub link: Arc<Link>,
     pub bills: Bills,
@@ -46,13 +46,13 @@
     pub stopping: watch::Receiver<bool>,
     pub clock: Clock,
     /// Detects that the box was suspended, so that its state may be stale.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     pub started: Moment,
     /// Returns the number of log lines dropped so far.
     pub dropped_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
 }
 
-impl Gate {
+impl Context {
     /// Limits of a new caller connection, with defaults until a configuration is loaded.
     pub fn bounds(&self) -> Bounds {
         let table = self.table.borrow();
@@ -68,7 +68,7 @@
     }
 
     /// Whether caller connections are closed after the current response.
-    pub fn ends_connections(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         *self.stopping.borrow() || self.link.sheds()
     }
 
--- a/crates/gateway/src/way/link.rs
+++ b/crates/gateway/src/way/link.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records a chunk of a response.
-    pub fn piece(&self, bytes: usize) {
+    pub fn chunk(&self, bytes: usize) {
         self.pass(bytes + FRAME);
     }
 
--- a/crates/gateway/src/way/meter.rs
+++ b/crates/gateway/src/way/meter.rs
@@ -2,7 +2,7 @@
 
 /// Counts completed events. An event ends with an empty line after a line with content.
 #[derive(Debug, Default, Clone)]
-pub struct Meter {
+pub struct EventCounter {
     events: u64,
     /// Whether the current event has a line with content.
     filled: bool,
@@ -10,9 +10,9 @@
     in_line: bool,
 }
 
-impl Meter {
+impl EventCounter {
     /// Processes the next bytes of the stream.
-    pub fn pass(&mut self, bytes: &[u8]) {
+    pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
                 b'\r' => {}
@@ -33,7 +33,7 @@
     }
 
     /// Whether the stream is inside an event.
-    pub fn is_inside(&self) -> bool {
+    pub fn is_in_event(&self) -> bool {
         self.filled
     }
 }
--- a/crates/gateway/src/way/mod.rs
+++ b/crates/gateway/src/way/mod.rs
@@ -2,25 +2,25 @@
 //!
 //! - `admit` resolves the route and the customer, reads the body and reserves tokens;
 //! - `dispatch` selects one of the `endpoints`, sends the request and retries where that is allowed;
-//! - `relay` streams the response to the caller, `trip` settles and logs the request;
+//! - `relay` streams the response to the caller, `exchange` settles and logs the request;
 //! - `refusal` is the response of the box itself;
 //! - `crashes` tracks requests that crash endpoints;
-//! - `turns` obtains permits for endpoints that name a rate limit;
-//! - `teller` queues what other boxes have to learn about endpoints.
+//! - `permits` obtains permits for endpoints that name a rate limit;
+//! - `announcer` queues what other boxes have to learn about endpoints.
 //!
-//! They share the state in `gate`.
+//! They share the state in `context`.
 
 pub mod admit;
 pub mod bounds;
 pub mod crashes;
 pub mod dispatch;
 pub mod endpoints;
-pub mod gate;
+pub mod context;
 pub mod link;
-pub mod meter;
+pub mod event_counter;
 pub mod refusal;
 pub mod relay;
 pub mod retries;
-pub mod teller;
-pub mod trip;
-pub mod turns;
+pub mod announcer;
+pub mod exchange;
+pub mod permits;
--- a/crates/gateway/src/way/refusal.rs
+++ b/crates/gateway/src/way/refusal.rs
@@ -37,7 +37,7 @@
     /// Endpoints crashed each time they ran the request.
     Quarantined,
     /// Endpoints may have crashed on the request; this is being verified.
-    Unproved,
+    Unconfirmed,
     /// An endpoint got the request and did not respond in time.
     Silent,
     /// An endpoint got the request, and its response was lost or belongs to another request.
@@ -70,7 +70,7 @@
             Reason::NoEndpoint => "no_endpoint",
             Reason::TooLate => "too_late",
             Reason::Quarantined => "quarantined",
-            Reason::Unproved => "unproved",
+            Reason::Unconfirmed => "unproved",
             Reason::Silent => "endpoint_silent",
             Reason::Lost => "answer_lost",
         }
@@ -91,7 +91,7 @@
             | Reason::NoEndpoint
             | Reason::TooLate
             | Reason::Quarantined
-            | Reason::Unproved => StatusCode::SERVICE_UNAVAILABLE,
+            | Reason::Unconfirmed => StatusCode::SERVICE_UNAVAILABLE,
             Reason::Silent => StatusCode::GATEWAY_TIMEOUT,
             Reason::Lost => StatusCode::BAD_GATEWAY,
         }
--- a/crates/gateway/src/way/teller.rs
+++ b/crates/gateway/src/way/teller.rs
@@ -9,29 +9,29 @@
 
 /// A change of an endpoint instance to be announced to other boxes.
 #[derive(Debug)]
-pub enum Word {
+pub enum Announcement {
     /// Its rate limit changed.
-    LimitChanged { life: Arc<str> },
+    LimitChanged { instance: Arc<str> },
     /// Its rate limit is unchanged; repeated for boxes that missed it.
-    LimitStays { life: Arc<str> },
+    LimitUnchanged { instance: Arc<str> },
     /// It is draining.
-    Leaves { life: Arc<str>, address: SocketAddr },
+    Leaves { instance: Arc<str>, address: SocketAddr },
 }
 
 /// Sends announcements to the task that publishes them to other boxes.
 #[derive(Debug, Clone)]
-pub struct Teller(mpsc::Sender<Word>);
+pub struct Announcer(mpsc::Sender<Announcement>);
 
-impl Teller {
+impl Announcer {
     /// Opens the queue; the publishing task reads the other end.
-    pub fn open() -> (Teller, mpsc::Receiver<Word>) {
+    pub fn open() -> (Announcer, mpsc::Receiver<Announcement>) {
         let (words, told) = mpsc::channel(WAITING);
-        (Teller(words), told)
+        (Announcer(words), told)
     }
 
     /// Enqueues an announcement, or drops it if the queue is full: other boxes then learn the change from
     /// the endpoint's own responses.
-    pub fn tell(&self, word: Word) {
+    pub fn announce(&self, word: Announcement) {
         if let Err(error) = self.0.try_send(word) {
             tracing::warn!(event = "word_not_told", %error);
         }
--- a/crates/gateway/src/way/trip.rs
+++ b/crates/gateway/src/way/trip.rs
@@ -10,8 +10,8 @@
 use crate::{
     clock::Moment,
     metrics::{Finished, Metrics},
-    money::{bills::Bills, funds::Hold},
-    way::refusal::Refusal,
+    tokens::{bills::Bills, funds::Hold},
+    proxy::refusal::Refusal,
 };
 
 /// Events that an endpoint may produce after the last one that was relayed, before it notices that its
@@ -20,7 +20,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// The caller got the complete response of an endpoint.
     Answered { status: u16 },
     /// The box responded itself.
@@ -33,7 +33,7 @@
 
 /// A request and its response.
 #[derive(Debug)]
-pub struct Trip {
+pub struct Exchange {
     pub id: Option<Arc<str>>,
     pub customer: Option<Arc<str>>,
     pub route: Option<Arc<str>>,
@@ -64,7 +64,7 @@
     ended: bool,
 }
 
-impl Trip {
+impl Exchange {
     /// Starts tracking a request whose head was read.
     pub fn begin(
         head: &Head,
@@ -72,9 +72,9 @@
         until: Instant,
         metrics: Metrics,
         bills: Bills,
-    ) -> Trip {
-        metrics.under_way.inc();
-        Trip {
+    ) -> Exchange {
+        metrics.in_flight.inc();
+        Exchange {
             id: head.id.clone(),
             customer: None,
             route: None,
@@ -113,7 +113,7 @@
     ///
     /// An incomplete stream is charged for the relayed events and those that the endpoint may have produced
     /// before it noticed the close. Where the length of the output is unknown, the maximum is charged.
-    fn charge(&self, end: &End, events: u64) -> u64 {
+    fn charge(&self, end: &Outcome, events: u64) -> u64 {
         let Some(tokens) = self.tokens else { return 0 };
         let made = |events: u64| {
             let output = events.saturating_mul(self.event_tokens);
@@ -121,14 +121,14 @@
         };
         match end {
             _ if !self.may_have_run => 0,
-            End::Answered { status } if (200..300).contains(status) => made(events),
-            End::Left | End::Broken { .. } if self.sent == 1 => made(events + UNSEEN_EVENTS),
+            Outcome::Answered { status } if (200..300).contains(status) => made(events),
+            Outcome::Left | Outcome::Broken { .. } if self.sent == 1 => made(events + UNSEEN_EVENTS),
             _ => made(u64::MAX),
         }
     }
 
     /// Settles and logs the request; later calls have no effect.
-    pub fn end(&mut self, end: End, events: u64) {
+    pub fn end(&mut self, end: Outcome, events: u64) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -137,20 +137,20 @@
         let charged = self.hold.take().map_or(0, |hold| hold.settle(charge));
         self.bill(&end, charged);
         let (outcome, reason) = match &end {
-            End::Answered { .. } => ("answered", "-"),
-            End::Refused(refusal) if refusal.reason.is_not_run() => {
+            Outcome::Answered { .. } => ("answered", "-"),
+            Outcome::Refused(refusal) if refusal.reason.is_not_run() => {
                 ("not_run", refusal.reason.as_str())
             }
-            End::Refused(refusal) => ("unknown", refusal.reason.as_str()),
-            End::Broken { .. } => ("broken", "-"),
-            End::Left => ("left", "-"),
+            Outcome::Refused(refusal) => ("unknown", refusal.reason.as_str()),
+            Outcome::Broken { .. } => ("broken", "-"),
+            Outcome::Left => ("left", "-"),
         };
         self.count(outcome, reason, charged);
         let (status, detail) = match &end {
-            End::Answered { status } => (*status, ""),
-            End::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
-            End::Broken { reason } => (0, &**reason),
-            End::Left => (0, ""),
+            Outcome::Answered { status } => (*status, ""),
+            Outcome::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
+            Outcome::Broken { reason } => (0, &**reason),
+            Outcome::Left => (0, ""),
         };
         tracing::info!(
             event = "request_ended",
@@ -176,10 +176,10 @@
         );
     }
 
-    fn bill(&self, end: &End, charged: u64) {
+    fn bill(&self, end: &Outcome, charged: u64) {
         let ended = match end {
-            End::Answered { .. } => Ended::Answered,
-            End::Refused(_) | End::Broken { .. } | End::Left => Ended::Broken,
+            Outcome::Answered { .. } => Ended::Answered,
+            Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Left => Ended::Broken,
         };
         match (&self.customer, &self.id) {
             (Some(customer), Some(id)) if charged > 0 => {
@@ -190,7 +190,7 @@
     }
 
     fn count(&self, outcome: &'static str, reason: &'static str, charged: u64) {
-        self.metrics.under_way.dec();
+        self.metrics.in_flight.dec();
         self.metrics.tokens.inc_by(charged);
         self.metrics.requests.get_or_create(&Finished { outcome, reason }).inc();
         if let Some(first) = self.first_byte {
@@ -199,8 +199,8 @@
     }
 }
 
-impl Drop for Trip {
+impl Drop for Exchange {
     fn drop(&mut self) {
-        self.end(End::Left, 0);
+        self.end(Outcome::Left, 0);
     }
 }
