--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -16,11 +16,11 @@
 mod availability;
 mod permits;
 
+pub use availability::{Availability, Departure, LAST_RESORT_MS};
+pub use back_off::BackOff;
 pub use cold::{Allowance, Cold, Fleet};
 pub use endpoint::{Endpoint, Failure, Prompt, Report, Snapshot};
 pub use limit::{Limit, LimitSignal};
-pub use pool::{Choice, Candidates, Pool, Weights};
-pub use prefix::{BLOCK_BYTES, Prefix, Prefixes};
-pub use back_off::BackOff;
-pub use availability::{Departure, LAST_RESORT_MS, Availability};
 pub use permits::{Permit, Permits};
+pub use pool::{Candidates, Choice, Pool, Weights};
+pub use prefix::{BLOCK_BYTES, Prefix, Prefixes};
--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Pool;
-use crate::{Endpoint, Prefix, Availability};
+use crate::{Availability, Endpoint, Prefix};
 
 /// What weighs how much in a choice.
 #[derive(Debug, Clone, Copy)]
@@ -152,11 +152,18 @@
         };
         let large_prefix = size >= self.weights.large_prefix;
         let rank = |e: &Endpoint| {
-            (large_prefix && self.speed.is_slow(e), Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)))
+            (
+                large_prefix && self.speed.is_slow(e),
+                Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)),
+            )
         };
         let mut prefix_owners: Vec<_> = usable.map(|e| (rank(e), e)).collect();
         prefix_owners.sort_unstable_by_key(|(rank, _)| *rank);
-        prefix_owners.into_iter().take(self.weights.prefix_owners).map(|(_, endpoint)| endpoint).collect()
+        prefix_owners
+            .into_iter()
+            .take(self.weights.prefix_owners)
+            .map(|(_, endpoint)| endpoint)
+            .collect()
     }
 
     /// Cost of sending a prompt to an endpoint that holds at least `assumed` of it.
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -3,12 +3,12 @@
 mod choose;
 mod wait;
 
-pub use choose::{Choice, Candidates, Weights};
+pub use choose::{Candidates, Choice, Weights};
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::{
-    Allowance, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report, BackOff,
+    Allowance, BackOff, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report,
     Snapshot, speed::Speed,
 };
 
@@ -79,7 +79,8 @@
         }
         self.rests.retain(|_, back_off| back_off.left_ms(now) > 0);
         let resting = known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
-        self.rests.extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
+        self.rests
+            .extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
         if self.rests.len() > MOST_RESTS {
             self.rests.clear();
         }
--- a/crates/balance/tests/rest.rs
+++ b/crates/balance/tests/back_off.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, ops::Range, sync::Arc};
 
-use balance::{Failure, Fleet, Candidates, Pool, Prefix, BackOff, Availability, Weights};
+use balance::{Availability, BackOff, Candidates, Failure, Fleet, Pool, Prefix, Weights};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Time between two steps of the model, in milliseconds.
@@ -50,7 +50,9 @@
 
 #[test]
 fn a_box_comes_back_with_a_part_and_more_with_each_request_that_is_taken() {
-    let most = |back_off: &BackOff, now| (0..100).take_while(|sent| back_off.wait_ms(*sent, now) == 0).count();
+    let most = |back_off: &BackOff, now| {
+        (0..100).take_while(|sent| back_off.wait_ms(*sent, now) == 0).count()
+    };
     // Requests there before, and how many may be there when the box is back and with each one that was taken.
     let cases: [(u32, &[usize]); 3] = [
         (0, &[1, 2, 2, 3, 3, 3, 100]),
@@ -88,13 +90,14 @@
 #[test]
 fn rest_a_limit_a_cold_start_and_leaving_hold_together() {
     let mut pool = pool(2, None);
-    let availability = |pool: &Pool, now| pool.availability(pool.get("e0").expect("it is there"), now);
+    let availability =
+        |pool: &Pool, now| pool.availability(pool.get("e0").expect("it is there"), now);
     assert_eq!(availability(&pool, 0), Availability::Open);
     pool.back_off("e0", 1_000, 0);
     assert_eq!(availability(&pool, 400), Availability::Waits { ms: 600 });
     let limit = Some(balance::Limit::per_s(1.0));
     let e0 = pool.get_mut("e0").expect("it is there");
-    e0.update_limit(balance::LimitSignal { limit, asked: 0, heard: 0 });
+    e0.update_limit(balance::LimitSignal { limit, sent_at: 0, answered_at: 0 });
     e0.defer_permits(5_000, 0);
     assert_eq!(availability(&pool, 400), Availability::Waits { ms: 4_600 }, "the longer wait");
     pool.set_departures(|_| Some(balance::Departure::now(0)));
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -104,8 +104,12 @@
 
 #[test]
 fn an_engine_with_a_long_prompt_to_read_is_avoided() {
-    let weights =
-        Weights { size_per_request: 2_000.0, in_flight: 0.05, random_candidates: 9, ..Weights::default() };
+    let weights = Weights {
+        size_per_request: 2_000.0,
+        in_flight: 0.05,
+        random_candidates: 9,
+        ..Weights::default()
+    };
     let mut pool = Pool::new("z1".into(), weights);
     pool.update(["e1", "e2"].map(|name| (name.into(), "z1".into())), 0);
     let long = Prefix::of_parts([(1, 30_000)]);
@@ -131,8 +135,12 @@
 
 #[test]
 fn a_shared_part_has_the_same_home_on_every_box() {
-    let weights =
-        Weights { size_per_request: 2_000.0, in_flight: 0.05, prefix_owners: 1, ..Weights::default() };
+    let weights = Weights {
+        size_per_request: 2_000.0,
+        in_flight: 0.05,
+        prefix_owners: 1,
+        ..Weights::default()
+    };
     let names: Vec<String> = (0..9).map(|n| format!("e{n}")).collect();
     let pools = [1, 2].map(|seed| {
         let mut pool = Pool::new("z1".into(), weights);
@@ -213,7 +221,12 @@
 
 /// A pool of engines, some of which make events in `slow_ms` instead of 20 ms.
 fn record_gap(slow: &[&str], slow_ms: f64) -> Pool {
-    let weights = Weights { prefix_owners: 1, large_prefix: 2_000, random_candidates: 4, ..Weights::default() };
+    let weights = Weights {
+        prefix_owners: 1,
+        large_prefix: 2_000,
+        random_candidates: 4,
+        ..Weights::default()
+    };
     let mut pool = Pool::new("z1".into(), weights);
     let names: Vec<Arc<str>> = (0..9).map(|i| format!("e{i}").into()).collect();
     pool.update(names.iter().map(|name| (name.clone(), Arc::from("z1"))), 0);
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use balance::{Endpoint, Fleet, Limit, Candidates, Pool, Prefix, LimitSignal, Permit, Permits, Weights};
+use balance::{
+    Candidates, Endpoint, Fleet, Limit, LimitSignal, Permit, Permits, Pool, Prefix, Weights,
+};
 use proptest::prelude::*;
 use rand::{SeedableRng, rngs::SmallRng};
 
@@ -38,13 +40,21 @@
             vec![limit_signal(one, 0, 10), limit_signal(two, 20, 30), limit_signal(one, 15, 40)],
             two,
         ),
-        ("lowered while an answer is under way", vec![limit_signal(two, 10, 20), limit_signal(one, 15, 25)], one),
+        (
+            "lowered while an answer is under way",
+            vec![limit_signal(two, 10, 20), limit_signal(one, 15, 25)],
+            one,
+        ),
         (
             "over, and the older limit comes late",
             vec![limit_signal(one, 0, 10), limit_signal(none, 20, 30), limit_signal(one, 5, 40)],
             none,
         ),
-        ("named again", vec![limit_signal(one, 0, 10), limit_signal(none, 20, 30), limit_signal(two, 31, 40)], two),
+        (
+            "named again",
+            vec![limit_signal(one, 0, 10), limit_signal(none, 20, 30), limit_signal(two, 31, 40)],
+            two,
+        ),
     ];
     for (what, answered_at, holds) in cases {
         let mut endpoint = endpoint();
@@ -158,7 +168,11 @@
     // What it takes was raised meanwhile, or it names no limit any more.
     for (limit, sent_at) in [(Some(3.0), 700), (None, 800)] {
         pool.get_mut("e2").expect("it is there").defer_permits(5_000, sent_at);
-        pool.get_mut("e2").expect("it is there").update_limit(limit_signal(limit, sent_at, sent_at + 10));
+        pool.get_mut("e2").expect("it is there").update_limit(limit_signal(
+            limit,
+            sent_at,
+            sent_at + 10,
+        ));
         assert_eq!(chosen(&pool, Candidates::All, sent_at + 11).len(), 3, "{limit:?}");
     }
 }
--- a/crates/forward/src/links.rs
+++ b/crates/forward/src/connections.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Timeout for connecting.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// A connection fails when sent bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
     pub ack_timeout: Duration,
     /// Idle timeout where the endpoint sends no `Keep-Alive` timeout.
-    pub rest: Duration,
+    pub idle_timeout: Duration,
     /// Connections are not reused during this last part of the idle timeout, since the endpoint may close them.
     pub idle_margin: Duration,
 }
@@ -82,7 +82,9 @@
         let mut place = self.place(address, most)?;
         let reused = place.connection.is_some();
         if !reused {
-            let opened = Connection::open(address, self.options.connect, self.options.ack_timeout).await?;
+            let opened =
+                Connection::open(address, self.options.connect_timeout, self.options.ack_timeout)
+                    .await?;
             self.peers.lock().entry(address).or_default().opened += 1;
             place.connection = Some(opened);
         }
@@ -160,7 +162,8 @@
     pub fn release(self) {
         let connection = self.place.connection.as_ref().map(|connection| connection.rests_until);
         let until = connection.filter(|_| self.reused);
-        let fresh = Instant::now() + self.options.rest.saturating_sub(self.options.idle_margin);
+        let fresh =
+            Instant::now() + self.options.idle_timeout.saturating_sub(self.options.idle_margin);
         self.place.keep(until.unwrap_or(fresh));
     }
 }
@@ -172,7 +175,7 @@
         .get_all(header::CONNECTION)
         .iter()
         .any(|value| value.as_bytes().to_ascii_lowercase().windows(5).any(|w| w == b"close"));
-    let rest = kept_for(headers).unwrap_or(options.rest);
+    let rest = kept_for(headers).unwrap_or(options.idle_timeout);
     (!ends).then(|| rest.saturating_sub(options.idle_margin))
 }
 
@@ -217,7 +220,7 @@
 impl Lease {
     /// Releases the connection after the end of the response.
     pub fn end(self) {
-        debug_assert!(self.options.idle_margin <= self.options.rest);
+        debug_assert!(self.options.idle_margin <= self.options.idle_timeout);
         if let Some(rest) = self.rest {
             self.place.keep(Instant::now() + rest);
         }
--- a/crates/forward/tests/links.rs
+++ b/crates/forward/tests/connections.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use forward::{Answer, Fault, Connections, Options, Request};
+use forward::{Answer, Connections, Fault, Options, Request};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use http_body_util::BodyExt;
 use standin::{Reply, Scripted};
@@ -14,9 +14,9 @@
 
 fn connections() -> Connections {
     Connections::new(Options {
-        connect: Duration::from_secs(2),
+        connect_timeout: Duration::from_secs(2),
         ack_timeout: Duration::from_secs(5),
-        rest: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
         idle_margin: Duration::from_secs(1),
     })
 }
@@ -167,7 +167,8 @@
     while endpoint.arrived().len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let fault = connections.send(address, 2, request()).await.expect_err("both connections are in use");
+    let fault =
+        connections.send(address, 2, request()).await.expect_err("both connections are in use");
     assert_eq!(fault, Fault::Full { most: 2 });
     busy.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/gateway/src/fleet/peers/turns.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -9,7 +9,7 @@
 use balance::Limit;
 use ledger::Incarnation;
 use tokio::time::Instant;
-use wire::{Frame, PermitRequest, PermitReply};
+use wire::{Frame, PermitReply, PermitRequest};
 
 use super::{
     LEAVES, Peers,
--- a/crates/gateway/src/gateway/sockets.rs
+++ b/crates/gateway/src/gateway/sockets.rs
@@ -6,10 +6,10 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    inbound::{peer_service::PeerService, serve},
     fleet::peers::Peers,
-    settings::Listen,
+    inbound::{peer_service::PeerService, serve},
     proxy::bounds::Bounds,
+    settings::Listen,
 };
 
 /// Why a box did not start.
--- a/crates/gateway/src/door/desk.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -7,15 +7,15 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{Incarnation, Demand};
+use ledger::{Demand, Incarnation};
 use tokio::{sync::watch, time::Instant};
 use wire::{Draw, Drawn, Frame, Message};
 
 use crate::{
     fleet::{peers::Peers, promises::Acceptance},
-    tokens::{bills::Bills, funds::Funds, borrower::Borrower},
-    updates::view::View,
     proxy::{endpoints::Endpoints, permits::Permits},
+    sync::view::View,
+    tokens::{bills::Bills, borrower::Borrower, funds::Funds},
 };
 
 /// Longest wait of a box that asks for tokens, while this one frees some that it promised to keep:
@@ -75,7 +75,7 @@
                 customer = &**customer,
                 to = to.as_str(),
                 least = told.least,
-                lack = %self.funds.lack(customer, told.least),
+                lack = %self.funds.shortage(customer, told.least),
             );
         }
     }
@@ -141,7 +141,7 @@
                 }
             }
             Frame::Prompt(prompt) => {
-                self.endpoints.told(&question.from.as_str().into(), &prompt);
+                self.endpoints.receive_prompt(&question.from.as_str().into(), &prompt);
                 Frame::Done
             }
             Frame::Crash { name, report } => {
--- a/crates/gateway/src/way/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -145,7 +145,7 @@
     }
 
     /// Records a report of any box, with its version in the store if it has one.
-    pub fn take(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
+    pub fn receive_report(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
         let (now_s, now_ms) = (unix_s(), self.now_ms());
         let mut state = self.0.state.lock();
         let given_up = match &report.finding {
@@ -226,7 +226,7 @@
             state.next += 1;
             format!("{}.{:06}", self.0.me, state.next).into()
         };
-        self.take(&name, None, report.clone());
+        self.receive_report(&name, None, report.clone());
         if let Err(error) = self.0.reports.try_send((name, report)) {
             tracing::error!(event = "crash_report_dropped", %error);
         }
--- a/crates/gateway/src/way/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Failure, Limit, Candidates};
+use balance::{Candidates, Failure, Limit};
 use forward::{Answer, Fault};
 use http::{HeaderMap, StatusCode, header};
 use platform::{
@@ -16,12 +16,12 @@
     metrics::Service,
     proxy::{
         admit::Call,
-        endpoints::Chosen,
+        announcer::Announcement,
         context::Context,
+        endpoints::Chosen,
+        exchange::Exchange,
         refusal::{Reason, Refusal, SOON},
         relay::InFlight,
-        announcer::Announcement,
-        exchange::Exchange,
     },
 };
 
@@ -72,7 +72,8 @@
             let offer = if asked < MOST_ASKED { Candidates::All } else { Candidates::Unlimited };
             let chosen = self.endpoints.choose(&call.service, offer, &call.prefix, &tried);
             let Some(chosen) = chosen else { break };
-            if exchange.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call)) {
+            if exchange.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call))
+            {
                 break;
             }
             if chosen.limit.is_some() {
@@ -194,7 +195,9 @@
         };
         match outcome {
             // An endpoint that is gone does not count against the route's limit of attempts.
-            Try::Unsent(_) | Try::Gone(_) => (exchange.may_have_run, exchange.sent) = (had_run, had_sent),
+            Try::Unsent(_) | Try::Gone(_) => {
+                (exchange.may_have_run, exchange.sent) = (had_run, had_sent)
+            }
             Try::NotRun(_) => exchange.may_have_run = had_run,
             _ => {}
         }
@@ -247,9 +250,11 @@
         }
         // Signals of another endpoint at the address do not apply to the selected one.
         if status != StatusCode::MISDIRECTED_REQUEST {
-            let heard = self.endpoints.receive_signals(&call.service, chosen, &head, sent_at.elapsed());
+            let heard =
+                self.endpoints.receive_signals(&call.service, chosen, &head, sent_at.elapsed());
             if heard.limit {
-                self.announcer.announce(Announcement::LimitChanged { instance: chosen.instance.clone() });
+                self.announcer
+                    .announce(Announcement::LimitChanged { instance: chosen.instance.clone() });
             }
             if heard.leaves {
                 let (instance, address) = (chosen.instance.clone(), chosen.address);
--- a/crates/gateway/src/way/endpoints/limits.rs
+++ b/crates/gateway/src/proxy/endpoints/limits.rs
@@ -2,19 +2,25 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Limit, Pool, LimitSignal};
+use balance::{Limit, LimitSignal, Pool};
 
 use super::Endpoints;
 
 impl Endpoints {
     /// The latest report of an endpoint's rate limit, which may be that it has none any more; `None` if the endpoint
     /// is unknown or never named a limit.
-    pub fn said(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
+    pub fn limit_notice(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
         let now = self.now();
         let state = self.state.lock();
-        let said = state.services.values().find_map(|pool| pool.get(instance))?.said()?;
-        let (sent_ms, answered_ms) = (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
-        Some(wire::LimitNotice { endpoint: instance.clone(), limit: said.limit, sent_ms, answered_ms })
+        let said = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
+        let (sent_ms, answered_ms) =
+            (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
+        Some(wire::LimitNotice {
+            endpoint: instance.clone(),
+            limit: said.limit,
+            sent_ms,
+            answered_ms,
+        })
     }
 
     /// Accepts the report of another box of an endpoint's rate limit.
@@ -25,7 +31,9 @@
         let mut state = self.state.lock();
         let mut pools = state.services.values_mut();
         let known = pools.find_map(|pool| pool.get_mut(&said.endpoint));
-        if known.is_some_and(|known| known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })) {
+        if known.is_some_and(|known| {
+            known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })
+        }) {
             log_limit(&said.endpoint, said.limit, by);
         }
     }
--- a/crates/gateway/src/way/endpoints/words.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -48,7 +48,13 @@
 
 impl Endpoints {
     /// Applies the signals in the head of a response to a request that was sent `ago`.
-    pub fn hear(&self, service: &str, chosen: &Chosen, head: &Head, ago: Duration) -> Changes {
+    pub fn receive_signals(
+        &self,
+        service: &str,
+        chosen: &Chosen,
+        head: &Head,
+        ago: Duration,
+    ) -> Changes {
         let said = &head.said;
         let now = self.now();
         let sent_at = now.saturating_sub(ago.as_millis() as u64);
@@ -69,14 +75,15 @@
             return Changes { leaves, limit: false };
         };
         if !head.not_run {
-            endpoint.rest.request_accepted(sent_at);
+            endpoint.back_off.request_accepted(sent_at);
         }
         if let Some(Word::Read(load)) = &said.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
         let limit = said.limit.as_ref().map(|word| limit(endpoint, word));
-        let limit = endpoint.hear(balance::LimitSignal { limit, sent_at, heard: now });
+        let limit =
+            endpoint.update_limit(balance::LimitSignal { limit, sent_at, answered_at: now });
         if limit {
             super::limits::log_limit(instance, endpoint.limit(), "answer");
         }
@@ -104,7 +111,7 @@
         let now = self.now();
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(|pool| pool.endpoints());
-        endpoints.filter(|endpoint| endpoint.rest.left_ms(now) > 0).count()
+        endpoints.filter(|endpoint| endpoint.back_off.left_ms(now) > 0).count()
     }
 
     /// Unknown or unreadable headers of endpoints, with their counts.
@@ -128,7 +135,7 @@
         Word::Unreadable(_) => REST_UNKNOWN,
     };
     let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
-    if pool.rest(instance, rest_ms, now) {
+    if pool.back_off(instance, rest_ms, now) {
         tracing::info!(event = "endpoint_rests", endpoint = instance, rest_ms);
     }
 }
--- a/crates/gateway/src/way/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -18,9 +18,9 @@
     proxy::{
         crashes::Watch,
         endpoints::{Chosen, Endpoints},
-        link::Link,
         event_counter::EventCounter,
-        exchange::{Outcome, Exchange},
+        exchange::{Exchange, Outcome},
+        link::Link,
     },
 };
 
@@ -68,7 +68,8 @@
         watch: Watch,
     ) -> InFlight {
         let unread = endpoints.start(&service, chosen, prefix);
-        let told = (unread >= TOLD_FROM).then(|| peers.publish_prompt(&chosen.instance, prefix, unread));
+        let told =
+            (unread >= TOLD_FROM).then(|| peers.publish_prompt(&chosen.instance, prefix, unread));
         let endpoint = chosen.instance.clone();
         let unread = Some(unread);
         InFlight { endpoints, service, endpoint, unread, told, paced: None, failure: None, watch }
@@ -87,7 +88,7 @@
         let now = Instant::now();
         let pause = now.saturating_duration_since(self.paced.replace(now)?);
         let each = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
-        self.endpoints.paced(&self.service, &self.endpoint, each);
+        self.endpoints.record_gap(&self.service, &self.endpoint, each);
         Some(pause)
     }
 
@@ -142,8 +143,15 @@
         link: Arc<Link>,
     ) -> Relay {
         let timeout = Box::pin(tokio::time::sleep_until(exchange.until));
-        let mut relay =
-            Relay { body, event_counter: EventCounter::default(), status, timeout, in_flight, exchange, link };
+        let mut relay = Relay {
+            body,
+            event_counter: EventCounter::default(),
+            status,
+            timeout,
+            in_flight,
+            exchange,
+            link,
+        };
         relay.end_if_whole();
         relay
     }
--- a/crates/gateway/src/news/reporter.rs
+++ b/crates/gateway/src/sync/reporter.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     fleet::peers::Peers,
-    sync::view::View,
-    outage::{Recovery, Outage, Probe},
+    outage::{Outage, Probe, Recovery},
     proxy::crashes::NamedReport,
+    sync::view::View,
 };
 
 /// Reports that wait for the store: those of 64 endpoints that end while it is away.
--- a/crates/gateway/src/news/look.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -9,8 +9,8 @@
 use crate::{
     clock::Watchdog,
     fleet::entry::{BOXES, Entry},
+    outage::{Outage, Probe, Recovery},
     sync::view::{self, View},
-    outage::{Recovery, Outage, Probe},
 };
 
 /// Pause after news of endpoints: what comes meanwhile is told by the next watch, so that a hundred
--- a/crates/gateway/src/money/shares.rs
+++ b/crates/gateway/src/tokens/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ledger::{Incarnation, Delta, Share};
+use ledger::{Delta, Incarnation, Share};
 
 /// What keepers passed to this box.
 #[derive(Debug, Default)]
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The pure decisions of a gateway, case by case.
+//! Decisions of a gateway that need no I/O: routing, endpoint directory, retry budget, metering, refusals.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn longest_path_prefix_of_the_host_wins() {
     let text = played::routes(&[
         ("all", "Desk.example", "/", &[("a", 1)]),
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
         ("short", "desk.example", "/x/", &[("c", 1)]),
     ]);
-    let table = Table::new(Config::read(&text).expect("unknown fields are passed over"));
+    let table = Table::new(Config::read(&text).expect("unknown fields are ignored"));
     let cases = [
         ("desk.example", "/x/y/z", Some("long")),
         ("desk.example:8080", "/x/yz", Some("short")),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn only_keys_that_stand_there_name_a_customer() {
+fn only_configured_keys_name_a_customer() {
     let table = table(&["cancel"]);
     for (key, want) in
         [("key-b", Some("bornova")), ("key-p", Some("pasila")), ("KEY-B", None), ("", None)]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_the_id() {
+fn split_follows_weights_and_request_id() {
     let services = [("a", 90), ("b", 10), ("never", 0)];
     let text = played::routes(&[("r", "h", "/", &services)]);
     let table = Table::new(Config::read(&text).expect("valid"));
@@ -67,20 +67,20 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_more() {
+fn draining_endpoint_is_not_ready() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.set("a".into(), 3, entry("draining"));
-    assert_eq!(ready(&directory), ["b"], "it said so");
+    assert_eq!(ready(&directory), ["b"], "a is draining");
     directory.set("a".into(), 1, entry("ready"));
     assert_eq!(ready(&directory), ["b"], "an older entry does not undo it");
     directory.remove("b", 99);
-    assert!(ready(&directory).is_empty(), "its entry went");
+    assert!(ready(&directory).is_empty(), "the entry of b was removed");
 }
 
 #[test]
-fn entries_that_lapsed_with_the_store_have_time_to_come_back() {
+fn lapsed_entries_have_time_to_come_back() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.store_returned(5_000, 12_000);
@@ -89,17 +89,17 @@
     assert!(directory.has_missing());
     assert!(!directory.sweep(11_999));
     directory.set("b".into(), 11, entry("ready"));
-    assert!(!directory.sweep(12_000), "it came back");
+    assert!(!directory.sweep(12_000), "b came back");
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.store_returned(15_000, 20_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
     assert!(!directory.sweep(19_999));
-    assert!(directory.sweep(20_000), "it did not come back this time");
+    assert!(directory.sweep(20_000), "b did not come back this time");
     assert_eq!(ready(&directory), ["a"]);
 }
 
 #[test]
-fn an_entry_that_goes_after_the_return_of_the_store_did_not_lapse() {
+fn entry_removed_after_an_outage_is_not_kept() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.store_returned(5_000, 12_000);
@@ -109,28 +109,28 @@
         10_000,
     );
     directory.remove("b", 99);
-    assert_eq!(ready(&directory), ["a"], "the store answers, so b left");
+    assert_eq!(ready(&directory), ["a"], "the store is back, so b was removed");
     assert!(!directory.has_missing());
 }
 
 #[test]
-fn an_outage_that_is_told_of_again_later_gives_no_more_time() {
+fn late_report_of_the_same_outage_extends_nothing() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
     directory.store_returned(5_000, 12_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
-    // A task that looks seldom finds the store 2 s later, and has lost it at about the same time.
+    // A task that probes seldom finds the store 2 s later and reports the same outage.
     directory.store_returned(6_000, 14_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
-    assert!(directory.sweep(12_000), "b did not come back in its time");
+    assert!(directory.sweep(12_000), "the time for b was not extended");
     assert_eq!(ready(&directory), ["a"]);
     directory.store_returned(13_000, 20_000);
     directory.list(Vec::new(), 9, 18_000);
-    assert_eq!(ready(&directory), ["a"], "another outage gives time again");
+    assert_eq!(ready(&directory), ["a"], "another outage gives a again time to come back");
 }
 
 #[test]
-fn repeats_are_a_share_of_the_requests_of_the_window() {
+fn retry_budget_is_a_share_of_recent_requests() {
     let limits = settings::Retries { ratio: 0.1, extra: 1, window_s: 10 };
     let service: Arc<str> = "plain".into();
     let mut retries = Retries::default();
@@ -138,25 +138,25 @@
         (0..4).for_each(|_| retries.request(&service, second, &limits));
     }
     let taken = (0..20).filter(|_| retries.take(&service, 9, &limits)).count();
-    assert_eq!(taken, 5, "a tenth of 40 and one more");
-    assert!(!retries.take(&service, 18, &limits), "the repeats of second 9 still count");
-    assert!(retries.take(&service, 19, &limits), "a new window has its extra one");
+    assert_eq!(taken, 5, "a tenth of 40 requests and one extra");
+    assert!(!retries.take(&service, 18, &limits), "retries of second 9 still count");
+    assert!(retries.take(&service, 19, &limits), "a new window has its own extra retry");
     assert!(retries.take(&"other".into(), 9, &limits), "services do not share");
 }
 
 #[test]
-fn events_are_counted_however_their_bytes_are_cut() {
+fn events_are_counted_across_chunk_boundaries() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n\n: note\n\ndata: unfinished\n";
     for size in 1..stream.len() {
         let mut event_counter = EventCounter::default();
         stream.chunks(size).for_each(|part| event_counter.feed(part));
-        assert_eq!(event_counter.events(), 3, "in parts of {size}");
+        assert_eq!(event_counter.events(), 3, "in chunks of {size}");
         assert!(event_counter.is_in_event(), "the last event has not ended");
     }
 }
 
 #[test]
-fn a_status_that_promises_not_run_is_only_given_for_that() {
+fn not_run_statuses_are_used_only_for_unrun_requests() {
     let promises = [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
     let unknown = [Reason::Silent, Reason::Lost];
     for reason in unknown {
--- a/crates/gateway/tests/loopback/crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -1,4 +1,4 @@
-//! Boxes that die without a word.
+//! Boxes that crash, or shut down without the store: tokens they held, and bills they had not written.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::harness::{Harness, answers, call, charged, until, until_served};
 
 const PAID: u64 = 1_000_000;
-/// What may be lost with one box: 3% of what is paid.
+/// Tokens that may be lost with one box: 3% of what is paid.
 const LOST: u64 = PAID * 3 / 100;
 
-/// Two boxes that serve, and what they need.
+/// Two boxes that serve requests.
 struct Fleet {
     harness: Harness,
     one: Gateway,
@@ -36,9 +36,9 @@
     }
 }
 
-/// Waits until a box holds much and has promised most of it.
+/// Waits until a box holds many tokens and has promised its witness to keep most of them.
 async fn until_it_keeps_most(harness: &Harness, gateway: &Gateway) {
-    until("the box holds much and keeps most of it", async || {
+    until("the box holds many tokens and keeps most of them", async || {
         call(gateway.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = gateway.balance("bornova");
@@ -47,9 +47,9 @@
     .await;
 }
 
-/// Waits until the book knows of no earlier life of a box that started again.
+/// Waits until the book has settled the earlier incarnation of a box and registered the new one.
 async fn until_replaced(harness: &Harness, first: &Incarnation, again: &Gateway) {
-    until("the earlier life is settled", async || {
+    until("the earlier incarnation is settled", async || {
         let book = harness.book().await;
         let is_settled = !book.writers.contains_key(first) && !book.claims.contains_key(first);
         is_settled && book.writers.contains_key(again.incarnation())
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn little_is_lost_with_a_box_whose_witness_lives() {
+async fn witness_limits_the_loss_of_a_crash() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
     until_it_keeps_most(&harness, &one).await;
     let first = one.incarnation().clone();
@@ -72,10 +72,10 @@
     drop(two);
 }
 
-/// The load: a keeper loses power while the store turns boxes away, and its next life reads the book before
-/// it has read which other boxes there are. In a play with one such death 12.8% of all that customers had paid was lost.
+/// After a crash, a box may read the book before it knows its peers. It must still collect from its witness what it
+/// had kept.
 #[tokio::test]
-async fn little_is_lost_with_a_box_whose_next_life_knows_no_other() {
+async fn witness_limits_the_loss_when_the_restarted_box_knows_no_peers() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
     until_it_keeps_most(&harness, &one).await;
     let first = one.incarnation().clone();
@@ -91,9 +91,9 @@
 }
 
 #[tokio::test]
-async fn nothing_is_lost_with_a_box_that_stops_by_plan_while_the_store_is_down() {
+async fn shutdown_without_the_store_loses_almost_nothing() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    until("box 1 holds much and has a witness", async || {
+    until("box 1 holds many tokens and has a witness", async || {
         call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = one.balance("bornova");
@@ -101,7 +101,7 @@
     })
     .await;
     let charged = charged(&one);
-    until("all that it charged is settled", async || {
+    until("everything it charged is settled", async || {
         harness.book().await.ledgers["bornova"].statement.tokens >= charged
     })
     .await;
@@ -112,13 +112,13 @@
     let again = harness.gateway("box-1").await;
     until_replaced(&harness, &first, &again).await;
     let lost = harness.book().await.ledgers["bornova"].lost;
-    // A settlement under way when the store went down may leave a little.
+    // A settlement that was in flight when the store went down may leave a few tokens.
     assert!(lost < LOST / 10, "{lost} of {PAID} tokens lost");
     drop(two);
 }
 
 #[tokio::test]
-async fn what_two_boxes_held_that_die_together_counts_as_spent() {
+async fn tokens_of_boxes_that_crash_together_count_as_spent() {
     let harness = Harness::open(PAID, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", answers).await;
     let one = harness.gateway("box-1").await;
@@ -134,7 +134,7 @@
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
     let again = [harness.gateway("box-1").await, harness.gateway("box-2").await];
-    until("the earlier lives are settled", async || {
+    until("the earlier incarnations are settled", async || {
         let book = harness.book().await;
         let is_settled =
             |first| !book.writers.contains_key(first) && !book.claims.contains_key(first);
@@ -142,12 +142,12 @@
     })
     .await;
     let lost = harness.book().await.ledgers["bornova"].lost;
-    assert!(lost >= held, "nobody can tell that {held} tokens were not used: {lost} lost");
+    assert!(lost >= held, "without a witness the {held} kept tokens count as used: {lost} lost");
     drop(again);
 }
 
 #[tokio::test]
-async fn the_bills_of_a_box_that_stops_by_plan_without_the_store_are_written_by_another() {
+async fn bills_are_handed_over_at_shutdown_without_the_store() {
     let harness = Harness::open(PAID, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", answers).await;
     let (one, link) = harness.cut_gateway("box-1").await;
@@ -158,16 +158,16 @@
     assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
     link.set_cut(true);
     one.stop().await;
-    // The other box writes them with its own, which it does last when it stops.
+    // The other box writes them together with its own when it stops.
     two.stop().await;
     let keys = harness.billed().await;
     let count = keys.iter().filter(|key| **key == asked.id).count();
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: whoever took the pages over is killed before it wrote them.
+/// The box that took the bills over is killed before it has written them.
 #[tokio::test]
-async fn bills_that_were_handed_over_outlive_the_box_that_took_them() {
+async fn handed_over_bills_survive_a_crash_of_the_recipient() {
     let harness = Harness::open(PAID, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", answers).await;
     let (one, link) = harness.cut_gateway("box-1").await;
@@ -182,7 +182,10 @@
     link.set_cut(true);
     harness.platform.set(|faults| faults.down = true);
     one.stop().await;
-    let took = others.iter().position(|other| other.bills_waiting() > 0).expect("one took them");
+    let took = others
+        .iter()
+        .position(|other| other.bills_waiting() > 0)
+        .expect("a box took the bills over");
     drop(others.remove(took));
     harness.platform.set(|faults| faults.down = false);
     others.remove(0).stop().await;
@@ -191,9 +194,9 @@
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: a box starts while the others do not reach the store, and stops while it does not reach it either.
+/// A box starts while the others are cut off from the store, and stops while it is cut off itself.
 #[tokio::test]
-async fn bills_of_a_box_that_the_others_do_not_know_yet_are_taken_over() {
+async fn bills_of_an_unknown_box_are_taken_over() {
     let harness = Harness::open(PAID, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", answers).await;
     let (one, link_one) = harness.cut_gateway("box-1").await;
@@ -203,7 +206,7 @@
     link_one.set_cut(true);
     link_two.set_cut(true);
     let (three, link_three) = harness.cut_gateway("box-3").await;
-    until("it knows both", async || three.peer_count() == 2).await;
+    until("box 3 knows both others", async || three.peer_count() == 2).await;
     until_served(&harness, &three, "/stream/x").await;
     let asked = harness.asked("key-b", 200, 10);
     assert!(call(three.callers(), "/stream/x", &asked).await.status.is_success());
@@ -218,19 +221,19 @@
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
 
-/// The load: a box registers first and is cut off from the store before another one starts.
+/// A box is cut off from the store before it could read the entry of the only other box.
 #[tokio::test]
-async fn a_box_that_is_cut_off_before_it_heard_of_another_one_hands_its_bills_over() {
+async fn bills_go_to_a_peer_known_only_by_its_greeting() {
     let harness = Harness::open(100_000, &["stream"]).await;
     let _engine = harness.endpoint("i-1", "engines", answers).await;
     let (alone, link) = harness.cut_gateway("box-1").await;
     until_served(&harness, &alone, "/stream/x").await;
-    until("it is registered", async || harness.entry_of("box-1").await.is_some()).await;
+    until("box 1 is registered", async || harness.entry_of("box-1").await.is_some()).await;
     link.set_cut(true);
     let asked = harness.asked("key-b", 100, 20);
     assert_eq!(call(alone.callers(), "/stream/x", &asked).await.status, StatusCode::OK);
     let other = harness.gateway("box-2").await;
-    until("it was greeted", async || alone.peer_count() == 1).await;
+    until("box 1 learned of box 2 from its greeting", async || alone.peer_count() == 1).await;
     alone.stop().await;
     until("its bill is written", async || harness.billed().await.contains(&asked.id)).await;
     drop(other);
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -1,4 +1,4 @@
-//! Boxes that lose the store and find it again.
+//! Boxes that lose the connection to the store and regain it.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -6,17 +6,17 @@
 use http::StatusCode;
 
 #[tokio::test]
-async fn a_watch_that_died_in_a_cut_is_replaced_when_the_store_is_back() {
+async fn dead_watch_is_replaced_when_the_store_is_back() {
     let harness = Harness::open(1_000_000, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let (gateway, link) = harness.cut_gateway("box-1").await;
     until_served(&harness, &gateway, "/open/x").await;
-    // Connections that were open when the cut began never carry a byte again.
+    // Open connections stay open but carry no more bytes.
     link.lose_open();
     harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
-    // Far below the 20 s after which the watch itself would end.
+    // Well below the time limit of the watch itself.
     let served = until_served(&harness, &gateway, "/cancel/x");
     tokio::time::timeout(Duration::from_secs(12), served)
         .await
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_box_without_the_store_serves_on_its_grants_and_borrows() {
+async fn box_without_store_serves_from_grants_and_loans() {
     let harness = Harness::open(100_000, &["stream", "open"]).await;
     let _plain = harness.endpoint("i-1", "plain", answers).await;
     let _engine = harness.endpoint("i-2", "engines", answers).await;
@@ -32,7 +32,7 @@
     let two = harness.gateway("box-2").await;
     until_served(&harness, &one, "/open/x").await;
     until_served(&harness, &two, "/open/x").await;
-    // Box 1 draws tokens, and its use makes it hold more.
+    // Requests make box 1 draw tokens ahead.
     until_served(&harness, &one, "/stream/x").await;
     until("box 1 holds tokens and both know each other", async || {
         call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
@@ -47,12 +47,12 @@
     assert_eq!(got.status, StatusCode::OK, "{got:?}");
     let all = one.balance("bornova").free + two.balance("bornova").free;
     let got = call(two.callers(), "/stream/x", &harness.asked("key-b", all + 1, 1)).await;
-    assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "nobody has that many: {got:?}");
+    assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "more than both boxes hold: {got:?}");
     assert!(got.headers.contains_key("retry-after"));
 }
 
 #[tokio::test]
-async fn a_box_that_the_store_turns_away_keeps_what_it_knows() {
+async fn box_rejected_by_the_store_keeps_its_view() {
     let harness = Harness::open(1_000_000, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let gateway = harness.gateway("box-1").await;
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_store_settle_every_token_once() {
+async fn lost_store_responses_settle_every_token_once() {
     for late in [Duration::ZERO, Duration::from_millis(400)] {
         let harness = Harness::open(1_000_000, &["stream"]).await;
         let _engine = harness.endpoint("i-1", "engines", answers).await;
@@ -84,7 +84,7 @@
         harness.platform.set(|faults| faults.lose_answers = 0.0);
         let charged = charged(&gateway);
         gateway.stop().await;
-        until("the last settlement landed", async || {
+        until("the last settlement is in the book", async || {
             let book = harness.book().await;
             let of = &book.ledgers["bornova"];
             of.statement.tokens == charged && of.spent == charged && of.grants.is_empty()
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_never_had_a_configuration_says_so() {
+async fn box_without_configuration_reports_it() {
     let harness = Harness::open(1_000, &["open"]).await;
     harness.platform.set(|faults| faults.down = true);
     let gateway = harness.gateway("box-1").await;
@@ -106,19 +106,19 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_that_was_heard_to_leave_gets_nothing_while_the_store_is_away() {
+async fn draining_endpoint_stays_excluded_during_an_outage() {
     let harness = Harness::open(1_000_000, &["open"]).await;
     let leaving = harness.endpoint("i-1", "plain", answers).await;
     let stays = harness.endpoint("i-2", "plain", answers).await;
     let (gateway, link) = harness.cut_gateway("box-1").await;
-    until("both are used", async || {
+    until("both endpoints are in use", async || {
         call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         !leaving.arrived().is_empty() && !stays.arrived().is_empty()
     })
     .await;
     harness.list("i-1", "plain", leaving.address(), false).await;
     let mut quiet = 0;
-    until("the box heard of it", async || {
+    until("the box sends nothing more to the leaving endpoint", async || {
         let before = leaving.arrived().len();
         call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
@@ -127,7 +127,7 @@
     .await;
     link.set_cut(true);
     let before = leaving.arrived().len();
-    // Until after the calls that are under way have failed.
+    // Long enough for calls in flight to fail.
     let cut = tokio::time::Instant::now();
     while cut.elapsed() < Duration::from_secs(2) {
         let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
--- a/crates/gateway/tests/loopback/news.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -1,7 +1,6 @@
-//! Boxes that hear from few others what the store holds.
+//! Sync of the boxes' view of the store: few watchers read the store, the other boxes subscribe to them.
 //!
-//! The load: many boxes in one fleet, each of which would watch the store and look for it while it is
-//! away. Of 24,000 calls that 295 boxes made on a calm day, 21,000 were such.
+//! Guards against a store load that grows with the number of boxes, in normal operation and during outages.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,17 +11,17 @@
 
 use crate::harness::{Harness, answers, call, until, until_served, until_within};
 
-/// Boxes that start together.
+/// Number of boxes in a large fleet.
 const BOXES: usize = 40;
-/// Ends a wait that would never end: what is waited for is counted.
+/// Upper bound on a wait in a large fleet.
 const HANGS: Duration = Duration::from_secs(90);
-/// Boxes that look: two homes, those that stood by for them while all started, and one or two that knew
-/// too few others then.
+/// Most boxes that may read the store: two watchers, their standbys during the start, and one or two boxes that
+/// knew too few others then.
 const LOOK: usize = 6;
-/// Enough for every request here.
+/// More than all requests here use.
 const PAID: u64 = 1_000_000;
 
-/// Names of the homes of a fleet.
+/// Names of the watchers of a fleet.
 fn home_names(names: &[String]) -> Vec<String> {
     let profile = |name: &String| Profile {
         name: Incarnation::new(name, 1),
@@ -34,7 +33,7 @@
     watchers.first.iter().map(|name| name.box_name().to_owned()).collect()
 }
 
-/// A fleet that is served and in which all know each other; homes first.
+/// Starts a fleet and waits until each box serves requests and knows all others; watchers come first.
 async fn fleet(harness: &Harness, count: usize) -> Vec<Gateway> {
     let names: Vec<String> = (0..count).map(|n| format!("box-{n}")).collect();
     let watchers = home_names(&names);
@@ -44,17 +43,20 @@
     }
     let boxes: Vec<Gateway> = boxes.into_values().collect();
     for gateway in &boxes {
-        until_within(HANGS, "it is served", async || {
+        until_within(HANGS, "the box serves requests", async || {
             let asked = harness.asked("key-b", 1, 1);
             call(gateway.callers(), "/open/x", &asked).await.status == StatusCode::OK
         })
         .await;
-        until_within(HANGS, "it knows all", async || gateway.peer_count() == count - 1).await;
+        until_within(HANGS, "the boxes know each other", async || {
+            gateway.peer_count() == count - 1
+        })
+        .await;
     }
     boxes
 }
 
-/// Calls of a box that were to learn what the store holds.
+/// Calls with which a box listed or watched the store itself.
 fn news_calls(gateway: &Gateway) -> u64 {
     let calls = gateway.calls().snapshot();
     let of_news = calls.iter().filter(|((operation, kind), _)| {
@@ -65,12 +67,12 @@
 }
 
 #[tokio::test]
-async fn few_boxes_of_a_large_fleet_look_at_the_store() {
+async fn few_boxes_of_a_large_fleet_read_the_store() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&harness, BOXES).await;
     let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched what others tell");
+    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
     harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
         until_within(HANGS, "the new version is in force", async || {
@@ -80,17 +82,17 @@
         .await;
     }
     let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched what others tell");
+    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched the store themselves");
 }
 
 #[tokio::test]
-async fn an_outage_is_looked_at_by_homes_and_its_end_is_told() {
+async fn watchers_probe_during_an_outage_and_announce_its_end() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&harness, BOXES).await;
     let before: Vec<u64> = boxes.iter().map(news_calls).collect();
     harness.platform.set(|faults| faults.down = true);
-    // As long as the outages that boxes ride out, in which each looked 30 times by itself.
+    // Long enough for many retries.
     tokio::time::sleep(Duration::from_secs(6)).await;
     harness.configure(2, PAID, &["open", "cancel"]).await;
     harness.platform.set(|faults| faults.down = false);
@@ -103,11 +105,14 @@
     }
     let looked = boxes.iter().zip(before).filter(|(gateway, before)| news_calls(gateway) > *before);
     let looked = looked.count();
-    assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched after the outage");
+    assert!(
+        looked <= LOOK,
+        "{looked} of {BOXES} boxes listed or watched the store after the outage"
+    );
 }
 
 #[tokio::test]
-async fn listeners_of_a_home_that_died_hear_another_one() {
+async fn subscribers_switch_to_another_watcher_after_a_crash() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let mut boxes = fleet(&harness, 5).await;
@@ -119,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn boxes_whose_homes_all_died_look_for_themselves_or_at_each_other() {
+async fn boxes_get_updates_again_when_all_watchers_died() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let mut boxes = fleet(&harness, 6).await;
@@ -131,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn boxes_whose_homes_alone_lost_the_store_do_not_run_on_old_news() {
+async fn subscribers_leave_watchers_that_lost_the_store() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let names: Vec<String> = (0..4).map(|n| format!("box-{n}")).collect();
@@ -151,7 +156,7 @@
         until("boxes know each other", async || gateway.peer_count() == 3).await;
         until_served(&harness, gateway, "/open/x").await;
     }
-    // Held open and silent: only the homes' own looks show it.
+    // The connections stay open and silent: only the watchers' own probes show the loss.
     links.iter().for_each(|link| link.set_cut(true));
     harness.configure(2, PAID, &["open", "cancel"]).await;
     for (gateway, _) in &listeners {
@@ -160,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_gets_no_work_of_listeners() {
+async fn draining_endpoint_gets_no_requests_from_subscribers() {
     let harness = Harness::open(PAID, &["open"]).await;
     let leaving = harness.endpoint("i-1", "plain", answers).await;
     let _stays = harness.endpoint("i-2", "plain", answers).await;
@@ -168,7 +173,7 @@
     harness.list("i-1", "plain", leaving.address(), false).await;
     for gateway in &boxes {
         let mut quiet = 0;
-        until("the box heard of it", async || {
+        until("the box sends nothing more to the leaving endpoint", async || {
             let before = leaving.arrived().len();
             call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
             quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
@@ -187,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_starts_again_registers_with_one_write() {
+async fn restarted_box_registers_with_one_write() {
     let harness = Harness::open(PAID, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let _other = harness.gateway("box-1").await;
@@ -197,18 +202,18 @@
     drop(first);
     let second = harness.gateway("box-2").await;
     until_served(&harness, &second, "/open/x").await;
-    until("it is registered", async || {
+    until("the new incarnation is registered", async || {
         let life = second.incarnation().as_str();
         harness.entry_of("box-2").await.is_some_and(|entry| entry.contains(life))
     })
     .await;
     let calls = second.calls().snapshot();
     let writes = calls.get(&(Operation::Put, "boxes".into())).map_or(0, |count| count.calls);
-    assert_eq!(writes, 1, "it knew the version of its earlier life's entry");
+    assert_eq!(writes, 1, "it knew the version of its earlier incarnation's entry");
 }
 
 #[tokio::test]
-async fn what_boxes_ask_each_other_is_counted_by_topic_and_zone() {
+async fn peer_traffic_is_counted_by_topic_and_zone() {
     let harness = Harness::open(1_000_000, &["open"]).await;
     let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let boxes = fleet(&harness, 4).await;
@@ -216,7 +221,7 @@
         let zone_of = |line: &str| line.contains(r#"topic="news""#) && line.contains("own");
         gateway.metrics().lines().any(|line| zone_of(line) && line.contains("heard"))
     };
-    until("a listener counts its news", async || {
+    until("a subscriber counts its update calls", async || {
         for gateway in &boxes {
             reqwest::get(format!("http://{}/metrics", gateway.operators())).await.expect("a page");
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -24,15 +24,15 @@
 mod witness;
 
 pub use account::{Account, Deficit, Part, Reservation, Tokens};
-pub use audit::{Audit, Finding, OpenClaim, Line, audit};
+pub use audit::{Audit, Finding, Line, OpenClaim, audit};
 pub use bill::{BILLS, Bill, Evidence, Page, Statement};
 pub use book::{BOOK, Book, Claim, Granted, Item, Outages, Settlement, Writer};
-pub use budget::{Closing, Draw, Error, Folded, Ledger, BILLS_PER_PAGE, page_name};
+pub use budget::{BILLS_PER_PAGE, Closing, Draw, Error, Folded, Ledger, page_name};
 pub use grant::{Grant, Transfer};
 pub use incarnation::Incarnation;
 pub use journal::{Journal, Refusal, State};
 pub use range_set::RangeSet;
 pub use record::{Ended, Entry, Outcome, Record};
-pub use share::{Supply, Delta, Share, Demand};
+pub use share::{Delta, Demand, Share, Supply};
 pub use sizing::{Observed, Policy, Prefer, Target, target};
 pub use witness::{Promise, Untouched, Witness};
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -6,8 +6,13 @@
 
 const PAID: u64 = 100_000_000;
 const LARGEST: u64 = 20_000;
-const POLICY: Policy =
-    Policy { offline_share: 400, online_horizon: 0, offline_horizon: 10, boxes: 1, scarcity_permille: 500 };
+const POLICY: Policy = Policy {
+    offline_share: 400,
+    online_horizon: 0,
+    offline_horizon: 10,
+    boxes: 1,
+    scarcity_permille: 500,
+};
 
 fn settle(book: &mut Book, name: usize, write: u64) -> Granted {
     let item = Item {
--- a/crates/ledger/tests/exhaustive.rs
+++ b/crates/ledger/tests/exhaustive.rs
@@ -176,7 +176,7 @@
     fn learn_draw(&self, expect: u64, write: u64, broken: Broken, found: &mut Vec<World>) {
         let mine = self.ledger.value.grants.get(&a());
         let marked = mine.is_some_and(|grant| grant.write >= write);
-        let settled = objects::settle(expect, self.ledger.version, marked);
+        let settled = objects::resolve(expect, self.ledger.version, marked);
         match settled {
             objects::Resolution::Lost if broken != Broken::Blind => {
                 found.extend(self.send_draw(write));
--- a/crates/quarantine/tests/record.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -132,7 +132,11 @@
     let many: Vec<u32> = (0..10_000).collect();
     let mut wide = Registry::new(LIMITS);
     wide.take(&"r".into(), None, ended("a", &many), NOW, 0);
-    assert_eq!(wide.verdict(&request(9_999), &[], NOW), Verdict::Allowed, "too many to be of one end");
+    assert_eq!(
+        wide.verdict(&request(9_999), &[], NOW),
+        Verdict::Allowed,
+        "too many to be of one end"
+    );
 }
 
 #[test]
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -10,7 +10,7 @@
 
 use ledger::Incarnation;
 use parking_lot::Mutex;
-use wire::{Place, Location};
+use wire::{Location, Place};
 
 /// Requests remembered.
 const MOST: usize = 100_000;
@@ -45,7 +45,13 @@
     }
 
     /// Where a request is or was run; if nowhere, `by` is remembered as about to run it.
-    pub fn find(&self, customer: &Arc<str>, key: &Arc<str>, by: &Incarnation, now: u64) -> Location {
+    pub fn find(
+        &self,
+        customer: &Arc<str>,
+        key: &Arc<str>,
+        by: &Incarnation,
+        now: u64,
+    ) -> Location {
         let mut state = self.0.lock();
         let id = (customer.clone(), key.clone());
         match state.places.get(&id) {
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -17,7 +17,7 @@
 use timeline::Log;
 use tokio::{sync::watch, time::Instant};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
-use wire::{Frame, Place, Location};
+use wire::{Frame, Location, Place};
 
 use crate::{
     endpoints::Endpoints, lanes::Lanes, metrics::Metrics, peers::Peers, places::Places,
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -10,8 +10,8 @@
 use proptest::prelude::*;
 use timeline::Stamp;
 use wire::{
-    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, Question, Server, Status, decode,
-    encode,
+    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, Question,
+    Server, Status, decode, encode,
 };
 
 fn message(frame: Frame) -> Message {
