--- a/crates/admit/src/limit.rs
+++ b/crates/admit/src/limit.rs
@@ -22,14 +22,14 @@
     /// Counts a request that begins, unless a limit is reached.
     pub fn enter(
         &mut self,
-        (customer, most_of_customer): (&Arc<str>, u32),
-        (route, most_of_route): (&Arc<str>, u32),
+        (customer, customer_max): (&Arc<str>, u32),
+        (route, route_max): (&Arc<str>, u32),
     ) -> Result<(), Exceeded> {
-        let of = |counts: &HashMap<Arc<str>, u32>, name| counts.get(name).copied().unwrap_or(0);
-        if of(&self.customers, customer) >= most_of_customer {
+        let count = |counts: &HashMap<Arc<str>, u32>, name| counts.get(name).copied().unwrap_or(0);
+        if count(&self.customers, customer) >= customer_max {
             return Err(Exceeded::Customer);
         }
-        if of(&self.routes, route) >= most_of_route {
+        if count(&self.routes, route) >= route_max {
             return Err(Exceeded::Route);
         }
         *self.customers.entry(customer.clone()).or_default() += 1;
@@ -54,10 +54,11 @@
     use super::*;
 
     #[test]
-    fn limits_hold_and_free_again() {
+    fn limits_are_enforced_and_released() {
         let mut limits = Limits::default();
         let (customer, route): (Arc<str>, Arc<str>) = ("c".into(), "r".into());
-        let mut enter = |most_c, most_r| limits.enter((&customer, most_c), (&route, most_r));
+        let mut enter =
+            |customer_max, route_max| limits.enter((&customer, customer_max), (&route, route_max));
         assert_eq!(enter(2, 9), Ok(()));
         assert_eq!(enter(2, 9), Ok(()));
         assert_eq!(enter(2, 9), Err(Exceeded::Customer));
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -39,22 +39,22 @@
 
 struct Waiting {
     request: Request,
-    turn: f64,
+    finish_time: f64,
 }
 
 /// Queue of one pool.
 #[derive(Default)]
 pub struct Queue {
     waiting: Vec<Waiting>,
-    turns: HashMap<Arc<str>, f64>,
-    clock: f64,
+    finish_times: HashMap<Arc<str>, f64>,
+    virtual_time: f64,
     /// Moving average of the milliseconds between two starts, by class.
-    pace: HashMap<Class, f64>,
-    started: HashMap<Class, u64>,
+    start_interval: HashMap<Class, f64>,
+    last_start: HashMap<Class, u64>,
 }
 
 /// Load, as a share of the slots, below which a class may start new requests.
-fn share(class: Class) -> f64 {
+fn max_load(class: Class) -> f64 {
     match class {
         Class::Interactive => 1.5,
         Class::Streaming => 1.1,
@@ -64,43 +64,43 @@
 
 impl Queue {
     /// Whether a class may start a request now.
-    fn is_open(class: Class, capacity: Capacity) -> bool {
-        capacity.load < (capacity.slots * share(class)).max(1.0)
+    fn may_start(class: Class, capacity: Capacity) -> bool {
+        capacity.load < (capacity.slots * max_load(class)).max(1.0)
     }
 
     /// Runs, queues or refuses a new request.
     pub fn offer(&mut self, request: Request, capacity: Capacity, now: u64) -> Verdict {
         let ahead = self.waiting.iter().filter(|w| w.request.class == request.class).count();
-        if ahead == 0 && Queue::is_open(request.class, capacity) {
+        if ahead == 0 && Queue::may_start(request.class, capacity) {
             self.start(&request, now);
             return Verdict::Run;
         }
-        let pace = self.pace.get(&request.class).copied().unwrap_or(0.0);
-        let expected = (pace * (ahead + 1) as f64) as u64;
+        let start_interval = self.start_interval.get(&request.class).copied().unwrap_or(0.0);
+        let expected = (start_interval * (ahead + 1) as f64) as u64;
         if now + expected >= request.deadline {
             return Verdict::Refuse { after: expected.max(1) };
         }
-        let last = self.turns.get(&request.customer).copied().unwrap_or(0.0);
-        let turn = last.max(self.clock) + 1.0 / f64::from(request.weight.max(1));
-        self.turns.insert(request.customer.clone(), turn);
-        self.waiting.push(Waiting { request, turn });
+        let last = self.finish_times.get(&request.customer).copied().unwrap_or(0.0);
+        let finish_time = last.max(self.virtual_time) + 1.0 / f64::from(request.weight.max(1));
+        self.finish_times.insert(request.customer.clone(), finish_time);
+        self.waiting.push(Waiting { request, finish_time });
         Verdict::Wait
     }
 
     /// Takes the next request to dispatch: the most urgent class first, then by fair queueing among customers.
     pub fn next(&mut self, capacity: Capacity, now: u64) -> Option<u64> {
-        let open = |waiting: &&Waiting| Queue::is_open(waiting.request.class, capacity);
-        let key = |waiting: &Waiting| (waiting.request.class, waiting.turn);
+        let startable = |waiting: &&Waiting| Queue::may_start(waiting.request.class, capacity);
+        let key = |waiting: &Waiting| (waiting.request.class, waiting.finish_time);
         let best = self
             .waiting
             .iter()
-            .filter(open)
+            .filter(startable)
             .min_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal));
         let id = best?.request.id;
-        let at = self.waiting.iter().position(|waiting| waiting.request.id == id)?;
-        let taken = self.waiting.remove(at);
-        self.clock = self.clock.max(taken.turn);
-        self.start(&taken.request, now);
+        let position = self.waiting.iter().position(|waiting| waiting.request.id == id)?;
+        let first = self.waiting.remove(position);
+        self.virtual_time = self.virtual_time.max(first.finish_time);
+        self.start(&first.request, now);
         Some(id)
     }
 
@@ -108,8 +108,8 @@
     pub fn remove(&mut self, id: u64) {
         self.waiting.retain(|waiting| waiting.request.id != id);
         if self.waiting.is_empty() {
-            self.turns.clear();
-            self.clock = 0.0;
+            self.finish_times.clear();
+            self.virtual_time = 0.0;
         }
     }
 
@@ -124,13 +124,13 @@
     }
 
     fn start(&mut self, request: &Request, now: u64) {
-        let before = self.started.insert(request.class, now);
+        let previous = self.last_start.insert(request.class, now);
         let queued = self.waiting.iter().any(|w| w.request.class == request.class);
         // Only starts while requests are queued measure the speed of the queue.
-        if let (Some(before), true) = (before, queued) {
-            let gap = now.saturating_sub(before) as f64;
-            let pace = self.pace.entry(request.class).or_insert(gap);
-            *pace += (gap - *pace) * 0.2;
+        if let (Some(previous), true) = (previous, queued) {
+            let gap = now.saturating_sub(previous) as f64;
+            let start_interval = self.start_interval.entry(request.class).or_insert(gap);
+            *start_interval += (gap - *start_interval) * 0.2;
         }
     }
 }
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn long_work_leaves_room_for_the_urgent() {
+fn long_requests_leave_capacity_for_urgent_ones() {
     let mut queue = Queue::default();
     let busy = Capacity { load: 8.0, slots: 10.0 };
     assert_eq!(queue.offer(request(1, Class::Long, "a", 1), busy, 0), Verdict::Wait);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_urgent_start_first() {
+fn urgent_classes_start_first() {
     let mut queue = Queue::default();
     for (id, class) in [(1, Class::Long), (2, Class::Streaming), (3, Class::Interactive)] {
         assert_eq!(queue.offer(request(id, class, "a", 1), FULL, 0), Verdict::Wait);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once() {
+fn requests_that_would_start_late_are_refused_at_once() {
     let mut queue = Queue::default();
     for id in 0..4 {
         queue.offer(request(id, Class::Long, "a", 1), FULL, 0);
@@ -55,13 +55,13 @@
             queue.offer(request(id * 2 + 1, Class::Long, "light", 1), FULL, 0);
         }
         let turns = u64::from(weight + 1) * 3;
-        let mut got: HashMap<Arc<str>, u64> = HashMap::new();
+        let mut served: HashMap<Arc<str>, u64> = HashMap::new();
         for _ in 0..turns.min(count) {
             let id = queue.next(EMPTY, 1).unwrap();
-            *got.entry(if id % 2 == 0 { "heavy".into() } else { "light".into() }).or_default() += 1;
+            *served.entry(if id % 2 == 0 { "heavy".into() } else { "light".into() }).or_default() += 1;
         }
-        let light = got.get("light").copied().unwrap_or(0);
+        let light = served.get("light").copied().unwrap_or(0);
         let fair = turns.min(count) / u64::from(weight + 1);
-        prop_assert!(light.abs_diff(fair) <= 1, "{:?} of weight {}", got, weight);
+        prop_assert!(light.abs_diff(fair) <= 1, "{:?} of weight {}", served, weight);
     }
 }
--- a/crates/forward/src/connection.rs
+++ b/crates/forward/src/connection.rs
@@ -18,20 +18,22 @@
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// When it must not be reused any more, as the endpoint may close it for being idle.
-    pub rests_until: Instant,
+    pub reusable_until: Instant,
 }
 
 impl Connection {
     /// Connects, without sending anything.
     pub async fn open(
         address: SocketAddr,
-        connect: Duration,
+        connect_timeout: Duration,
         ack_timeout: Duration,
     ) -> Result<Connection, Fault> {
         let unsent = |reason: String| Fault::Unsent { reason };
-        let stream = tokio::time::timeout(connect, TcpStream::connect(address))
+        let stream = tokio::time::timeout(connect_timeout, TcpStream::connect(address))
             .await
-            .map_err(|_| unsent(format!("connecting timed out after {} ms", connect.as_millis())))?
+            .map_err(|_| {
+                unsent(format!("connecting timed out after {} ms", connect_timeout.as_millis()))
+            })?
             .map_err(|error| unsent(error.to_string()))?;
         stream.set_nodelay(true).map_err(|error| unsent(error.to_string()))?;
         SockRef::from(&stream)
@@ -42,7 +44,7 @@
             .map_err(|error| unsent(error.to_string()))?;
         // The pending request receives the error too, so it may be ignored here.
         let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-        Ok(Connection { sender, task, rests_until: Instant::now() })
+        Ok(Connection { sender, task, reusable_until: Instant::now() })
     }
 
     /// Whether a request can be sent now, as no earlier one is still being sent.
--- a/crates/forward/src/connections.rs
+++ b/crates/forward/src/connections.rs
@@ -49,12 +49,12 @@
 #[derive(Debug, Clone)]
 pub struct Connections {
     options: Arc<Options>,
-    peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
+    hosts: Arc<Mutex<HashMap<SocketAddr, Host>>>,
 }
 
 #[derive(Debug, Default)]
-struct Peer {
-    resting: Vec<Connection>,
+struct Host {
+    idle: Vec<Connection>,
     open: usize,
     opened: u64,
 }
@@ -62,87 +62,87 @@
 impl Connections {
     /// Starts without connections.
     pub fn new(options: Options) -> Connections {
-        Connections { options: Arc::new(options), peers: Arc::default() }
+        Connections { options: Arc::new(options), hosts: Arc::default() }
     }
 
-    /// Sends a request on an exclusive connection; at most `most` may be open to this address.
+    /// Sends a request on an exclusive connection; at most `max_open` may be open to this address.
     ///
     /// Dropping the future closes the connection.
     pub async fn send(
         &self,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
         request: Request,
     ) -> Result<Answer, Fault> {
-        self.connect(address, most).await?.send(request).await
+        self.connect(address, max_open).await?.send(request).await
     }
 
-    /// Reuses an idle connection to an address or opens one, without sending anything. At most `most` may be open.
-    pub async fn connect(&self, address: SocketAddr, most: usize) -> Result<Ready, Fault> {
-        let mut place = self.place(address, most)?;
-        let reused = place.connection.is_some();
+    /// Reuses an idle connection to an address or opens one, without sending anything. At most `max_open` may be open.
+    pub async fn connect(&self, address: SocketAddr, max_open: usize) -> Result<Ready, Fault> {
+        let mut slot = self.slot(address, max_open)?;
+        let reused = slot.connection.is_some();
         if !reused {
             let opened =
                 Connection::open(address, self.options.connect_timeout, self.options.ack_timeout)
                     .await?;
-            self.peers.lock().entry(address).or_default().opened += 1;
-            place.connection = Some(opened);
+            self.hosts.lock().entry(address).or_default().opened += 1;
+            slot.connection = Some(opened);
         }
-        Ok(Ready { place, reused, options: self.options.clone() })
+        Ok(Ready { slot, reused, options: self.options.clone() })
     }
 
     /// Reserves one of the connections allowed to an address, with an idle connection if there is one.
-    fn place(&self, address: SocketAddr, most: usize) -> Result<Place, Fault> {
-        let mut peers = self.peers.lock();
-        let peer = peers.entry(address).or_default();
+    fn slot(&self, address: SocketAddr, max_open: usize) -> Result<Slot, Fault> {
+        let mut hosts = self.hosts.lock();
+        let host = hosts.entry(address).or_default();
         let now = Instant::now();
-        let before = peer.resting.len();
-        peer.resting.retain(|connection| !connection.is_closed() && connection.rests_until > now);
-        peer.open -= before - peer.resting.len();
-        let ready = peer.resting.iter().rposition(Connection::is_ready);
-        let connection = ready.map(|at| peer.resting.remove(at));
+        let before = host.idle.len();
+        host.idle.retain(|connection| !connection.is_closed() && connection.reusable_until > now);
+        host.open -= before - host.idle.len();
+        let position = host.idle.iter().rposition(Connection::is_ready);
+        let connection = position.map(|at| host.idle.remove(at));
         match connection {
             Some(_) => {}
-            None if peer.open >= most => return Err(Fault::Full { most }),
-            None => peer.open += 1,
+            None if host.open >= max_open => return Err(Fault::Full { max: max_open }),
+            None => host.open += 1,
         }
-        Ok(Place { address, connection, peers: self.peers.clone() })
+        Ok(Slot { address, connection, hosts: self.hosts.clone() })
     }
 
     /// Closes the idle connections to an address that is no longer used.
     pub fn forget(&self, address: SocketAddr) {
-        let mut peers = self.peers.lock();
-        if let Some(peer) = peers.get_mut(&address) {
-            peer.open -= peer.resting.len();
-            peer.resting.clear();
+        let mut hosts = self.hosts.lock();
+        if let Some(host) = hosts.get_mut(&address) {
+            host.open -= host.idle.len();
+            host.idle.clear();
         }
-        peers.retain(|_, peer| peer.open > 0);
+        hosts.retain(|_, host| host.open > 0);
     }
 
     /// Closes all idle connections, which may have broken unnoticed.
     pub fn close_idle(&self) {
-        let mut peers = self.peers.lock();
-        for peer in peers.values_mut() {
-            peer.open -= peer.resting.len();
-            peer.resting.clear();
+        let mut hosts = self.hosts.lock();
+        for host in hosts.values_mut() {
+            host.open -= host.idle.len();
+            host.idle.clear();
         }
     }
 
     /// Number of connections opened so far to addresses in use.
     pub fn opened(&self) -> u64 {
-        self.peers.lock().values().map(|peer| peer.opened).sum()
+        self.hosts.lock().values().map(|host| host.opened).sum()
     }
 
     /// Number of open connections to an address.
     pub fn open(&self, address: SocketAddr) -> usize {
-        self.peers.lock().get(&address).map_or(0, |peer| peer.open)
+        self.hosts.lock().get(&address).map_or(0, |host| host.open)
     }
 }
 
 /// An established connection, ready for one request.
 #[derive(Debug)]
 pub struct Ready {
-    place: Place,
+    slot: Slot,
     reused: bool,
     options: Arc<Options>,
 }
@@ -150,61 +150,61 @@
 impl Ready {
     /// Sends a request. Dropping the future closes the connection.
     pub async fn send(mut self, request: Request) -> Result<Answer, Fault> {
-        let connection = self.place.connection.as_mut().expect("a ready connection is present");
+        let connection = self.slot.connection.as_mut().expect("a ready connection is present");
         let response = connection.send(outgoing(request)).await?;
-        let rest = rest(&response, &self.options);
-        let lease = Lease { place: self.place, rest, options: self.options };
+        let idle_time = idle_time(&response, &self.options);
+        let lease = Lease { slot: self.slot, idle_time, options: self.options };
         let (head, body) = response.into_parts();
         Ok(Answer { head, body: Body::new(body, lease), reused: self.reused })
     }
 
     /// Returns the connection unused.
     pub fn release(self) {
-        let connection = self.place.connection.as_ref().map(|connection| connection.rests_until);
-        let until = connection.filter(|_| self.reused);
+        let previous = self.slot.connection.as_ref().map(|connection| connection.reusable_until);
+        let until = previous.filter(|_| self.reused);
         let fresh =
             Instant::now() + self.options.idle_timeout.saturating_sub(self.options.idle_margin);
-        self.place.keep(until.unwrap_or(fresh));
+        self.slot.keep_idle(until.unwrap_or(fresh));
     }
 }
 
 /// How long the connection may stay idle after a response; `None` if it closes with the response.
-fn rest(response: &Response<Incoming>, options: &Options) -> Option<Duration> {
+fn idle_time(response: &Response<Incoming>, options: &Options) -> Option<Duration> {
     let headers = response.headers();
-    let ends = headers
+    let closes = headers
         .get_all(header::CONNECTION)
         .iter()
         .any(|value| value.as_bytes().to_ascii_lowercase().windows(5).any(|w| w == b"close"));
-    let rest = kept_for(headers).unwrap_or(options.idle_timeout);
-    (!ends).then(|| rest.saturating_sub(options.idle_margin))
+    let timeout = keep_alive_timeout(headers).unwrap_or(options.idle_timeout);
+    (!closes).then(|| timeout.saturating_sub(options.idle_margin))
 }
 
 /// One of the connections allowed to an address; counted as open until dropped.
 #[derive(Debug)]
-struct Place {
+struct Slot {
     address: SocketAddr,
     connection: Option<Connection>,
-    peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
+    hosts: Arc<Mutex<HashMap<SocketAddr, Host>>>,
 }
 
-impl Place {
+impl Slot {
     /// Keeps the connection idle for the next request.
-    fn keep(mut self, until: Instant) {
+    fn keep_idle(mut self, until: Instant) {
         let Some(mut connection) = self.connection.take() else { return };
-        connection.rests_until = until;
-        let mut peers = self.peers.lock();
-        let peer = peers.entry(self.address).or_default();
+        connection.reusable_until = until;
+        let mut hosts = self.hosts.lock();
+        let host = hosts.entry(self.address).or_default();
         // Offsets the decrement in `drop`: the idle connection stays open.
-        peer.open += 1;
-        peer.resting.push(connection);
+        host.open += 1;
+        host.idle.push(connection);
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        let mut peers = self.peers.lock();
-        if let Some(peer) = peers.get_mut(&self.address) {
-            peer.open = peer.open.saturating_sub(1);
+        let mut hosts = self.hosts.lock();
+        if let Some(host) = hosts.get_mut(&self.address) {
+            host.open = host.open.saturating_sub(1);
         }
     }
 }
@@ -212,8 +212,8 @@
 /// The connection of a response whose body is being read.
 #[derive(Debug)]
 pub struct Lease {
-    place: Place,
-    rest: Option<Duration>,
+    slot: Slot,
+    idle_time: Option<Duration>,
     options: Arc<Options>,
 }
 
@@ -221,8 +221,8 @@
     /// Releases the connection after the end of the response.
     pub fn end(self) {
         debug_assert!(self.options.idle_margin <= self.options.idle_timeout);
-        if let Some(rest) = self.rest {
-            self.place.keep(Instant::now() + rest);
+        if let Some(idle_time) = self.idle_time {
+            self.slot.keep_idle(Instant::now() + idle_time);
         }
     }
 }
@@ -237,7 +237,7 @@
 }
 
 /// The idle timeout of `Keep-Alive: timeout=N`.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
--- a/crates/forward/src/fault.rs
+++ b/crates/forward/src/fault.rs
@@ -9,8 +9,8 @@
     #[snafu(display("not sent: {reason}"))]
     Unsent { reason: String },
     /// All connections allowed to the address are in use: the request has not run.
-    #[snafu(display("not sent: all {most} connections are in use"))]
-    Full { most: usize },
+    #[snafu(display("not sent: all {max} connections are in use"))]
+    Full { max: usize },
     /// The request was sent, at least in part: it may have run.
     #[snafu(display("no response: {reason}"))]
     Unknown { reason: String },
--- a/crates/forward/tests/connections.rs
+++ b/crates/forward/tests/connections.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 
 /// Timeout of every wait; reached only when a test fails.
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn connections() -> Connections {
     Connections::new(Options {
@@ -42,16 +42,16 @@
 }
 
 /// Sends two requests one after the other; returns the result of the first and the number of connections.
-async fn two(first: Reply) -> (Result<String, Fault>, usize) {
+async fn send_two(first: Reply) -> (Result<String, Fault>, usize) {
     let script = move |arrived: &standin::Arrived| match arrived.line.contains("first") {
         true => first.clone(),
         false => whole(),
     };
     let endpoint = Scripted::spawn(script).await;
     let connections = connections();
-    let mut one = request();
-    one.target = "/first".parse().expect("a path");
-    let came = match connections.send(endpoint.address(), 4, one).await {
+    let mut first_request = request();
+    first_request.target = "/first".parse().expect("a path");
+    let result = match connections.send(endpoint.address(), 4, first_request).await {
         Ok(answer) => text(answer).await,
         Err(fault) => Err(fault),
     };
@@ -66,11 +66,11 @@
         Ok("done"),
         "the second response belongs to the second request"
     );
-    (came, endpoint.connections())
+    (result, endpoint.connections())
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again_only_after_a_whole_answer() {
+async fn connection_is_reused_only_after_complete_response() {
     let mut closes = HeaderMap::new();
     closes.insert(header::CONNECTION, HeaderValue::from_static("close"));
     let mut short = HeaderMap::new();
@@ -101,18 +101,18 @@
         ("truncated stream", Reply::Torn(none, events), None, 2),
         ("no response", Reply::Close, None, 2),
     ];
-    for (name, reply, want, connections) in cases {
-        let (came, used) = tokio::time::timeout(BOUND, two(reply)).await.expect(name);
-        assert_eq!(came.as_deref().ok(), want, "{name}: {came:?}");
-        assert_eq!(used, connections, "{name}: connections");
-        if let Err(fault) = came {
+    for (name, reply, expected, connections) in cases {
+        let (result, opened) = tokio::time::timeout(TIMEOUT, send_two(reply)).await.expect(name);
+        assert_eq!(result.as_deref().ok(), expected, "{name}: {result:?}");
+        assert_eq!(opened, connections, "{name}: connections");
+        if let Err(fault) = result {
             assert!(!fault.is_unsent(), "{name}: the request was sent, so it may have run");
         }
     }
 }
 
 #[tokio::test]
-async fn a_dead_port_means_that_nothing_was_sent() {
+async fn refused_connection_is_reported_as_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -121,23 +121,23 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_given_up_closes_its_connection() {
+async fn cancelled_request_closes_its_connection() {
     let endpoint = Scripted::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let sending = connections.send(endpoint.address(), 4, request());
-    let given_up = tokio::time::timeout(Duration::from_millis(100), sending).await;
-    assert!(given_up.is_err(), "the endpoint never answers");
+    let cancelled = tokio::time::timeout(Duration::from_millis(100), sending).await;
+    assert!(cancelled.is_err(), "the endpoint never answers");
     let closed = async {
         while endpoint.closed() == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(BOUND, closed).await.expect("the endpoint sees the close");
+    tokio::time::timeout(TIMEOUT, closed).await.expect("the endpoint sees the close");
     assert_eq!(connections.open(endpoint.address()), 0);
 }
 
 #[tokio::test]
-async fn a_body_that_is_dropped_closes_its_connection() {
+async fn dropped_body_closes_its_connection() {
     let events: Vec<String> = (0..1_000).map(|n| format!("data: {n}\n\n")).collect();
     let reply = Reply::Events(HeaderMap::new(), events, Duration::from_millis(20));
     let endpoint = Scripted::spawn(move |_| reply.clone()).await;
@@ -150,11 +150,11 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(BOUND, closed).await.expect("the endpoint sees the close");
+    tokio::time::timeout(TIMEOUT, closed).await.expect("the endpoint sees the close");
 }
 
 #[tokio::test]
-async fn no_more_connections_than_allowed() {
+async fn connection_limit_is_enforced() {
     let endpoint = Scripted::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let address = endpoint.address();
@@ -169,6 +169,6 @@
     }
     let fault =
         connections.send(address, 2, request()).await.expect_err("both connections are in use");
-    assert_eq!(fault, Fault::Full { most: 2 });
+    assert_eq!(fault, Fault::Full { max: 2 });
     busy.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -18,29 +18,29 @@
     proxy::{
         context::Context,
         exchange::Exchange,
-        refusal::{Reason, Refusal, SOON},
+        refusal::{CAPACITY_RETRY_DELAY, Reason, Refusal},
     },
     tokens::funds::Shortage,
 };
 
 /// `Retry-After` while this box lacks tokens or a configuration; a settlement or a read of the
 /// configuration has completed by then.
-const LATER: Duration = Duration::from_millis(1_000);
+const UNREADY_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Connections to one endpoint that each box may hold, however small its share is.
-const LEAST_CONNECTIONS: u64 = 4;
+const MIN_CONNECTIONS: u64 = 4;
 /// Connections to one endpoint from all boxes, unless the configuration sets a limit.
-const CONNECTIONS: u64 = 256;
+const DEFAULT_CONNECTIONS: u64 = 256;
 /// Bytes reserved for a body of unknown length (without `Content-Length`).
-const UNTOLD_BODY: usize = 256 << 10;
+const UNSIZED_BODY_BYTES: usize = 256 << 10;
 
 /// A request that has been read and admitted.
-pub struct Call {
+pub struct AdmittedRequest {
     pub method: Method,
     pub target: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
     /// Memory reserved for the body; released on drop.
-    _room: OwnedSemaphorePermit,
+    _body_permit: OwnedSemaphorePermit,
     pub head: Head,
     pub prefix: Prefix,
     /// Identifies requests with the same content.
@@ -48,7 +48,7 @@
     pub route: Route,
     pub service: Arc<str>,
     /// Limit of connections from this box to one endpoint.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Priority sent to the endpoint, if it is an engine; 0 is the most urgent.
     pub rank: Option<u8>,
     /// The same priority, for any service.
@@ -62,11 +62,12 @@
         request: Request<Incoming>,
         head: Head,
         exchange: &mut Exchange,
-    ) -> Result<Call, Refusal> {
+    ) -> Result<AdmittedRequest, Refusal> {
         let table = self.table.borrow().clone();
-        let table = table
-            .ok_or_else(|| Reason::NoConfig.after(LATER, "no configuration has been loaded yet"))?;
-        exchange.version = table.version();
+        let table = table.ok_or_else(|| {
+            Reason::NoConfig.after(UNREADY_RETRY_DELAY, "no configuration has been loaded yet")
+        })?;
+        exchange.config_version = table.version();
         let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
         let route = table
             .route(host.unwrap_or_default(), request.uri().path())
@@ -74,14 +75,14 @@
             .clone();
         exchange.route = Some(route.name.clone());
         if let Some(timeout) = route.timeout {
-            exchange.until = exchange.until.min(exchange.came + timeout);
+            exchange.deadline = exchange.deadline.min(exchange.arrived_at + timeout);
         }
         let customer = match table.needs_keys() && !route.public {
             false => None,
             true => {
                 let customer = head.key.as_deref().and_then(|key| table.customer(key));
-                let unknown = || Reason::NoCustomer.with("the key belongs to no customer");
-                Some(customer.ok_or_else(unknown)?)
+                let unknown_key = || Reason::NoCustomer.with("the key belongs to no customer");
+                Some(customer.ok_or_else(unknown_key)?)
             }
         };
         exchange.customer = customer.map(|customer| customer.name.clone());
@@ -90,38 +91,43 @@
         let id = head.id.as_deref().unwrap_or_default();
         let service = table
             .target(&route, id)
-            .ok_or_else(|| Reason::NoEndpoint.after(LATER, "the route has no service"))?
+            .ok_or_else(|| {
+                Reason::NoEndpoint.after(UNREADY_RETRY_DELAY, "the route has no service")
+            })?
             .clone();
         exchange.service = Some(service.clone());
-        let of = table.service(&service);
-        let engine = of.and_then(|service| service.engine.as_ref());
+        let service_config = table.service(&service);
+        let engine = service_config.and_then(|service| service.engine.as_ref());
         exchange.event_tokens = engine.map_or(1, |engine| engine.event_tokens);
-        let all = of.and_then(|service| service.connections).map_or(CONNECTIONS, u64::from);
-        let connections = (all / self.peers.boxes()).max(LEAST_CONNECTIONS.min(all)) as usize;
+        let fleet_max = service_config
+            .and_then(|service| service.connections)
+            .map_or(DEFAULT_CONNECTIONS, u64::from);
+        let max_connections =
+            (fleet_max / self.peers.boxes()).max(MIN_CONNECTIONS.min(fleet_max)) as usize;
         let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
         let rank = engine.map(|_| urgency);
         let limit = table.config().limits.body_bytes;
         let (parts, body) = request.into_parts();
-        let room = self.room(&body, limit)?;
-        let body = self.read_body(body, limit, exchange.until).await?;
+        let body_permit = self.reserve_body(&body, limit)?;
+        let body = self.read_body(body, limit, exchange.deadline).await?;
         self.link.request(body.len());
         let prefix = Prefix::of_parts(head.parts.iter().map(|part| (part.id, part.tokens)));
         let (method, target, headers) = (parts.method, parts.uri, parts.headers);
         let fingerprint = fingerprint(exchange.customer.as_ref(), &route, &method, &target, &body);
         exchange.fingerprint = Some(fingerprint.clone());
-        self.check_quarantine(&fingerprint, exchange.until).await?;
-        Ok(Call {
+        self.check_quarantine(&fingerprint, exchange.deadline).await?;
+        Ok(AdmittedRequest {
             method,
             target,
             headers,
             body,
-            _room: room,
+            _body_permit: body_permit,
             head,
             prefix,
             fingerprint,
             route,
             service,
-            connections,
+            max_connections,
             rank,
             urgency,
         })
@@ -132,15 +138,15 @@
     pub async fn check_quarantine(
         &self,
         fingerprint: &Fingerprint,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(), Refusal> {
-        match self.crashes.verdict(fingerprint, until).await {
+        match self.crashes.verdict(fingerprint, deadline).await {
             Verdict::Allowed | Verdict::Suspect { .. } => Ok(()),
             Verdict::Unconfirmed { .. } => {
-                let known = Duration::from_millis(self.settings().limits.connect_ms);
+                let delay = Duration::from_millis(self.settings().limits.connect_ms);
                 let detail = "connections to endpoints broke while they ran this request, and \
                               whether the endpoints crashed is still being verified";
-                Err(Reason::Unconfirmed.after(known, detail))
+                Err(Reason::Unconfirmed.after(delay, detail))
             }
             Verdict::Quarantined { for_s } => Err(Reason::Quarantined.after(
                 Duration::from_secs(for_s),
@@ -150,25 +156,27 @@
     }
 
     /// Reserves memory for a body.
-    fn room(&self, body: &Incoming, limit: usize) -> Result<OwnedSemaphorePermit, Refusal> {
-        let told = http_body::Body::size_hint(body).exact().map(|bytes| bytes as usize);
-        if told.is_some_and(|bytes| bytes > limit) {
+    fn reserve_body(&self, body: &Incoming, limit: usize) -> Result<OwnedSemaphorePermit, Refusal> {
+        let declared = http_body::Body::size_hint(body).exact().map(|bytes| bytes as usize);
+        if declared.is_some_and(|bytes| bytes > limit) {
             return Err(Reason::TooLarge.with(format!("the body exceeds {limit} bytes")));
         }
-        let bytes = told.unwrap_or(UNTOLD_BODY.min(limit)) as u32;
-        let room = self.bodies.clone().try_acquire_many_owned(bytes);
-        room.map_err(|_| Reason::Memory.after(SOON, "the memory for request bodies is exhausted"))
+        let bytes = declared.unwrap_or(UNSIZED_BODY_BYTES.min(limit)) as u32;
+        let permit = self.bodies.clone().try_acquire_many_owned(bytes);
+        permit.map_err(|_| {
+            Reason::Memory.after(CAPACITY_RETRY_DELAY, "the memory for request bodies is exhausted")
+        })
     }
 
     async fn read_body(
         &self,
         body: Incoming,
         limit: usize,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Bytes, Refusal> {
-        let read = tokio::time::timeout_at(until, Limited::new(body, limit).collect()).await;
-        let late = Reason::BodyLate.with("the body did not arrive in time");
-        match read.map_err(|_| late)? {
+        let read = tokio::time::timeout_at(deadline, Limited::new(body, limit).collect()).await;
+        let too_late = Reason::BodyLate.with("the body did not arrive in time");
+        match read.map_err(|_| too_late)? {
             Ok(body) => Ok(body.to_bytes()),
             Err(error) if error.is::<LengthLimitError>() => {
                 Err(Reason::TooLarge.with(format!("the body exceeds {limit} bytes")))
@@ -178,30 +186,34 @@
     }
 
     /// Reserves the most tokens that a request can cost: its prompt and its longest output.
-    pub async fn hold(&self, call: &Call, exchange: &mut Exchange) -> Result<(), Refusal> {
+    pub async fn hold(
+        &self,
+        admitted: &AdmittedRequest,
+        exchange: &mut Exchange,
+    ) -> Result<(), Refusal> {
         let (Some(tokens), Some(customer)) = (exchange.tokens, exchange.customer.clone()) else {
             return Ok(());
         };
-        let worst = tokens.prompt + tokens.most_output;
+        let max_tokens = tokens.prompt + tokens.most_output;
         let settings = self.settings();
         let money = &settings.money;
-        let patience = Duration::from_millis(money.wait_ms);
-        let patience = call.route.target.map_or(patience, |target| patience.min(target / 2));
+        let wait = Duration::from_millis(money.wait_ms);
+        let wait = admitted.route.target.map_or(wait, |target| wait.min(target / 2));
         let now = Instant::now();
-        let until = (now + patience).min(exchange.until);
+        let deadline = (now + wait).min(exchange.deadline);
         let from_store = Duration::from_millis(money.store_ms);
-        if let Some(hold) = self.acquirer.hold(&customer, worst, from_store, until).await {
-            exchange.pay_with(hold);
+        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, from_store, deadline).await {
+            exchange.set_hold(hold);
             return Ok(());
         }
-        Err(match self.funds.shortage(&customer, worst) {
+        Err(match self.funds.shortage(&customer, max_tokens) {
             Shortage::Exhausted => {
-                let detail = format!("the remaining budget does not cover {worst} tokens");
+                let detail = format!("the remaining budget does not cover {max_tokens} tokens");
                 Reason::BudgetExhausted.with(detail)
             }
             shortage @ Shortage::Local { .. } => {
-                let detail = format!("this box lacks tokens for {worst}: {shortage}");
-                Reason::TokensShort.after(LATER, detail)
+                let detail = format!("this box lacks tokens for {max_tokens}: {shortage}");
+                Reason::TokensShort.after(UNREADY_RETRY_DELAY, detail)
             }
         })
     }
@@ -223,14 +235,14 @@
 /// Refuses heads that two HTTP parsers could interpret differently (request smuggling).
 pub fn check_head(request: &Request<Incoming>) -> Result<(), Refusal> {
     let headers = request.headers();
-    let several = |name: &header::HeaderName| headers.get_all(name).iter().count() > 1;
-    let twice = headers.keys().find(|name| several(name) && request::is_single(name));
-    if let Some(name) = twice {
+    let is_repeated = |name: &header::HeaderName| headers.get_all(name).iter().count() > 1;
+    let repeated = headers.keys().find(|name| is_repeated(name) && request::is_single(name));
+    if let Some(name) = repeated {
         return Err(Reason::Malformed.with(format!("header `{name}` appears more than once")));
     }
-    let both = headers.contains_key(header::CONTENT_LENGTH)
+    let has_both = headers.contains_key(header::CONTENT_LENGTH)
         && headers.contains_key(header::TRANSFER_ENCODING);
-    if both {
+    if has_both {
         return Err(Reason::Malformed.with("both Content-Length and Transfer-Encoding are present"));
     }
     let origin_form = request.uri().authority().is_none() && request.uri().path().starts_with('/');
--- a/crates/gateway/src/proxy/announcer.rs
+++ b/crates/gateway/src/proxy/announcer.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 
 /// Capacity of the queue.
-const WAITING: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// A change of an endpoint instance to be announced to other boxes.
 #[derive(Debug)]
@@ -25,14 +25,14 @@
 impl Announcer {
     /// Opens the queue; the publishing task reads the other end.
     pub fn open() -> (Announcer, mpsc::Receiver<Announcement>) {
-        let (words, told) = mpsc::channel(WAITING);
-        (Announcer(words), told)
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        (Announcer(sender), receiver)
     }
 
     /// Enqueues an announcement, or drops it if the queue is full: other boxes then learn the change from
     /// the endpoint's own responses.
-    pub fn announce(&self, word: Announcement) {
-        if let Err(error) = self.0.try_send(word) {
+    pub fn announce(&self, announcement: Announcement) {
+        if let Err(error) = self.0.try_send(announcement) {
             tracing::warn!(event = "word_not_told", %error);
         }
     }
--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -30,18 +30,18 @@
 use crate::clock::{Clock, Moment};
 
 /// Delay before the probe, so that all connections to a crashed endpoint break and one report names all its requests.
-const GATHER: Duration = Duration::from_millis(20);
+const PROBE_DELAY: Duration = Duration::from_millis(20);
 /// Longest wait of a request for the probe. If the endpoint's machine does not respond by then, the request is refused
 /// and its caller retries after the connect timeout.
-const PROVED_WITHIN: Duration = Duration::from_millis(50);
+const PROBE_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
 /// Capacity of the queue to the task that publishes reports.
-const WAITING: usize = 256;
+const REPORT_QUEUE_CAPACITY: usize = 256;
 
 /// Time in milliseconds for which an abandoned request counts as running at its endpoint: some engines run a request
 /// although its connection is closed, and crash on it.
-const GIVEN_UP: u64 = 5_000;
+const ABANDONED_TTL_MS: u64 = 5_000;
 /// Maximum number of abandoned requests remembered.
-const MOST_GIVEN_UP: usize = 1_024;
+const MAX_ABANDONED: usize = 1_024;
 
 /// What probing an endpoint shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,11 +69,11 @@
 pub type Prober = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Liveness> + Send + Sync>;
 
 /// A prober that connects to the endpoint, with this timeout.
-pub fn connect_prober(within: Duration) -> Prober {
+pub fn connect_prober(connect_timeout: Duration) -> Prober {
     Box::new(move |address| {
         Box::pin(async move {
-            sleep(GATHER).await;
-            match timeout(within, TcpStream::connect(address)).await {
+            sleep(PROBE_DELAY).await;
+            match timeout(connect_timeout, TcpStream::connect(address)).await {
                 Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
                 Ok(Err(_)) | Err(_) => Liveness::Unreachable,
                 Ok(Ok(_)) => Liveness::Running,
@@ -90,73 +90,77 @@
 pub struct Crashes(Arc<Shared>);
 
 struct Shared {
-    me: Incarnation,
-    prove: Prober,
+    incarnation: Incarnation,
+    prober: Prober,
     started: Moment,
     state: Mutex<State>,
     reports: mpsc::Sender<NamedReport>,
     /// Counts completed probes; wakes requests that wait for one.
-    proofs: watch::Sender<u64>,
+    probes: watch::Sender<u64>,
 }
 
 impl fmt::Debug for Shared {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Shared").field("me", &self.me).finish_non_exhaustive()
+        f.debug_struct("Shared").field("me", &self.incarnation).finish_non_exhaustive()
     }
 }
 
 #[derive(Debug)]
 struct State {
-    record: Registry,
+    registry: Registry,
     /// Requests whose connections broke, by endpoint instance, until the probe completes.
-    unproved: HashMap<Arc<str>, Vec<Fingerprint>>,
+    unconfirmed: HashMap<Arc<str>, Vec<Fingerprint>>,
     /// Abandoned requests with the time in milliseconds and the endpoint instance, oldest first.
-    given_up: VecDeque<(u64, Arc<str>, Fingerprint)>,
+    abandoned: VecDeque<(u64, Arc<str>, Fingerprint)>,
     /// Sequence number of the last report.
-    next: u64,
+    last_number: u64,
 }
 
 impl State {
     /// Removes and returns the requests abandoned recently at a crashed endpoint instance.
-    fn take_given_up(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
-        let since = now_ms.saturating_sub(GIVEN_UP);
-        self.given_up.retain(|(at, ..)| *at >= since);
-        let (there, elsewhere): (VecDeque<_>, VecDeque<_>) =
-            self.given_up.drain(..).partition(|(_, at, _)| **at == *instance);
-        self.given_up = elsewhere;
-        there.into_iter().map(|(.., request)| request).collect()
+    fn take_abandoned(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
+        let since = now_ms.saturating_sub(ABANDONED_TTL_MS);
+        self.abandoned.retain(|(at, ..)| *at >= since);
+        let (matching, others): (VecDeque<_>, VecDeque<_>) =
+            self.abandoned.drain(..).partition(|(_, at_instance, _)| **at_instance == *instance);
+        self.abandoned = others;
+        matching.into_iter().map(|(.., request)| request).collect()
     }
 }
 
 impl Crashes {
     /// Starts without reports; reports of this box are sent to the returned receiver.
     pub fn open(
-        me: Incarnation,
+        incarnation: Incarnation,
         limits: Limits,
-        prove: Prober,
+        prober: Prober,
         clock: &Clock,
     ) -> (Crashes, mpsc::Receiver<NamedReport>) {
-        let (reports, named) = mpsc::channel(WAITING);
-        let (unproved, given_up) = Default::default();
-        let state = State { record: Registry::new(limits), unproved, given_up, next: 0 };
+        let (reports, receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let (unconfirmed, abandoned) = Default::default();
+        let state =
+            State { registry: Registry::new(limits), unconfirmed, abandoned, last_number: 0 };
         let (started, state) = (clock.now(), Mutex::new(state));
-        let proofs = watch::channel(0).0;
-        (Crashes(Arc::new(Shared { me, prove, started, state, reports, proofs })), named)
+        let probes = watch::channel(0).0;
+        (
+            Crashes(Arc::new(Shared { incarnation, prober, started, state, reports, probes })),
+            receiver,
+        )
     }
 
     /// Records a report of any box, with its version in the store if it has one.
     pub fn receive_report(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
         let (now_s, now_ms) = (unix_s(), self.now_ms());
         let mut state = self.0.state.lock();
-        let given_up = match &report.finding {
-            Finding::Ended { endpoint } => state.take_given_up(endpoint, now_ms),
+        let abandoned = match &report.finding {
+            Finding::Ended { endpoint } => state.take_abandoned(endpoint, now_ms),
             Finding::Answered => Vec::new(),
         };
         let finding = report.finding.clone();
-        let innocent = state.record.take(name, version, report, now_s, now_ms);
+        let innocent = state.registry.take(name, version, report, now_s, now_ms);
         drop(state);
-        if !given_up.is_empty() {
-            self.report(finding, given_up);
+        if !abandoned.is_empty() {
+            self.report(finding, abandoned);
         }
         if !innocent.is_empty() {
             self.report(Finding::Answered, innocent);
@@ -165,25 +169,25 @@
 
     /// Removes a report.
     pub fn forget(&self, name: &str) {
-        self.0.state.lock().record.forget(name);
+        self.0.state.lock().registry.forget(name);
     }
 
     /// Drops expired reports; returns whether this one still counts.
     pub fn contains(&self, name: &str) -> bool {
         let mut state = self.0.state.lock();
-        state.record.expire(unix_s());
-        state.record.contains(name)
+        state.registry.expire(unix_s());
+        state.registry.contains(name)
     }
 
     /// Whether a request may run; waits briefly if that depends on a probe in progress.
     pub async fn verdict(&self, request: &Fingerprint, until: Instant) -> Verdict {
-        let until = until.min(Instant::now() + PROVED_WITHIN);
-        let mut proofs = self.0.proofs.subscribe();
+        let until = until.min(Instant::now() + PROBE_WAIT_TIMEOUT);
+        let mut probes = self.0.probes.subscribe();
         loop {
-            proofs.borrow_and_update();
+            probes.borrow_and_update();
             let verdict = self.verdict_now(request);
-            let is_open = matches!(verdict, Verdict::Unconfirmed { .. });
-            if !is_open || timeout_at(until, proofs.changed()).await.is_err() {
+            let is_pending = matches!(verdict, Verdict::Unconfirmed { .. });
+            if !is_pending || timeout_at(until, probes.changed()).await.is_err() {
                 return verdict;
             }
         }
@@ -191,15 +195,15 @@
 
     fn verdict_now(&self, request: &Fingerprint) -> Verdict {
         let state = self.0.state.lock();
-        let broken = state.unproved.iter().filter(|(_, requests)| requests.contains(request));
-        let lives: Vec<Arc<str>> = broken.map(|(instance, _)| instance.clone()).collect();
-        state.record.verdict(request, &lives, unix_s())
+        let suspected = state.unconfirmed.iter().filter(|(_, requests)| requests.contains(request));
+        let instances: Vec<Arc<str>> = suspected.map(|(instance, _)| instance.clone()).collect();
+        state.registry.verdict(request, &instances, unix_s())
     }
 
     /// Number of reports that count, and of quarantined requests.
     pub fn counts(&self) -> (usize, usize) {
         let state = self.0.state.lock();
-        (state.record.len(), state.record.quarantined())
+        (state.registry.len(), state.registry.quarantined())
     }
 
     /// Watches a request that is sent to an endpoint.
@@ -209,7 +213,7 @@
             instance: instance.clone(),
             address,
             request: request.clone(),
-            is_over: false,
+            is_resolved: false,
             is_framed: true,
         }
     }
@@ -223,8 +227,8 @@
         let report = Report { finding, requests, at_s: unix_s() };
         let name: Arc<str> = {
             let mut state = self.0.state.lock();
-            state.next += 1;
-            format!("{}.{:06}", self.0.me, state.next).into()
+            state.last_number += 1;
+            format!("{}.{:06}", self.0.incarnation, state.last_number).into()
         };
         self.receive_report(&name, None, report.clone());
         if let Err(error) = self.0.reports.try_send((name, report)) {
@@ -233,20 +237,20 @@
     }
 
     /// Probes an endpoint, and reports a crash.
-    async fn prove(self, instance: Arc<str>, address: SocketAddr) {
-        let found = (self.0.prove)(address).await;
-        let requests = self.0.state.lock().unproved.remove(&instance).unwrap_or_default();
-        let (count, shows) = (requests.len(), found.as_str());
+    async fn probe(self, instance: Arc<str>, address: SocketAddr) {
+        let liveness = (self.0.prober)(address).await;
+        let requests = self.0.state.lock().unconfirmed.remove(&instance).unwrap_or_default();
+        let (count, name) = (requests.len(), liveness.as_str());
         tracing::info!(
             event = "connections_broke",
             endpoint = &*instance,
-            found = shows,
+            found = name,
             requests = count
         );
-        if found == Liveness::Ended {
+        if liveness == Liveness::Ended {
             self.report(Finding::Ended { endpoint: instance }, requests);
         }
-        self.0.proofs.send_modify(|count| *count += 1);
+        self.0.probes.send_modify(|count| *count += 1);
     }
 }
 
@@ -258,7 +262,7 @@
     address: SocketAddr,
     request: Fingerprint,
     /// The outcome at the endpoint is known.
-    is_over: bool,
+    is_resolved: bool,
     /// The end of the response is distinguishable from a broken connection.
     is_framed: bool,
 }
@@ -266,14 +270,14 @@
 impl Watch {
     /// The endpoint did not run the request, or survived it.
     pub fn ended(&mut self) {
-        self.is_over = true;
+        self.is_resolved = true;
     }
 
     /// The connection broke before the response was complete.
     pub fn broke(&mut self) {
-        self.is_over = true;
+        self.is_resolved = true;
         let mut state = self.crashes.0.state.lock();
-        let requests = state.unproved.entry(self.instance.clone()).or_default();
+        let requests = state.unconfirmed.entry(self.instance.clone()).or_default();
         let is_first = requests.is_empty();
         if !requests.contains(&self.request) {
             requests.push(self.request.clone());
@@ -281,7 +285,7 @@
         drop(state);
         // There is no runtime during process shutdown.
         if let (true, Ok(runtime)) = (is_first, tokio::runtime::Handle::try_current()) {
-            runtime.spawn(self.crashes.clone().prove(self.instance.clone(), self.address));
+            runtime.spawn(self.crashes.clone().probe(self.instance.clone(), self.address));
         }
     }
 
@@ -295,9 +299,9 @@
         if !self.is_framed {
             return;
         }
-        self.is_over = true;
+        self.is_resolved = true;
         let now_ms = self.crashes.now_ms();
-        let is_cleared = self.crashes.0.state.lock().record.answered(&self.request, now_ms);
+        let is_cleared = self.crashes.0.state.lock().registry.answered(&self.request, now_ms);
         if is_cleared {
             self.crashes.report(Finding::Answered, vec![self.request.clone()]);
         }
@@ -307,14 +311,14 @@
 impl Drop for Watch {
     /// Records the request as abandoned: the endpoint may still run it.
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_resolved {
             return;
         }
         let now_ms = self.crashes.now_ms();
         let mut state = self.crashes.0.state.lock();
-        state.given_up.push_back((now_ms, self.instance.clone(), self.request.clone()));
-        if state.given_up.len() > MOST_GIVEN_UP {
-            state.given_up.pop_front();
+        state.abandoned.push_back((now_ms, self.instance.clone(), self.request.clone()));
+        if state.abandoned.len() > MAX_ABANDONED {
+            state.abandoned.pop_front();
         }
     }
 }
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -15,31 +15,31 @@
     clock::Moment,
     metrics::Service,
     proxy::{
-        admit::Call,
+        admit::AdmittedRequest,
         announcer::Announcement,
         context::Context,
         endpoints::Chosen,
         exchange::Exchange,
-        refusal::{Reason, Refusal, SOON},
+        refusal::{CAPACITY_RETRY_DELAY, Reason, Refusal},
         relay::InFlight,
     },
 };
 
 /// `Retry-After` where the service has no endpoint that keeps running; a new one is discovered within this time.
-const LATER: Duration = Duration::from_millis(1_000);
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Endpoints tried for one request, including those that the request did not reach; the route's limit of
 /// attempts applies besides.
-const MOST_TRIED: usize = 4;
+const MAX_ENDPOINTS_TRIED: usize = 4;
 
 /// Permits requested for one request, before it skips all endpoints that require one.
-const MOST_ASKED: usize = 3;
+const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// Outcome of one attempt at an endpoint.
-enum Try {
+enum Attempt {
     /// A response for the caller.
     Answer(Box<Answer>, Box<InFlight>),
     /// The endpoint declined the request without running it.
-    NotRun(String),
+    Declined(String),
     /// The address now belongs to another instance: the selected one is gone.
     Gone(String),
     /// Nothing was sent to the endpoint.
@@ -52,82 +52,96 @@
     /// Sends a request to endpoints until one of them responds or no more attempts are allowed.
     pub async fn dispatch(
         &self,
-        call: &Call,
+        admitted: &AdmittedRequest,
         exchange: &mut Exchange,
     ) -> Result<(Box<Answer>, InFlight), Refusal> {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().request(&call.service, now_s, &self.settings().retries);
+        self.retries.lock().request(&admitted.service, now_s, &self.settings().retries);
         let mut tried: Vec<Arc<str>> = Vec::new();
-        let (mut arrived, mut asked) = (0, 0);
-        let mut last = None;
-        while tried.len() < MOST_TRIED {
-            if exchange.left().is_zero() {
+        let (mut delivered, mut permit_requests) = (0, 0);
+        let mut last_refusal = None;
+        while tried.len() < MAX_ENDPOINTS_TRIED {
+            if exchange.time_left().is_zero() {
                 return Err(Reason::TooLate.with("the deadline passed before the request was sent"));
             }
             // Endpoints may have crashed on the same request since it was admitted.
-            if let Err(refusal) = self.check_quarantine(&call.fingerprint, exchange.until).await {
-                last = Some(refusal);
+            if let Err(refusal) =
+                self.check_quarantine(&admitted.fingerprint, exchange.deadline).await
+            {
+                last_refusal = Some(refusal);
                 break;
             }
-            let offer = if asked < MOST_ASKED { Candidates::All } else { Candidates::Unlimited };
-            let chosen = self.endpoints.choose(&call.service, offer, &call.prefix, &tried);
+            let candidates = if permit_requests < MAX_PERMIT_REQUESTS {
+                Candidates::All
+            } else {
+                Candidates::Unlimited
+            };
+            let chosen =
+                self.endpoints.choose(&admitted.service, candidates, &admitted.prefix, &tried);
             let Some(chosen) = chosen else { break };
-            if exchange.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call))
+            if exchange.attempts >= admitted.route.attempts
+                || (delivered > 0 && !self.can_repeat(admitted))
             {
                 break;
             }
             if chosen.limit.is_some() {
-                asked += 1;
-                if !self.permits.take(&call.service, &chosen).await {
+                permit_requests += 1;
+                if !self.permits.acquire(&admitted.service, &chosen).await {
                     continue;
                 }
             }
-            if arrived > 0 && !self.may_repeat(call) {
+            if delivered > 0 && !self.take_repeat(admitted) {
                 break;
             }
             tried.push(chosen.instance.clone());
-            let outcome = self.attempt(call, &chosen, exchange).await;
-            note_not_taken(&outcome, exchange, &chosen);
-            arrived += u32::from(!matches!(outcome, Try::Unsent(_)));
+            let outcome = self.attempt(admitted, &chosen, exchange).await;
+            log_not_taken(&outcome, exchange, &chosen);
+            delivered += u32::from(!matches!(outcome, Attempt::Unsent(_)));
             match outcome {
-                Try::Answer(answer, in_flight) => return Ok((answer, *in_flight)),
-                Try::Unsent(reason) => last = Some(Reason::NoEndpoint.after(SOON, reason)),
-                Try::NotRun(reason) | Try::Gone(reason) => {
-                    last = Some(Reason::NoEndpoint.after(SOON, reason));
+                Attempt::Answer(response, in_flight) => return Ok((response, *in_flight)),
+                Attempt::Unsent(reason) => {
+                    last_refusal = Some(Reason::NoEndpoint.after(CAPACITY_RETRY_DELAY, reason))
+                }
+                Attempt::Declined(reason) | Attempt::Gone(reason) => {
+                    last_refusal = Some(Reason::NoEndpoint.after(CAPACITY_RETRY_DELAY, reason));
+                }
+                Attempt::Unknown(refusal) if !is_repeatable(&admitted.route) => {
+                    return Err(refusal);
                 }
-                Try::Unknown(refusal) if !is_repeatable(&call.route) => return Err(refusal),
-                Try::Unknown(refusal) => last = Some(refusal),
+                Attempt::Unknown(refusal) => last_refusal = Some(refusal),
             }
         }
-        let last = match last {
-            Some(last) if last.reason == Reason::NoEndpoint => self.no_offer(call).because(last),
-            Some(last) => last,
-            None => self.no_offer(call),
+        let last_refusal = match last_refusal {
+            Some(last_refusal) if last_refusal.reason == Reason::NoEndpoint => {
+                self.no_endpoint(admitted).with_detail_of(last_refusal)
+            }
+            Some(last_refusal) => last_refusal,
+            None => self.no_endpoint(admitted),
         };
-        match exchange.may_have_run && last.reason.is_not_run() {
-            true => Err(Reason::Lost.with(last.detail)),
-            false => Err(last),
+        match exchange.may_have_run && last_refusal.reason.is_not_run() {
+            true => Err(Reason::Lost.with(last_refusal.detail)),
+            false => Err(last_refusal),
         }
     }
 
     /// The refusal when no endpoint can be selected: the service has none, or the limits of cold and rate-limited
     /// endpoints are used up.
-    fn no_offer(&self, call: &Call) -> Refusal {
-        match self.endpoints.retry_delay(&call.service, call.urgency) {
-            Some(wait) if wait > SOON => Reason::NoEndpoint.after(
+    fn no_endpoint(&self, admitted: &AdmittedRequest) -> Refusal {
+        match self.endpoints.retry_delay(&admitted.service, admitted.urgency) {
+            Some(wait) if wait > CAPACITY_RETRY_DELAY => Reason::NoEndpoint.after(
                 wait,
                 "all endpoints of the service that take work are cold, rest or name a limit",
             ),
-            Some(_) => Reason::NoEndpoint.after(SOON, "no endpoint of the service takes work now"),
-            None => {
-                Reason::NoEndpoint.after(LATER, "no endpoint of the service is known that stays")
-            }
+            Some(_) => Reason::NoEndpoint
+                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service takes work now"),
+            None => Reason::NoEndpoint
+                .after(NO_ENDPOINT_RETRY_DELAY, "no endpoint of the service is known that stays"),
         }
     }
 
-    fn may_repeat(&self, call: &Call) -> bool {
+    fn take_repeat(&self, admitted: &AdmittedRequest) -> bool {
         let now_s = self.started.elapsed().as_secs();
-        let taken = self.retries.lock().take(&call.service, now_s, &self.settings().retries);
+        let taken = self.retries.lock().take(&admitted.service, now_s, &self.settings().retries);
         if taken {
             self.metrics.repeats.inc();
         }
@@ -135,70 +149,80 @@
     }
 
     /// Sends the request to one endpoint.
-    async fn attempt(&self, call: &Call, chosen: &Chosen, exchange: &mut Exchange) -> Try {
+    async fn attempt(
+        &self,
+        admitted: &AdmittedRequest,
+        chosen: &Chosen,
+        exchange: &mut Exchange,
+    ) -> Attempt {
         exchange.endpoint = Some(chosen.id.clone());
-        let left = exchange.left();
+        let left = exchange.time_left();
         let order = Order {
             instance: &chosen.id,
             customer: exchange.customer.as_deref(),
             left: Some(left),
-            rank: call.rank,
-            resume_after: call.head.resumed_after,
-        };
-        let headers = match request::towards_endpoint(&call.headers, &order, call.body.len()) {
-            Ok(headers) => headers,
-            Err(unfit) => return Try::Unsent(unfit.to_string()),
+            rank: admitted.rank,
+            resume_after: admitted.head.resumed_after,
         };
+        let headers =
+            match request::towards_endpoint(&admitted.headers, &order, admitted.body.len()) {
+                Ok(headers) => headers,
+                Err(error) => return Attempt::Unsent(error.to_string()),
+            };
         let request = forward::Request {
-            method: call.method.clone(),
-            target: call.target.clone(),
+            method: admitted.method.clone(),
+            target: admitted.target.clone(),
             headers,
-            body: call.body.clone(),
+            body: admitted.body.clone(),
         };
         tracing::info!(
             event = "dispatched",
             id = exchange.id.as_deref(),
             endpoint = &*chosen.id,
-            service = &*call.service,
-            fingerprint = %call.fingerprint,
+            service = &*admitted.service,
+            fingerprint = %admitted.fingerprint,
             load = chosen.load,
-            cached = chosen.held,
+            cached = chosen.cached_tokens,
             limit = chosen.limit.map(Limit::as_per_s),
             leaves_ms = chosen.leaves.map(|ago| ago.as_millis() as u64),
-            rest_ms = chosen.rest.map(|rest| rest.as_millis() as u64),
-            prompt = call.prefix.size(),
-            config = exchange.version,
+            rest_ms = chosen.back_off.map(|back_off| back_off.as_millis() as u64),
+            prompt = admitted.prefix.size(),
+            config = exchange.config_version,
             left_ms = left.as_millis() as u64,
-            sent_before = exchange.sent,
+            sent_before = exchange.attempts,
         );
         if chosen.limit.is_some() {
-            let service = Service { service: call.service.to_string() };
+            let service = Service { service: admitted.service.to_string() };
             self.metrics.limited_sends.get_or_create(&service).inc();
         }
         let endpoints = self.endpoints.clone();
-        let service = call.service.clone();
-        let watch = self.crashes.watch(&chosen.instance, chosen.address, &call.fingerprint);
+        let service = admitted.service.clone();
+        let watch = self.crashes.watch(&chosen.instance, chosen.address, &admitted.fingerprint);
         let mut in_flight =
-            InFlight::start(endpoints, service, chosen, &call.prefix, &self.peers, watch);
-        let link = match self.connect(call, chosen, exchange, &mut in_flight).await {
-            Ok(link) => link,
+            InFlight::start(endpoints, service, chosen, &admitted.prefix, &self.peers, watch);
+        let connection = match self.connect(admitted, chosen, exchange, &mut in_flight).await {
+            Ok(connection) => connection,
             Err(unsent) => return unsent,
         };
         // From here on the endpoint may have the request, also if this future is dropped.
-        let (had_run, had_sent) = (exchange.may_have_run, exchange.sent);
-        (exchange.may_have_run, exchange.sent) = (true, exchange.sent + 1);
+        let (may_have_run_before, attempts_before) = (exchange.may_have_run, exchange.attempts);
+        (exchange.may_have_run, exchange.attempts) = (true, exchange.attempts + 1);
         let sent_at = self.clock.now();
-        let outcome = match tokio::time::timeout_at(exchange.until, link.send(request)).await {
-            Err(_) => Try::Unknown(Reason::Silent.with("the endpoint did not respond in time")),
-            Ok(Err(fault)) => lost(fault, &mut in_flight),
-            Ok(Ok(answer)) => self.judge(call, chosen, exchange, &sent_at, answer, in_flight),
+        let outcome = match tokio::time::timeout_at(exchange.deadline, connection.send(request))
+            .await
+        {
+            Err(_) => Attempt::Unknown(Reason::Silent.with("the endpoint did not respond in time")),
+            Ok(Err(fault)) => classify_fault(fault, &mut in_flight),
+            Ok(Ok(response)) => {
+                self.classify(admitted, chosen, exchange, &sent_at, response, in_flight)
+            }
         };
         match outcome {
             // An endpoint that is gone does not count against the route's limit of attempts.
-            Try::Unsent(_) | Try::Gone(_) => {
-                (exchange.may_have_run, exchange.sent) = (had_run, had_sent)
+            Attempt::Unsent(_) | Attempt::Gone(_) => {
+                (exchange.may_have_run, exchange.attempts) = (may_have_run_before, attempts_before)
             }
-            Try::NotRun(_) => exchange.may_have_run = had_run,
+            Attempt::Declined(_) => exchange.may_have_run = may_have_run_before,
             _ => {}
         }
         outcome
@@ -207,56 +231,56 @@
     /// Obtains a connection, and rechecks the endpoint: its availability may have changed while connecting.
     async fn connect(
         &self,
-        call: &Call,
+        admitted: &AdmittedRequest,
         chosen: &Chosen,
         exchange: &Exchange,
         in_flight: &mut InFlight,
-    ) -> Result<forward::Ready, Try> {
-        let opening = self.connections.connect(chosen.address, call.connections);
-        let link = match tokio::time::timeout_at(exchange.until, opening).await {
+    ) -> Result<forward::Ready, Attempt> {
+        let connecting = self.connections.connect(chosen.address, admitted.max_connections);
+        let connection = match tokio::time::timeout_at(exchange.deadline, connecting).await {
             Err(_) => {
                 in_flight.fail(Failure::Silent);
-                return Err(Try::Unsent(
+                return Err(Attempt::Unsent(
                     "no connection was established before the deadline".into(),
                 ));
             }
-            Ok(Err(fault)) => return Err(lost(fault, in_flight)),
-            Ok(Ok(link)) => link,
+            Ok(Err(fault)) => return Err(classify_fault(fault, in_flight)),
+            Ok(Ok(connection)) => connection,
         };
-        if self.endpoints.refuses_requests(&call.service, chosen) {
-            link.release();
+        if self.endpoints.refuses_requests(&admitted.service, chosen) {
+            connection.release();
             in_flight.ended();
-            return Err(Try::Unsent("the endpoint stopped accepting requests".into()));
+            return Err(Attempt::Unsent("the endpoint stopped accepting requests".into()));
         }
-        Ok(link)
+        Ok(connection)
     }
 
     /// Classifies a response by its head.
-    fn judge(
+    fn classify(
         &self,
-        call: &Call,
+        admitted: &AdmittedRequest,
         chosen: &Chosen,
         exchange: &mut Exchange,
         sent_at: &Moment,
-        answer: Answer,
+        response: Answer,
         mut in_flight: InFlight,
-    ) -> Try {
-        let status = answer.head.status;
-        let head = answer::Head::read(status, &answer.head.headers);
-        let foreign = head.id.is_some() && head.id != call.head.id;
-        if foreign {
+    ) -> Attempt {
+        let status = response.head.status;
+        let head = answer::Head::read(status, &response.head.headers);
+        let is_foreign = head.id.is_some() && head.id != admitted.head.id;
+        if is_foreign {
             in_flight.fail(Failure::Broken);
-            return Try::Unknown(Reason::Lost.with("the connection carried another answer"));
+            return Attempt::Unknown(Reason::Lost.with("the connection carried another answer"));
         }
         // Signals of another endpoint at the address do not apply to the selected one.
         if status != StatusCode::MISDIRECTED_REQUEST {
-            let heard =
-                self.endpoints.receive_signals(&call.service, chosen, &head, sent_at.elapsed());
-            if heard.limit {
+            let changes =
+                self.endpoints.receive_signals(&admitted.service, chosen, &head, sent_at.elapsed());
+            if changes.limit {
                 self.announcer
                     .announce(Announcement::LimitChanged { instance: chosen.instance.clone() });
             }
-            if heard.leaves {
+            if changes.leaves {
                 let (instance, address) = (chosen.instance.clone(), chosen.address);
                 self.announcer.announce(Announcement::Leaves { instance, address });
             }
@@ -265,54 +289,59 @@
             let reason = format!("the endpoint declined with {status}");
             if status == StatusCode::MISDIRECTED_REQUEST {
                 in_flight.fail(Failure::Silent);
-                return Try::Gone(reason);
+                return Attempt::Gone(reason);
             }
             in_flight.fail(Failure::Refused);
-            return Try::NotRun(reason);
+            return Attempt::Declined(reason);
         }
-        let again = is_repeatable(&call.route)
+        let should_repeat = is_repeatable(&admitted.route)
             && status.is_server_error()
-            && exchange.sent < call.route.attempts
-            && self.endpoints.has_alternative(&call.service, &chosen.instance)
-            && self.may_repeat_later(call);
-        if again {
+            && exchange.attempts < admitted.route.attempts
+            && self.endpoints.has_alternative(&admitted.service, &chosen.instance)
+            && self.can_repeat(admitted);
+        if should_repeat {
             in_flight.ended();
-            return Try::Unknown(Reason::Lost.with(format!("the endpoint failed with {status}")));
+            return Attempt::Unknown(
+                Reason::Lost.with(format!("the endpoint failed with {status}")),
+            );
         }
-        exchange.first_byte = Some(exchange.came.elapsed());
-        if !is_framed(&answer.head.headers) {
+        exchange.time_to_head = Some(exchange.arrived_at.elapsed());
+        if !is_framed(&response.head.headers) {
             in_flight.unframed();
         }
         in_flight.begin();
-        Try::Answer(Box::new(answer), Box::new(in_flight))
+        Attempt::Answer(Box::new(response), Box::new(in_flight))
     }
 
     /// Whether a repeat is permitted, without consuming it.
-    fn may_repeat_later(&self, call: &Call) -> bool {
+    fn can_repeat(&self, admitted: &AdmittedRequest) -> bool {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().has(&call.service, now_s, &self.settings().retries)
+        self.retries.lock().has(&admitted.service, now_s, &self.settings().retries)
     }
 }
 
-fn note_not_taken(outcome: &Try, exchange: &Exchange, chosen: &Chosen) {
-    let (Try::Unsent(reason) | Try::NotRun(reason) | Try::Gone(reason)) = outcome else { return };
+fn log_not_taken(outcome: &Attempt, exchange: &Exchange, chosen: &Chosen) {
+    let (Attempt::Unsent(reason) | Attempt::Declined(reason) | Attempt::Gone(reason)) = outcome
+    else {
+        return;
+    };
     let (id, endpoint) = (exchange.id.as_deref(), &*chosen.id);
     tracing::info!(event = "not_taken", id, endpoint, reason);
 }
 
-fn lost(fault: Fault, in_flight: &mut InFlight) -> Try {
+fn classify_fault(fault: Fault, in_flight: &mut InFlight) -> Attempt {
     match fault {
         Fault::Full { .. } => {
             in_flight.ended();
-            Try::Unsent(fault.to_string())
+            Attempt::Unsent(fault.to_string())
         }
         Fault::Unsent { reason } => {
             in_flight.fail(Failure::Silent);
-            Try::Unsent(reason)
+            Attempt::Unsent(reason)
         }
         Fault::Unknown { reason } => {
             in_flight.broke();
-            Try::Unknown(Reason::Lost.with(reason))
+            Attempt::Unknown(Reason::Lost.with(reason))
         }
     }
 }
--- a/crates/gateway/src/proxy/endpoints/departures.rs
+++ b/crates/gateway/src/proxy/endpoints/departures.rs
@@ -12,60 +12,65 @@
 use super::{Endpoints, State};
 
 /// Maximum number of draining instances remembered; far more than a large deployment has.
-const MOST_LEFT: usize = 4_096;
+const MAX_DEPARTURES: usize = 4_096;
 /// Time in milliseconds without an entry after which a draining instance is forgotten; lapsed entries return within
 /// seconds.
-const FORGET_MS: u64 = 600_000;
+const DEPARTURE_TTL_MS: u64 = 600_000;
 
 /// Endpoint instances that announced that they are draining.
 #[derive(Debug, Default)]
-pub struct Left(HashMap<Arc<str>, Known>);
+pub struct Departures(HashMap<Arc<str>, Announced>);
 
 #[derive(Debug)]
-struct Known {
+struct Announced {
     /// Its address; an instance of this name at another address has restarted.
     address: SocketAddr,
     departure: Departure,
     /// Announced to this box in a response.
-    in_answer: bool,
+    in_response: bool,
     /// When it was last listed.
-    listed: u64,
+    listed_at: u64,
 }
 
-impl Left {
+impl Departures {
     /// The announcement of an instance at this address.
     pub fn get(&self, instance: &str, address: SocketAddr) -> Option<Departure> {
-        self.0.get(instance).filter(|known| known.address == address).map(|known| known.departure)
+        self.0
+            .get(instance)
+            .filter(|announced| announced.address == address)
+            .map(|announced| announced.departure)
     }
 
     /// Records an announcement; returns whether it is new. At capacity, evicts the instance that was last listed
     /// longest ago.
-    fn note(
+    fn insert(
         &mut self,
         instance: &Arc<str>,
-        known: Known,
+        announced: Announced,
         is_listed: impl Fn(&Arc<str>) -> bool,
     ) -> bool {
-        if self.get(instance, known.address).is_some() {
+        if self.get(instance, announced.address).is_some() {
             return false;
         }
-        if self.0.len() >= MOST_LEFT {
-            let oldest =
-                self.0.iter().min_by_key(|(instance, known)| (is_listed(instance), known.listed));
+        if self.0.len() >= MAX_DEPARTURES {
+            let oldest = self
+                .0
+                .iter()
+                .min_by_key(|(instance, announced)| (is_listed(instance), announced.listed_at));
             let oldest = oldest.map(|(instance, _)| instance.clone());
             oldest.map(|instance| self.0.remove(&instance));
         }
-        self.0.insert(instance.clone(), known);
+        self.0.insert(instance.clone(), announced);
         true
     }
 
-    /// Refreshes listed instances and forgets those that have not been listed for [`FORGET_MS`].
-    pub fn keep(&mut self, is_listed: impl Fn(&Arc<str>) -> bool, now: u64) {
-        self.0.retain(|instance, known| {
+    /// Refreshes listed instances and forgets those that have not been listed for [`DEPARTURE_TTL_MS`].
+    pub fn refresh(&mut self, is_listed: impl Fn(&Arc<str>) -> bool, now: u64) {
+        self.0.retain(|instance, announced| {
             if is_listed(instance) {
-                known.listed = now;
+                announced.listed_at = now;
             }
-            now < known.listed + FORGET_MS
+            now < announced.listed_at + DEPARTURE_TTL_MS
         });
     }
 }
@@ -75,37 +80,37 @@
     pub fn receive_departure(&self, instance: &Arc<str>, address: SocketAddr, is_new: bool) {
         let now = self.now();
         let departure = if is_new { Departure::now(now) } else { Departure::elapsed(now) };
-        self.state.lock().leave(instance, address, departure, false);
+        self.state.lock().record_departure(instance, address, departure, false);
     }
 
     /// Listed instances that announced to this box that they are draining, with their addresses.
     pub fn own_departures(&self) -> Vec<(Arc<str>, SocketAddr)> {
         let state = self.state.lock();
-        let own = state.left.0.iter().filter(|(_, known)| known.in_answer);
-        let listed = own.filter(|(instance, _)| state.found.contains_key(*instance));
-        listed.map(|(instance, known)| (instance.clone(), known.address)).collect()
+        let own = state.departures.0.iter().filter(|(_, announced)| announced.in_response);
+        let listed = own.filter(|(instance, _)| state.listed.contains_key(*instance));
+        listed.map(|(instance, announced)| (instance.clone(), announced.address)).collect()
     }
 
     /// Whether an instance is remembered as draining.
     pub fn remembers_departure(&self, instance: &str) -> bool {
-        self.state.lock().left.0.contains_key(instance)
+        self.state.lock().departures.0.contains_key(instance)
     }
 }
 
 impl State {
     /// Marks an instance as draining; returns whether that is new.
-    pub(super) fn leave(
+    pub(super) fn record_departure(
         &mut self,
         instance: &Arc<str>,
         address: SocketAddr,
         departure: Departure,
-        in_answer: bool,
+        in_response: bool,
     ) -> bool {
-        let is_listed = |instance: &Arc<str>| self.found.contains_key(instance);
-        let known = Known { address, departure, in_answer, listed: departure.since };
-        let is_new = self.left.note(instance, known, is_listed);
+        let is_listed = |instance: &Arc<str>| self.listed.contains_key(instance);
+        let announced = Announced { address, departure, in_response, listed_at: departure.since };
+        let is_new = self.departures.insert(instance, announced, is_listed);
         if is_new {
-            let by = if in_answer { "answer" } else { "news" };
+            let by = if in_response { "answer" } else { "news" };
             tracing::info!(event = "endpoint_leaves", endpoint = &**instance, by);
             self.mark_leaving(departure.since);
         }
--- a/crates/gateway/src/proxy/endpoints/limits.rs
+++ b/crates/gateway/src/proxy/endpoints/limits.rs
@@ -12,29 +12,29 @@
     pub fn limit_notice(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
         let now = self.now();
         let state = self.state.lock();
-        let said = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
+        let signal = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
         let (sent_ms, answered_ms) =
-            (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
+            (now.saturating_sub(signal.sent_at), now.saturating_sub(signal.answered_at));
         Some(wire::LimitNotice {
             endpoint: instance.clone(),
-            limit: said.limit,
+            limit: signal.limit,
             sent_ms,
             answered_ms,
         })
     }
 
     /// Accepts the report of another box of an endpoint's rate limit.
-    pub fn receive_limit(&self, said: &wire::LimitNotice, by: &str) {
+    pub fn receive_limit(&self, notice: &wire::LimitNotice, by: &str) {
         let now = self.now();
-        let (sent_at, answered_at) = (said.sent_ms, said.answered_ms);
+        let (sent_at, answered_at) = (notice.sent_ms, notice.answered_ms);
         let (sent_at, answered_at) = (now.saturating_sub(sent_at), now.saturating_sub(answered_at));
         let mut state = self.state.lock();
         let mut pools = state.services.values_mut();
-        let known = pools.find_map(|pool| pool.get_mut(&said.endpoint));
-        if known.is_some_and(|known| {
-            known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })
+        let endpoint = pools.find_map(|pool| pool.get_mut(&notice.endpoint));
+        if endpoint.is_some_and(|endpoint| {
+            endpoint.update_limit(LimitSignal { limit: notice.limit, sent_at, answered_at })
         }) {
-            log_limit(&said.endpoint, said.limit, by);
+            log_limit(&notice.endpoint, notice.limit, by);
         }
     }
 
@@ -55,7 +55,7 @@
 
     /// Whether an endpoint instance is listed as accepting requests.
     pub fn is_listed(&self, instance: &str) -> bool {
-        self.state.lock().found.contains_key(instance)
+        self.state.lock().listed.contains_key(instance)
     }
 
     /// Rate limits by endpoint instance, in requests per second.
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -31,21 +31,21 @@
 const TOKENS_PER_REQUEST: f64 = 2_000.0;
 /// Weight of an uncached prompt token of this request, relative to one already queued at the engine. Queued tokens
 /// only cost waiting time; processing an uncached prompt also evicts other prompts from the engine's cache.
-const READING: f64 = 4.5;
+const PREFILL_WEIGHT: f64 = 4.5;
 /// Weight of a request whose response an engine is generating; another one in a batch makes a step only slightly longer.
-const UNDER_WAY: f64 = 0.05;
+const IN_FLIGHT_WEIGHT: f64 = 0.05;
 /// Penalty for another availability zone, in requests; reflects the network latency.
-const OTHER_ZONE: f64 = 0.02;
+const OTHER_ZONE_PENALTY: f64 = 0.02;
 /// Load of an engine, as a multiple of the mean, above which its cached prompts are ignored.
 const BOUNDED_LOAD: f64 = 3.0;
 /// Endpoints sampled at random for comparison, for services with engines.
-const DRAWS: usize = 4;
+const RANDOM_CANDIDATES: usize = 4;
 /// Owners of a prefix: the endpoint that it hashes to, and another for when that one is busy.
-const HOMES: usize = 2;
+const PREFIX_OWNERS: usize = 2;
 
 /// Tokens of a shared prefix from which it is owned only by engines that are not slow: processing it pauses all streams
 /// of the engine.
-const LARGE: u64 = 2_000;
+const LARGE_PREFIX_TOKENS: u64 = 2_000;
 
 /// A selected endpoint.
 #[derive(Debug, Clone)]
@@ -55,7 +55,7 @@
     pub id: Arc<str>,
     pub address: SocketAddr,
     /// Prompt tokens that it probably has cached.
-    pub held: u64,
+    pub cached_tokens: u64,
     /// Requests at the endpoint, as estimated by this box.
     pub load: f64,
     /// Its rate limit, if it names one.
@@ -63,23 +63,23 @@
     /// Time since it began draining.
     pub leaves: Option<Duration>,
     /// Remaining back-off.
-    pub rest: Option<Duration>,
+    pub back_off: Option<Duration>,
 }
 
 /// An endpoint instance and its availability zone.
-type Placed = (Arc<str>, Arc<str>);
+type Located = (Arc<str>, Arc<str>);
 
 /// A listed endpoint instance.
 #[derive(Debug, Clone)]
-struct Found {
+struct Listing {
     id: Arc<str>,
     address: SocketAddr,
     /// Heartbeat from which the cold time was last read.
-    beat: u64,
+    heartbeat: u64,
 }
 
 /// Name of an endpoint instance; distinct per start, so that nothing learned of an earlier one applies.
-fn life_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
+fn instance_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
     match entry.life {
         Some(instance) => format!("{id} {instance}").into(),
         None => id.clone(),
@@ -93,7 +93,7 @@
     cold: settings::Cold,
     started: Moment,
     state: Mutex<State>,
-    unread: Mutex<signals::Unread>,
+    unread: Mutex<signals::UnreadHeaders>,
 }
 
 #[derive(Debug)]
@@ -101,9 +101,9 @@
     random: SmallRng,
     services: HashMap<Arc<str>, Pool>,
     /// Listed instances by name.
-    found: HashMap<Arc<str>, Found>,
+    listed: HashMap<Arc<str>, Listing>,
     /// Draining instances, listed or not.
-    left: departures::Left,
+    departures: departures::Departures,
     /// Evacuated availability zones.
     evacuated: BTreeSet<Arc<str>>,
     /// Request rates that cold endpoints can take, by service.
@@ -117,16 +117,16 @@
     /// as cold, since they may be cold without having reported it yet.
     fn mark_leaving(&mut self, now: u64) {
         for pool in self.services.values_mut() {
-            let back = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
-            back.iter().for_each(|instance| pool.mark_cold(instance, None, now));
+            let restored = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
+            restored.iter().for_each(|instance| pool.mark_cold(instance, None, now));
             pool.set_departures(|instance| {
-                self.left.get(instance, self.found.get(instance)?.address)
+                self.departures.get(instance, self.listed.get(instance)?.address)
             });
         }
     }
 
     /// Passes to pools the allowances of their cold endpoints and the boxes that share these.
-    fn share(&mut self, now: u64) {
+    fn apply_allowances(&mut self, now: u64) {
         for (service, pool) in &mut self.services {
             pool.set_allowance(self.allowances.get(service).copied(), now);
             if let Some(fleet) = &self.fleet {
@@ -137,8 +137,9 @@
 
     /// Applies the cold time of an entry, once per heartbeat.
     fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
-        let known = self.found.get(instance).is_some_and(|found| found.beat == entry.beat);
-        if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !known) {
+        let is_applied =
+            self.listed.get(instance).is_some_and(|listed| listed.heartbeat == entry.beat);
+        if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !is_applied) {
             pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
         }
     }
@@ -151,8 +152,8 @@
         let state = State {
             random,
             services: HashMap::new(),
-            found: HashMap::new(),
-            left: departures::Left::default(),
+            listed: HashMap::new(),
+            departures: departures::Departures::default(),
             evacuated: BTreeSet::new(),
             allowances: HashMap::new(),
             fleet: None,
@@ -172,47 +173,49 @@
     ) -> Vec<SocketAddr> {
         let now = self.now();
         let mut engines: HashSet<Arc<str>> = HashSet::new();
-        let mut listed: BTreeMap<Arc<str>, Vec<Placed>> = BTreeMap::new();
-        let mut found: HashMap<Arc<str>, Found> = HashMap::new();
+        let mut by_service: BTreeMap<Arc<str>, Vec<Located>> = BTreeMap::new();
+        let mut listed: HashMap<Arc<str>, Listing> = HashMap::new();
         let mut cold: Vec<(Arc<str>, &Entry)> = Vec::new();
         for (id, entry) in ready {
-            let instance = life_name(id, entry);
-            let of = listed.entry(entry.service.clone()).or_default();
-            of.push((instance.clone(), entry.zone.clone()));
+            let instance = instance_name(id, entry);
+            let instances = by_service.entry(entry.service.clone()).or_default();
+            instances.push((instance.clone(), entry.zone.clone()));
             if entry.cold > Duration::ZERO {
                 cold.push((instance.clone(), entry));
             }
-            let (id, address, beat) = (id.clone(), entry.address, entry.beat);
-            found.insert(instance, Found { id, address, beat });
+            let (id, address, heartbeat) = (id.clone(), entry.address, entry.beat);
+            listed.insert(instance, Listing { id, address, heartbeat });
             if entry.engine {
                 engines.insert(entry.service.clone());
             }
         }
         let state = &mut *self.state.lock();
         for (service, pool) in &mut state.services {
-            if !listed.contains_key(service) {
+            if !by_service.contains_key(service) {
                 pool.update([], now);
             }
         }
-        for (service, mut list) in listed {
+        for (service, mut list) in by_service {
             list.sort();
             let engines = engines.contains(&service);
             let fresh = || Pool::new(self.zone.clone(), weights(engines));
             state.services.entry(service).or_insert_with(fresh).update(list, now);
         }
-        state.share(now);
+        state.apply_allowances(now);
         for (instance, entry) in cold {
             state.mark_cold(&instance, entry, now);
         }
-        let before = std::mem::replace(&mut state.found, found);
-        let State { left, found, .. } = &mut *state;
-        left.keep(|instance| found.contains_key(instance), now);
+        let previously_listed = std::mem::replace(&mut state.listed, listed);
+        let State { departures, listed, .. } = &mut *state;
+        departures.refresh(|instance| listed.contains_key(instance), now);
         state.mark_leaving(now);
-        let stays = |instance: &Arc<str>, at: &Found| {
-            state.found.get(instance).is_some_and(|found| found.address == at.address)
+        let is_listed = |instance: &Arc<str>, previous: &Listing| {
+            state.listed.get(instance).is_some_and(|listed| listed.address == previous.address)
         };
-        let gone = before.into_iter().filter(|(instance, at)| !stays(instance, at));
-        gone.map(|(_, found)| found.address).collect()
+        let gone = previously_listed
+            .into_iter()
+            .filter(|(instance, previous)| !is_listed(instance, previous));
+        gone.map(|(_, listed)| listed.address).collect()
     }
 
     /// Applies the configuration of services.
@@ -222,18 +225,19 @@
             per_s: service.cold_per_s * factor + extra,
             lasts_ms: (service.cold_s * 1_000.0) as u64,
         };
-        let bound = table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
+        let with_allowance =
+            table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
         let mut state = self.state.lock();
         state.allowances =
-            bound.map(|service| (service.name.clone(), allowance(service))).collect();
-        state.share(self.now());
+            with_allowance.map(|service| (service.name.clone(), allowance(service))).collect();
+        state.apply_allowances(self.now());
     }
 
     /// Sets the boxes of the fleet.
     pub fn set_fleet(&self, fleet: Fleet) {
         let mut state = self.state.lock();
         state.fleet = Some(fleet);
-        state.share(self.now());
+        state.apply_allowances(self.now());
     }
 
     /// Number of cold endpoints.
@@ -269,23 +273,23 @@
     pub fn choose(
         &self,
         service: &str,
-        offer: Candidates,
+        candidates: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
     ) -> Option<Chosen> {
         let now = self.now();
         let state = &mut *self.state.lock();
         let pool = state.services.get_mut(service)?;
-        let choice = pool.choose_from(offer, prefix, tried, now, &mut state.random)?;
-        let Found { id, address, .. } = state.found.get(&choice.name)?.clone();
-        let Choice { name: instance, held, load } = choice;
+        let choice = pool.choose_from(candidates, prefix, tried, now, &mut state.random)?;
+        let Listing { id, address, .. } = state.listed.get(&choice.name)?.clone();
+        let Choice { name: instance, held: cached_tokens, load } = choice;
         let endpoint = pool.get(&instance)?;
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
-        let rest = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
-        let rest = rest.map(Duration::from_millis);
-        Some(Chosen { instance, id, address, held, load, limit, leaves, rest })
+        let back_off = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
+        let back_off = back_off.map(Duration::from_millis);
+        Some(Chosen { instance, id, address, cached_tokens, load, limit, leaves, back_off })
     }
 
     /// Counts a request that is sent to an endpoint; returns the prompt tokens that the endpoint has to process.
@@ -294,7 +298,7 @@
         let mut state = self.state.lock();
         let Some(pool) = state.services.get_mut(service) else { return 0 };
         pool.start(&chosen.instance, prefix, now);
-        pool.start_prefill(&chosen.instance, prefix, chosen.held)
+        pool.start_prefill(&chosen.instance, prefix, chosen.cached_tokens)
     }
 
     /// Accepts the announcement of a prompt by another box.
@@ -343,13 +347,13 @@
         false => Weights::default(),
         true => Weights {
             size_per_request: TOKENS_PER_REQUEST,
-            prefill: READING,
-            in_flight: UNDER_WAY,
-            other_zone: OTHER_ZONE,
+            prefill: PREFILL_WEIGHT,
+            in_flight: IN_FLIGHT_WEIGHT,
+            other_zone: OTHER_ZONE_PENALTY,
             bounded_load: BOUNDED_LOAD,
-            random_candidates: DRAWS,
-            prefix_owners: HOMES,
-            large_prefix: LARGE,
+            random_candidates: RANDOM_CANDIDATES,
+            prefix_owners: PREFIX_OWNERS,
+            large_prefix: LARGE_PREFIX_TOKENS,
         },
     }
 }
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -1,7 +1,7 @@
 //! Signals of endpoints about themselves in the heads of their responses.
 //!
-//! [`Endpoints::hear`] processes every response of an endpoint, whatever its status, except those of another endpoint at
-//! its address. Unknown or unreadable signals are counted by header name, and logged once per name.
+//! [`Endpoints::receive_signals`] processes every response of an endpoint, whatever its status, except those of another
+//! endpoint at its address. Unknown or unreadable signals are counted by header name, and logged once per name.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,12 +11,12 @@
 use super::{Chosen, Endpoints};
 
 /// Header names that are counted separately; all others share one count.
-const MOST_NAMES: usize = 64;
+const MAX_COUNTED_NAMES: usize = 64;
 /// Name of the shared count.
-const OTHERS: &str = "others";
+const OTHER_NAMES: &str = "others";
 /// Back-off of an endpoint that requests one of unreadable length: it is probably overloaded, and a response after
 /// this time shows more.
-const REST_UNKNOWN: Duration = Duration::from_millis(1_000);
+const DEFAULT_BACK_OFF: Duration = Duration::from_millis(1_000);
 /// What a response changed for this box and other boxes have to learn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Changes {
@@ -28,16 +28,16 @@
 
 /// Counts of unknown or unreadable headers, by name.
 #[derive(Debug, Default)]
-pub struct Unread(BTreeMap<Arc<str>, u64>);
+pub struct UnreadHeaders(BTreeMap<Arc<str>, u64>);
 
-impl Unread {
+impl UnreadHeaders {
     /// Counts a header of an endpoint that is unknown or has an unreadable value.
-    fn note(&mut self, name: &str, value: &str, endpoint: &str) {
+    fn count_header(&mut self, name: &str, value: &str, endpoint: &str) {
         if let Some(count) = self.0.get_mut(name) {
             *count += 1;
             return;
         }
-        let name = if self.0.len() < MOST_NAMES { name } else { OTHERS };
+        let name = if self.0.len() < MAX_COUNTED_NAMES { name } else { OTHER_NAMES };
         let count = self.0.entry(name.into()).or_default();
         *count += 1;
         if *count == 1 {
@@ -55,21 +55,21 @@
         head: &Head,
         ago: Duration,
     ) -> Changes {
-        let said = &head.said;
+        let signals = &head.said;
         let now = self.now();
         let sent_at = now.saturating_sub(ago.as_millis() as u64);
         let instance = &chosen.instance;
-        for (name, value) in said.unread() {
-            self.unread.lock().note(name, value, instance);
+        for (name, value) in signals.unread() {
+            self.unread.lock().count_header(name, value, instance);
         }
         let mut state = self.state.lock();
-        let leaves = said.leaves == Some(Word::Read(true))
-            && state.leave(instance, chosen.address, Departure::now(now), true);
+        let leaves = signals.leaves == Some(Word::Read(true))
+            && state.record_departure(instance, chosen.address, Departure::now(now), true);
         let Some(pool) = state.services.get_mut(service) else {
             return Changes { leaves, limit: false };
         };
-        if let Some(rest) = &said.rest {
-            rests(pool, instance, rest, now);
+        if let Some(word) = &signals.rest {
+            start_back_off(pool, instance, word, now);
         }
         let Some(endpoint) = pool.get_mut(instance) else {
             return Changes { leaves, limit: false };
@@ -77,11 +77,11 @@
         if !head.not_run {
             endpoint.back_off.request_accepted(sent_at);
         }
-        if let Some(Word::Read(load)) = &said.load {
+        if let Some(Word::Read(load)) = &signals.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
-        let limit = said.limit.as_ref().map(|word| limit(endpoint, word));
+        let limit = signals.limit.as_ref().map(|word| read_limit(endpoint, word));
         let limit =
             endpoint.update_limit(balance::LimitSignal { limit, sent_at, answered_at: now });
         if limit {
@@ -95,8 +95,8 @@
         let now = self.now();
         let state = self.state.lock();
         let pool = state.services.get(service);
-        let known = pool.and_then(|pool| pool.get(&chosen.instance));
-        known.is_none_or(|endpoint| endpoint.refuses_requests(now))
+        let endpoint = pool.and_then(|pool| pool.get(&chosen.instance));
+        endpoint.is_none_or(|endpoint| endpoint.refuses_requests(now))
     }
 
     /// Number of listed endpoints that are draining.
@@ -122,19 +122,19 @@
 
 /// The rate limit of an endpoint. An unreadable limit keeps the previous one, or counts as an unknown limit: the
 /// endpoint wants to be limited in any case.
-fn limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
+fn read_limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
     match word {
         Word::Read(per_s) => Limit::per_s(*per_s),
         Word::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
     }
 }
 
-fn rests(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
-    let rest = match word {
-        Word::Read(rest) => *rest,
-        Word::Unreadable(_) => REST_UNKNOWN,
+fn start_back_off(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
+    let back_off = match word {
+        Word::Read(back_off) => *back_off,
+        Word::Unreadable(_) => DEFAULT_BACK_OFF,
     };
-    let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+    let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
     if pool.back_off(instance, rest_ms, now) {
         tracing::info!(event = "endpoint_rests", endpoint = instance, rest_ms);
     }
--- a/crates/gateway/src/proxy/event_counter.rs
+++ b/crates/gateway/src/proxy/event_counter.rs
@@ -5,9 +5,9 @@
 pub struct EventCounter {
     events: u64,
     /// Whether the current event has a line with content.
-    filled: bool,
+    event_has_content: bool,
     /// Whether the current line has content.
-    in_line: bool,
+    line_has_content: bool,
 }
 
 impl EventCounter {
@@ -16,13 +16,13 @@
         for byte in bytes {
             match byte {
                 b'\r' => {}
-                b'\n' if self.in_line => self.in_line = false,
-                b'\n' if self.filled => {
+                b'\n' if self.line_has_content => self.line_has_content = false,
+                b'\n' if self.event_has_content => {
                     self.events += 1;
-                    self.filled = false;
+                    self.event_has_content = false;
                 }
                 b'\n' => {}
-                _ => (self.in_line, self.filled) = (true, true),
+                _ => (self.line_has_content, self.event_has_content) = (true, true),
             }
         }
     }
@@ -34,6 +34,6 @@
 
     /// Whether the stream is inside an event.
     pub fn is_in_event(&self) -> bool {
-        self.filled
+        self.event_has_content
     }
 }
--- a/crates/gateway/src/proxy/exchange.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -16,7 +16,7 @@
 
 /// Events that an endpoint may produce after the last one that was relayed, before it notices that its
 /// connection was closed.
-const UNSEEN_EVENTS: u64 = 10;
+const MAX_UNRELAYED_EVENTS: u64 = 10;
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// The response broke off after its head.
     Broken { reason: String },
     /// The caller disconnected before the end.
-    Left,
+    Disconnected,
 }
 
 /// A request and its response.
@@ -39,11 +39,11 @@
     pub route: Option<Arc<str>>,
     pub service: Option<Arc<str>>,
     /// Version of the configuration that the request was routed with.
-    pub version: u64,
-    pub came: Instant,
+    pub config_version: u64,
+    pub arrived_at: Instant,
     /// The same moment on the box's clock, which also counts time in suspension.
-    since: Moment,
-    pub until: Instant,
+    arrival: Moment,
+    pub deadline: Instant,
     pub tokens: Option<Tokens>,
     /// Identifies requests with the same content; set once the body was read.
     pub fingerprint: Option<Fingerprint>,
@@ -51,25 +51,25 @@
     pub event_tokens: u64,
     pub endpoint: Option<Arc<str>>,
     /// Number of endpoints that it was sent to.
-    pub sent: u32,
+    pub attempts: u32,
     /// Whether some endpoint may have run it.
     pub may_have_run: bool,
     /// Time until the head of the response.
-    pub first_byte: Option<Duration>,
+    pub time_to_head: Option<Duration>,
     /// Longest time between two events of the stream.
     pub longest_pause: Option<Duration>,
     hold: Option<Hold>,
     metrics: Metrics,
     bills: Bills,
-    ended: bool,
+    is_ended: bool,
 }
 
 impl Exchange {
     /// Starts tracking a request whose head was read.
     pub fn begin(
         head: &Head,
-        since: Moment,
-        until: Instant,
+        arrival: Moment,
+        deadline: Instant,
         metrics: Metrics,
         bills: Bills,
     ) -> Exchange {
@@ -79,34 +79,34 @@
             customer: None,
             route: None,
             service: None,
-            version: 0,
-            came: since.at(),
-            since,
-            until,
+            config_version: 0,
+            arrived_at: arrival.at(),
+            arrival,
+            deadline,
             tokens: head.tokens,
             fingerprint: None,
             event_tokens: 1,
             endpoint: None,
-            sent: 0,
+            attempts: 0,
             may_have_run: false,
-            first_byte: None,
+            time_to_head: None,
             longest_pause: None,
             hold: None,
             metrics,
             bills,
-            ended: false,
+            is_ended: false,
         }
     }
 
     /// Sets the reservation from which the request is charged.
-    pub fn pay_with(&mut self, hold: Hold) {
+    pub fn set_hold(&mut self, hold: Hold) {
         self.hold = Some(hold);
     }
 
     /// Time left until the deadline. Time in suspension counts, since the caller's clock kept running.
-    pub fn left(&self) -> Duration {
-        let left = self.until.saturating_duration_since(Instant::now());
-        left.saturating_sub(self.since.suspended())
+    pub fn time_left(&self) -> Duration {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        time_left.saturating_sub(self.arrival.suspended())
     }
 
     /// Tokens to charge if the request ends now, after `events` relayed events.
@@ -115,26 +115,26 @@
     /// before it noticed the close. Where the length of the output is unknown, the maximum is charged.
     fn charge(&self, end: &Outcome, events: u64) -> u64 {
         let Some(tokens) = self.tokens else { return 0 };
-        let made = |events: u64| {
+        let cost = |events: u64| {
             let output = events.saturating_mul(self.event_tokens);
             tokens.prompt + output.min(tokens.most_output)
         };
         match end {
             _ if !self.may_have_run => 0,
-            Outcome::Answered { status } if (200..300).contains(status) => made(events),
-            Outcome::Left | Outcome::Broken { .. } if self.sent == 1 => {
-                made(events + UNSEEN_EVENTS)
+            Outcome::Answered { status } if (200..300).contains(status) => cost(events),
+            Outcome::Disconnected | Outcome::Broken { .. } if self.attempts == 1 => {
+                cost(events + MAX_UNRELAYED_EVENTS)
             }
-            _ => made(u64::MAX),
+            _ => cost(u64::MAX),
         }
     }
 
     /// Settles and logs the request; later calls have no effect.
     pub fn end(&mut self, end: Outcome, events: u64) {
-        if std::mem::replace(&mut self.ended, true) {
+        if std::mem::replace(&mut self.is_ended, true) {
             return;
         }
-        let worst = self.hold.as_ref().map_or(0, Hold::tokens);
+        let reserved = self.hold.as_ref().map_or(0, Hold::tokens);
         let charge = self.charge(&end, events);
         let charged = self.hold.take().map_or(0, |hold| hold.settle(charge));
         self.bill(&end, charged);
@@ -145,14 +145,14 @@
             }
             Outcome::Refused(refusal) => ("unknown", refusal.reason.as_str()),
             Outcome::Broken { .. } => ("broken", "-"),
-            Outcome::Left => ("left", "-"),
+            Outcome::Disconnected => ("left", "-"),
         };
-        self.count(outcome, reason, charged);
+        self.update_metrics(outcome, reason, charged);
         let (status, detail) = match &end {
             Outcome::Answered { status } => (*status, ""),
             Outcome::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
             Outcome::Broken { reason } => (0, &**reason),
-            Outcome::Left => (0, ""),
+            Outcome::Disconnected => (0, ""),
         };
         tracing::info!(
             event = "request_ended",
@@ -162,26 +162,26 @@
             service = self.service.as_deref(),
             endpoint = self.endpoint.as_deref(),
             fingerprint = self.fingerprint.as_ref().map(tracing::field::display),
-            config = self.version,
+            config = self.config_version,
             outcome,
             reason,
             status,
             detail,
-            sent = self.sent,
-            held = worst,
+            sent = self.attempts,
+            held = reserved,
             charged,
             events,
-            first_byte_ms = self.first_byte.map(|time| time.as_millis() as u64),
+            first_byte_ms = self.time_to_head.map(|time| time.as_millis() as u64),
             longest_pause_ms = self.longest_pause.map(|time| time.as_millis() as u64),
-            took_ms = self.came.elapsed().as_millis() as u64,
-            left_ms = self.left().as_millis() as u64,
+            took_ms = self.arrived_at.elapsed().as_millis() as u64,
+            left_ms = self.time_left().as_millis() as u64,
         );
     }
 
     fn bill(&self, end: &Outcome, charged: u64) {
         let ended = match end {
             Outcome::Answered { .. } => Ended::Answered,
-            Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Left => Ended::Broken,
+            Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Disconnected => Ended::Broken,
         };
         match (&self.customer, &self.id) {
             (Some(customer), Some(id)) if charged > 0 => {
@@ -191,18 +191,18 @@
         }
     }
 
-    fn count(&self, outcome: &'static str, reason: &'static str, charged: u64) {
+    fn update_metrics(&self, outcome: &'static str, reason: &'static str, charged: u64) {
         self.metrics.in_flight.dec();
         self.metrics.tokens.inc_by(charged);
         self.metrics.requests.get_or_create(&Finished { outcome, reason }).inc();
-        if let Some(first) = self.first_byte {
-            self.metrics.first_byte.observe(first.as_secs_f64());
+        if let Some(time) = self.time_to_head {
+            self.metrics.first_byte.observe(time.as_secs_f64());
         }
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.end(Outcome::Left, 0);
+        self.end(Outcome::Disconnected, 0);
     }
 }
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -9,15 +9,15 @@
 use tokio::time::Instant;
 
 /// Time constant of the moving average, in seconds.
-const AVERAGE_S: f64 = 1.0;
+const AVERAGING_TIME_S: f64 = 1.0;
 /// Bytes of heads and packet headers of a request and its response, without the bodies.
-const HEADS: usize = 1_500;
+const HEAD_BYTES: usize = 1_500;
 /// Bytes of packet headers for each chunk of a response.
-const FRAME: usize = 80;
+const FRAME_BYTES: usize = 80;
 /// Utilization above which the box sheds callers; the rest of the link is for bursts.
-const FULL: f64 = 0.6;
-/// Utilization below which the box accepts callers again; lower than [`FULL`] for hysteresis.
-const FREE: f64 = 0.3;
+const SHED_ABOVE: f64 = 0.6;
+/// Utilization below which the box accepts callers again; lower than [`SHED_ABOVE`] for hysteresis.
+const ACCEPT_BELOW: f64 = 0.3;
 
 /// Load of this box's link. Every byte relayed passes in and out, so one direction stands for both.
 #[derive(Debug)]
@@ -29,8 +29,8 @@
 #[derive(Debug, Default)]
 struct State {
     /// Exponentially decaying sum of bytes.
-    sum: f64,
-    at: Option<Instant>,
+    bytes: f64,
+    updated_at: Option<Instant>,
     sheds: bool,
 }
 
@@ -42,38 +42,40 @@
 
     /// Records a request with a body of this size.
     pub fn request(&self, bytes: usize) {
-        self.pass(bytes + HEADS);
+        self.record(bytes + HEAD_BYTES);
     }
 
     /// Records a chunk of a response.
     pub fn chunk(&self, bytes: usize) {
-        self.pass(bytes + FRAME);
+        self.record(bytes + FRAME_BYTES);
     }
 
-    fn pass(&self, bytes: usize) {
+    fn record(&self, bytes: usize) {
         let mut state = self.state.lock();
-        self.fade(&mut state);
-        state.sum += bytes as f64;
+        self.decay(&mut state);
+        state.bytes += bytes as f64;
     }
 
     /// Whether callers should use other boxes.
     pub fn sheds(&self) -> bool {
         let mut state = self.state.lock();
-        self.fade(&mut state);
-        let used = state.sum / AVERAGE_S / self.bytes_per_s;
-        let sheds = used > if state.sheds { FREE } else { FULL };
+        self.decay(&mut state);
+        let utilization = state.bytes / AVERAGING_TIME_S / self.bytes_per_s;
+        let sheds = utilization > if state.sheds { ACCEPT_BELOW } else { SHED_ABOVE };
         if sheds != state.sheds {
-            let percent = (used * 100.0) as u64;
+            let percent = (utilization * 100.0) as u64;
             tracing::info!(event = "link_load", percent, sheds);
         }
         state.sheds = sheds;
         sheds
     }
 
-    fn fade(&self, state: &mut State) {
+    fn decay(&self, state: &mut State) {
         let now = Instant::now();
-        let passed = state.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        state.sum *= (-passed / AVERAGE_S).exp();
-        state.at = Some(now);
+        let elapsed_s = state
+            .updated_at
+            .map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
+        state.bytes *= (-elapsed_s / AVERAGING_TIME_S).exp();
+        state.updated_at = Some(now);
     }
 }
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -23,13 +23,13 @@
 };
 
 /// Delay before the next permit request if no issuer is known or responds.
-const UNKNOWN: Duration = Duration::from_millis(100);
+const NO_ISSUER_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Number of endpoints with issued permits above which those no longer listed are removed.
-const MANY: usize = 64;
+const PRUNE_THRESHOLD: usize = 64;
 
 /// Interval in milliseconds at which the issuer announces an unchanged limit, for boxes that have just started or
 /// missed a change.
-const TELL_EVERY: u64 = 1_000;
+const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
 
 /// Obtains permits for requests of this box, and issues permits where this box is the issuer.
 #[derive(Clone)]
@@ -48,28 +48,28 @@
 struct Shared {
     setup: Setup,
     /// Permits issued by this box, by endpoint instance.
-    given: Mutex<HashMap<Arc<str>, Handed>>,
+    issued: Mutex<HashMap<Arc<str>, Issued>>,
 }
 
 /// Permits that this box issues for one endpoint instance.
-struct Handed {
+struct Issued {
     permits: balance::Permits,
     /// When the limit was last announced to other boxes.
-    told: u64,
+    announced_at: u64,
 }
 
 impl Permits {
     /// Starts without issued permits.
     pub fn open(setup: Setup) -> Permits {
-        Permits(Arc::new(Shared { setup, given: Mutex::default() }))
+        Permits(Arc::new(Shared { setup, issued: Mutex::default() }))
     }
 
     /// Obtains a permit for a request of this box; `false` if there is none now.
-    pub async fn take(&self, service: &str, chosen: &Chosen) -> bool {
+    pub async fn acquire(&self, service: &str, chosen: &Chosen) -> bool {
         let Setup { endpoints, metrics, .. } = &self.0.setup;
         let Some(signal) = endpoints.limit_notice(&chosen.instance) else { return true };
-        let (turned, by) = self.ask(&chosen.instance, signal, 0).await;
-        let outcome = match &turned {
+        let (reply, by) = self.request(&chosen.instance, signal, 0).await;
+        let outcome = match &reply {
             PermitReply::Given => "given",
             PermitReply::Free { signal } => {
                 endpoints.receive_limit(signal, &by);
@@ -78,10 +78,10 @@
             PermitReply::After { .. } | PermitReply::Leaves => "none",
         };
         metrics.permits.get_or_create(&PermitOutcome { outcome }).inc();
-        let wait = match turned {
+        let wait = match reply {
             PermitReply::Given | PermitReply::Free { .. } => return true,
             PermitReply::After { ms } => Duration::from_millis(ms),
-            PermitReply::Leaves => UNKNOWN,
+            PermitReply::Leaves => NO_ISSUER_RETRY_DELAY,
         };
         let wait_ms = wait.as_millis() as u64;
         tracing::info!(event = "no_turn", endpoint = &*chosen.instance, by, wait_ms);
@@ -90,20 +90,20 @@
     }
 
     /// Handles the permit request of another box.
-    pub async fn answer(&self, permit: wire::PermitRequest, from: &str) -> PermitReply {
+    pub async fn answer(&self, request: wire::PermitRequest, from: &str) -> PermitReply {
         let Setup { endpoints, stopping, .. } = &self.0.setup;
         if *stopping.borrow() {
             return PermitReply::Leaves;
         }
-        let wire::PermitRequest { signal, hops } = permit;
+        let wire::PermitRequest { signal, hops } = request;
         endpoints.receive_limit(&signal, from);
         let instance = signal.endpoint.clone();
         let signal = endpoints.limit_notice(&instance).unwrap_or(signal);
-        self.ask(&instance, signal, hops + 1).await.0
+        self.request(&instance, signal, hops + 1).await.0
     }
 
     /// Requests a permit from the issuer, which may be this box; also returns who responded.
-    async fn ask(
+    async fn request(
         &self,
         instance: &Arc<str>,
         signal: LimitNotice,
@@ -114,41 +114,41 @@
         for _ in 0..2 {
             let leaves = *stopping.borrow();
             let Some(issuer) = peers.issuer(instance, leaves) else {
-                return (self.give(instance), peers.me().to_string());
+                return (self.issue(instance), peers.me().to_string());
             };
             if hops > MAX_HOPS {
                 break;
             }
-            let permit = wire::PermitRequest { signal: signal.clone(), hops };
-            if let Some(turned) = peers.permit(&issuer, permit).await {
-                return (turned, issuer.to_string());
+            let request = wire::PermitRequest { signal: signal.clone(), hops };
+            if let Some(reply) = peers.permit(&issuer, request).await {
+                return (reply, issuer.to_string());
             }
         }
-        (PermitReply::After { ms: UNKNOWN.as_millis() as u64 }, "nobody".to_owned())
+        (PermitReply::After { ms: NO_ISSUER_RETRY_DELAY.as_millis() as u64 }, "nobody".to_owned())
     }
 
     /// Issues a permit. A box that may be partitioned from the others issues only its share of the limit, since boxes
     /// that cannot reach it use another issuer and the endpoint receives the sum.
-    fn give(&self, instance: &Arc<str>) -> PermitReply {
+    fn issue(&self, instance: &Arc<str>) -> PermitReply {
         let Setup { endpoints, peers, metrics, started, announcer, .. } = &self.0.setup;
         let (Some(signal), Some(boxes)) = (endpoints.limit_notice(instance), endpoints.boxes())
         else {
-            return PermitReply::After { ms: UNKNOWN.as_millis() as u64 };
+            return PermitReply::After { ms: NO_ISSUER_RETRY_DELAY.as_millis() as u64 };
         };
         let Some(limit) = signal.limit else { return PermitReply::Free { signal } };
-        let part = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
+        let share = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
         let now = started.elapsed().as_millis() as u64;
-        let mut given = self.0.given.lock();
-        if given.len() >= MANY {
-            given.retain(|instance, _| endpoints.is_listed(instance));
+        let mut issued = self.0.issued.lock();
+        if issued.len() >= PRUNE_THRESHOLD {
+            issued.retain(|instance, _| endpoints.is_listed(instance));
         }
-        let open = || Handed { permits: balance::Permits::open(now), told: now };
-        let handed = given.entry(instance.clone()).or_insert_with(open);
-        match handed.permits.take(limit.as_per_s() * part, now) {
+        let fresh = || Issued { permits: balance::Permits::open(now), announced_at: now };
+        let entry = issued.entry(instance.clone()).or_insert_with(fresh);
+        match entry.permits.take(limit.as_per_s() * share, now) {
             Permit::Given => {
                 metrics.permits_issued.inc();
-                if now >= handed.told + TELL_EVERY {
-                    handed.told = now;
+                if now >= entry.announced_at + ANNOUNCE_INTERVAL_MS {
+                    entry.announced_at = now;
                     announcer.announce(Announcement::LimitUnchanged { instance: instance.clone() });
                 }
                 PermitReply::Given
--- a/crates/gateway/src/proxy/refusal.rs
+++ b/crates/gateway/src/proxy/refusal.rs
@@ -7,7 +7,7 @@
 
 /// `Retry-After` where an endpoint, its connections or this box are at capacity; some requests
 /// complete meanwhile.
-pub const SOON: Duration = Duration::from_millis(100);
+pub const CAPACITY_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why a request got no response of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -115,8 +115,8 @@
 
 impl Refusal {
     /// Replaces the detail by the more specific one of an earlier failure.
-    pub fn because(self, said: Refusal) -> Refusal {
-        Refusal { detail: said.detail, ..self }
+    pub fn with_detail_of(self, cause: Refusal) -> Refusal {
+        Refusal { detail: cause.detail, ..self }
     }
 
     /// The HTTP response.
@@ -132,14 +132,14 @@
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         id.into_iter().for_each(|id| platform::answer::name_request(headers, id));
-        self.tell_return(headers);
+        self.insert_retry_after(headers);
         if self.reason == Reason::Malformed || self.reason == Reason::TooLarge {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    fn tell_return(&self, headers: &mut HeaderMap) {
+    fn insert_retry_after(&self, headers: &mut HeaderMap) {
         let Some(after) = self.retry_after else { return };
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -26,12 +26,12 @@
 
 /// Smallest number of uncached prompt tokens that is announced to other boxes; smaller prompts delay an
 /// engine too little to matter.
-const TOLD_FROM: u64 = 2_000;
+const MIN_ANNOUNCED_TOKENS: u64 = 2_000;
 
 /// Why a body breaks off. The error closes the connection to the caller, so that a truncated body does
 /// not look complete.
 #[derive(Debug, Snafu)]
-pub enum Broken {
+pub enum BodyError {
     /// The endpoint's response broke off.
     #[snafu(display("{source}"))]
     Endpoint { source: forward::Fault },
@@ -47,11 +47,11 @@
     service: Arc<str>,
     endpoint: Arc<str>,
     /// Prompt tokens that the endpoint has to process; taken when the response begins.
-    unread: Option<u64>,
+    prefill_tokens: Option<u64>,
     /// Announcement of the prompt to other boxes; withdrawn on drop.
-    told: Option<PromptNotice>,
+    prompt_notice: Option<PromptNotice>,
     /// When the last event arrived.
-    paced: Option<Instant>,
+    last_event_at: Option<Instant>,
     failure: Option<Failure>,
     /// Detects whether the endpoint crashes on the request.
     watch: Watch,
@@ -67,28 +67,37 @@
         peers: &Peers,
         watch: Watch,
     ) -> InFlight {
-        let unread = endpoints.start(&service, chosen, prefix);
-        let told =
-            (unread >= TOLD_FROM).then(|| peers.publish_prompt(&chosen.instance, prefix, unread));
+        let prefill_tokens = endpoints.start(&service, chosen, prefix);
+        let prompt_notice = (prefill_tokens >= MIN_ANNOUNCED_TOKENS)
+            .then(|| peers.publish_prompt(&chosen.instance, prefix, prefill_tokens));
         let endpoint = chosen.instance.clone();
-        let unread = Some(unread);
-        InFlight { endpoints, service, endpoint, unread, told, paced: None, failure: None, watch }
+        let prefill_tokens = Some(prefill_tokens);
+        InFlight {
+            endpoints,
+            service,
+            endpoint,
+            prefill_tokens,
+            prompt_notice,
+            last_event_at: None,
+            failure: None,
+            watch,
+        }
     }
 
     /// The response began.
     pub fn begin(&mut self) {
-        if let Some(unread) = self.unread.take() {
-            self.endpoints.finish_prefill(&self.service, &self.endpoint, unread);
-            self.told.take();
+        if let Some(prefill_tokens) = self.prefill_tokens.take() {
+            self.endpoints.finish_prefill(&self.service, &self.endpoint, prefill_tokens);
+            self.prompt_notice.take();
         }
     }
 
     /// Records events that arrived together; returns the time since the previous ones.
-    fn pace(&mut self, events: u64) -> Option<Duration> {
+    fn record_events(&mut self, events: u64) -> Option<Duration> {
         let now = Instant::now();
-        let pause = now.saturating_duration_since(self.paced.replace(now)?);
-        let each = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
-        self.endpoints.record_gap(&self.service, &self.endpoint, each);
+        let pause = now.saturating_duration_since(self.last_event_at.replace(now)?);
+        let gap = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
+        self.endpoints.record_gap(&self.service, &self.endpoint, gap);
         Some(pause)
     }
 
@@ -142,7 +151,7 @@
         exchange: Exchange,
         link: Arc<Link>,
     ) -> Relay {
-        let timeout = Box::pin(tokio::time::sleep_until(exchange.until));
+        let timeout = Box::pin(tokio::time::sleep_until(exchange.deadline));
         let mut relay = Relay {
             body,
             event_counter: EventCounter::default(),
@@ -168,8 +177,8 @@
     }
 
     /// Records events that arrived together.
-    fn pace(&mut self, events: u64) {
-        let pause = (events > 0).then(|| self.in_flight.pace(events)).flatten();
+    fn record_events(&mut self, events: u64) {
+        let pause = (events > 0).then(|| self.in_flight.record_events(events)).flatten();
         self.exchange.longest_pause = self.exchange.longest_pause.max(pause);
     }
 
@@ -181,24 +190,24 @@
 impl Drop for Relay {
     /// The caller disconnected, unless the request has already ended.
     fn drop(&mut self) {
-        self.exchange.end(Outcome::Left, self.event_counter.events());
+        self.exchange.end(Outcome::Disconnected, self.event_counter.events());
     }
 }
 
 impl Body for Relay {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
                 ready!(self.timeout.as_mut().poll(context));
                 self.break_off("the deadline of the request passed".into());
-                return Poll::Ready(Some(Err(Broken::Timeout)));
+                return Poll::Ready(Some(Err(BodyError::Timeout)));
             }
         };
         match frame {
@@ -212,7 +221,7 @@
                     let before = self.event_counter.events();
                     self.event_counter.feed(data);
                     let events = self.event_counter.events() - before;
-                    self.pace(events);
+                    self.record_events(events);
                 }
                 self.end_if_whole();
                 Poll::Ready(Some(Ok(frame)))
@@ -220,7 +229,7 @@
             Some(Err(source)) => {
                 self.in_flight.broke();
                 self.break_off(source.to_string());
-                Poll::Ready(Some(Err(Broken::Endpoint { source })))
+                Poll::Ready(Some(Err(BodyError::Endpoint { source })))
             }
         }
     }
