--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -54,14 +54,14 @@
             queue.offer(request(id * 2, Class::Long, "heavy", weight), FULL, 0);
             queue.offer(request(id * 2 + 1, Class::Long, "light", 1), FULL, 0);
         }
-        let turns = u64::from(weight + 1) * 3;
+        let starts = u64::from(weight + 1) * 3;
         let mut served: HashMap<Arc<str>, u64> = HashMap::new();
-        for _ in 0..turns.min(count) {
+        for _ in 0..starts.min(count) {
             let id = queue.next(EMPTY, 1).unwrap();
             *served.entry(if id % 2 == 0 { "heavy".into() } else { "light".into() }).or_default() += 1;
         }
         let light = served.get("light").copied().unwrap_or(0);
-        let fair = turns.min(count) / u64::from(weight + 1);
+        let fair = starts.min(count) / u64::from(weight + 1);
         prop_assert!(light.abs_diff(fair) <= 1, "{:?} of weight {}", served, weight);
     }
 }
--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -3,7 +3,7 @@
 //! A connection breaks for many reasons; only a crash of the endpoint counts against a request. After a broken
 //! connection this box therefore probes the endpoint by connecting to it: a closed port proves a crash, anything else
 //! proves nothing. While the probe runs, requests whose verdict depends on it wait, so that they are not sent to the
-//! next endpoint. Unproved crashes never quarantine a request, since connections to healthy endpoints break too.
+//! next endpoint. Unconfirmed crashes never quarantine a request, since connections to healthy endpoints break too.
 //!
 //! If the caller disconnects or the deadline passes before the endpoint crashes, no connection of the request breaks.
 //! Abandoned requests are therefore remembered for a while, and added to the report of a crash that follows.
--- a/crates/gateway/src/proxy/endpoints/departures.rs
+++ b/crates/gateway/src/proxy/endpoints/departures.rs
@@ -2,8 +2,8 @@
 //!
 //! The announcement is final for the instance. No entry or later response revokes it: the entry may be stale while the
 //! store is unreachable, and a response may be older than the announcement. An endpoint that changes its mind gets no
-//! requests until it restarts; that is cheaper than losing requests with an endpoint that exits. The announcement also
-//! holds while the instance is not listed, since its entry may lapse and return unchanged.
+//! requests until it restarts, as requests sent to one that exits would be lost. The announcement also holds while the
+//! instance is not listed, since its entry may lapse and return unchanged.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -32,7 +32,7 @@
 /// Weight of an uncached prompt token of this request, relative to one already queued at the engine. Queued tokens
 /// only cost waiting time; processing an uncached prompt also evicts other prompts from the engine's cache.
 const PREFILL_WEIGHT: f64 = 4.5;
-/// Weight of a request whose response an engine is generating; another one in a batch makes a step only slightly longer.
+/// Weight of a request whose response an engine is generating; one more in a batch makes a step only slightly longer.
 const IN_FLIGHT_WEIGHT: f64 = 0.05;
 /// Penalty for another availability zone, in requests; reflects the network latency.
 const OTHER_ZONE_PENALTY: f64 = 0.02;
@@ -246,8 +246,8 @@
         self.state.lock().services.values().map(|pool| pool.cold(now)).sum()
     }
 
-    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if all endpoints
-    /// are leaving.
+    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if every
+    /// endpoint is leaving.
     pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
         let now = self.now();
         let state = &mut *self.state.lock();
--- a/crates/gateway/src/proxy/exchange.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -50,7 +50,7 @@
     /// Maximum number of tokens in one event of the service's engines.
     pub event_tokens: u64,
     pub endpoint: Option<Arc<str>>,
-    /// Number of endpoints that it was sent to.
+    /// Number of endpoints that it was sent to, without those that turned out to be gone.
     pub attempts: u32,
     /// Whether some endpoint may have run it.
     pub may_have_run: bool,
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -1,7 +1,7 @@
 //! Permits for endpoints that name a rate limit for all boxes together.
 //!
-//! Every request to such an endpoint needs a permit first: first attempts, repeats and probes of failed endpoints alike.
-//! One box issues the permits of an endpoint; see [`balance::Permits`] for the reason. Without a permit the endpoint is
+//! Every request to such an endpoint needs a permit: first attempts, repeats and probes of failed endpoints alike. One
+//! box issues the permits of an endpoint; see [`balance::Permits`] for the reason. Without a permit the endpoint is
 //! skipped until the time given by the issuer, and the request goes to another endpoint or is refused. Endpoints
 //! without a limit cause no messages.
 
@@ -24,7 +24,7 @@
 
 /// Delay before the next permit request if no issuer is known or responds.
 const NO_ISSUER_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Number of endpoints with issued permits above which those no longer listed are removed.
+/// Number of endpoints with issued permits from which those no longer listed are removed.
 const PRUNE_THRESHOLD: usize = 64;
 
 /// Interval in milliseconds at which the issuer announces an unchanged limit, for boxes that have just started or
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -24,8 +24,8 @@
     },
 };
 
-/// Smallest number of uncached prompt tokens that is announced to other boxes; smaller prompts delay an
-/// engine too little to matter.
+/// Smallest number of uncached prompt tokens that is announced to other boxes; smaller ones hardly
+/// delay an engine.
 const MIN_ANNOUNCED_TOKENS: u64 = 2_000;
 
 /// Why a body breaks off. The error closes the connection to the caller, so that a truncated body does
