--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -17,6 +17,7 @@
 /// Back-off of an endpoint that requests one of unreadable length: it is probably overloaded, and a response after
 /// this time shows more.
 const DEFAULT_BACK_OFF: Duration = Duration::from_millis(1_000);
+
 /// What a response changed for this box and other boxes have to learn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Changes {
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -19,7 +19,7 @@
 /// Utilization below which the box accepts callers again; lower than [`SHED_ABOVE`] for hysteresis.
 const ACCEPT_BELOW: f64 = 0.3;
 
-/// Load of this box's link. Every byte relayed passes in and out, so one direction stands for both.
+/// Load of this box's link, in the direction that is used more.
 #[derive(Debug)]
 pub struct Link {
     bytes_per_s: f64,
--- a/crates/retry-after/src/lib.rs
+++ b/crates/retry-after/src/lib.rs
@@ -16,8 +16,8 @@
     }
 }
 
-/// Parses a delay in seconds or a date. A date is relative to the `Date` of the response, since the clocks of both sides
-/// may differ.
+/// Parses a delay in seconds or a date. A date is relative to the `Date` of the response, since the clocks of both
+/// sides may differ.
 fn delay(text: &str, sent: Option<SystemTime>) -> Option<Duration> {
     match text.parse::<f64>() {
         Ok(seconds) => Duration::try_from_secs_f64(seconds).ok(),
