--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -1,7 +1,7 @@
-//! What endpoints say of themselves in their answers, as one box knows it.
+//! Signals of endpoints about themselves in the heads of their responses.
 //!
-//! Every answer of an endpoint comes through [`Endpoints::hear`], whatever its status, but for those that another endpoint at its
-//! address gives. What cannot be read, or is not known, is counted by the name of its header, and logged once a name.
+//! [`Endpoints::receive_signals`] processes every response of an endpoint, whatever its status, except those of another
+//! endpoint at its address. Unknown or unreadable signals are counted by header name, and logged once per name.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,33 +10,35 @@
 
 use super::{Chosen, Endpoints};
 
-/// Names of headers that are told apart in counts; the others are counted together.
-const MOST_NAMES: usize = 64;
-/// Name of the count of the others.
-const OTHERS: &str = "others";
-/// Rest of an endpoint that asks for one of a length that cannot be read: it is in need, and an answer in a second says more.
-const REST_UNKNOWN: Duration = Duration::from_millis(1_000);
-/// What is new to this box, so that other boxes should hear of it.
+/// Header names that are counted separately; all others share one count.
+const MAX_COUNTED_NAMES: usize = 64;
+/// Name of the shared count.
+const OTHER_NAMES: &str = "others";
+/// Back-off of an endpoint that requests one of unreadable length: it is probably overloaded, and a response after
+/// this time shows more.
+const DEFAULT_BACK_OFF: Duration = Duration::from_millis(1_000);
+
+/// What a response changed for this box and other boxes have to learn.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Its limit changed.
+    /// The rate limit changed.
     pub limit: bool,
-    /// It leaves.
+    /// The endpoint began draining.
     pub leaves: bool,
 }
 
-/// Headers that nobody read, by name.
+/// Counts of unknown or unreadable headers, by name.
 #[derive(Debug, Default)]
-pub struct Unread(BTreeMap<Arc<str>, u64>);
+pub struct UnreadHeaders(BTreeMap<Arc<str>, u64>);
 
-impl Unread {
-    /// An endpoint sent a header that is not known, or with a value that cannot be read.
-    fn note(&mut self, name: &str, value: &str, endpoint: &str) {
+impl UnreadHeaders {
+    /// Counts a header of an endpoint that is unknown or has an unreadable value.
+    fn count_header(&mut self, name: &str, value: &str, endpoint: &str) {
         if let Some(count) = self.0.get_mut(name) {
             *count += 1;
             return;
         }
-        let name = if self.0.len() < MOST_NAMES { name } else { OTHERS };
+        let name = if self.0.len() < MAX_COUNTED_NAMES { name } else { OTHER_NAMES };
         let count = self.0.entry(name.into()).or_default();
         *count += 1;
         if *count == 1 {
@@ -46,7 +48,7 @@
 }
 
 impl Endpoints {
-    /// The head of an answer, to a request that was sent so long ago, says this of its endpoint.
+    /// Applies the signals in the head of a response to a request that was sent `ago`.
     pub fn receive_signals(
         &self,
         service: &str,
@@ -54,21 +56,21 @@
         head: &Head,
         ago: Duration,
     ) -> Changes {
-        let said = &head.said;
+        let signals = &head.said;
         let now = self.now();
         let sent_at = now.saturating_sub(ago.as_millis() as u64);
         let instance = &chosen.instance;
-        for (name, value) in said.unread() {
-            self.unread.lock().note(name, value, instance);
+        for (name, value) in signals.unread() {
+            self.unread.lock().count_header(name, value, instance);
         }
         let mut state = self.state.lock();
-        let leaves = said.leaves == Some(Word::Read(true))
-            && state.leave(instance, chosen.address, Departure::now(now), true);
+        let leaves = signals.leaves == Some(Word::Read(true))
+            && state.record_departure(instance, chosen.address, Departure::now(now), true);
         let Some(pool) = state.services.get_mut(service) else {
             return Changes { leaves, limit: false };
         };
-        if let Some(rest) = &said.rest {
-            rests(pool, instance, rest, now);
+        if let Some(word) = &signals.rest {
+            start_back_off(pool, instance, word, now);
         }
         let Some(endpoint) = pool.get_mut(instance) else {
             return Changes { leaves, limit: false };
@@ -76,11 +78,11 @@
         if !head.not_run {
             endpoint.back_off.request_accepted(sent_at);
         }
-        if let Some(Word::Read(load)) = &said.load {
+        if let Some(Word::Read(load)) = &signals.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
-        let limit = said.limit.as_ref().map(|word| limit(endpoint, word));
+        let limit = signals.limit.as_ref().map(|word| read_limit(endpoint, word));
         let limit =
             endpoint.update_limit(balance::LimitSignal { limit, sent_at, answered_at: now });
         if limit {
@@ -89,23 +91,23 @@
         Changes { limit, leaves }
     }
 
-    /// Whether an endpoint went, or said that it wants no request, since it was chosen for one.
+    /// Whether an endpoint was removed, or began to decline requests, after it was selected.
     pub fn refuses_requests(&self, service: &str, chosen: &Chosen) -> bool {
         let now = self.now();
         let state = self.state.lock();
         let pool = state.services.get(service);
-        let known = pool.and_then(|pool| pool.get(&chosen.instance));
-        known.is_none_or(|endpoint| endpoint.refuses_requests(now))
+        let endpoint = pool.and_then(|pool| pool.get(&chosen.instance));
+        endpoint.is_none_or(|endpoint| endpoint.refuses_requests(now))
     }
 
-    /// Endpoints that said that they leave and are still listed.
+    /// Number of listed endpoints that are draining.
     pub fn count_leaving(&self) -> usize {
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(|pool| pool.endpoints());
         endpoints.filter(|endpoint| endpoint.departure.is_some()).count()
     }
 
-    /// Endpoints that want nothing from this box for now.
+    /// Number of endpoints in a back-off.
     pub fn count_backing_off(&self) -> usize {
         let now = self.now();
         let state = self.state.lock();
@@ -113,26 +115,27 @@
         endpoints.filter(|endpoint| endpoint.back_off.left_ms(now) > 0).count()
     }
 
-    /// Headers of endpoints that nobody read, with how often they came.
+    /// Unknown or unreadable headers of endpoints, with their counts.
     pub fn unread(&self) -> Vec<(Arc<str>, u64)> {
         self.unread.lock().0.iter().map(|(name, count)| (name.clone(), *count)).collect()
     }
 }
 
-/// How much an endpoint takes. One that names a limit which cannot be read is in need all the same.
-fn limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
+/// The rate limit of an endpoint. An unreadable limit keeps the previous one, or counts as an unknown limit: the
+/// endpoint wants to be limited in any case.
+fn read_limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
     match word {
         Word::Read(per_s) => Limit::per_s(*per_s),
         Word::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
     }
 }
 
-fn rests(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
-    let rest = match word {
-        Word::Read(rest) => *rest,
-        Word::Unreadable(_) => REST_UNKNOWN,
+fn start_back_off(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
+    let back_off = match word {
+        Word::Read(back_off) => *back_off,
+        Word::Unreadable(_) => DEFAULT_BACK_OFF,
     };
-    let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+    let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
     if pool.back_off(instance, rest_ms, now) {
         tracing::info!(event = "endpoint_rests", endpoint = instance, rest_ms);
     }
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -1,9 +1,9 @@
-//! Turns at endpoints that name how much they take from all boxes together.
+//! Permits for endpoints that name a rate limit for all boxes together.
 //!
-//! A request that goes to such an endpoint takes a turn first, whatever kind it is: a first try, a repeat, one that may
-//! run once, the probe of an endpoint that failed. One box hands them out ([`balance::Permits`] says why), mostly another
-//! one. Without a turn the endpoint is passed over until the time that was told, and the request goes to another one or
-//! is refused at once. Where no endpoint names a limit, nothing of this costs a message or a moment.
+//! Every request to such an endpoint needs a permit: first attempts, repeats and probes of failed endpoints alike. One
+//! box issues the permits of an endpoint; see [`balance::Permits`] for the reason. Without a permit the endpoint is
+//! skipped until the time given by the issuer, and the request goes to another endpoint or is refused. Endpoints
+//! without a limit cause no messages.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -22,20 +22,20 @@
     },
 };
 
-/// When to ask again where no box that hands out turns is known or answers: a question or two later.
-const UNKNOWN: Duration = Duration::from_millis(100);
-/// Endpoints for which turns were handed out from which on those that are gone are forgotten.
-const MANY: usize = 64;
+/// Delay before the next permit request if no issuer is known or responds.
+const NO_ISSUER_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of endpoints with issued permits from which those no longer listed are removed.
+const PRUNE_THRESHOLD: usize = 64;
 
-/// Time between two words of the box that hands out turns on a limit that stays, in milliseconds: a box that started
-/// and looks at the store itself hears of it by them, and one that missed a change.
-const TELL_EVERY: u64 = 1_000;
+/// Interval in milliseconds at which the issuer announces an unchanged limit, for boxes that have just started or
+/// missed a change.
+const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
 
-/// Takes turns for requests of this box, and hands them out.
+/// Obtains permits for requests of this box, and issues permits where this box is the issuer.
 #[derive(Clone)]
 pub struct Permits(Arc<Shared>);
 
-/// What turns need.
+/// Dependencies of [`Permits`].
 pub struct Setup {
     pub endpoints: Arc<Endpoints>,
     pub peers: Peers,
@@ -47,29 +47,29 @@
 
 struct Shared {
     setup: Setup,
-    /// What this box hands out, by lives of endpoints.
-    given: Mutex<HashMap<Arc<str>, Handed>>,
+    /// Permits issued by this box, by endpoint instance.
+    issued: Mutex<HashMap<Arc<str>, Issued>>,
 }
 
-/// What this box hands out at one endpoint.
-struct Handed {
+/// Permits that this box issues for one endpoint instance.
+struct Issued {
     permits: balance::Permits,
-    /// When others were told of its limit last.
-    told: u64,
+    /// When the limit was last announced to other boxes.
+    announced_at: u64,
 }
 
 impl Permits {
-    /// None were handed out yet.
+    /// Starts without issued permits.
     pub fn open(setup: Setup) -> Permits {
-        Permits(Arc::new(Shared { setup, given: Mutex::default() }))
+        Permits(Arc::new(Shared { setup, issued: Mutex::default() }))
     }
 
-    /// Whether a request of this box may be sent to an endpoint that names a limit.
-    pub async fn take(&self, service: &str, chosen: &Chosen) -> bool {
+    /// Obtains a permit for a request of this box; `false` if there is none now.
+    pub async fn acquire(&self, service: &str, chosen: &Chosen) -> bool {
         let Setup { endpoints, metrics, .. } = &self.0.setup;
         let Some(signal) = endpoints.limit_notice(&chosen.instance) else { return true };
-        let (turned, by) = self.ask(&chosen.instance, signal, 0).await;
-        let outcome = match &turned {
+        let (reply, by) = self.request(&chosen.instance, signal, 0).await;
+        let outcome = match &reply {
             PermitReply::Given => "given",
             PermitReply::Free { signal } => {
                 endpoints.receive_limit(signal, &by);
@@ -78,10 +78,10 @@
             PermitReply::After { .. } | PermitReply::Leaves => "none",
         };
         metrics.permits.get_or_create(&PermitOutcome { outcome }).inc();
-        let wait = match turned {
+        let wait = match reply {
             PermitReply::Given | PermitReply::Free { .. } => return true,
             PermitReply::After { ms } => Duration::from_millis(ms),
-            PermitReply::Leaves => UNKNOWN,
+            PermitReply::Leaves => NO_ISSUER_RETRY_DELAY,
         };
         let wait_ms = wait.as_millis() as u64;
         tracing::info!(event = "no_turn", endpoint = &*chosen.instance, by, wait_ms);
@@ -89,66 +89,66 @@
         false
     }
 
-    /// Answers another box that asks for a turn.
-    pub async fn answer(&self, permit: wire::PermitRequest, from: &str) -> PermitReply {
+    /// Handles the permit request of another box.
+    pub async fn answer(&self, request: wire::PermitRequest, from: &str) -> PermitReply {
         let Setup { endpoints, stopping, .. } = &self.0.setup;
         if *stopping.borrow() {
             return PermitReply::Leaves;
         }
-        let wire::PermitRequest { signal, hops } = permit;
+        let wire::PermitRequest { signal, hops } = request;
         endpoints.receive_limit(&signal, from);
         let instance = signal.endpoint.clone();
         let signal = endpoints.limit_notice(&instance).unwrap_or(signal);
-        self.ask(&instance, signal, hops + 1).await.0
+        self.request(&instance, signal, hops + 1).await.0
     }
 
-    /// Asks who hands out turns there, which may be this box; says who answered.
-    async fn ask(
+    /// Requests a permit from the issuer, which may be this box; also returns who responded.
+    async fn request(
         &self,
         instance: &Arc<str>,
         signal: LimitNotice,
         hops: u8,
     ) -> (PermitReply, String) {
         let Setup { peers, stopping, .. } = &self.0.setup;
-        // The first and one that stands in for it; whoever hears of no other by then waits.
+        // The issuer, then its substitute if it does not respond.
         for _ in 0..2 {
             let leaves = *stopping.borrow();
             let Some(issuer) = peers.issuer(instance, leaves) else {
-                return (self.give(instance), peers.me().to_string());
+                return (self.issue(instance), peers.me().to_string());
             };
             if hops > MAX_HOPS {
                 break;
             }
-            let permit = wire::PermitRequest { signal: signal.clone(), hops };
-            if let Some(turned) = peers.permit(&issuer, permit).await {
-                return (turned, issuer.to_string());
+            let request = wire::PermitRequest { signal: signal.clone(), hops };
+            if let Some(reply) = peers.permit(&issuer, request).await {
+                return (reply, issuer.to_string());
             }
         }
-        (PermitReply::After { ms: UNKNOWN.as_millis() as u64 }, "nobody".to_owned())
+        (PermitReply::After { ms: NO_ISSUER_RETRY_DELAY.as_millis() as u64 }, "nobody".to_owned())
     }
 
-    /// Hands out a turn. A box that may be cut off gives its part by the number of boxes: those that do not reach it
-    /// have another one, and the sum of both is what the endpoint gets.
-    fn give(&self, instance: &Arc<str>) -> PermitReply {
+    /// Issues a permit. A box that may be partitioned from the others issues only its share of the limit, since boxes
+    /// that cannot reach it use another issuer and the endpoint receives the sum.
+    fn issue(&self, instance: &Arc<str>) -> PermitReply {
         let Setup { endpoints, peers, metrics, started, announcer, .. } = &self.0.setup;
         let (Some(signal), Some(boxes)) = (endpoints.limit_notice(instance), endpoints.boxes())
         else {
-            return PermitReply::After { ms: UNKNOWN.as_millis() as u64 };
+            return PermitReply::After { ms: NO_ISSUER_RETRY_DELAY.as_millis() as u64 };
         };
         let Some(limit) = signal.limit else { return PermitReply::Free { signal } };
-        let part = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
+        let share = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
         let now = started.elapsed().as_millis() as u64;
-        let mut given = self.0.given.lock();
-        if given.len() >= MANY {
-            given.retain(|instance, _| endpoints.is_listed(instance));
+        let mut issued = self.0.issued.lock();
+        if issued.len() >= PRUNE_THRESHOLD {
+            issued.retain(|instance, _| endpoints.is_listed(instance));
         }
-        let open = || Handed { permits: balance::Permits::open(now), told: now };
-        let handed = given.entry(instance.clone()).or_insert_with(open);
-        match handed.permits.take(limit.as_per_s() * part, now) {
+        let fresh = || Issued { permits: balance::Permits::open(now), announced_at: now };
+        let entry = issued.entry(instance.clone()).or_insert_with(fresh);
+        match entry.permits.take(limit.as_per_s() * share, now) {
             Permit::Given => {
                 metrics.permits_issued.inc();
-                if now >= handed.told + TELL_EVERY {
-                    handed.told = now;
+                if now >= entry.announced_at + ANNOUNCE_INTERVAL_MS {
+                    entry.announced_at = now;
                     announcer.announce(Announcement::LimitUnchanged { instance: instance.clone() });
                 }
                 PermitReply::Given
