--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,15 +1,16 @@
-//! Claims: whoever creates one runs an unrepeatable request, and nobody else ever does.
+//! Claims: the box that creates a claim runs an unrepeatable request, and no other box ever does.
 //!
-//! A claim must land, create-only, before the request is dispatched. It is never deleted while a
-//! retry could come; a claim without an outcome means *unknown*, never "not run". Only the
-//! claimant's own word that it did not dispatch lets another take the claim over.
+//! The claim must be created in the platform's store before the request is dispatched. It is not
+//! deleted while a retry could still arrive. A claim without an outcome means that the outcome is
+//! *unknown*, never that the request did not run. Another box may take the claim over only if the
+//! claimant itself recorded that it did not dispatch the request.
 
 use std::sync::Arc;
 
 use ledger::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// Largest answer recorded with a claim, in bytes.
+/// Largest answer body recorded with a claim, in bytes.
 pub const MAX_ANSWER: usize = 16 << 10;
 
 /// A recorded answer.
@@ -17,58 +18,56 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
     pub content_type: Arc<str>,
-    /// Body, or nothing if it was too large or not text.
+    /// `None` if the body was too large or not text.
     pub body: Option<Arc<str>>,
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It may be running or have run.
+    /// The request may be running or have run.
     Open,
-    /// It ran, and this was the answer.
+    /// The request ran, with this answer.
     Done(Answer),
-    /// The claimant's own word: it was not dispatched.
+    /// The claimant recorded that it did not dispatch the request.
     NotRun,
 }
 
 /// The claim of one unrepeatable request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Customer that asked.
+    /// Customer that sent the request.
     pub customer: Arc<str>,
     /// Request key.
     pub key: Arc<str>,
-    /// Incarnation that may run it.
+    /// Incarnation that may run the request.
     pub by: Incarnation,
     /// Number of the attempt, unique for the incarnation.
     pub attempt: u64,
-    /// Hash of the request, against a key used for two requests.
+    /// Hash of the request, to detect a key that is used for two requests.
     pub fingerprint: u64,
-    /// How far it has come.
     pub state: State,
 }
 
-/// What a box may do on finding a claim.
+/// What a box that finds a claim has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Answer what was recorded.
+    /// Send the recorded answer.
     Replay(Answer),
-    /// Own attempt: the create landed although its answer was lost.
+    /// Go on: the claim is its own attempt, created although the answer to the write was lost.
     Own,
-    /// Say that it is not known whether it ran.
+    /// Answer that it is unknown whether the request ran.
     Unknown,
-    /// Take it over by conditional update.
+    /// Take the claim over by a conditional update.
     Take,
-    /// The key was used for another request: refuse, not run.
+    /// Refuse the request without running it, as its key was used for another one.
     Mismatch,
 }
 
 impl Claim {
-    /// Decides for the attempt `mine` that found this claim.
+    /// Decides what the attempt `mine` has to do on finding this claim.
     pub fn decide(&self, mine: &Claim) -> Decision {
         match &self.state {
             _ if self.fingerprint != mine.fingerprint => Decision::Mismatch,
@@ -79,18 +78,17 @@
         }
     }
 
-    /// The same claim with an outcome.
+    /// Returns the same claim in another state.
     pub fn with(&self, state: State) -> Claim {
         Claim { state, ..self.clone() }
     }
 
-    /// JSON text for the platform.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("claims always serialize")
     }
 }
 
-/// Name of the claim object of a request.
+/// Name of the object that holds the claim of a request.
 pub fn object_name(customer: &str, key: &str) -> String {
     let seed = xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
     let hash = xxhash_rust::xxh3::xxh3_128_with_seed(key.as_bytes(), seed);
--- a/crates/gateway/src/money/bills.rs
+++ b/crates/gateway/src/money/bills.rs
@@ -1,10 +1,10 @@
 //! Bills of finished requests, written to the store page by page.
 //!
-//! A page is named by the incarnation and a number and is only ever created, and what stands on it
-//! does not change once it was sent. So writing it again after a lost answer changes nothing, and
-//! each request stands on one bill. A box that loses
-//! power loses the bills of its last seconds; their tokens count as spent all the same. One that
-//! stops by plan while the store is away hands its pages to another box, which writes them.
+//! A page is named by the incarnation and a number. It is only ever created, and its content is
+//! fixed once it was sent, so that writing it again after a lost answer changes nothing and each
+//! request is billed once. A box that dies loses the bills that it has not written; their tokens
+//! count as spent nevertheless. A box that stops while the store is unreachable hands its pages
+//! over to another box, which writes them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,9 +15,11 @@
 use tokio::time::Instant;
 use wire::Sheet;
 
-/// Time between two pages of a box, so that few bills are lost with it and few calls made.
+/// Interval between two pages of a box: short, so that few bills are lost if it dies, but long
+/// enough to keep store calls rare.
 const PAGE_EVERY: Duration = Duration::from_secs(10);
-/// Bills on one page at most: some 200 bytes each, a fifth of the largest value.
+/// Most bills on one page. At about 200 bytes each, a page takes a fifth of the largest value that
+/// the store accepts.
 const PAGE_BILLS: usize = 1_000;
 
 /// Bills of this box that are not written yet.
@@ -30,16 +32,16 @@
     open: Vec<Bill>,
     n: u64,
     page: u64,
-    /// Bills on the page that was sent last, until it is known to be there: it may have landed, and
-    /// what came since belongs on the next one.
+    /// Number of bills on the page that was sent last, until it is known to be written. The page
+    /// may have landed, so later bills belong on the next one.
     sent: Option<usize>,
     written: Instant,
-    /// Pages of other boxes that this one writes.
+    /// Pages of other boxes, to be written by this one.
     carried: Vec<Sheet>,
 }
 
 impl State {
-    /// The next page and the bills on it.
+    /// Returns the next page and the number of bills on it.
     fn next(&mut self) -> Option<(Sheet, usize)> {
         let count = self.sent.unwrap_or(self.open.len().min(PAGE_BILLS));
         if count == 0 {
@@ -49,7 +51,7 @@
         Some((sheet(&self.by, self.page, self.open[..count].to_vec()), count))
     }
 
-    /// The page that was sent last is there.
+    /// Removes the bills of the page that was written.
     fn written(&mut self, count: usize) {
         self.open.drain(..count);
         self.page += 1;
@@ -59,7 +61,7 @@
 }
 
 impl Bills {
-    /// No bills yet.
+    /// Starts without bills.
     pub fn open(by: Incarnation) -> Bills {
         let (open, carried) = (Vec::new(), Vec::new());
         let (page, sent, written) = (0, None, Instant::now());
@@ -67,7 +69,7 @@
         Bills(Arc::new(Mutex::new(state)))
     }
 
-    /// Bills a request that ended.
+    /// Adds the bill of a request that ended.
     pub fn add(&self, customer: &Arc<str>, key: &Arc<str>, tokens: u64, ended: Ended) {
         let mut state = self.0.lock();
         state.n += 1;
@@ -84,18 +86,18 @@
         state.open.push(bill);
     }
 
-    /// Bills that are not written yet.
+    /// Number of bills of this box and pages of others that are not written yet.
     pub fn waiting(&self) -> usize {
         let state = self.0.lock();
         state.open.len() + state.carried.len()
     }
 
-    /// Takes over pages of a box that ends.
+    /// Takes over pages of a box that stops.
     pub fn carry(&self, pages: Vec<Sheet>) {
         self.0.lock().carried.extend(pages);
     }
 
-    /// Takes out all that is not written, as pages for another box to write.
+    /// Removes all that is not written, as pages for another box to write.
     pub fn hand_over(&self) -> Vec<Sheet> {
         let mut state = self.0.lock();
         let mut pages = std::mem::take(&mut state.carried);
@@ -112,7 +114,7 @@
         due.then(|| state.next()).flatten()
     }
 
-    /// Writes pages of other boxes; stops at the first that fails.
+    /// Writes the pages of other boxes; stops at the first failure.
     async fn write_carried(&self, store: &Client) {
         loop {
             let Some(Sheet { name, text }) = self.0.lock().carried.last().cloned() else { return };
@@ -129,15 +131,15 @@
         }
     }
 
-    /// Writes pages that are due, or all there are; stops at the first that fails.
+    /// Writes the pages that are due, or all bills; stops at the first failure.
     ///
-    /// Only one task may do this: what is written goes by position.
+    /// Must not run concurrently: the written bills are removed by position.
     pub async fn write(&self, store: &Client, all: bool) {
         self.write_carried(store).await;
         while let Some((Sheet { name, text }, count)) = self.next(all) {
             let put = store.replace(BILLS, &name, &text, Expect::Absent).await;
             match put {
-                // A page that is there already was written by an earlier call of this box.
+                // The page exists already if an earlier attempt of this box landed.
                 Put::Landed(_) | Put::Refused(_) => {
                     self.0.lock().written(count);
                     tracing::info!(event = "bills_written", page = name, count);
--- a/crates/gateway/src/money/claims.rs
+++ b/crates/gateway/src/money/claims.rs
@@ -1,4 +1,4 @@
-//! Asking the witnesses of lives that ended what those left untouched.
+//! Asks the witnesses of dead incarnations which tokens those left unused.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::fleet::peers::{Peers, Word};
 
-/// What the witnesses say; claims whose witness does not answer are left out.
+/// Returns the answers of the witnesses. Claims whose witness did not answer are left out.
 pub async fn ask(peers: &Peers, open: Vec<(Incarnation, Claim)>) -> Vec<Untouched> {
     let asked = open.iter().map(|(holder, claim)| peers.seal(holder, claim));
     let words = join_all(asked).await;
--- a/crates/gateway/src/money/draws.rs
+++ b/crates/gateway/src/money/draws.rs
@@ -1,12 +1,9 @@
-//! Getting tokens for requests: from the keeper of the availability zone, or from the book where
-//! this box is the keeper itself or reaches no other.
+//! Gets tokens for requests: from the keeper of the availability zone, or from the book if this box
+//! is the keeper itself or reaches no other.
 //!
-//! A box that wrote the book itself whenever a request came for which it held nothing would meet
-//! all others there: of 73 boxes that did so, one in 0.2 s got through, and half of all requests
-//! were refused for want of tokens that lay elsewhere. A keeper answers within a way there and
-//! back, with the store in reach or not, and the book is written by a few boxes however many there
-//! are: the calm day of 73 boxes took 16,000 calls of the store before, and refused half of what
-//! came (counted on the callers' side).
+//! If every box wrote the book whenever it lacked tokens, their conditional writes would conflict
+//! and most of them would be refused. Through keepers only a few boxes write the book, however many
+//! there are, and a keeper answers within one round trip, whether the store is reachable or not.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,23 +21,21 @@
     settings::Settings,
 };
 
-/// Time for the answer to come besides: many times the way there and back, with room for a box
-/// that is busy.
+/// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
+/// longer than a round trip, for boxes under load.
 const ON_THE_WAY: Duration = Duration::from_millis(50);
-/// Time between two rounds in which keepers are told what was used and given back what lies idle:
-/// shorter than the use that a box keeps.
+/// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
+/// time for which a box holds tokens in reserve.
 const TELL: Duration = Duration::from_millis(1_000);
 
-/// What came of asking a keeper.
+/// The result of asking a keeper.
 #[derive(Debug)]
 enum Drew {
-    /// The tokens of the request.
     Hold(Hold),
-    /// An answer, and too few tokens in reach of that keeper.
+    /// The keeper answered, but it and the boxes that it reaches have too few tokens.
     TooLittle,
-    /// The same, and the keeper does not reach the store.
+    /// The same, and the keeper does not reach the store or is about to stop.
     Cut,
-    /// No answer in time.
     Nothing,
 }
 
@@ -50,12 +45,10 @@
     funds: Funds,
     peers: Peers,
     lending: Lending,
-    /// The settings in force.
     settings: watch::Receiver<Arc<Settings>>,
 }
 
 impl Draws {
-    /// For this box's accounts.
     pub fn new(
         funds: Funds,
         peers: Peers,
@@ -65,13 +58,13 @@
         Draws { funds, peers, lending, settings }
     }
 
-    /// Longest time that a keeper may look for tokens.
+    /// Longest time for which a keeper may look for tokens.
     fn keeper_within(&self) -> Duration {
         Duration::from_millis(self.settings.borrow().money.keeper_ms)
     }
 
-    /// Holds the worst case of a request, waiting until `until` for the tokens; the book is waited
-    /// for until `from_store` where this box asks it itself.
+    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
+    /// the book itself, it waits for that at most for `from_store`.
     pub async fn hold(
         &self,
         customer: &Arc<str>,
@@ -89,7 +82,7 @@
             }
             match self.hold_by(&keeper, customer, worst, until).await {
                 Drew::Hold(hold) => return Some(hold),
-                // Others write the same book.
+                // The other keepers write the same book and have no more.
                 Drew::TooLittle => return None,
                 Drew::Cut => answered = true,
                 Drew::Nothing => {}
@@ -100,12 +93,12 @@
         }
         match answered {
             true => None,
-            // Whoever reaches no other box is on its own.
+            // A box that reaches no keeper turns to the book itself.
             false => self.hold_self(customer, worst, from_store, until).await,
         }
     }
 
-    /// From the book, then from other keepers.
+    /// Asks the book, then other keepers.
     async fn hold_self(
         &self,
         customer: &Arc<str>,
@@ -120,7 +113,7 @@
         }
     }
 
-    /// From one keeper.
+    /// Asks one keeper.
     async fn hold_by(
         &self,
         keeper: &Incarnation,
@@ -133,7 +126,8 @@
         let _lacking = self.funds.lacking(customer, worst);
         let asked = async {
             let _one_at_a_time = asking.lock().await;
-            // Another request may have brought enough for both, or shown that there is nothing.
+            // Another request may have brought enough tokens for both, or found that there are
+            // none.
             if let Some(hold) = self.funds.try_hold(customer, worst) {
                 return Drew::Hold(hold);
             }
@@ -167,8 +161,8 @@
         drew
     }
 
-    /// One question to a keeper. What arrives is taken over also if the request that asked has
-    /// gone: it would lie with nobody otherwise.
+    /// Sends one question to a keeper. It runs as a task of its own, so that tokens that arrive
+    /// after the caller has gone are still accounted for.
     async fn draw(
         &self,
         keeper: &Incarnation,
@@ -185,11 +179,11 @@
             this.funds.drawn(&keeper, &items, &drawn.items);
             Some(drawn)
         });
-        // A panic in it was printed already.
+        // The panic hook has logged a panic in the task.
         asked.await.ok().flatten()
     }
 
-    /// Tells keepers what was used, and gives back what lies idle, for as long as the box runs.
+    /// Reports used tokens to keepers and returns idle ones, for as long as the box runs.
     pub async fn run(self) {
         loop {
             tokio::time::sleep(TELL).await;
@@ -207,7 +201,7 @@
         }
     }
 
-    /// Before this box ends: keepers are told what was used, and get back the rest.
+    /// Reports used tokens to keepers and returns the rest, before a planned stop.
     pub async fn leave(&self) {
         self.funds.give_up();
         for keeper in self.funds.keepers() {
--- a/crates/gateway/src/money/ends.rs
+++ b/crates/gateway/src/money/ends.rs
@@ -1,12 +1,12 @@
-//! How far a settlement ends what a box has to do with the book.
+//! Whether a box goes on drawing tokens from the book after a settlement.
 
-/// Whether a box goes on drawing from the book.
+/// Whether a box goes on drawing tokens from the book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ends {
-    /// It does.
+    /// It goes on.
     Not,
-    /// It gives back what it can: another box keeps tokens now.
+    /// It returns what it can, as another box is the keeper now.
     Retires,
-    /// It ends by plan.
+    /// It is about to stop.
     Leaves,
 }
--- a/crates/gateway/src/money/funds/mod.rs
+++ b/crates/gateway/src/money/funds/mod.rs
@@ -1,9 +1,9 @@
-//! What this box may still spend of each budget, and the settlements that change it.
+//! The tokens that this box may spend of each budget, and the settlements that change them.
 //!
-//! A request holds its worst case before it is sent anywhere; what it did not use is free again
-//! when it ends. All of that is local. [`Funds::plan`] makes the next settlement from what was
-//! charged and what is lacking, and [`Funds::landed`] takes over what the book granted.
-//! [`Funds::promise`] says what this box keeps untouched, for its witness.
+//! A request reserves its worst case before it is sent; the part that it did not use is free again
+//! when it ends. All of this is local. [`Funds::plan`] makes the next settlement from what was
+//! charged and what is lacking, and [`Funds::landed`] applies what the book granted.
+//! [`Funds::promise`] returns what this box promises its witness to keep unused.
 
 mod passing;
 mod promising;
@@ -23,20 +23,20 @@
     table::Table,
 };
 
-/// Why tokens could not be held.
+/// Why tokens could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lack {
-    /// What remains of the budget cannot hold the request.
+    /// The rest of the budget does not cover the request.
     Exhausted,
-    /// The budget may have tokens, but this box did not get them in time.
+    /// The budget may have enough tokens, but this box did not get them in time.
     Short {
-        /// Free in this box.
+        /// Free tokens of this box.
         free: u64,
-        /// Part of them that a promise keeps.
+        /// Part of the free tokens that is promised to the witness.
         kept: u64,
-        /// Held by no box, as the last settlement saw it.
+        /// Tokens of the budget that no box held at the last settlement.
         left: u64,
-        /// Time since that settlement; `None` before the first one.
+        /// Time since the last settlement; `None` before the first one.
         age: Option<Duration>,
     },
 }
@@ -54,54 +54,54 @@
     }
 }
 
-/// What a box holds of one budget.
+/// The tokens that this box holds of one budget.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Balance {
     pub customer: Arc<str>,
-    /// Tokens that are not held for a request.
+    /// Tokens that are not reserved for a request.
     pub free: u64,
-    /// Passed on to other boxes and not known to be used or given back.
+    /// Tokens passed on to other boxes, and not reported as used or returned.
     pub passed: u64,
-    /// Part of them that is kept untouched.
+    /// Part of `free` that is promised to the witness.
     pub kept: u64,
     /// Tokens paid and not known to be spent, whoever holds them.
     pub unspent: u64,
 }
 
-/// All accounts of this box.
+/// All tokens of this box, by customer.
 #[derive(Debug, Clone)]
 pub struct Funds(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
     state: Mutex<State>,
-    /// A request lacks tokens.
+    /// Notified when a request lacks tokens.
     wanted: Notify,
-    /// Settlements that landed.
+    /// Number of settlements that have landed.
     settled: watch::Sender<u64>,
-    /// A new promise is due.
+    /// Notified when a new promise is due.
     promise_due: Notify,
-    /// Promises that the witness took.
+    /// Number of promises that the witness has accepted.
     promised: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     purses: HashMap<Arc<str>, Purse>,
-    /// The store does not answer: no settlement brings anything.
+    /// The store does not answer, so that no settlement can bring tokens.
     cut: bool,
-    /// When tokens were last passed on to another box, or wanted of the book.
+    /// When tokens were last passed on to another box, or requested from the book.
     drew: Option<Instant>,
     /// When the last settlement landed.
     landed: Option<Instant>,
-    /// Everything was promised, since this box ends: it stays untouched whatever the witness answers. Its next
-    /// life may get it back.
+    /// All tokens were promised before a planned stop. The promise holds whatever the witness
+    /// answers, as the next incarnation may get the tokens back by it.
     promised_all: bool,
 }
 
-/// Tokens held for one request.
+/// Tokens reserved for one request.
 #[derive(Debug)]
-#[must_use = "a hold is settled"]
+#[must_use = "a hold must be settled"]
 pub struct Hold {
     funds: Funds,
     customer: Arc<str>,
@@ -109,12 +109,12 @@
 }
 
 impl Hold {
-    /// The request ended: `charged` is spent, the rest is free again.
+    /// Ends the reservation: `charged` tokens are spent, the rest is free again. Returns what was
+    /// charged.
     pub fn settle(mut self, charged: u64) -> u64 {
         self.end(charged)
     }
 
-    /// Tokens held.
     pub fn tokens(&self) -> u64 {
         self.reservation.as_ref().map_or(0, |reservation| reservation.tokens)
     }
@@ -128,14 +128,13 @@
 }
 
 impl Drop for Hold {
-    /// Whoever drops a hold unsettled does not know what was used: all of it counts.
+    /// An unsettled hold is charged in full, as nobody knows how much of it was used.
     fn drop(&mut self) {
         self.end(u64::MAX);
     }
 }
 
 impl Funds {
-    /// No accounts yet.
     pub fn open() -> Funds {
         Funds(Arc::new(Inner {
             state: Mutex::default(),
@@ -146,7 +145,7 @@
         }))
     }
 
-    /// Takes over what the operator says is paid.
+    /// Applies the paid amounts of the configuration.
     pub fn configure(&self, table: &Table) {
         let mut state = self.0.state.lock();
         for customer in table.config().customers.iter().flatten() {
@@ -157,23 +156,23 @@
         self.0.wanted.notify_one();
     }
 
-    /// Whether the store answers settlements.
+    /// Sets whether the store is unreachable.
     pub fn set_cut(&self, cut: bool) {
         self.0.state.lock().cut = cut;
     }
 
-    /// Whether the store does not answer.
+    /// Whether the store is unreachable.
     pub fn is_cut(&self) -> bool {
         self.0.state.lock().cut
     }
 
-    /// Holds the worst case of a request, waiting until `until` for a settlement that brings the
-    /// tokens; `None` if none did.
+    /// Reserves the worst case of a request, waiting until `until` for a settlement that brings the
+    /// tokens.
     pub async fn hold(&self, customer: &Arc<str>, worst: u64, until: Instant) -> Option<Hold> {
         self.obtain(customer, worst, until, || self.try_hold(customer, worst)).await
     }
 
-    /// Waits until `until` for a settlement after which `attempt` finds `tokens`.
+    /// Waits until `until` for a settlement after which `attempt` succeeds with `tokens`.
     async fn obtain<T>(
         &self,
         customer: &Arc<str>,
@@ -201,7 +200,8 @@
             if let Some(found) = attempt() {
                 return Some(found);
             }
-            // One settlement may have been under way without this request.
+            // The settlement in progress when this request arrived did not include it; the next one
+            // does.
             if changed.is_err() || now >= joined + 2 || self.is_dry(customer, tokens) {
                 return None;
             }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Holds the worst case of a request if the tokens are here.
+    /// Reserves the worst case of a request if this box has the tokens.
     pub fn try_hold(&self, customer: &Arc<str>, worst: u64) -> Option<Hold> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -227,13 +227,13 @@
         })
     }
 
-    /// Whether the book had too little left for such a request at the last settlement.
+    /// Whether the book had too few tokens left for the request at the last settlement.
     fn is_dry(&self, customer: &str, worst: u64) -> bool {
         let state = self.0.state.lock();
         state.purses.get(customer).is_some_and(|purse| purse.is_dry(worst))
     }
 
-    /// Why a request of this size cannot be paid for now.
+    /// Returns why a request of this size cannot be paid for now.
     pub fn lack(&self, customer: &str, worst: u64) -> Lack {
         let state = self.0.state.lock();
         match state.purses.get(customer) {
@@ -248,18 +248,18 @@
         }
     }
 
-    /// Waits until a request lacks tokens or the configuration changed.
+    /// Waits until a request lacks tokens or the configuration changes.
     pub async fn wanted(&self) {
         self.0.wanted.notified().await;
     }
 
-    /// What this box holds of one budget.
+    /// Returns what this box holds of one budget.
     pub fn balance(&self, customer: &str) -> Balance {
         let all = self.balances();
         all.into_iter().find(|balance| &*balance.customer == customer).unwrap_or_default()
     }
 
-    /// What this box holds of each budget, for metrics.
+    /// Returns what this box holds of each budget.
     pub fn balances(&self) -> Vec<Balance> {
         let state = self.0.state.lock();
         let purses = state.purses.iter();
@@ -273,7 +273,7 @@
         purses.map(balance).collect()
     }
 
-    /// The customers of whom most tokens are here, by what those are for.
+    /// Returns the `most` customers with the most tokens on this box, and what these are used for.
     pub fn parts(&self, most: usize) -> Vec<(Arc<str>, Parts)> {
         let state = self.0.state.lock();
         let purses = state.purses.iter();
@@ -286,7 +286,7 @@
     }
 }
 
-/// A request that waits for tokens of the book, counted while this lives.
+/// Counts a request that waits for tokens from the book, until dropped.
 struct Waiting<'a> {
     funds: &'a Funds,
     customer: Arc<str>,
--- a/crates/gateway/src/money/funds/passing.rs
+++ b/crates/gateway/src/money/funds/passing.rs
@@ -1,4 +1,4 @@
-//! Tokens between boxes: those that a keeper passes on, and those that keepers lend each other.
+//! Tokens that move between boxes: passed on by a keeper, or lent by one keeper to another.
 
 use std::sync::Arc;
 
@@ -9,8 +9,8 @@
 use crate::money::purse::Purse;
 
 impl Funds {
-    /// What a keeper is told, and what is wanted of it for a request that waits, if there is
-    /// anything to say.
+    /// Returns the reports that are due to a keeper, with the tokens that a waiting request needs
+    /// of it.
     pub fn tell(&self, keeper: &Incarnation, asked: Option<(&Arc<str>, u64)>) -> Vec<Told> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -21,7 +21,7 @@
         all.collect()
     }
 
-    /// A keeper answered what it was told.
+    /// Applies a keeper's answer to the reports that were sent to it.
     pub fn drawn(&self, keeper: &Incarnation, told: &[Told], given: &[Given]) {
         let mut state = self.0.state.lock();
         for (told, given) in told.iter().zip(given) {
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Counts a request that waits for tokens of a keeper, while what is returned lives.
+    /// Counts a request that waits for a keeper's tokens, until the returned guard is dropped.
     pub fn lacking(&self, customer: &Arc<str>, worst: u64) -> Lacking<'_> {
         self.0.state.lock().purses.entry(customer.clone()).or_default().lacking += worst;
         Lacking { funds: self, customer: customer.clone(), worst }
     }
 
-    /// Keepers that are to be told something.
+    /// Returns the keepers to which a report is due.
     pub fn keepers_to_tell(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -54,7 +54,7 @@
         keepers
     }
 
-    /// Keepers that passed something on.
+    /// Returns the keepers that have passed tokens on to this box.
     pub fn keepers(&self) -> Vec<Incarnation> {
         let state = self.0.state.lock();
         let mut keepers: Vec<_> = state.purses.values().flat_map(Purse::keepers).cloned().collect();
@@ -63,14 +63,14 @@
         keepers
     }
 
-    /// Gives everything back to a keeper that is not held for a request; what to tell it then.
+    /// Returns all tokens of a keeper that are not reserved, as reports to be sent to it.
     pub fn return_all(&self, keeper: &Incarnation) -> Vec<Told> {
         let mut state = self.0.state.lock();
         let purses = state.purses.iter_mut();
         purses.filter_map(|(customer, purse)| purse.return_all(customer, keeper)).collect()
     }
 
-    /// As a keeper: takes over what another box tells. Says whether all of it was believed.
+    /// On a keeper: applies the reports of another box. Returns whether all of them were accepted.
     pub fn hear(&self, from: &Incarnation, told: &[Told]) -> bool {
         let mut state = self.0.state.lock();
         state.purses.values_mut().for_each(|purse| purse.close_earlier(from));
@@ -82,14 +82,15 @@
         believed
     }
 
-    /// As a keeper: passes on what another box needs, waiting until `until` for a settlement that
-    /// brings it. Says whether it was there.
+    /// On a keeper: passes on the tokens that another box needs, waiting until `until` for a
+    /// settlement that brings them. Returns whether it did.
     pub async fn give(&self, to: &Incarnation, told: &Told, until: Instant) -> bool {
         let give = || self.try_give(to, told).then_some(());
         self.obtain(&told.customer, told.least, until, give).await.is_some()
     }
 
-    /// As a keeper: passes on what another box needs if it is here.
+    /// On a keeper: passes on the tokens that another box needs if they are here. Returns whether
+    /// it did.
     pub fn try_give(&self, to: &Incarnation, told: &Told) -> bool {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -104,7 +105,7 @@
         given
     }
 
-    /// As a keeper: what another box is answered.
+    /// On a keeper: returns the answers to another box's reports.
     pub fn given(&self, to: &Incarnation, told: &[Told]) -> Vec<Given> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -115,7 +116,7 @@
         given.collect()
     }
 
-    /// Passes tokens on to another box, as many as `wanted` and this box can spare.
+    /// Lends tokens to another box, up to `wanted` and as many as this box can spare.
     pub fn lend(
         &self,
         customer: &Arc<str>,
@@ -127,12 +128,12 @@
         state.purses.get_mut(customer)?.lend(wanted, from, to, Instant::now())
     }
 
-    /// Takes over tokens that another box passed on.
+    /// Adds tokens that another box lent.
     pub fn receive(&self, customer: &Arc<str>, transfer: Transfer) {
         self.0.state.lock().purses.entry(customer.clone()).or_default().receive(transfer);
     }
 
-    /// Whether other boxes had too little for a request of this size a moment ago.
+    /// Whether other boxes recently had too few tokens for a request of this size.
     pub fn are_others_dry(&self, customer: &str, worst: u64) -> bool {
         let now = Instant::now();
         let state = self.0.state.lock();
@@ -140,7 +141,7 @@
         purse.is_some_and(|purse| purse.are_others_dry(worst, now))
     }
 
-    /// Other boxes had too little for a request of this size.
+    /// Records that other boxes had too few tokens for a request of this size.
     pub fn note_others_dry(&self, customer: &str, worst: u64) {
         let mut state = self.0.state.lock();
         if let Some(purse) = state.purses.get_mut(customer) {
@@ -148,20 +149,20 @@
         }
     }
 
-    /// What a request of this size lacks, with a little for the ones after it.
+    /// Returns how many tokens a request of this size lacks, with some for the requests after it.
     pub fn missing(&self, customer: &str, worst: u64) -> u64 {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         state.purses.get_mut(customer).map_or(worst, |purse| purse.missing(worst, now))
     }
 
-    /// The lock under which one request at a time asks other boxes for a customer's tokens.
+    /// Returns the lock that lets one request per customer ask other boxes at a time.
     pub fn asking(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
         self.0.state.lock().purses.entry(customer.clone()).or_default().asking.clone()
     }
 }
 
-/// A request that waits for tokens of a keeper, counted while this lives.
+/// Counts a request that waits for a keeper's tokens, until dropped.
 pub struct Lacking<'a> {
     funds: &'a Funds,
     customer: Arc<str>,
--- a/crates/gateway/src/money/funds/promising.rs
+++ b/crates/gateway/src/money/funds/promising.rs
@@ -1,4 +1,4 @@
-//! What this box keeps untouched for its witness, and how requests get at it.
+//! Promises to the witness of which tokens stay unused, and how requests get at those tokens.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -6,21 +6,21 @@
 
 use super::Funds;
 
-/// Longest wait for the witness to take a promise that frees tokens: many times the way there and
-/// back between availability zones, with room for a box that is busy.
+/// Longest wait for the witness to accept a promise that frees tokens. Much longer than a round
+/// trip between availability zones, for boxes under load.
 const FREED_WITHIN: Duration = Duration::from_millis(30);
 
 impl Funds {
-    /// Waits for the witness to free tokens that a promise keeps from a request of this size;
-    /// says whether it was worth waiting.
+    /// Waits for a new promise if the current one keeps tokens from a request of this size. Returns
+    /// whether a new promise was accepted in time.
     pub async fn free_kept(&self, customer: &str, worst: u64, until: Instant) -> bool {
         let Some(mut promised) = self.want_kept(customer, worst) else { return false };
         let until = until.min(Instant::now() + FREED_WITHIN);
         tokio::time::timeout_at(until, promised.changed()).await.is_ok()
     }
 
-    /// Asks for tokens that a promise keeps, if it keeps any from a request of this size; promises
-    /// taken from then on show in what is returned.
+    /// Requests a new promise if the current one keeps tokens from a request of this size. The
+    /// returned receiver changes with each promise accepted from then on.
     pub fn want_kept(&self, customer: &str, worst: u64) -> Option<watch::Receiver<u64>> {
         let mut state = self.0.state.lock();
         let purse = state.purses.get_mut(customer).filter(|purse| purse.is_kept_from(worst))?;
@@ -36,8 +36,8 @@
         self.0.promise_due.notified().await;
     }
 
-    /// What to promise the witness now, if that changes enough. Until it is taken, what was
-    /// promised before counts as well.
+    /// Returns the next promise, if it differs enough from the current one. Until the witness
+    /// accepts it, both are kept.
     pub fn promise(&self) -> Option<BTreeMap<Arc<str>, u64>> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -53,7 +53,7 @@
         Some(tokens.filter(|(_, tokens)| *tokens > 0).collect())
     }
 
-    /// What to promise when this box takes no more requests: everything that is free.
+    /// Returns the last promise before a planned stop: all tokens that are free.
     pub fn promise_all(&self) -> BTreeMap<Arc<str>, u64> {
         let mut state = self.0.state.lock();
         state.promised_all = true;
@@ -61,7 +61,7 @@
         limited.map(|(customer, purse)| (customer.clone(), purse.promise_all())).collect()
     }
 
-    /// The witness took a promise: only this one counts now.
+    /// Applies a promise that the witness accepted; earlier ones no longer hold.
     pub fn promised(&self, tokens: &BTreeMap<Arc<str>, u64>) {
         let mut state = self.0.state.lock();
         if state.promised_all {
@@ -74,7 +74,7 @@
         self.0.promised.send_modify(|count| *count += 1);
     }
 
-    /// The book names another witness or none: no promise counts any more.
+    /// Drops all promises, as the book names another witness or none.
     pub fn release(&self) {
         self.promised(&BTreeMap::new());
         self.0.promise_due.notify_one();
--- a/crates/gateway/src/money/funds/settling.rs
+++ b/crates/gateway/src/money/funds/settling.rs
@@ -1,4 +1,4 @@
-//! Settlements with the book: when one is due, what it says, and what it brought.
+//! Settlements with the book: when one is due, what it contains and what it granted.
 
 use std::time::Duration;
 
@@ -9,18 +9,19 @@
 use crate::money::{ends::Ends, purse::Purse};
 
 impl Funds {
-    /// Whether this box has something to settle with the book or holds anything of it.
+    /// Whether this box has something to report to the book or holds tokens granted by it.
     pub fn is_of_book(&self) -> bool {
         self.0.state.lock().purses.values().any(Purse::is_of_book)
     }
 
-    /// Keeps nothing untouched any more: everything is to be given back.
+    /// Sets whether this box returns its tokens to the book. If so, none are promised to the
+    /// witness any more.
     pub fn retire(&self, retires: bool) {
         self.0.state.lock().purses.values_mut().for_each(|purse| purse.retires = retires);
         self.0.promise_due.notify_one();
     }
 
-    /// This box ends: what is under way counts as used.
+    /// Charges all open reservations in full, as this box is about to stop.
     pub fn give_up(&self) {
         self.0.state.lock().purses.values_mut().for_each(Purse::give_up);
     }
@@ -31,13 +32,13 @@
         state.purses.values().any(|purse| purse.waiting > 0 && !purse.is_dry(purse.waiting))
     }
 
-    /// Whether a settlement would change much: tokens run low, or too many are held.
+    /// Whether a settlement is due because this box holds too few or too many tokens.
     pub fn is_due(&self) -> bool {
         let state = self.0.state.lock();
         state.purses.values().any(Purse::is_due)
     }
 
-    /// The next settlement. What it reports and returns is out of the accounts once planned, so
+    /// Plans the next settlement. What it reports and returns is taken out of the wallets here, so
     /// it must land, however long that takes.
     pub fn plan(&self, holder: &Incarnation, writer: Writer, ends: Ends) -> Settlement {
         let now = Instant::now();
@@ -49,7 +50,7 @@
         Settlement { holder: holder.clone(), writer, items, earlier, retires, leaves }
     }
 
-    /// Takes over what a settlement that landed gave.
+    /// Applies what a settlement that landed granted.
     pub fn landed(&self, settlement: &Settlement, granted: Vec<Granted>) {
         let mut state = self.0.state.lock();
         state.landed = Some(Instant::now());
@@ -63,7 +64,8 @@
         self.0.promise_due.notify_one();
     }
 
-    /// Time since tokens were last passed on to another box, or wanted of the book.
+    /// Returns the time since tokens were last passed on to another box, or requested from the
+    /// book.
     pub fn drew_ago(&self) -> Option<Duration> {
         self.0.state.lock().drew.map(|at| at.elapsed())
     }
--- a/crates/gateway/src/money/lending.rs
+++ b/crates/gateway/src/money/lending.rs
@@ -1,4 +1,4 @@
-//! Borrowing tokens of other keepers, where the book does not give them in time.
+//! Borrows tokens from other keepers when the book does not grant them in time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,13 +10,12 @@
     money::funds::{Funds, Hold},
 };
 
-/// Time after which the next boxes are asked: many times the way there and back between
-/// availability zones, with room for a box that is busy.
+/// Time after which the next boxes are asked. Much longer than a round trip between availability
+/// zones, for boxes under load.
 const NEXT: Duration = Duration::from_millis(50);
-/// Boxes asked at once.
 const ASKED: usize = 3;
 
-/// Borrows for the accounts of this box.
+/// Borrows tokens for this box.
 #[derive(Debug, Clone)]
 pub struct Lending {
     funds: Funds,
@@ -24,17 +23,16 @@
 }
 
 impl Lending {
-    /// For this box's accounts.
     pub fn new(funds: Funds, peers: Peers) -> Lending {
         Lending { funds, peers }
     }
 
-    /// Holds the worst case of a request with tokens of other boxes, until `until`.
+    /// Reserves the worst case of a request with tokens of other boxes, until `until`.
     pub async fn hold(&self, customer: &Arc<str>, worst: u64, until: Instant) -> Option<Hold> {
         self.borrow_until(customer, worst, until, || self.funds.try_hold(customer, worst)).await
     }
 
-    /// Borrows tokens of other keepers until `attempt` finds those for a request of this size.
+    /// Borrows tokens from other keepers until `attempt` succeeds for a request of this size.
     pub async fn borrow_until<T>(
         &self,
         customer: &Arc<str>,
@@ -60,12 +58,12 @@
         found
     }
 
-    /// Asks a few keepers after another until nothing is missing; returns how many.
+    /// Asks keepers, a few at a time, until no tokens are missing; returns how many it asked.
     async fn ask(&self, customer: &Arc<str>, worst: u64) -> usize {
         let asking = self.funds.asking(customer);
         let _one_at_a_time = asking.lock().await;
         let mut asked = 0;
-        // Another request may have brought enough for both.
+        // Another request may have brought enough tokens for both.
         let mut missing = self.funds.missing(customer, worst);
         let lenders = self.peers.lenders();
         for few in lenders.chunks(ASKED) {
--- a/crates/gateway/src/money/mod.rs
+++ b/crates/gateway/src/money/mod.rs
@@ -1,10 +1,12 @@
-//! Tokens: what this box may still spend of each budget, and how it comes by more.
+//! The tokens that this box may spend of each budget, and how it gets more.
 //!
-//! A request holds its worst case in `funds`, which keep a `purse` for each customer. A keeper draws from
-//! the book in the store (`settle`) and passes tokens on to boxes near it (`shares`); the others draw from
-//! it (`draws`), and keepers lend to each other while the store cannot give (`lending`). `witness` promises
-//! another box what stays untouched, and `claims` are collected of boxes that died, and
-//! `bills` are what became of the tokens. How much a box holds for an outage is sized by `outlook`.
+//! A request reserves its worst case in `funds`, which hold one `purse` per customer. A box gets
+//! tokens from the keeper of its availability zone, or from the book in the store if it is the
+//! keeper itself or reaches none (`draws`). Keepers settle with the book (`settle`), pass tokens on
+//! to the boxes near them (`shares`) and borrow from each other while the store cannot grant any
+//! (`lending`). `outlook` sizes what a box holds for an outage of the store. `witness` promises
+//! another box which tokens stay unused, and `claims` collects such promises of boxes that died.
+//! `bills` records what the tokens were charged for.
 
 pub mod bills;
 pub mod claims;
--- a/crates/gateway/src/money/outlook.rs
+++ b/crates/gateway/src/money/outlook.rs
@@ -1,68 +1,69 @@
-//! How long an outage of the store this box prepares for, by what it saw of the store.
+//! How long an outage of the store this box prepares for, judged by what it has observed.
 //!
-//! What a box holds serves its zone while the store is away, and is lost when all boxes die at once: no
-//! witness is left to tell what was untouched. So a box holds little right after it found the store, since
-//! what failed once fails again within seconds and boxes die most often then; it holds enough for an outage
-//! once the store has answered for as long. For some time after one that the whole fleet saw, it holds nearly
-//! all that is left if need be: what lies in the book then is out of reach when the store is away again.
+//! The tokens that a box holds serve its zone while the store is unreachable. They are lost if all
+//! boxes die at once, as no witness is left that knows which of them were unused. Failures tend to
+//! come in series, so a box holds little right after it has reached the store again, and more the
+//! longer the store answers. After an outage that the whole fleet observed, it holds nearly all
+//! that is left of a budget if needed, since tokens in the book are out of reach in the next
+//! outage.
 
 use std::time::Duration;
 
 use ledger::{Book, Policy};
 use tokio::time::Instant;
 
-/// Shortest outage that matters: requests wait through shorter ones.
+/// Shortest outage that counts. Requests wait through shorter ones.
 const MATTERS: Duration = Duration::from_millis(1_000);
-/// An outage is remembered for this long: what cuts a store off tends to come again within seconds.
+/// Time for which an outage makes another one likely.
 const REMEMBERED: Duration = Duration::from_secs(30);
 
-/// What a box saw of the store.
+/// What this box has observed of the store.
 #[derive(Debug)]
 pub struct Outlook {
-    /// Since when the store has answered.
+    /// When the store began to answer.
     in_touch_since: Instant,
-    /// Since when it has not, if it does not.
+    /// The outage in progress, if any.
     lost: Option<Lost>,
-    /// Outages of the whole fleet that the book told of, and when this box read of the last one.
+    /// Number of fleet-wide outages at the last increase, and when this box read of it.
     seen: Option<(u64, Instant)>,
-    /// Outages of the whole fleet that the book knew when this box read it first.
+    /// Number of fleet-wide outages when this box first read the book.
     known: Option<u64>,
-    /// Settlements that had landed in the book when this box last saw it.
+    /// Number of settlements in the book when this box last saw it.
     landed: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lost {
     since: Instant,
-    /// Settlements that had landed in the book before.
+    /// Number of settlements in the book before the outage.
     landed: u64,
 }
 
 impl Outlook {
-    /// Nothing was seen yet.
     pub fn open(now: Instant) -> Outlook {
         Outlook { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
     }
 
-    /// A call failed.
+    /// Records a failed call.
     pub fn failed(&mut self, now: Instant) {
         self.lost.get_or_insert(Lost { since: now, landed: self.landed });
     }
 
-    /// Time for which the store has not answered, if that matters.
+    /// Returns for how long the store has not answered, if that is long enough to count.
     pub fn away(&self, now: Instant) -> Option<Duration> {
         let away = now.saturating_duration_since(self.lost?.since);
         (away >= MATTERS).then_some(away)
     }
 
-    /// Tells the book of the outage that this settlement ends, if it ends one.
+    /// Records the outage in the book that this settlement ends, if any.
     pub fn tell(&self, book: &mut Book, now: Instant) {
         if let (Some(lost), Some(_)) = (self.lost, self.away(now)) {
             book.note_outage(lost.landed);
         }
     }
 
-    /// A settlement landed, after which the book stands so. Says whether an outage ended with it.
+    /// Records a settlement that landed, and the resulting book. Returns whether it ended an
+    /// outage.
     pub fn landed(&mut self, book: &Book, now: Instant) -> bool {
         let ended = self.away(now).is_some();
         self.lost = None;
@@ -77,12 +78,12 @@
         ended
     }
 
-    /// Sizing of what this box holds from now on.
+    /// Returns the policy that sizes what this box holds.
     pub fn policy(&self, policy: Policy, now: Instant) -> Policy {
         let seen = self.seen.is_some_and(|(_, at)| now.saturating_duration_since(at) < REMEMBERED);
         let policy = if seen { policy.after_outage() } else { policy };
         let in_touch = match self.away(now) {
-            // The settlement ends an outage.
+            // This settlement ends the outage.
             Some(_) => Duration::ZERO,
             None => now.saturating_duration_since(self.in_touch_since),
         };
--- a/crates/gateway/src/money/purse/mod.rs
+++ b/crates/gateway/src/money/purse/mod.rs
@@ -1,11 +1,11 @@
-//! One customer's tokens in this box.
+//! One customer's tokens on this box.
 //!
-//! Of the free tokens, those that are `kept` stay untouched: this box promised so to its witness,
-//! who can then say after its death that they were not used. They are freed by a later promise.
+//! Tokens are granted by the book or passed on by a keeper. A keeper's tokens are spent first. Only
+//! a box's own tokens, those granted by the book, are promised, lent, passed on or returned to the
+//! book.
 //!
-//! Tokens come from two sides: granted by the book, or passed on by a keeper. What is used counts
-//! on keepers' tokens first. Only a box's own tokens, those of the book, are kept, lent, passed on
-//! or given back to the book.
+//! The `kept` part of the free tokens is promised to the witness, which can then confirm after this
+//! box's death that they were not used. Only a later promise makes them available to requests.
 
 mod passing;
 mod promising;
@@ -21,89 +21,87 @@
     shares::{Loans, Passed},
 };
 
-/// Time for which other boxes that had nothing to spare are not asked again: they settle about as
-/// often.
+/// Time for which other boxes are not asked again after they had too few tokens; about the interval
+/// of their settlements.
 const DRY: Duration = Duration::from_millis(500);
-/// Seconds of use that a box keeps when it is asked for tokens, and asks for beyond what one
-/// request lacks.
+/// Seconds of use that a box keeps back when it lends, and asks for beyond what one request lacks.
 const RESERVE_S: f64 = 1.0;
 
-/// One customer's tokens in this box by what they are for.
+/// One customer's tokens on this box, by what they are used for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Parts {
-    /// Free, granted by the book and promised to a witness.
+    /// Free, granted by the book and promised to the witness.
     pub kept: u64,
-    /// Free, granted by the book and promised to nobody.
+    /// Free, granted by the book and not promised.
     pub open: u64,
     /// Free, passed on by keepers.
     pub of_keepers: u64,
-    /// Held for requests under way.
+    /// Reserved for requests in progress.
     pub reserved: u64,
-    /// Used, and neither the book nor a keeper was told.
+    /// Used, and not yet reported to the book or a keeper.
     pub unsettled: u64,
-    /// Passed on to other boxes and not known to be used or given back.
+    /// Passed on to other boxes, and not reported as used or returned.
     pub passed: u64,
 }
 
 impl Parts {
-    /// What would be lost with this box if no witness answered for it.
+    /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
         let free = self.kept + self.open + self.of_keepers;
         free + self.reserved + self.unsettled + self.passed
     }
 }
 
-/// One customer's tokens in this box.
+/// One customer's tokens on this box.
 #[derive(Debug, Default)]
 pub struct Purse {
     account: Account,
-    /// What the operator says is paid, with the version of the configuration.
+    /// Paid amount, with the version of the configuration that sets it.
     pub paid: Option<(u64, u64)>,
-    /// Charged and not settled yet.
+    /// Charged and not planned into a settlement yet.
     charged: u64,
     requests: u64,
-    /// Worst cases of requests that wait for tokens of the book.
+    /// Sum of the worst cases of requests that wait for tokens from the book.
     pub waiting: u64,
-    /// Worst cases of requests that wait for tokens of a keeper.
+    /// Sum of the worst cases of requests that wait for tokens from a keeper.
     pub lacking: u64,
     rate: Rate,
     peak: u64,
-    /// What the last settlement said.
+    /// Result of the last settlement.
     pub granted: Granted,
     known: bool,
-    /// Tokens passed on or received and not planned into a settlement yet.
+    /// Tokens lent or borrowed, and not planned into a settlement yet.
     transfers: Vec<Transfer>,
-    /// Tokens received that no settlement which landed has told of.
+    /// Borrowed tokens that no settlement has reported yet.
     received: u64,
-    /// Transfers given so far: the number of the next one.
+    /// Number of the last transfer to another box.
     given: u64,
-    /// Free tokens that stay untouched: the most that the witness may believe to be promised.
+    /// Promised free tokens: the highest amount that the witness may have on record.
     kept: u64,
-    /// Tokens that are wanted out of those kept.
+    /// Promised tokens that requests need.
     wanted: u64,
-    /// More was paid since the last settlement than the book knew of then.
+    /// The paid amount has changed since the last settlement.
     topped_up: bool,
-    /// Other boxes had too little for a request of this size: until then they are not asked for
-    /// one as large.
+    /// Until this time other boxes are not asked for this many tokens or more, as they had too few.
     others_dry: Option<(Instant, u64)>,
-    /// Passed on to this box by keepers.
+    /// Tokens that keepers passed on to this box.
     loans: Loans,
-    /// Passed on by this box as a keeper.
+    /// Tokens that this box passed on as a keeper.
     passed: Passed,
-    /// Passed on and lost with boxes that died, not settled yet.
+    /// Tokens passed on to boxes that died, not settled yet.
     lost: u64,
-    /// What the customer is certain to have used, by the word of keepers.
+    /// Tokens that the customer has certainly used, as reported by keepers.
     used_told: Option<u64>,
-    /// This box gives back what it holds of the book.
+    /// This box returns its tokens to the book.
     pub retires: bool,
-    /// This box ends: what is under way counts as used already.
+    /// This box is about to stop: all open reservations are charged already.
     given_up: bool,
-    /// One request at a time asks other boxes for this customer.
+    /// Lets one request at a time ask other boxes for this customer's tokens.
     pub asking: Arc<tokio::sync::Mutex<()>>,
 }
 
 impl Purse {
-    /// The operator's word on what is paid.
+    /// Applies the paid amount of the configuration.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
             (self.topped_up, self.others_dry) = (true, None);
@@ -111,7 +109,7 @@
         self.paid = paid.map(|paid| (paid, version));
     }
 
-    /// Tokens that are not held for a request.
+    /// Tokens that are not reserved for a request.
     pub fn free(&self) -> u64 {
         self.account.free()
     }
@@ -121,19 +119,19 @@
         self.free().saturating_sub(self.loans.rest())
     }
 
-    /// Own tokens that may be lent or given back to the book.
+    /// Own tokens that may be returned to the book.
     fn disposable(&self) -> u64 {
         self.own().saturating_sub(self.received + self.kept)
     }
 
-    /// Whether this box has something to settle with the book or holds anything of it.
+    /// Whether this box has something to report to the book or holds tokens granted by it.
     pub fn is_of_book(&self) -> bool {
         let transfers = !self.transfers.is_empty() || self.received > 0;
         let unsettled = self.charged + self.lost > 0 || transfers;
         self.waiting > 0 || unsettled || self.own() > 0 || self.passed.outstanding() > 0
     }
 
-    /// What is here by what it is for.
+    /// Returns the tokens by what they are used for.
     pub fn parts(&self) -> Parts {
         let own = self.own();
         let kept = self.kept.min(own);
@@ -147,7 +145,7 @@
         }
     }
 
-    /// Free tokens that no promise keeps.
+    /// Free tokens that are not promised.
     pub fn open(&self) -> u64 {
         self.free().saturating_sub(self.kept)
     }
@@ -157,7 +155,7 @@
         self.kept > 0 && self.open() < worst
     }
 
-    /// Holds the worst case of a request.
+    /// Reserves the worst case of a request.
     pub fn reserve(&mut self, worst: u64, now: Instant) -> Option<Reservation> {
         self.peak = self.peak.max(worst);
         if self.open() < worst {
@@ -168,7 +166,7 @@
         Some(reservation)
     }
 
-    /// A request ended; returns what it is charged.
+    /// Ends a reservation; returns what is charged.
     pub fn settle(&mut self, reservation: Reservation, charged: u64) -> u64 {
         let charged = self.account.settle(reservation, charged);
         if !self.given_up {
@@ -177,15 +175,15 @@
         charged
     }
 
-    /// Tokens are used: those of keepers first.
+    /// Counts tokens as used, those of keepers first.
     fn spend(&mut self, tokens: u64) {
         let of_keepers = self.loans.spend(tokens);
         self.charged += tokens - of_keepers;
         self.requests += u64::from(tokens > 0 && of_keepers == 0);
     }
 
-    /// This box ends: work that is given up may have used all that it held, and what was passed on
-    /// can't come back.
+    /// Charges all open reservations in full, before a planned stop. Tokens that were passed on
+    /// cannot return any more and count as lost.
     pub fn give_up(&mut self) {
         if !self.given_up {
             self.spend(self.account.tokens(Part::Offline).reserved);
@@ -194,7 +192,7 @@
         }
     }
 
-    /// What a request of this size lacks, with a little for the ones after it.
+    /// Returns how many tokens a request of this size lacks, with some for the requests after it.
     pub fn missing(&mut self, worst: u64, now: Instant) -> u64 {
         match worst.saturating_sub(self.open()) {
             0 => 0,
@@ -202,25 +200,24 @@
         }
     }
 
-    /// Whether the book, as the last settlement saw it, cannot bring this box up to `tokens`.
-    ///
-    /// Until the next regular settlement nothing is asked for then: of 1,020 settlements that were
-    /// made all the same, 5 brought enough, and they were two thirds of all calls to the store.
+    /// Whether the book could not bring this box up to `tokens` as of the last settlement. If so,
+    /// nothing is requested before the next regular one, since such settlements rarely succeed and
+    /// load the store.
     pub fn is_dry(&self, tokens: u64) -> bool {
         self.known && !self.topped_up && self.own() + self.granted.left < tokens
     }
 
-    /// Whether other boxes had too little for a request of this size a moment ago.
+    /// Whether other boxes recently had too few tokens for a request of this size.
     pub fn are_others_dry(&self, worst: u64, now: Instant) -> bool {
         self.others_dry.is_some_and(|(until, lacked)| until > now && worst >= lacked)
     }
 
-    /// Other boxes had too little for a request of this size.
+    /// Records that other boxes had too few tokens for a request of this size.
     pub fn note_others_dry(&mut self, worst: u64, now: Instant) {
         self.others_dry = Some((now + DRY, worst));
     }
 
-    /// Whether what remains of the budget certainly cannot hold a request of this size.
+    /// Whether the rest of the budget certainly does not cover a request of this size.
     pub fn is_exhausted(&self, worst: u64) -> bool {
         let paid = self.paid.map_or(0, |(paid, _)| paid);
         let settled = self.known.then_some(self.granted.used + self.charged);
--- a/crates/gateway/src/money/purse/passing.rs
+++ b/crates/gateway/src/money/purse/passing.rs
@@ -1,4 +1,5 @@
-//! One customer's tokens between boxes: what keepers lend each other, and both sides of what they pass on.
+//! One customer's tokens between boxes: tokens that keepers lend each other, and both sides of what
+//! a keeper passes on.
 
 use std::sync::Arc;
 
@@ -7,15 +8,17 @@
 
 use super::{Purse, RESERVE_S};
 
-/// Seconds of use that a box gets from its keeper beyond what a request lacks, and keeps: enough
-/// for most requests to find their tokens here, and little to be lost with the box.
+/// Seconds of use that a box requests from its keeper beyond what a request lacks, and keeps in
+/// reserve. Enough for most requests to find their tokens here, while little is lost if the box
+/// dies.
 const AHEAD_S: f64 = 1.5;
 
 impl Purse {
-    /// Passes up to `wanted` tokens on.
+    /// Lends up to `wanted` tokens to another box.
     ///
-    /// Only tokens that the book knows to be here and that no promise keeps are passed on: whoever
-    /// tells of it first, the grant of this box covers it, also when it is dead by then.
+    /// Only tokens that the book has granted to this box and that are not promised are lent.
+    /// Whichever side reports the transfer first, this box's grant covers it, even if the box has
+    /// died since.
     pub fn lend(
         &mut self,
         wanted: u64,
@@ -35,15 +38,16 @@
         Some(transfer)
     }
 
-    /// Takes over tokens that another box passed on.
+    /// Adds tokens that another box lent.
     pub fn receive(&mut self, transfer: Transfer) {
         self.account.give(Part::Offline, transfer.tokens);
         self.received += transfer.tokens;
         self.transfers.push(transfer);
     }
 
-    /// What a keeper is told of this customer, and what is wanted of it for a request that waits;
-    /// `None` where there is nothing to say. What is given back is out of the account then.
+    /// Returns the report that is due to a keeper for this customer, with the tokens that a waiting
+    /// request needs; `None` if there is nothing to report. Tokens that it returns are taken out of
+    /// the account here.
     pub fn tell(
         &mut self,
         customer: &Arc<str>,
@@ -54,8 +58,8 @@
         let ahead = self.rate.over(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
-        // One question is for all that wait: of a box with 200 requests a second for one customer,
-        // most would wait too long if each asked in turn.
+        // One question covers all waiting requests. If each asked in turn, most of them would time
+        // out on a busy box.
         let need = worst.map_or(0, |worst| lacks(worst.max(self.lacking)));
         if worst.is_none() {
             self.give_back(keeper, ahead);
@@ -65,18 +69,18 @@
         says.then(|| Told { customer: customer.clone(), share, need, least, ahead })
     }
 
-    /// Gives tokens back to a keeper beyond twice what is kept of them: otherwise what requests
-    /// did not use would lie in every box.
+    /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
+    /// Otherwise every box would accumulate tokens that its requests did not use.
     fn give_back(&mut self, keeper: &Incarnation, keep: u64) {
         let free = self.open();
         if free > 2 * keep {
             let returned = self.loans.give_back(keeper, free - keep);
             let taken = self.account.take(Part::Offline, returned);
-            debug_assert_eq!(taken, returned, "what keepers passed on and is not used is free");
+            debug_assert_eq!(taken, returned, "unused tokens of keepers are free");
         }
     }
 
-    /// Gives everything back to a keeper that is not held for a request.
+    /// Returns all tokens of a keeper that are not reserved.
     pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Told> {
         self.give_back(keeper, 0);
         let share = self.loans.share(keeper);
@@ -84,13 +88,13 @@
         says.then(|| Told { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
-    /// Whether a keeper is to be told something.
+    /// Whether a report to a keeper is due.
     pub fn has_news(&mut self, keeper: &Incarnation, now: Instant) -> bool {
         let idle = self.open() > 2 * self.rate.over(AHEAD_S, now);
         self.loans.has_news(keeper) || (idle && self.loans.share(keeper).rest() > 0)
     }
 
-    /// A keeper answered what it was told.
+    /// Applies a keeper's answer to a report.
     pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Given) {
         let new = self.loans.receive(keeper, given.given);
         self.account.give(Part::Offline, new);
@@ -98,17 +102,18 @@
         self.used_told = self.used_told.max(Some(given.used));
     }
 
-    /// Keepers that passed something on.
+    /// Returns the keepers that have passed tokens on to this box.
     pub fn keepers(&self) -> impl Iterator<Item = &Incarnation> {
         self.loans.keepers()
     }
 
-    /// As a keeper: a later life of a box is here, so that its earlier ones are dead.
+    /// On a keeper: closes the accounts of earlier incarnations of a box, which are dead since a
+    /// later one is running.
     pub fn close_earlier(&mut self, than: &Incarnation) {
         self.lost += self.passed.close_earlier(than);
     }
 
-    /// As a keeper: another box tells what became of its tokens. Says whether it was believed.
+    /// On a keeper: applies another box's report. Returns whether it was accepted.
     pub fn hear(&mut self, from: &Incarnation, told: Share) -> bool {
         let Some(news) = self.passed.hear(from, told) else { return false };
         self.charged += news.used;
@@ -117,13 +122,13 @@
         true
     }
 
-    /// As a keeper: passes tokens on if there are enough for one request, up to what all need that
-    /// wait, and some for those after them.
+    /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
+    /// waiting requests and some for later ones. Returns whether it did.
     pub fn give(&mut self, to: &Incarnation, told: &Told, now: Instant) -> bool {
         let under_way = self.passed.total(to).saturating_sub(told.share.given);
         let least = told.least.saturating_sub(under_way);
-        // Tokens that were lent to this box are passed on, too: the book counts them with the
-        // lender until either side tells, and never with the box that gets them here.
+        // Borrowed tokens may be passed on as well: the book counts them with the lender until one
+        // side reports the transfer, and never with the box that gets them here.
         let spare = self.own().saturating_sub(self.kept);
         if spare < least || self.passed.is_closed(to) || self.given_up {
             return false;
@@ -137,9 +142,9 @@
         true
     }
 
-    /// Part of what a box wants ahead that it gets: half of what is here is for others, and where
-    /// that does not last for all, each gets its part by use. With equal parts for 18 boxes, one
-    /// that had nine tenths of a customer's requests got four of them ahead.
+    /// Returns how much of what a box requests ahead it gets. Half of the spare tokens is for other
+    /// boxes; if the rest does not last for all, it is split by use, since equal parts would starve
+    /// the busiest box.
     fn ahead(&mut self, wanted: u64, spare: u64, now: Instant) -> u64 {
         let all = self.rate.over(AHEAD_S, now).max(wanted);
         match all {
@@ -150,14 +155,14 @@
         }
     }
 
-    /// As a keeper: what a box that asked is answered.
+    /// On a keeper: returns the answer to another box's report.
     pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Given {
         let dry = self.is_dry(need) && self.are_others_dry(need, now);
         let used = self.granted.used + self.charged;
         Given { customer: customer.clone(), given: self.passed.total(to), used, dry }
     }
 
-    /// Tokens passed on as a keeper and not known to be used or given back.
+    /// Tokens passed on as a keeper, and not reported as used or returned.
     pub fn outstanding(&self) -> u64 {
         self.passed.outstanding()
     }
--- a/crates/gateway/src/money/purse/promising.rs
+++ b/crates/gateway/src/money/purse/promising.rs
@@ -1,4 +1,4 @@
-//! What of one customer's tokens is promised to a witness.
+//! Which of one customer's tokens are promised to the witness.
 
 use std::cmp::Ordering;
 
@@ -6,19 +6,19 @@
 
 use super::Purse;
 
-/// Seconds of use that a box leaves out of a promise, so that most requests need not wait for a
-/// new one: it is lost with the box, and 3% of a budget is what may be lost.
+/// Seconds of use that are left out of a promise, so that most requests need not wait for a new
+/// one. These tokens are lost with the box if it dies.
 const OPEN_S: f64 = 1.5;
-/// A new promise is due once less than this many seconds of use are not kept.
+/// A new promise is due once fewer seconds of use than this are not promised.
 const OPEN_LOW_S: f64 = 0.5;
 
 impl Purse {
-    /// Tokens are wanted out of those kept.
+    /// Counts tokens as needed that a promise keeps.
     pub fn want(&mut self, tokens: u64) {
         self.wanted += tokens;
     }
 
-    /// Whether a new promise would free tokens that are wanted, or keep many more.
+    /// Whether a new promise would free tokens that are needed, or keep many more.
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
         let open = self.open();
         let wanted = self.wanted > 0 || open < self.rate.over(OPEN_LOW_S, now);
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Tokens to keep from now on. Until the witness has taken the promise, the one before it
-    /// counts as well.
+    /// Returns the tokens to promise. Until the witness accepts the promise, the previous one holds
+    /// as well.
     pub fn promise(&mut self, now: Instant) -> u64 {
         let keeps = self.keepable(now);
         self.wanted = 0;
@@ -39,7 +39,7 @@
         keeps
     }
 
-    /// Tokens to keep from now on, as no more requests come: all that are free.
+    /// Returns the tokens of the last promise before a planned stop: all that are free.
     pub fn promise_all(&mut self) -> u64 {
         self.kept = self.own().saturating_sub(self.received);
         self.kept
@@ -52,18 +52,17 @@
         }
         let keepable = self.own().saturating_sub(self.received + open);
         match self.exceeds() {
-            // The rest is given back.
+            // The surplus is to be returned to the book.
             true => keepable.min(self.granted.target),
             false => keepable,
         }
     }
 
-    /// The witness took this promise, or there is none any more.
+    /// Sets the promised tokens, after the witness accepted them or the promise was dropped.
     pub fn keep(&mut self, tokens: u64) {
         self.kept = tokens;
     }
 
-    /// Tokens that a promise keeps.
     pub fn kept(&self) -> u64 {
         self.kept
     }
--- a/crates/gateway/src/money/purse/settling.rs
+++ b/crates/gateway/src/money/purse/settling.rs
@@ -1,4 +1,4 @@
-//! What a settlement with the book says of one customer, and what it brought.
+//! One customer's part of a settlement with the book, and what it granted.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use super::Purse;
 use crate::money::ends::Ends;
 
-/// A box asks for more once it holds less than this share of its target.
+/// A box requests more once it holds less than this share of its target.
 const LOW: f64 = 0.6;
-/// A box settles to give tokens back once it holds more than this multiple of its target.
+/// A box settles in order to return tokens once it holds more than this multiple of its target.
 const HIGH: f64 = 2.0;
-/// What it holds beyond this multiple goes back with a settlement that is written anyway: it would be lost
-/// with the box, and is no use to it.
+/// Tokens beyond this multiple of the target are returned with any settlement, since they would be
+/// lost if the box died.
 const SPARE: f64 = 1.2;
-/// Until use was observed, a box counts on requests as large as this fraction of what is unspent,
-/// one of them for all boxes that draw.
+/// Until use has been observed, a box expects requests as large as this fraction of what is
+/// unspent, one of them for all boxes together.
 const GUESS: u64 = 64;
 
 impl Purse {
-    /// Whether a settlement would change much: tokens run low, or too many are held.
+    /// Whether a settlement is due because this box holds too few or too many tokens.
     pub fn is_due(&self) -> bool {
         let (free, target) = (self.own() as f64, self.granted.target as f64);
         let low = free < target * LOW && self.granted.left > 0;
@@ -31,13 +31,13 @@
         self.own() as f64 > self.granted.target as f64 * HIGH + self.peak as f64
     }
 
-    /// Whether more is held than a settlement that is written anyway leaves here.
+    /// Whether this box holds more than any settlement should leave here.
     pub(super) fn exceeds(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * SPARE
     }
 
-    /// What the next settlement says of this customer. What it reports and returns is out of the
-    /// account once planned.
+    /// Returns this customer's item of the next settlement. What it reports and returns is taken
+    /// out of the account here.
     pub fn item(&mut self, customer: &Arc<str>, ends: Ends, now: Instant) -> Item {
         if ends == Ends::Leaves {
             self.give_up();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Free tokens to give back now; those that a promise keeps follow once they are not.
+    /// Free tokens to return now. Promised ones follow once the promise no longer keeps them.
     fn surplus(&self, ends: Ends) -> u64 {
         match ends {
             Ends::Leaves => self.own(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A settlement that told of `item` landed and brought something.
+    /// Applies the result of a settlement with `item` that landed.
     pub fn landed(&mut self, item: &Item, holder: &Incarnation, brought: Option<&Granted>) {
         let to_me = item.transfers.iter().filter(|transfer| transfer.to == *holder);
         self.received -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
--- a/crates/gateway/src/money/rate.rs
+++ b/crates/gateway/src/money/rate.rs
@@ -1,39 +1,39 @@
-//! Use a second, averaged over the last seconds.
+//! Use per second, averaged over the last seconds.
 
 use tokio::time::Instant;
 
-/// Time over which the rate of use is averaged, in seconds.
+/// Time constant of the average, in seconds.
 const RATE_S: f64 = 6.0;
-/// Shortest time over which use is averaged, in seconds: one large request that comes first says
-/// little about the ones after it.
+/// Shortest observed time to divide by, in seconds, as a single large first request says little
+/// about the next ones.
 const LEAST_OBSERVED_S: f64 = 2.0;
 
-/// Use a second.
+/// Use per second, as an exponentially decaying average.
 ///
-/// The sum fades with [`RATE_S`]. It is divided by the part of that window that was observed, so
-/// that the use of a box that just started isn't taken for less than it is.
+/// The sum is divided by the part of the window that was observed, so that the rate of a box that
+/// just started is not underestimated.
 #[derive(Debug, Default)]
 pub struct Rate {
     sum: f64,
-    /// When the first use was seen.
+    /// When the first use was counted.
     since: Option<Instant>,
     at: Option<Instant>,
 }
 
 impl Rate {
-    /// Tokens were held for a request.
+    /// Counts tokens as used.
     pub fn add(&mut self, tokens: u64, now: Instant) {
         self.decay(now);
         self.since.get_or_insert(now);
         self.sum += tokens as f64;
     }
 
-    /// Tokens a second.
+    /// Returns the tokens used per second.
     pub fn per_second(&mut self, now: Instant) -> u64 {
         self.over(1.0, now)
     }
 
-    /// Tokens used in so many seconds.
+    /// Returns the tokens used in this many seconds.
     pub fn over(&mut self, seconds: f64, now: Instant) -> u64 {
         self.decay(now);
         let Some(since) = self.since else { return 0 };
--- a/crates/gateway/src/money/report.rs
+++ b/crates/gateway/src/money/report.rs
@@ -1,4 +1,5 @@
-//! Log lines on money: what settlements changed, what is held, and what it costs in calls and messages.
+//! Log lines on tokens: what settlements changed, what this box holds, and the store calls and
+//! messages that it takes.
 
 use std::sync::Arc;
 
@@ -10,10 +11,10 @@
     money::{funds::Funds, purse::Parts},
 };
 
-/// Customers in one log line on what is held.
+/// Most customers in one log line.
 const LOGGED: usize = 16;
 
-/// One line on the calls that this process made so far, by purpose.
+/// Logs the store calls of this process so far, by operation and kind.
 pub fn calls(store: &Client) {
     let calls = store.calls().snapshot();
     let calls: Vec<String> = calls
@@ -23,7 +24,7 @@
     tracing::info!(event = "store_calls", calls = calls.join(", "));
 }
 
-/// One line on what this box's questions to others took so far, by topic and availability zone.
+/// Logs the bytes exchanged with other boxes so far, by topic and availability zone.
 pub fn traffic(peers: &Peers) {
     let flows = peers.traffic.snapshot();
     let flows: Vec<String> = flows
@@ -36,7 +37,7 @@
     tracing::info!(event = "peer_traffic", bytes = flows.join(", "));
 }
 
-/// One line on each budget that a settlement changed.
+/// Logs each budget that a settlement changed.
 pub fn settled(settlement: &Settlement, granted: &[Granted]) {
     for (item, granted) in settlement.items.iter().zip(granted) {
         if granted.misfits > 0 {
@@ -69,7 +70,8 @@
     }
 }
 
-/// One line on what this box holds, by customer and by what it is for: what would be lost with it.
+/// Logs the tokens that this box holds, by customer and use. These are lost if the box dies without
+/// a witness.
 pub fn held(funds: &Funds) {
     let parts = funds.parts(LOGGED);
     if parts.is_empty() {
--- a/crates/gateway/src/money/settle.rs
+++ b/crates/gateway/src/money/settle.rs
@@ -1,7 +1,8 @@
-//! The task that settles this box's accounts with the book in the store.
+//! The task that settles this box's tokens with the book in the store.
 //!
-//! One settlement is under way at a time. It is written until it is known to have landed: a
-//! refusal brings the book as it stands, and a lost answer is resolved by the writer's number.
+//! One settlement is in progress at a time. It is retried until it is known to have landed: a
+//! refused write returns the current book, and a write whose answer was lost is resolved by its
+//! number.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,28 +23,27 @@
     settings::{GATHER_MS, Settings},
 };
 
-/// Time between two log lines on the calls of the store.
+/// Interval of the log lines on store calls and peer traffic.
 const TELL: Duration = Duration::from_secs(10);
-/// First pause after a call that failed; doubles up to [`PAUSE_MOST`].
+/// First delay after a failed call; doubles up to [`PAUSE_MOST`].
 const PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two calls while the store does not answer.
+/// Longest delay between two calls while the store does not answer.
 const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// A box that is no keeper, and was not asked for so long, draws no more from the book: longer than
-/// it takes to start a box again, which is when others stand in for it.
+/// A box that is not a keeper retires from the book when nobody has drawn from it for this long.
+/// Longer than a restart of a box, during which others take over for it.
 const RETIRE: Duration = Duration::from_secs(8);
-/// Time for the store to take the last settlement before other boxes are asked to help: longer than a
-/// slow call of it.
+/// Time for the store to accept the last settlement before other boxes are asked to write the
+/// bills. Longer than a slow call of the store.
 const HAND_OVER: Duration = Duration::from_millis(600);
-/// Longest wait for the list of boxes before the first settlement: witnesses are found by it.
+/// Longest wait for the list of boxes before the first settlement; witnesses are looked up there.
 const LISTED: Duration = Duration::from_millis(2_000);
-/// Time between two questions to witnesses that did not answer, or whose box was not known yet.
+/// Interval at which witnesses are asked that did not answer, or whose box was not known yet.
 const COLLECT_EVERY: Duration = Duration::from_millis(500);
-/// Witnesses asked at once.
 const MOST_ASKED: usize = 8;
-/// Time until the first grants are asked for: the other boxes register meanwhile.
+/// Delay before the first grants are requested, during which the other boxes register.
 const REGISTER: Duration = Duration::from_millis(1_500);
 
-/// What is wrong with the book.
+/// Why the book could not be read or written.
 #[derive(Debug, Snafu)]
 enum Fault {
     #[snafu(display("{source}"))]
@@ -56,7 +56,7 @@
     Write { reason: String },
 }
 
-/// What a settler works with.
+/// Dependencies of a [`Settler`].
 pub struct Setup {
     pub store: Client,
     pub funds: Funds,
@@ -64,44 +64,40 @@
     pub naming: Naming,
     pub draws: Draws,
     pub metrics: Metrics,
-    /// Version of the box's entry in the store, once it is written.
+    /// Version of this box's entry in the store, once it is written.
     pub registered: watch::Receiver<Option<u64>>,
     pub bills: Bills,
-    /// This start of the box.
     pub holder: Incarnation,
-    /// The settings in force.
     pub settings: watch::Receiver<Arc<Settings>>,
 }
 
-/// Settles accounts with the book.
+/// Settles this box's tokens with the book.
 pub struct Settler {
     setup: Setup,
     outage: Outage,
     contact: Contact,
-    /// An outage ended: the next settlement comes without the usual time before it. The one that ended it was
-    /// planned before, and only by its answer does the box know how little to hold now. The next one tells what
-    /// was used meanwhile and gives back what is too much, before something else fails.
+    /// An outage ended: the next settlement follows without the usual delay. The settlement that
+    /// ended the outage was planned before it, so only the next one reports what was used meanwhile
+    /// and returns the surplus, which should happen before anything else fails.
     at_once: bool,
-    /// The book as it was last read or written, with its version; 0 where there is none.
+    /// The book as last read or written, with its version; version 0 if there is none in the store.
     known: Option<(Book, u64)>,
-    /// Whether a book was ever seen: it is not made anew then.
+    /// Whether a book was ever seen; if it is missing later, no new one is created.
     seen: bool,
     outlook: Outlook,
     write: u64,
-    /// The settlement under way: it must land, also when this task was interrupted.
+    /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
-    /// What the newest write of it would grant, in case its answer is lost.
+    /// What the newest attempt to write it would grant, in case the answer is lost.
     last: Option<Vec<Granted>>,
-    /// Whether this box stands in the book.
+    /// Whether this box is listed as a writer in the book.
     stands: bool,
-    /// What lives that ended left untouched, for the next settlement.
+    /// Tokens that dead incarnations left unused, for the next settlement.
     collected: Vec<Untouched>,
-    /// When witnesses were last asked.
     asked: Option<Instant>,
 }
 
 impl Settler {
-    /// Nothing is read yet.
     pub fn new(setup: Setup, contact: Contact) -> Settler {
         Settler {
             setup,
@@ -120,7 +116,7 @@
         }
     }
 
-    /// Settles as need arises, for as long as the box runs.
+    /// Settles as needed, for as long as the box runs.
     pub async fn run(&mut self) {
         let mut told = Instant::now();
         self.settle_first().await;
@@ -152,8 +148,8 @@
         }
     }
 
-    /// Asks the witnesses of lives that ended, if claims on those are open: a box for its own earlier lives,
-    /// keepers for all. Says whether anything came of it.
+    /// Asks the witnesses of dead incarnations for which the book has open claims: a keeper asks
+    /// for all of them, another box for its own. Returns whether there is anything to settle.
     async fn collect(&mut self) -> bool {
         let is_keeper = self.setup.peers.am_keeper();
         let Some((book, _)) = &self.known else { return false };
@@ -171,8 +167,8 @@
         !self.collected.is_empty()
     }
 
-    /// Whether this box draws from the book: it is the keeper of its availability zone, holds
-    /// something of the book, or has something to settle.
+    /// Whether this box settles with the book: it is the keeper of its availability zone, holds
+    /// tokens granted by the book, or has something to report.
     fn is_of_book(&self) -> bool {
         let Setup { peers, funds, .. } = &self.setup;
         let collected = !self.collected.is_empty();
@@ -183,7 +179,8 @@
             || funds.is_of_book()
     }
 
-    /// Whether another box keeps the tokens now.
+    /// Whether this box goes on drawing from the book or retires from it, as another box is the
+    /// keeper now.
     fn ends(&self) -> Ends {
         let Setup { peers, funds, .. } = &self.setup;
         let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
@@ -192,7 +189,7 @@
         if retires { Ends::Retires } else { Ends::Not }
     }
 
-    /// Time of the next settlement that no request waits for, after the last one.
+    /// Interval to the next settlement that no request waits for.
     fn pause(&self, spacing: Duration, settle: Duration) -> Duration {
         match self.setup.funds.is_due() || self.setup.naming.is_due(&self.setup.peers) {
             true => spacing * spacing::times_apart(self.writers()),
@@ -200,13 +197,13 @@
         }
     }
 
-    /// Boxes that write the book, as it was last seen.
+    /// Number of boxes that write the book, as of the last read.
     fn writers(&self) -> usize {
         self.known.as_ref().map_or(0, |(book, _)| book.writers.len())
     }
 
-    /// The first settlement of a box whose earlier lives stand in the book, with what witnesses
-    /// know of them.
+    /// Settles for the earlier incarnations of this box, if the book lists any, with what their
+    /// witnesses report.
     async fn settle_first(&mut self) {
         let mut registered = self.setup.registered.clone();
         let listed = registered.wait_for(Option::is_some);
@@ -237,7 +234,7 @@
         self.outage.failed(fault);
         self.outlook.failed(Instant::now());
         self.setup.funds.set_cut(true);
-        // Whichever task of this box finds the store first ends the pause.
+        // Ends the delay as soon as any task of this box reaches the store.
         let _ = tokio::time::timeout(*pause, self.contact.regained()).await;
         *pause = (*pause * 2).min(PAUSE_MOST);
     }
@@ -248,7 +245,7 @@
         }
     }
 
-    /// Writes one settlement until it has landed. May be interrupted: the next call goes on.
+    /// Writes one settlement until it has landed. Cancel safe: the next call resumes it.
     async fn settle(&mut self, ends: Ends) {
         let settlement = match self.pending.take() {
             Some(pending) => pending,
@@ -289,7 +286,7 @@
         self.setup.naming.landed(&settlement.writer.witness, &self.setup.funds);
     }
 
-    /// One call; `None` where the book had changed meanwhile.
+    /// Makes one attempt; returns `None` if another box has changed the book meanwhile.
     async fn attempt(&mut self, settlement: &Settlement) -> Result<Option<Vec<Granted>>, Fault> {
         let (book, version) = match self.known.take() {
             Some(known) => known,
@@ -316,17 +313,17 @@
                 Ok(None)
             }
             Put::Refused(None) => Err(Fault::Gone),
-            // Not carried out: the book may stand as it did.
+            // Not applied: the known book may still be current.
             Put::Failed(reason) => {
                 self.known = Some((book, version));
                 Err(Fault::Write { reason })
             }
-            // Read back first: it may have landed.
+            // The write may have landed, so the next attempt reads the book first.
             Put::Unknown(reason) => Err(Fault::Write { reason }),
         }
     }
 
-    /// Sizing of grants now.
+    /// Returns the policy that sizes grants now.
     fn policy(&self) -> Policy {
         let policy = self.setup.settings.borrow().policy();
         let policy = self.outlook.policy(policy, Instant::now());
@@ -355,10 +352,10 @@
         Ok(())
     }
 
-    /// Gives everything back by plan, until `until` at the latest.
+    /// Returns all tokens before a planned stop, until `until` at the latest.
     ///
-    /// Whatever the store does not take soon goes to other boxes: the witness knows that nothing
-    /// more is used, and pages of bills are written by another box.
+    /// If the store does not accept them soon, other boxes help: the witness knows that no more
+    /// tokens are used, and the bills are handed over to another box, which writes them.
     pub async fn leave(&mut self, until: Instant) {
         let began = Instant::now();
         let Setup { naming, funds, peers, draws, .. } = &self.setup;
@@ -378,7 +375,7 @@
         );
     }
 
-    /// Writes all that is left to write. May be interrupted: the next call goes on.
+    /// Writes everything that is left. Cancel safe: the next call resumes it.
     async fn leave_book(&mut self) {
         self.setup.bills.write(&self.setup.store, true).await;
         if self.pending.is_some() {
--- a/crates/gateway/src/money/shares.rs
+++ b/crates/gateway/src/money/shares.rs
@@ -1,13 +1,13 @@
-//! Both sides of what keepers pass to other boxes, for one customer.
+//! Both sides of what keepers pass on to other boxes, for one customer.
 
 use std::collections::BTreeMap;
 
 use ledger::{Incarnation, News, Share};
 
-/// What keepers passed to this box.
+/// Tokens that keepers passed on to this box.
 #[derive(Debug, Default)]
 pub struct Loans {
-    /// In the order in which keepers first gave something.
+    /// In the order in which the keepers first passed tokens on.
     by: Vec<Loan>,
 }
 
@@ -15,23 +15,23 @@
 struct Loan {
     keeper: Incarnation,
     share: Share,
-    /// Totals that the keeper is known to have heard.
+    /// Totals that the keeper has acknowledged.
     heard: Share,
 }
 
 impl Loans {
-    /// Tokens of keepers that are neither used nor given back.
+    /// Tokens of keepers that are neither used nor returned.
     pub fn rest(&self) -> u64 {
         self.by.iter().map(|loan| loan.share.rest()).sum()
     }
 
-    /// Used tokens of which their keepers have not heard.
+    /// Used tokens that were not reported to their keepers yet.
     pub fn untold(&self) -> u64 {
         self.by.iter().map(|loan| loan.share.used - loan.heard.used).sum()
     }
 
-    /// Marks up to `tokens` as used, the oldest loan first: a keeper that died keeps none open.
-    /// Returns how many were.
+    /// Counts up to `tokens` as used, from the oldest loan first, so that loans of dead keepers are
+    /// used up. Returns how many were.
     pub fn spend(&mut self, tokens: u64) -> u64 {
         let mut left = tokens;
         for loan in &mut self.by {
@@ -42,12 +42,12 @@
         tokens - left
     }
 
-    /// A keeper's total is heard; returns what is new of it.
+    /// Applies the total that a keeper reports; returns the tokens that are new.
     pub fn receive(&mut self, keeper: &Incarnation, given: u64) -> u64 {
         self.loan_mut(keeper).share.receive(given)
     }
 
-    /// Marks up to `tokens` of a keeper's as given back; returns how many were.
+    /// Counts up to `tokens` of a keeper as returned; returns how many were.
     pub fn give_back(&mut self, keeper: &Incarnation, tokens: u64) -> u64 {
         let Some(loan) = self.by.iter_mut().find(|loan| loan.keeper == *keeper) else { return 0 };
         let returned = tokens.min(loan.share.rest());
@@ -55,13 +55,13 @@
         returned
     }
 
-    /// Totals with a keeper.
+    /// Returns the totals of a keeper.
     pub fn share(&self, keeper: &Incarnation) -> Share {
         let loan = self.by.iter().find(|loan| loan.keeper == *keeper);
         loan.map(|loan| loan.share).unwrap_or_default()
     }
 
-    /// Whether a keeper has not heard of all that it should.
+    /// Whether a keeper has not acknowledged all that was used and returned.
     pub fn has_news(&self, keeper: &Incarnation) -> bool {
         let loan = self.by.iter().find(|loan| loan.keeper == *keeper);
         loan.is_some_and(|loan| {
@@ -70,12 +70,12 @@
         })
     }
 
-    /// A keeper heard these totals.
+    /// Records the totals that a keeper has acknowledged.
     pub fn heard(&mut self, keeper: &Incarnation, share: Share) {
         self.loan_mut(keeper).heard = share;
     }
 
-    /// Keepers that passed something on.
+    /// Returns the keepers that have passed tokens on.
     pub fn keepers(&self) -> impl Iterator<Item = &Incarnation> {
         self.by.iter().map(|loan| &loan.keeper)
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// What this box passed on as a keeper.
+/// Tokens that this box passed on as a keeper.
 #[derive(Debug, Default)]
 pub struct Passed {
     by: BTreeMap<Incarnation, Given>,
@@ -100,25 +100,25 @@
 #[derive(Debug, Default)]
 struct Given {
     share: Share,
-    /// The box died: nothing of it is believed or passed on to it any more.
+    /// The box died: its reports are ignored, and it gets no more tokens.
     closed: bool,
 }
 
 impl Passed {
-    /// Tokens passed on and not known to be used or given back.
+    /// Tokens passed on, and not reported as used or returned.
     pub fn outstanding(&self) -> u64 {
         let open = self.by.values().filter(|given| !given.closed);
         open.map(|given| given.share.rest()).sum()
     }
 
-    /// Passes more on.
+    /// Passes tokens on to a box.
     pub fn give(&mut self, to: &Incarnation, tokens: u64) {
         let given = self.by.entry(to.clone()).or_default();
         debug_assert!(!given.closed);
         given.share.given += tokens;
     }
 
-    /// Total passed on to a box.
+    /// Total of the tokens passed on to a box.
     pub fn total(&self, to: &Incarnation) -> u64 {
         self.by.get(to).map_or(0, |given| given.share.given)
     }
@@ -128,7 +128,7 @@
         self.by.get(of).is_some_and(|given| given.closed)
     }
 
-    /// A box tells its totals; `None` if they are no word of this pair.
+    /// Applies the totals that a box reports; `None` if they do not fit what was passed on to it.
     pub fn hear(&mut self, from: &Incarnation, told: Share) -> Option<News> {
         match self.by.get_mut(from) {
             Some(given) if given.closed => None,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// A later life of a box is here: what its earlier ones had is lost, since a box has one life
-    /// at a time and nobody knows what they used. Returns the tokens.
+    /// Closes the accounts of earlier incarnations of a box: only one incarnation runs at a time,
+    /// and nobody knows what the dead ones used. Returns the tokens lost.
     pub fn close_earlier(&mut self, than: &Incarnation) -> u64 {
         let earlier = self.by.iter_mut().filter(|(name, given)| {
             !given.closed && *name != than && name.box_name() == than.box_name()
@@ -151,7 +151,8 @@
         lost
     }
 
-    /// This box ends by plan: nothing that is still out comes back to it. Returns the tokens.
+    /// Closes all accounts before a planned stop, after which no tokens can return. Returns the
+    /// tokens lost.
     pub fn close_all(&mut self) -> u64 {
         let lost = self.outstanding();
         self.by.values_mut().for_each(|given| given.closed = true);
--- a/crates/gateway/src/money/spacing.rs
+++ b/crates/gateway/src/money/spacing.rs
@@ -1,16 +1,16 @@
-//! How far apart a box's settlements are, by how many boxes write the book.
+//! Interval between a box's settlements, by the number of boxes that write the book.
 //!
-//! The book is one object: each settlement that lands makes those void that others are writing. Six boxes
-//! that each settle as often as three may make twice as many landings, and more than twice as many calls:
-//! on a calm day of 295 boxes 876 of 1,337 writes met another one.
+//! The book is one object, so each settlement that lands makes the concurrent writes of other boxes
+//! fail. Settling less often avoids most of these conflicts.
 
-/// Boxes that write the book as often as their settings say.
+/// Number of boxes that may write the book at the configured interval.
 const FEW: usize = 3;
-/// Settlements are so many times further apart at most, however many boxes write: what a box charged since
-/// the last one counts as lost if it dies.
+/// Largest factor, however many boxes write: what a box has charged since its last settlement
+/// counts as lost if it dies.
 const MOST: u32 = 2;
 
-/// How many times as long as its settings say a box waits between settlements that no request waits for.
+/// Returns the factor by which a box extends the configured interval between settlements that no
+/// request waits for.
 pub fn times_apart(writers: usize) -> u32 {
     u32::try_from(writers / FEW).unwrap_or(MOST).clamp(1, MOST)
 }
--- a/crates/gateway/src/money/witness.rs
+++ b/crates/gateway/src/money/witness.rs
@@ -1,8 +1,9 @@
-//! What boxes promise each other to keep untouched, so that little is lost with one that dies.
+//! Promises of boxes to each other to keep tokens unused, so that little is lost when one of them
+//! dies.
 //!
-//! The witness's side is in `records`. [`Naming`] is the choice of this box's own witness, which
-//! counts once the book says so, and [`Keeper`] tells that one what this box keeps. While neither
-//! the store nor the witness answers, what was promised last stays untouched.
+//! [`Naming`] selects this box's witness, which takes effect once the book names it, and [`Keeper`]
+//! sends the promises to it. The witness's side is in `records`. While neither the store nor the
+//! witness answers, the last promise holds.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,29 +16,29 @@
     money::funds::Funds,
 };
 
-/// Pause after a promise that the witness did not take, so that a box that is down is not asked
-/// without end.
+/// Delay after a promise that was not accepted, so that a box that is down is not called in a tight
+/// loop.
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// Number of the promise before a planned stop: none comes after it.
+/// Number of the last promise, before a planned stop.
 const LAST: u64 = u64::MAX;
 
-/// The choice of this box's witness.
+/// Selects this box's witness.
 #[derive(Debug, Clone)]
 pub struct Naming {
-    /// The one that the book names, as far as this box knows.
+    /// The witness that the book names, as far as this box knows.
     named: Arc<watch::Sender<Option<Witness>>>,
-    /// It did not answer, or is none any more.
+    /// The witness did not answer, or is gone.
     lost: Arc<Mutex<bool>>,
 }
 
 impl Naming {
-    /// None yet.
     pub fn open() -> Naming {
         Naming { named: Arc::new(watch::channel(None).0), lost: Arc::default() }
     }
 
-    /// Whom a settlement with this number names: the same as before, unless it is gone or lost.
+    /// Returns the witness that the settlement with this number names: the current one, unless it
+    /// is gone or lost.
     pub fn choose(&self, peers: &Peers, number: u64) -> Option<Witness> {
         let named = self.named.borrow().clone();
         let lost = *self.lost.lock();
@@ -49,7 +50,8 @@
         other.map(|by| Witness { by, term: number })
     }
 
-    /// A settlement landed that names this one: what was promised another one counts no more.
+    /// Applies a settlement that landed with this witness. A promise to another witness no longer
+    /// holds.
     pub fn landed(&self, witness: &Option<Witness>, funds: &Funds) {
         if *self.named.borrow() == *witness {
             return;
@@ -64,14 +66,14 @@
         );
     }
 
-    /// The witness did not answer, or is none any more.
+    /// Records that the witness did not answer, or is gone.
     fn note_lost(&self, witness: &Witness) {
         *self.lost.lock() = true;
         tracing::info!(event = "witness_lost", witness = witness.by.as_str());
     }
 
-    /// Promises to use nothing more, before a planned stop: if the store does not answer the last
-    /// settlement, the next start gets all of it back from the witness.
+    /// Promises to use no more tokens, before a planned stop. If the last settlement does not reach
+    /// the store, the next incarnation gets all of them back through the witness.
     pub async fn promise_all(&self, funds: &Funds, peers: &Peers) {
         let Some(witness) = self.named.borrow().clone() else { return };
         let tokens = funds.promise_all();
@@ -81,14 +83,14 @@
         tracing::info!(event = "promised_all", witness = witness.by.as_str(), kept, outcome = ?told);
     }
 
-    /// Whether another one is to be named.
+    /// Whether another witness is to be named.
     pub fn is_due(&self, peers: &Peers) -> bool {
         let is_gone = |witness: &Witness| !peers.knows(&witness.by);
         *self.lost.lock() || self.named.borrow().as_ref().is_some_and(is_gone)
     }
 }
 
-/// Tells the witness what this box keeps.
+/// Sends this box's promises to its witness.
 pub struct Keeper {
     pub funds: Funds,
     pub peers: Peers,
@@ -96,10 +98,10 @@
 }
 
 impl Keeper {
-    /// Tells it for as long as the box runs.
+    /// Sends promises for as long as the box runs.
     pub async fn run(self) {
         let mut number = 0;
-        // The most that the witness may believe, and under which naming.
+        // The term of the witness, and the highest amounts that it may have on record.
         let mut believed: (u64, BTreeMap<Arc<str>, u64>) = (0, BTreeMap::new());
         loop {
             self.funds.promise_due().await;
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -1,30 +1,30 @@
-//! What one box may still spend of one budget, as it knows itself.
+//! A box's local view of what it may still spend of one budget.
 
 use serde::{Deserialize, Serialize};
 
-/// Which part of a grant tokens come from.
+/// The part of a grant that tokens come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Part {
-    /// Usable only once the intent has landed in the journal.
+    /// Usable only after the intent has landed in the journal.
     Online,
-    /// Usable with no word from the platform.
+    /// Usable without contact to the platform.
     Offline,
 }
 
-/// Tokens of one part, in tokens.
+/// Tokens of one part.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// Given by landed draws, less what was returned.
+    /// Granted by draws that landed, less what was returned.
     pub given: u64,
-    /// Charged for work that ended.
+    /// Charged for requests that ended.
     pub charged: u64,
-    /// Held for work under way, at its worst case.
+    /// Reserved for requests in progress, at their worst case.
     pub reserved: u64,
 }
 
 impl Tokens {
-    /// What a new request may reserve.
+    /// Tokens that a new request may reserve.
     pub fn free(&self) -> u64 {
         self.given.saturating_sub(self.charged + self.reserved)
     }
@@ -37,25 +37,24 @@
     offline: Tokens,
 }
 
-/// Tokens held for one request; given back or charged exactly once.
+/// Tokens reserved for one request. Released or charged exactly once.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a reservation is settled or cancelled"]
+#[must_use = "a reservation must be settled"]
 pub struct Reservation {
-    /// Part the tokens come from.
+    /// Part that the tokens come from.
     pub part: Part,
-    /// Worst case held, in tokens.
+    /// Worst case of the request, in tokens.
     pub tokens: u64,
 }
 
-/// What a reservation lacked.
+/// Error of a reservation that exceeds the free tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// Tokens missing in that part.
+    /// Tokens missing in the part.
     pub missing: u64,
 }
 
 impl Account {
-    /// Tokens of one part.
     pub fn tokens(&self, part: Part) -> Tokens {
         match part {
             Part::Online => self.online,
@@ -75,7 +74,8 @@
         self.tokens_mut(part).given += tokens;
     }
 
-    /// Takes up to `tokens` free tokens out, before they are returned or passed on.
+    /// Removes up to `tokens` free tokens, before they are returned or passed on. Returns how many
+    /// were removed.
     pub fn take(&mut self, part: Part, tokens: u64) -> u64 {
         let of = self.tokens_mut(part);
         let taken = tokens.min(of.free());
@@ -83,7 +83,7 @@
         taken
     }
 
-    /// Holds the worst case of a request, or says what is missing.
+    /// Reserves the worst case of a request.
     pub fn reserve(&mut self, part: Part, tokens: u64) -> Result<Reservation, Need> {
         let of = self.tokens_mut(part);
         let free = of.free();
@@ -94,9 +94,9 @@
         Ok(Reservation { part, tokens })
     }
 
-    /// Ends a reservation: `charged` is spent, the rest is free again.
+    /// Ends a reservation: `charged` tokens are spent, the rest is free again.
     ///
-    /// Returns what was charged, never more than was held.
+    /// Returns what was charged, never more than was reserved.
     pub fn settle(&mut self, reservation: Reservation, charged: u64) -> u64 {
         let charged = charged.min(reservation.tokens);
         let of = self.tokens_mut(reservation.part);
@@ -105,12 +105,12 @@
         charged
     }
 
-    /// Tokens neither charged nor reserved, over both parts.
+    /// Tokens of both parts that are neither charged nor reserved.
     pub fn free(&self) -> u64 {
         self.online.free() + self.offline.free()
     }
 
-    /// Whether nothing is held for work under way.
+    /// Whether nothing is reserved.
     pub fn is_idle(&self) -> bool {
         self.online.reserved == 0 && self.offline.reserved == 0
     }
--- a/crates/ledger/src/audit.rs
+++ b/crates/ledger/src/audit.rs
@@ -1,4 +1,4 @@
-//! Proof that a book and the bills of its budgets fit together.
+//! Checks that a book and the bills of its budgets are consistent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,76 +9,68 @@
 
 use crate::{Bill, Book, Claim, Grant, Incarnation};
 
-/// One budget, as an audit sees it. All amounts in tokens.
+/// One budget in an audit. All amounts in tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// Customer whose budget it is.
     pub customer: Arc<str>,
     /// Paid, as far as it is in force.
     pub paid: u64,
-    /// Used for certain.
+    /// Certainly used.
     pub used: u64,
     /// Counted as spent because boxes died with them.
     pub lost: u64,
     /// Held by boxes.
     pub granted: u64,
-    /// Held by nobody.
+    /// Held by no box.
     pub left: u64,
-    /// Requests settled.
+    /// Number of settled requests.
     pub requests: u64,
-    /// Tokens settled for them.
+    /// Tokens settled for these requests.
     pub settled: u64,
-    /// Requests on bills: those of the last seconds are not written yet, and those that a box had
-    /// not written when it died are missing.
+    /// Number of billed requests. Bills of the last seconds are not written yet, and those that a
+    /// box had not written when it died are missing.
     pub billed_requests: u64,
     /// Tokens on bills.
     pub billed: u64,
 }
 
-/// What does not fit.
+/// An inconsistency.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finding {
-    /// More is spent or held than was paid.
+    /// More was spent or granted than was paid.
     Overspent {
-        /// Customer whose budget it is.
         customer: Arc<str>,
-        /// By how many tokens.
+        /// Tokens beyond what was paid.
         by: u64,
     },
-    /// A request stands on two bills.
+    /// A request has two bills.
     BilledTwice {
-        /// Customer that is billed.
         customer: Arc<str>,
         /// Key of the request.
         key: Arc<str>,
     },
-    /// A bill number was given twice by the same box.
-    NumberTwice {
-        /// The incarnation.
-        by: Arc<str>,
-        /// The number.
-        n: u64,
-    },
+    /// Two bills of an incarnation have the same number.
+    NumberTwice { by: Arc<str>, n: u64 },
 }
 
 /// Result of an audit.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Audit {
-    /// One for each budget.
+    /// One line for each budget.
     pub lines: Vec<Line>,
-    /// What does not fit; empty if all is well.
+    /// Inconsistencies; empty if there are none.
     pub findings: Vec<Finding>,
-    /// What lives that ended held, of which it is open how much was untouched.
+    /// Open claims: tokens held by dead incarnations, of which it is unknown how many were unused.
     pub claims: Vec<Held>,
 }
 
-/// What a life that ended held.
+/// The tokens of a dead incarnation whose witness has not answered yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Held {
-    /// The life.
+    /// The dead incarnation.
     pub holder: Incarnation,
-    /// Who knows what it left untouched.
+    /// The witness that knows how many of the tokens were unused.
     pub witness: Incarnation,
     /// Tokens of all customers.
     pub tokens: u64,
--- a/crates/ledger/src/bill.rs
+++ b/crates/ledger/src/bill.rs
@@ -1,4 +1,4 @@
-//! Bills and the statement that they are folded into.
+//! Bills, and the statement that they are folded into.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 /// Kind of the objects that hold pages of bills.
 pub const BILLS: &str = "bills";
 
-/// What a bill rests on.
+/// The evidence for a bill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
     /// The router that ran the request recorded its outcome.
     Recorded,
-    /// Another box carried the record while the platform was away.
+    /// Another box kept the record while the platform was unreachable.
     Carried,
     /// The endpoint reported how the run ended.
     Reported,
-    /// Nobody could tell; the declared rule was applied.
+    /// The outcome is unknown; the declared rule was applied.
     Ruled,
 }
 
@@ -34,18 +34,15 @@
     pub by: Incarnation,
     /// Number of the record in that incarnation's journal.
     pub n: u64,
-    /// Part of the grant it was paid from.
+    /// Part of the grant that paid for it.
     pub part: Part,
-    /// Tokens charged.
     pub tokens: u64,
-    /// How the request ended.
     pub ended: Ended,
-    /// What the bill rests on.
     pub evidence: Evidence,
 }
 
 impl Bill {
-    /// The bill of a record, `None` while it has no outcome or if it never ran.
+    /// Returns the bill of a record; `None` while it has no outcome, or if the request never ran.
     pub fn of(by: &Incarnation, record: &Record) -> Option<Bill> {
         let outcome = record.outcome.as_ref()?;
         if outcome.ended == Ended::NotRun {
@@ -64,24 +61,24 @@
     }
 }
 
-/// Older bills moved out of a ledger, oldest first.
+/// Older bills that were moved out of a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Bills in the order they were folded.
+    /// Bills in the order in which they were folded.
     pub bills: Vec<Bill>,
 }
 
-/// Totals of all bills, and the newest ones whole.
+/// Totals of all bills, and the newest bills themselves.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
     /// Number of bills ever folded.
     pub count: u64,
-    /// Their tokens.
+    /// Tokens of all bills ever folded.
     pub tokens: u64,
-    /// Pages of older bills written so far.
+    /// Number of pages of older bills written so far.
     pub pages: u64,
-    /// Bills not yet on a page, oldest first.
+    /// Bills that are not on a page yet, oldest first.
     pub recent: Vec<Bill>,
-    /// Hashes of the newest keys billed, oldest first, against billing a rerun twice.
+    /// Hashes of the newest billed keys, oldest first, so that a rerun is not billed twice.
     pub keys: Vec<u64>,
 }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -1,16 +1,14 @@
-//! The ledgers of many budgets in one object, written by all boxes in turn.
+//! The ledgers of many budgets in one object, which all boxes write in turn.
 //!
-//! A box that needs no intents (a request id there is one try) settles all its budgets by one
-//! conditional update: what it charged since its last one, what it gives back, and what it would
-//! like to hold. [`Book::settle`] grants from what is really left, so a stale view in the box can
-//! only ask too much or too little.
+//! A box settles all its budgets by one conditional update, without a journal: what it charged since
+//! the last one, what it returns, and what it would like to hold. [`Book::settle`] grants from what
+//! is really left, so a box with a stale view can only request too much or too little.
 //!
-//! A grant can be spent with no word from the platform, so of what a box held when it died nobody knows how
-//! much was used, but for what its witness knows to be untouched. As soon as a later life of it writes, the
-//! earlier one can write no more, and a [`Claim`] stands for what it held until the witness has answered
-//! whoever asked, or is dead itself. Written off before that, 12.8% of all that customers had paid was lost
-//! in a play of 21 boxes in which one of them died whose next life did not know its witness yet, and 4.4% is
-//! with claims (by the book).
+//! A box spends its grant without contacting the platform, so when it dies, nobody knows how much
+//! of the grant was used, except for what its witness has on record. As soon as a later incarnation
+//! of the box writes, the earlier one can write no more. A [`Claim`] then keeps its grant open
+//! until the witness answers or is dead, too. Writing the grant off at once would lose the unused
+//! part whenever the new incarnation cannot reach the witness yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,84 +20,85 @@
 
 use crate::{Draw, Incarnation, Ledger, Observed, Policy, Transfer, Untouched, Witness};
 
-/// Part of what all boxes may hold that is split evenly, in thousandths: a box that a customer's
-/// next requests come to first has some.
+/// Part of what all boxes may hold that is split evenly, in thousandths. Thus a box that is the
+/// first to get a customer's requests has some tokens.
 const EVEN: u64 = 300;
 
-/// Settlements that a box makes at most while all boxes return after an outage: a few in a row, one of
-/// them planned before it.
+/// Most settlements of one box while all boxes return after an outage: a few in a row, one of them
+/// planned before it.
 const SETTLE_AT_RETURN: u64 = 4;
 
-/// How much less boxes hold for each part of what is paid that was lost with boxes of which no witness was left:
-/// with a twentieth of it lost, half. Where all boxes died once they are likely to again, and the losses add up,
-/// whereas what was not held in an outage can be used after it.
+/// Weight of unwitnessed losses: with 1/20 of the paid amount lost, boxes hold half as much. Where
+/// all boxes died once they are likely to die again, and losses add up, whereas tokens that were
+/// not held in an outage can still be used after it.
 const CAUTION: u64 = 20;
 
-/// Claims that stay open: more boxes than that do not die before somebody was asked of one. What the
-/// others held counts as spent.
+/// Most open claims. What is held under further ones counts as spent.
 const MOST_CLAIMS: usize = 128;
 
 /// Kind and name of the object that holds the book.
 pub const BOOK: (&str, &str) = ("books", "main");
 
-/// Ledgers of several budgets.
+/// The ledgers of several budgets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Book {
-    /// One for each customer.
+    /// One ledger for each customer.
     #[serde(default)]
     pub ledgers: BTreeMap<Arc<str>, Ledger>,
-    /// Boxes that write here.
+    /// Incarnations that write the book.
     #[serde(default)]
     pub writers: BTreeMap<Incarnation, Writer>,
-    /// Settlements that have landed.
+    /// Number of settlements that have landed.
     #[serde(default)]
     pub landed: u64,
-    /// Outages of the store that all boxes saw.
     #[serde(default)]
     pub outages: Outages,
-    /// Writers that hold nothing ahead of need: none of what the others may hold is theirs.
+    /// Writers that hold no tokens ahead of need, and are left out when the rest is split.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub idle: BTreeSet<Incarnation>,
-    /// Lives that ended, of which it is open what they left untouched.
+    /// Dead incarnations of which it is unknown how many tokens they left unused.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub claims: BTreeMap<Incarnation, Claim>,
 }
 
-/// Outages of the store that all boxes saw, by which they size what they hold. No right to spend rests on it.
+/// Outages of the store that the whole fleet observed. They only affect how much boxes hold, not
+/// what they may spend.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outages {
-    /// So many.
+    /// Number of outages.
     pub count: u64,
-    /// Settlements that had landed when the last one was noted first.
+    /// Number of settlements that had landed when the last outage was noted.
     pub landed: u64,
 }
 
-/// What a life that ended held: it stays granted until its witness told, and can be used by nobody.
+/// The grant of a dead incarnation. It stays granted until the witness has answered, and nobody can
+/// use it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who knows what of it was untouched.
+    /// The witness that knows how many of the tokens were unused.
     pub witness: Witness,
-    /// Where the witness answers.
+    /// Address of the witness.
     pub at: Option<SocketAddr>,
 }
 
-/// A box that writes here.
+/// A box that writes the book.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Writer {
     /// Number of its newest write.
     pub write: u64,
-    /// Where other boxes ask it for tokens.
+    /// Address at which other boxes ask it for tokens.
     pub peer: Option<SocketAddr>,
-    /// Who knows what it keeps untouched.
+    /// The witness to which it promises tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub witness: Option<Witness>,
-    /// Where that one answers, for a later life that knows no other box yet.
+    /// Address of the witness, for a later incarnation that knows no other box yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub witness_at: Option<SocketAddr>,
 }
 
 impl Writer {
-    /// What stands for what this life held once it ended, if anybody knows of it.
+    /// Returns the claim that replaces this writer once the incarnation is dead, if it has a
+    /// witness.
     fn claim(&self) -> Option<Claim> {
         let witness = self.witness.clone()?;
         Some(Claim { witness, at: self.witness_at })
@@ -109,25 +108,24 @@
 /// What a box settles of one budget.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Item {
-    /// Customer whose budget it is.
     pub customer: Arc<str>,
-    /// What the operator says is paid, with the version that says so.
+    /// Paid amount of the configuration, with its version.
     pub paid: Option<(u64, u64)>,
     /// Tokens charged since the last settlement that landed.
     pub charged: u64,
-    /// Requests charged since then.
+    /// Requests charged since the last settlement that landed.
     pub requests: u64,
-    /// Tokens passed on to boxes that died with them: nobody knows what was used of them.
+    /// Tokens passed on to boxes that died; it is unknown how many of them were used.
     pub lost: u64,
-    /// Free tokens given back, already taken out of the box's account.
+    /// Free tokens returned, already debited from the box's account.
     pub returned: u64,
     /// Free tokens that the box still holds.
     pub free: u64,
-    /// Worst cases of requests that wait because the free tokens are not enough.
+    /// Sum of the worst cases of requests that wait for tokens.
     pub waiting: u64,
-    /// Tokens passed on to or received from other boxes since the last settlement that landed.
+    /// Tokens lent to or borrowed from other boxes since the last settlement that landed.
     pub transfers: Vec<Transfer>,
-    /// Use as the box saw it; what is unspent is filled in from the ledger.
+    /// Use as observed by the box; what is unspent is taken from the ledger.
     pub observed: Observed,
 }
 
@@ -141,24 +139,23 @@
 /// One write of a box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settlement {
-    /// Who writes.
+    /// The incarnation that writes.
     pub holder: Incarnation,
-    /// Its write number, by which a lost answer is resolved, and its address.
+    /// The number of the write, by which a lost answer is resolved, and the addresses of the box
+    /// and its witness.
     pub writer: Writer,
-    /// Budgets.
     pub items: Vec<Item>,
-    /// What lives that ended left untouched, by the word of their witnesses.
+    /// Tokens that dead incarnations left unused, as reported by their witnesses.
     pub earlier: Vec<Untouched>,
-    /// The box draws no more, and gives back what it can. Once it has nothing to say and holds
-    /// nothing, it stands in the book no longer: the book stays as small as the number of boxes
-    /// that draw.
+    /// The box draws no more, and returns what it can. Once it has nothing to report and holds
+    /// nothing, it is removed, so that the book only lists boxes that draw.
     pub retires: bool,
-    /// The box ends by plan: its grants end too, and nothing of them can come later.
+    /// The box is about to stop: its grants end, too, and nothing of them can be used later.
     pub leaves: bool,
 }
 
 impl Settlement {
-    /// Whether it changes nothing, so that it may be carried out any number of times.
+    /// Whether it changes nothing, so that it may be repeated.
     fn is_empty(&self) -> bool {
         let says = |item: &Item| {
             item.charged + item.lost + item.returned + item.waiting > 0
@@ -168,37 +165,38 @@
     }
 }
 
-/// What a box learns of one budget by a write.
+/// What a box learns about one budget from a write.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Granted {
-    /// Customer whose budget it is.
     pub customer: Arc<str>,
     /// Tokens granted.
     pub tokens: u64,
-    /// What a box should hold free now, as the ledger stands.
+    /// Free tokens that a box should hold now.
     pub target: u64,
     /// Tokens paid and not known to be spent, whoever holds them.
     pub unspent: u64,
-    /// Tokens that nobody holds.
+    /// Tokens that no box holds.
     pub left: u64,
-    /// Tokens that the customer is certain to have used.
+    /// Tokens that the customer has certainly used.
     pub used: u64,
     /// Tokens that count as spent because boxes died with them.
     pub lost: u64,
-    /// Transfers that were not counted, since their giver never had the tokens: a broken rule.
+    /// Number of transfers that were not counted because the giver never had the tokens: a violated
+    /// invariant.
     pub misfits: usize,
 }
 
 impl Book {
-    /// Boxes that hold tokens ahead of need.
+    /// Number of boxes that hold tokens ahead of need.
     pub fn boxes(&self) -> u64 {
         let draw = self.writers.keys().filter(|name| !self.idle.contains(*name));
         let names: BTreeSet<&str> = draw.map(Incarnation::box_name).collect();
         names.len() as u64
     }
 
-    /// A box that had not reached the store does again; before that, so many settlements had landed. It was an
-    /// outage of the store unless others went on to settle meanwhile.
+    /// Notes that a box reaches the store again, where `landed_before` settlements had landed
+    /// before. This counts as a fleet-wide outage unless other boxes went on to settle meanwhile,
+    /// and only once for all boxes that return.
     pub fn note_outage(&mut self, landed_before: u64) {
         let return_all = SETTLE_AT_RETURN * self.boxes().max(1);
         if self.landed.saturating_sub(landed_before) > return_all {
@@ -211,12 +209,12 @@
         }
     }
 
-    /// Whether write number `write` of `holder` is in.
+    /// Whether write number `write` of `holder` has landed.
     pub fn has(&self, holder: &Incarnation, write: u64) -> bool {
         self.writers.get(holder).is_some_and(|writer| writer.write >= write)
     }
 
-    /// Carries a settlement out and says what it gave, budget by budget.
+    /// Applies a settlement; returns what it granted of each budget.
     pub fn settle(&mut self, settlement: &Settlement, policy: Policy) -> Vec<Granted> {
         let holder = &settlement.holder;
         let first = self.writers.insert(holder.clone(), settlement.writer.clone()).is_none();
@@ -252,7 +250,7 @@
         granted
     }
 
-    /// Forgets a box that holds nothing, if that is so.
+    /// Removes a box if it holds nothing.
     fn forget(&mut self, holder: &Incarnation) {
         if !self.holds(holder) {
             for ledger in self.ledgers.values_mut() {
@@ -262,19 +260,19 @@
         }
     }
 
-    /// Whether the box of `holder` lives on as another incarnation.
+    /// Whether a newer incarnation of the box of `holder` writes here.
     fn is_replaced(&self, holder: &Incarnation) -> bool {
         let newer = |name: &Incarnation| name != holder && name.box_name() == holder.box_name();
         !self.writers.contains_key(holder) && self.writers.keys().any(newer)
     }
 
-    /// Whether an earlier life of the box of `holder` stands here.
+    /// Whether an earlier incarnation of the box of `holder` is listed here.
     pub fn knows_box_of(&self, holder: &Incarnation) -> bool {
         self.writers.keys().chain(self.claims.keys()).any(|name| is_earlier(name, holder))
     }
 
-    /// What the witnesses of earlier lives of the box of `holder` are to be asked: of those that still stand
-    /// as writers, and of those on whom claims are open.
+    /// Returns the earlier incarnations of the box of `holder` whose witnesses are to be asked:
+    /// those that are still listed as writers, and those with open claims.
     pub fn earlier(&self, holder: &Incarnation) -> Vec<(Incarnation, Claim)> {
         let lives = self.writers.iter().filter(|(name, _)| is_earlier(name, holder));
         let asked = lives.filter_map(|(name, writer)| Some((name.clone(), writer.claim()?)));
@@ -282,7 +280,8 @@
         asked.chain(open.map(|(name, claim)| (name.clone(), claim.clone()))).collect()
     }
 
-    /// Earlier lives of the box of `holder` write no more: from now on a claim stands for what each held.
+    /// Replaces the earlier incarnations of the box of `holder` by claims, as they can write no
+    /// more.
     fn open_claims(&mut self, holder: &Incarnation) {
         let grants = self.ledgers.values().flat_map(|ledger| ledger.grants.keys());
         let known = grants.chain(self.writers.keys());
@@ -306,15 +305,15 @@
     fn open_claim(&mut self, name: Incarnation, claim: Claim) {
         for ledger in self.ledgers.values_mut() {
             if let Some(grant) = ledger.grants.get_mut(&name) {
-                // It uses nothing any more: its part is the others'.
+                // It spends no more, so its share goes to the other boxes.
                 grant.rate = 0;
             }
         }
         self.claims.insert(name, claim);
     }
 
-    /// The witness of a life that ended told what of it was untouched: that is free again, the rest counts as
-    /// spent. Believed once, and only from the witness that the claim names.
+    /// Closes a claim by the answer of its witness: unused tokens are free again, the rest counts
+    /// as spent. Ignored if the claim is closed already or names another witness.
     fn close_claim(&mut self, untouched: &Untouched) {
         let claim = self.claims.get(&untouched.holder);
         if claim.is_some_and(|claim| claim.witness == untouched.witness) {
@@ -338,18 +337,18 @@
         self.ledgers.values().any(holds)
     }
 
-    /// JSON text for the platform.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("books always serialize")
     }
 }
 
-/// Whether `name` is another life of the box of `holder`: a box has one life at a time.
+/// Whether `name` is another incarnation of the box of `holder`, and thus an earlier one: only one
+/// runs at a time.
 fn is_earlier(name: &Incarnation, holder: &Incarnation) -> bool {
     name != holder && name.box_name() == holder.box_name()
 }
 
-/// Whether the box of a settlement holds nothing ahead of need.
+/// Whether the box of a settlement holds no tokens ahead of need.
 fn is_idle(settlement: &Settlement, policy: Policy) -> bool {
     settlement.retires || policy.offline_share == 0
 }
@@ -372,10 +371,10 @@
     let target = target(unspent, ledger.paid_wanted, part, item.observed, policy);
     let target = cautious(target, ledger);
     let left = (ledger.left() + item.returned).min(unspent);
-    // What cannot pay for the waiting requests stays for smaller ones, wherever they come.
+    // If the rest does not cover the waiting requests, it is left for smaller ones on any box.
     let need = item.need();
     let waiting = if need <= left { item.waiting } else { 0 };
-    // Before the others are known, a box takes only what waiting requests lack.
+    // Until the other boxes are known, a box gets only what its waiting requests lack.
     let target_now = if first { 0 } else { target };
     let ahead =
         if waiting > 0 { ahead(left - waiting.min(left), item.observed, policy) } else { 0 };
@@ -385,7 +384,7 @@
     let draw = Draw { offline: tokens, return_offline: item.returned, ..Draw::default() };
     let drawn = ledger.draw(holder, draw, settlement.writer.write).is_ok();
     if let Some(grant) = ledger.grants.get_mut(holder) {
-        // The part of an idle box is the others'.
+        // An idle box leaves its share to the others.
         grant.rate = if is_idle(settlement, policy) { 0 } else { item.observed.rate };
     }
     if settlement.leaves {
@@ -403,11 +402,10 @@
     }
 }
 
-/// What a box should hold free: enough for an outage as long as the policy says, and its part of
-/// one large request, since boxes lend to each other, but no more than its part of what is unspent.
-/// With a large request in each of seven boxes, all of them held twice as much of small budgets.
-/// What a budget has little of, a box holds little of: tokens that were not used in an outage can
-/// be used after it, those that a box held when it died cannot.
+/// Returns the tokens that a box should hold free: enough for an outage of the length in the
+/// policy, and its share of one large request, as boxes lend to each other. Limited to its share of
+/// what is unspent, and less than that if little of the budget is left: tokens that were not used
+/// in an outage can be used after it, but those that a box held when it died cannot.
 fn target(unspent: u64, paid: u64, portion: u64, observed: Observed, policy: Policy) -> u64 {
     let plenty = (paid * policy.plenty / 1_000).max(1);
     let part = unspent * portion / 1_000 * unspent.min(plenty) / plenty;
@@ -415,26 +413,26 @@
     part.min(observed.rate * policy.offline_horizon + large)
 }
 
-/// The same where boxes died with tokens before.
+/// Reduces a target if boxes have died with tokens of the budget and no witness was left.
 fn cautious(target: u64, ledger: &Ledger) -> u64 {
     let paid = u128::from(ledger.paid_wanted.max(1));
     let lost = u128::from(CAUTION) * u128::from(ledger.unwitnessed);
     (u128::from(target) * paid / (paid + lost)) as u64
 }
 
-/// Seconds of use that a settlement brings which requests wait for, whatever a box should hold: the
-/// ones after them would each wait for another settlement.
+/// Seconds of use that a settlement for waiting requests brings in addition. Otherwise each later
+/// request would wait for a settlement of its own.
 const AHEAD_S: u64 = 1;
 
-/// What to grant ahead to a box whose requests wait: its use for a moment, but no more than half of
-/// its even part of what nobody holds. Of the last eighth of a budget each request was granted by a
-/// settlement of its own before, 88 in a second, and each landed after two that were void.
+/// Returns the tokens to grant ahead to a box whose requests wait: [`AHEAD_S`] seconds of use, but
+/// at most half of its even share of what no box holds. Without it, each request near the end of a
+/// budget needs a settlement of its own, and most of these writes conflict.
 fn ahead(left: u64, observed: Observed, policy: Policy) -> u64 {
     (observed.rate * AHEAD_S).min(left / (2 * policy.boxes.max(1)))
 }
 
-/// A box's part, in thousandths, of what is unspent: some of what all boxes may hold is split
-/// evenly, the rest by use.
+/// Returns a box's share of what is unspent, in thousandths. Part of what all boxes may hold is
+/// split evenly, the rest by use.
 fn portion(ledger: &Ledger, holder: &Incarnation, item: &Item, policy: Policy) -> u64 {
     let others = ledger.grants.iter().filter(|(name, _)| *name != holder);
     let used: u64 = others.map(|(_, grant)| grant.rate).sum::<u64>() + item.observed.rate;
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,4 +1,4 @@
-//! The fleet's object for one budget: what is paid, what is granted, what is spent.
+//! The shared object of one budget: what is paid, granted and spent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,98 +10,99 @@
 
 use crate::{Bill, Grant, Incarnation, Journal, Numbers, Page, Part, Record, Statement, Transfer};
 
-/// Bills on one page.
+/// Number of bills on one page.
 pub const PAGE_BILLS: usize = 200;
-/// Keys remembered against billing a rerun twice.
+/// Number of billed keys that are remembered, so that a rerun is not billed twice.
 const KEYS: usize = 4_000;
-/// Bills kept in a ledger before a fold waits for pages: a value holds 1 MB.
+/// Most bills kept in a ledger; then a fold waits until pages of them are written. A value of the
+/// store holds 1 MB.
 const RECENT: usize = 2_000;
-/// Holders remembered as ended.
+/// Number of ended holders that are remembered.
 const ENDED: usize = 64;
 
 /// Why a transition is not possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Not that many tokens are left to grant.
-    #[snafu(display("{missing} tokens more than the budget has left"))]
+    /// Fewer tokens than requested are left to grant.
+    #[snafu(display("the budget lacks {missing} tokens"))]
     Exhausted { missing: u64 },
-    /// The holder's journal is sealed.
+    /// The holder's journal is sealed, or the holder has ended.
     #[snafu(display("the journal of this incarnation is sealed"))]
     Sealed,
-    /// A charge above what its grant still holds: a broken invariant of the caller.
-    #[snafu(display("a charge of {tokens} tokens does not fit its grant"))]
+    /// More tokens than the grant holds: the caller violated an invariant.
+    #[snafu(display("{tokens} tokens exceed what the grant holds"))]
     Misfit { tokens: u64 },
 }
 
-/// Tokens wanted or returned in one write.
+/// Tokens requested or returned in one write.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Draw {
-    /// Tokens more for the online part.
+    /// Tokens requested for the online part.
     pub online: u64,
-    /// Tokens more for the offline part.
+    /// Tokens requested for the offline part.
     pub offline: u64,
-    /// Tokens of the online part given back, already taken out of the account.
+    /// Tokens of the online part that are returned, already debited from the account.
     pub return_online: u64,
-    /// Tokens of the offline part given back, already taken out of the account.
+    /// Tokens of the offline part that are returned, already debited from the account.
     pub return_offline: u64,
-    /// Tokens the holder lacks and could not draw.
+    /// Tokens that the holder lacks and could not draw.
     pub wanted: u64,
 }
 
-/// How a grant ends.
+/// How a grant is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Closing {
-    /// The journal is sealed: what open online intents hold stays, the rest of online returns.
+    /// The journal is sealed: the online part returns, except for what open online intents reserve.
     Sealed,
-    /// An operator declared the box destroyed: the offline part returns too.
+    /// An operator declared the box destroyed: the offline part returns, too.
     Destroyed,
 }
 
-/// What a fold did.
+/// Result of a fold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Folded {
-    /// Outcomes folded.
+    /// Number of outcomes folded.
     pub outcomes: usize,
-    /// Whether everything in the journal is folded now.
+    /// Whether the whole journal is folded now.
     pub whole: bool,
 }
 
 /// The ledger of one budget. All amounts in tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Paid, as far as it is in force.
+    /// Paid amount, as far as it is in force.
     pub paid: u64,
-    /// What the operator's resource says, below `paid` while a reduction waits.
+    /// Paid amount of the operator's resource; below `paid` while a reduction waits.
     pub paid_wanted: u64,
-    /// Version of the operator's resource applied last.
+    /// Version of the operator's resource that was applied last.
     pub paid_version: u64,
-    /// Spent by folded outcomes.
+    /// Spent by folded outcomes, by charges of holders, and with boxes that died.
     pub spent: u64,
     /// Part of `spent` that no customer is billed for: reruns of a billed request.
     pub absorbed: u64,
-    /// Part of `spent` that boxes held when they died: nobody knows whether it was used.
+    /// Part of `spent` that boxes held when they died: it is unknown whether it was used.
     #[serde(default)]
     pub lost: u64,
-    /// Part of `lost` of which no witness knew anything: it died too.
+    /// Part of `lost` for which no witness answered, as it had died, too.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub unwitnessed: u64,
     /// Unspent grants by holder.
     pub grants: BTreeMap<Incarnation, Grant>,
-    /// Bills.
     pub statement: Statement,
-    /// Holders that ended by their own word lately, the oldest first: nothing of theirs can come.
+    /// Holders that ended their grants themselves, oldest first. Nothing of theirs can arrive any
+    /// more.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<Incarnation>,
-    /// Numbers of the tokens passed on between boxes that are counted here, by giver. Kept also
-    /// when the giver is gone: whoever received tokens may tell so later.
+    /// Numbers of the counted transfers between boxes, by giver. Kept after the giver is gone, as
+    /// the receiver may report a transfer later.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub passed: BTreeMap<Incarnation, Numbers>,
-    /// Transfers applied, while their giver or receiver still has a grant.
+    /// Transfers applied, while the giver or the receiver still has a grant.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub transfers: BTreeSet<Transfer>,
 }
 
-/// For fields that most ledgers need not carry.
+/// For fields that are omitted when zero.
 fn is_zero(tokens: &u64) -> bool {
     *tokens == 0
 }
@@ -112,20 +113,20 @@
         self.grants.values().map(Grant::total).sum()
     }
 
-    /// Tokens that nobody holds.
+    /// Tokens that no box holds.
     pub fn left(&self) -> u64 {
         self.paid.saturating_sub(self.spent + self.granted())
     }
 
-    /// Whether the promise to the customer holds.
+    /// Whether no more is spent and granted than was paid.
     pub fn is_sound(&self) -> bool {
         self.spent + self.granted() <= self.paid
     }
 
-    /// Takes over what the operator paid, unless a newer version was applied already.
+    /// Applies the operator's paid amount, unless a newer version was applied already.
     ///
-    /// An increase is in force at once. A decrease goes no lower than what is spent or granted,
-    /// and further as grants return.
+    /// An increase takes effect at once. A decrease stops at what is spent or granted, and goes on
+    /// as grants return.
     pub fn apply_paid(&mut self, paid: u64, version: u64) -> bool {
         if version <= self.paid_version {
             return false;
@@ -142,15 +143,15 @@
         self.paid = self.paid_wanted.max(committed.min(self.paid));
     }
 
-    /// Gives tokens to `holder` and takes back what it returns, as its write number `write`.
+    /// Grants tokens to `holder` and takes back those that it returns, as its write number `write`.
     pub fn draw(&mut self, holder: &Incarnation, draw: Draw, write: u64) -> Result<(), Error> {
         if self.ended.contains(holder) {
             return Err(Error::Sealed);
         }
         let mut grant = self.grants.get(holder).cloned().unwrap_or_default();
         let returned = draw.return_online + draw.return_offline;
-        // What was free at the seal is freed already: returning it again would free what open
-        // intents hold.
+        // The seal has freed these tokens already; returning them again would free those that open
+        // intents reserve.
         if grant.sealed && draw.online + draw.offline + returned > 0 {
             return Err(Error::Sealed);
         }
@@ -171,10 +172,10 @@
         Ok(())
     }
 
-    /// Folds the outcomes of a journal that are newer than what was folded from it.
+    /// Folds the outcomes of a journal that are newer than those folded before.
     ///
-    /// Folding the same journal again changes nothing. Transfers and outcomes may wait for a
-    /// transfer that another journal holds: what does not fit yet is left for a later fold.
+    /// Folding the same journal again changes nothing. Outcomes and transfers that depend on a
+    /// transfer in another journal are left for a later fold.
     pub fn fold(&mut self, budget: &str, journal: &Journal) -> Folded {
         if self.ended.contains(&journal.incarnation) {
             return Folded { outcomes: 0, whole: true };
@@ -214,7 +215,7 @@
         Ok(())
     }
 
-    /// Moves offline tokens from giver to receiver, once.
+    /// Moves offline tokens from giver to receiver, once. Returns whether it did.
     pub fn apply_transfer(&mut self, transfer: &Transfer) -> Result<bool, Error> {
         if self.transfers.contains(transfer) {
             return Ok(false);
@@ -222,7 +223,7 @@
         let giver = self.grants.entry(transfer.from.clone()).or_default();
         let rest = giver.offline.checked_sub(transfer.tokens);
         giver.offline = rest.ok_or(Error::Misfit { tokens: transfer.tokens })?;
-        // What comes too late for a holder that ended is nobody's.
+        // Tokens for a holder that has ended go back to the budget.
         if !self.ended.contains(&transfer.to) {
             self.grants.entry(transfer.to.clone()).or_default().offline += transfer.tokens;
         }
@@ -230,9 +231,9 @@
         Ok(true)
     }
 
-    /// Frees what the holder of `journal` can no longer use; returns the tokens freed.
+    /// Frees the tokens that the holder of `journal` can no longer use; returns how many.
     ///
-    /// Correct only with a journal read after it was sealed, and folded into this ledger.
+    /// The journal must have been read after it was sealed, and folded into this ledger.
     pub fn close(&mut self, budget: &str, journal: &Journal, closing: Closing) -> u64 {
         let held = journal.held(budget, Part::Online);
         let held_offline = journal.held(budget, Part::Offline);
@@ -251,9 +252,10 @@
         freed
     }
 
-    /// Ends a grant by its holder's own word: all of it returns, and nothing of it can come later.
+    /// Ends the grant of a holder that stops: all of it returns, and nothing of it can be used
+    /// later. Returns the tokens freed.
     ///
-    /// Correct only with everything folded that the holder ever did.
+    /// Everything that the holder ever did must have been folded.
     pub fn end(&mut self, holder: &Incarnation) -> u64 {
         let freed = self.grants.remove(holder).map_or(0, |grant| grant.total());
         if self.ended.len() == ENDED {
@@ -264,11 +266,11 @@
         freed
     }
 
-    /// Moves tokens that `holder` charged from its offline part to what is spent, with the number
-    /// of requests that they paid for.
+    /// Moves tokens that `holder` charged from its offline part to `spent`, with the number of
+    /// requests that they paid for.
     ///
-    /// A box never charges more than it was given, so what its grant here does not cover was
-    /// counted as lost with an earlier holder, and is known to be used now.
+    /// A box never charges more than it was granted. So tokens that its grant does not cover were
+    /// counted as lost with an earlier holder, and are known to be used now.
     pub fn charge(&mut self, holder: &Incarnation, tokens: u64, requests: u64) {
         let held = self.grants.get_mut(holder);
         let covered = held.map_or(0, |grant| {
@@ -282,7 +284,7 @@
         self.statement.tokens += tokens;
     }
 
-    /// Counts tokens of `holder` as spent that it passed on to boxes which died with them.
+    /// Counts tokens as spent that `holder` passed on to boxes that died.
     pub fn lose(&mut self, holder: &Incarnation, tokens: u64) {
         let Some(held) = self.grants.get_mut(holder) else { return };
         let lost = tokens.min(held.offline);
@@ -291,9 +293,9 @@
         self.lost += lost;
     }
 
-    /// Counts offline tokens that one box passed on to another, once, whichever of them tells.
+    /// Counts offline tokens that one box lent to another, once, whichever of them reports it.
     ///
-    /// `gone` says that the receiver died: the tokens are lost with it then.
+    /// `gone` says that the receiver died, and the tokens are lost with it.
     pub fn pass_on(&mut self, transfer: &Transfer, gone: bool) -> Result<(), Error> {
         let misfit = Error::Misfit { tokens: transfer.tokens };
         if self.passed.get(&transfer.from).is_some_and(|numbers| numbers.contains(transfer.n)) {
@@ -303,7 +305,7 @@
             Some(giver) => {
                 giver.offline = giver.offline.checked_sub(transfer.tokens).ok_or(misfit)?
             }
-            // The giver died and all that it held was written off, these tokens among it.
+            // The giver died, and these tokens were written off with its grant.
             None => {
                 self.lost = self.lost.checked_sub(transfer.tokens).ok_or(misfit)?;
                 self.spent -= transfer.tokens;
@@ -315,7 +317,7 @@
                 self.spent += transfer.tokens;
                 self.lost += transfer.tokens;
             }
-            // The receiver told all that it had when it ended: these never reached it.
+            // The receiver ended without these tokens, so it never got them.
             false if self.ended.contains(&transfer.to) => {}
             false => {
                 self.grants.entry(transfer.to.clone()).or_default().offline += transfer.tokens;
@@ -324,8 +326,8 @@
         Ok(())
     }
 
-    /// Counts what `holder` had as spent, but for `untouched` tokens that it certainly did not
-    /// use: it died, and nobody knows what it used of the rest. Returns the tokens lost.
+    /// Counts the grant of a dead holder as spent, except for `untouched` tokens that it certainly
+    /// did not use. Returns the tokens lost.
     pub fn write_off(&mut self, holder: &Incarnation, untouched: u64) -> u64 {
         let held = self.grants.remove(holder).map_or(0, |grant| grant.total());
         let lost = held.saturating_sub(untouched);
@@ -335,7 +337,7 @@
         lost
     }
 
-    /// Forgets a grant that is empty and whose journal is gone.
+    /// Forgets a grant that is empty and sealed.
     pub fn forget(&mut self, holder: &Incarnation) -> bool {
         let empty = self.grants.get(holder).is_some_and(|grant| grant.total() == 0 && grant.sealed);
         if empty {
@@ -347,19 +349,19 @@
         empty
     }
 
-    /// JSON text for the platform.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("ledgers always serialize")
     }
 
-    /// Full pages of bills to write before they leave the ledger, the oldest first.
+    /// Returns the full pages of bills that are to be written before they leave the ledger, oldest
+    /// first.
     pub fn full_pages(&self) -> Vec<(u64, Page)> {
         let pages = self.statement.recent.chunks_exact(PAGE_BILLS);
         let numbered = (self.statement.pages..).zip(pages);
         numbered.map(|(number, bills)| (number, Page { bills: bills.to_vec() })).collect()
     }
 
-    /// Drops the bills of page `number`, which has been written.
+    /// Drops the bills of page `number`, which was written.
     pub fn drop_page(&mut self, number: u64) -> bool {
         let fits = self.statement.pages == number && self.statement.recent.len() >= PAGE_BILLS;
         if fits {
@@ -375,7 +377,8 @@
         others.map(|(_, grant)| grant.wanted).sum()
     }
 
-    /// Offline tokens of sealed holders: stranded until they return or are declared destroyed.
+    /// Offline tokens of sealed holders: stranded until they return or the box is declared
+    /// destroyed.
     pub fn stranded(&self) -> BTreeMap<Incarnation, u64> {
         let sealed = self.grants.iter().filter(|(_, grant)| grant.sealed && grant.offline > 0);
         sealed.map(|(holder, grant)| (holder.clone(), grant.offline)).collect()
--- a/crates/ledger/src/grant.rs
+++ b/crates/ledger/src/grant.rs
@@ -1,4 +1,4 @@
-//! Tokens given to one incarnation, as the ledger keeps them.
+//! Tokens granted to one incarnation, as the ledger records them.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// The unspent part of a budget that one incarnation holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Usable once an intent has landed, in tokens.
+    /// Usable after an intent has landed, in tokens.
     pub online: u64,
     /// Usable without the platform, in tokens.
     pub offline: u64,
@@ -15,19 +15,18 @@
     pub folded: u64,
     /// Number of the holder's newest write to this ledger that landed.
     pub write: u64,
-    /// The holder's journal is sealed: no more draws.
+    /// The holder's journal is sealed, so it can draw no more.
     #[serde(default)]
     pub sealed: bool,
-    /// Tokens a second that the holder used lately, by which what may be held is split.
+    /// Tokens per second that the holder used lately; grants are split in proportion to it.
     #[serde(default)]
     pub rate: u64,
-    /// Free tokens the holder lacked at its last write, so that others return surplus.
+    /// Free tokens that the holder lacked at its last write, so that others return their surplus.
     #[serde(default)]
     pub wanted: u64,
 }
 
 impl Grant {
-    /// Tokens of both parts.
     pub fn total(&self) -> u64 {
         self.online + self.offline
     }
@@ -43,12 +42,11 @@
 /// Offline tokens passed from one incarnation to another without the platform.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Incarnation that gave, and debited itself first.
+    /// Incarnation that gave the tokens, and debited itself first.
     pub from: Incarnation,
-    /// Number the giver chose, unique for it.
+    /// Number assigned by the giver, unique for it.
     pub n: u64,
-    /// Incarnation that received.
+    /// Incarnation that receives the tokens.
     pub to: Incarnation,
-    /// Tokens passed on.
     pub tokens: u64,
 }
--- a/crates/ledger/src/incarnation.rs
+++ b/crates/ledger/src/incarnation.rs
@@ -1,26 +1,24 @@
-//! The name of one start of a process, never used again.
+//! The name of one start of a process, never reused.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// Box name and a fresh suffix, as in `bornova-1.5f3a9c01d2e4`.
+/// Box name and a random suffix, as in `bornova-1.5f3a9c01d2e4`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(Arc<str>);
 
 impl Incarnation {
-    /// A new incarnation of a box; `fresh` must be random.
+    /// Returns a new incarnation of a box; `fresh` must be random.
     pub fn new(box_name: &str, fresh: u64) -> Incarnation {
         Incarnation(format!("{box_name}.{fresh:016x}").into())
     }
 
-    /// The name of the box.
     pub fn box_name(&self) -> &str {
         self.0.rsplit_once('.').map_or(&self.0, |(name, _)| name)
     }
 
-    /// The whole name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,8 +1,8 @@
-//! The journal of one incarnation: intents before they run, outcomes afterwards.
+//! The journal of one incarnation: intents before requests run, outcomes afterwards.
 //!
 //! Requests are recorded before they are dispatched, so that whoever seals a journal sees every
-//! online request that can ever run. A sealed journal takes no new intent; it still takes
-//! outcomes, because those only release what it holds.
+//! online request that can ever run. A sealed journal accepts no new intents, but still accepts
+//! outcomes, as those only release tokens that it holds.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,42 +14,41 @@
 
 use crate::{Ended, Evidence, Incarnation, Numbers, Outcome, Part, Record, Transfer};
 
-/// Whether a journal takes new intents.
+/// Whether a journal accepts new intents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// Its incarnation may record intents.
     Open,
-    /// Another incarnation ended it; only outcomes may be added.
+    /// Sealed by another incarnation; only outcomes may be added.
     Sealed { by: Incarnation },
-    /// Its own incarnation ended it after its last outcome.
+    /// Closed by its own incarnation after its last outcome.
     Closed,
 }
 
-/// Why a journal does not take something.
+/// Why a journal rejects an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Refusal {
-    /// Sealed or closed: no new intent.
-    #[snafu(display("the journal takes no new intents"))]
+    /// The journal is sealed or closed.
+    #[snafu(display("the journal accepts no new intents"))]
     Sealed,
-    /// No open record of that number.
+    /// There is no open record with this number.
     #[snafu(display("the journal has no open record {n}"))]
     Missing { n: u64 },
-    /// More charged than reserved.
+    /// The charge exceeds the reservation.
     #[snafu(display("record {n} charges more than it reserved"))]
     Excess { n: u64 },
 }
 
-/// Journal of one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Journal {
-    /// Whose requests these are.
+    /// Incarnation whose requests are recorded here.
     pub incarnation: Incarnation,
-    /// Whether it takes new intents.
+    /// Whether it accepts new intents.
     pub state: State,
     /// Position of the newest outcome.
     pub outcomes: u64,
-    /// Budgets that the incarnation may hold a grant of; listed before it first draws.
+    /// Budgets of which the incarnation may hold a grant. A budget is listed before the first draw.
     #[serde(default)]
     pub drawn: BTreeSet<Arc<str>>,
     /// Records that are open or not folded yet, by number.
@@ -63,7 +62,7 @@
 }
 
 impl Journal {
-    /// An empty journal.
+    /// Returns an empty journal.
     pub fn new(incarnation: Incarnation) -> Journal {
         Journal {
             incarnation,
@@ -76,12 +75,12 @@
         }
     }
 
-    /// Whether it takes new intents.
+    /// Whether it accepts new intents.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// The record numbered `n`, while the journal holds it.
+    /// Returns the record numbered `n`, if it was not dropped.
     pub fn record(&self, n: u64) -> Option<&Record> {
         self.records.iter().find(|record| record.n == n)
     }
@@ -98,7 +97,7 @@
         Ok(())
     }
 
-    /// Records an outcome, once; a second outcome of the same record changes nothing.
+    /// Records an outcome. A second outcome of the same record changes nothing.
     pub fn finish(
         &mut self,
         n: u64,
@@ -118,8 +117,8 @@
         Ok(true)
     }
 
-    /// Adds offline work that no intent announced, with its outcome if there is one. Adding it
-    /// again changes nothing.
+    /// Adds an offline record without a previous intent, with its outcome if there is one. Adding
+    /// it again changes nothing.
     pub fn hand_in(&mut self, record: Record, evidence: Evidence) -> Result<bool, Refusal> {
         let (n, outcome) = (record.n, record.outcome.clone());
         let known = self.record(n).is_some();
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Ends the journal for its incarnation. The first sealer stands.
+    /// Seals the journal. Only the first seal takes effect.
     pub fn seal(&mut self, by: &Incarnation) -> bool {
         let open = self.is_open();
         if open {
@@ -144,7 +143,7 @@
         open
     }
 
-    /// Its own incarnation ends it; possible once nothing is open.
+    /// Closes the journal for its own incarnation, which is possible once no record is open.
     pub fn close(&mut self) -> bool {
         let done = self.is_open() && self.records.iter().all(|record| !record.is_open());
         if done {
@@ -153,17 +152,16 @@
         done
     }
 
-    /// JSON text for the platform.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("journals always serialize")
     }
 
-    /// Open records of a sealed journal may still run or have run.
+    /// Records without an outcome. After a seal, these may still be running or have run.
     pub fn open_records(&self) -> impl Iterator<Item = &Record> {
         self.records.iter().filter(|record| record.is_open())
     }
 
-    /// Tokens that open records of a budget hold in one part.
+    /// Tokens that open records of a budget reserve in one part.
     pub fn held(&self, budget: &str, part: Part) -> u64 {
         let open = self.open_records().filter(|r| &*r.budget == budget && r.part == part);
         open.map(|record| record.reserved).sum()
@@ -180,7 +178,8 @@
         fresh
     }
 
-    /// Drops records whose outcome their ledger has folded, given the positions folded.
+    /// Drops the records whose outcome was folded into their ledger, given the folded position of
+    /// each budget. Returns how many were dropped.
     pub fn compact(&mut self, folded: &BTreeMap<Arc<str>, u64>) -> usize {
         let before = self.records.len();
         let is_folded = |record: &Record| {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,13 +1,14 @@
-//! Money decisions: grants, journals and bills, all without I/O, tasks or clocks.
+//! Accounting of tokens: grants, journals and bills, without I/O, tasks or clocks.
 //!
-//! [`Ledger`] is the fleet's object for one budget, [`Journal`] the object of one incarnation, and
-//! [`Account`] what a box itself knows of its part of a budget. Every transition is a method that
-//! takes values and returns a value; the daemon turns them into conditional updates, so the order
-//! in which the platform accepts them decides, not any clock.
+//! [`Ledger`] is the shared object of one budget, [`Book`] holds the ledgers of many budgets in one
+//! object, [`Journal`] is the object of one incarnation, and [`Account`] is a box's local view of
+//! its part of a budget. Every transition is a method that takes values and returns a value; the
+//! daemon turns it into a conditional update. So the order in which the platform accepts the
+//! updates decides, not a clock.
 //!
-//! What keeps a customer from overspending is one inequality that every transition of [`Ledger`]
-//! keeps, `spent + sum of grants <= paid`, and one that [`Account`] keeps,
-//! `reserved + charged <= given`, where what an account is given has landed in the ledger first.
+//! Two inequalities keep a customer from overspending. Every transition of [`Ledger`] keeps `spent
+//! + sum of grants <= paid`, and [`Account`] keeps `reserved + charged <= given`, where tokens are
+//! given to an account only after the grant has landed in the ledger.
 
 mod account;
 mod audit;
--- a/crates/ledger/src/number.rs
+++ b/crates/ledger/src/number.rs
@@ -1,20 +1,20 @@
-//! A set of record numbers, kept as merged ranges: numbers are given densely, so few are needed.
+//! A set of record numbers, stored as merged ranges. Numbers are assigned densely, so there are few
+//! ranges.
 
 use serde::{Deserialize, Serialize};
 
-/// Numbers of records that a journal no longer holds, as sorted inclusive ranges.
+/// Numbers of records that a journal has dropped, as sorted inclusive ranges.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Numbers(Vec<(u64, u64)>);
 
 impl Numbers {
-    /// Whether `n` is in the set.
     pub fn contains(&self, n: u64) -> bool {
         let at = self.0.partition_point(|range| range.1 < n);
         self.0.get(at).is_some_and(|range| range.0 <= n)
     }
 
-    /// Adds `n`, joining it to its neighbours.
+    /// Adds `n`, merging it with adjacent ranges.
     pub fn insert(&mut self, n: u64) {
         if self.contains(n) {
             return;
@@ -33,7 +33,6 @@
         }
     }
 
-    /// Number of ranges kept.
     pub fn ranges(&self) -> usize {
         self.0.len()
     }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -10,47 +10,46 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// The caller got its whole answer.
+    /// The caller got the whole answer.
     Answered,
-    /// It ran, but the answer broke off or nobody was left to take it.
+    /// The request ran, but the answer broke off or the caller was gone.
     Broken,
-    /// Nobody can tell, and the declared rule bills nothing; its tokens are spent all the same.
+    /// The outcome is unknown and the declared rule bills nothing; the tokens count as spent
+    /// nevertheless.
     Waived,
-    /// It was never dispatched, or provably not received.
+    /// The request was never dispatched, or provably not received.
     NotRun,
 }
 
-/// Outcome of a record, with its place in the order of outcomes.
+/// The outcome of a record, with its place in the order of outcomes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Position among the outcomes of this journal, from 1.
+    /// Position among the outcomes of this journal, starting at 1.
     pub position: u64,
-    /// Tokens charged, at most those reserved.
+    /// Tokens charged, at most the reserved ones.
     pub charged: u64,
-    /// How the request ended.
     pub ended: Ended,
-    /// What the outcome rests on.
+    /// The evidence for the outcome.
     pub evidence: Evidence,
 }
 
 /// The record of one request in a journal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Number given by the incarnation, never used again.
+    /// Number assigned by the incarnation, never reused.
     pub n: u64,
     /// Budget that pays.
     pub budget: Arc<str>,
-    /// Customer that asked.
+    /// Customer that sent the request.
     pub customer: Arc<str>,
     /// Request key, unique for the customer.
     pub key: Arc<str>,
-    /// Part of the grant the tokens come from.
+    /// Part of the grant that the tokens come from.
     pub part: Part,
-    /// Worst case held, in tokens.
+    /// Worst case of the request, in tokens.
     pub reserved: u64,
-    /// Endpoint the request goes to, for asking how it ended.
+    /// Endpoint that the request goes to; it can be asked how the request ended.
     pub endpoint: Arc<str>,
-    /// Outcome, once known.
     #[serde(default)]
     pub outcome: Option<Outcome>,
 }
@@ -62,11 +61,11 @@
     }
 }
 
-/// Something that must reach a journal whatever happens to the box that wrote it.
+/// An entry that must reach a journal even if the box that wrote it dies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// Offline work, as an intent or with its outcome.
+    /// An offline request, as an intent or with its outcome.
     Record(Record),
-    /// Offline tokens received, of a budget.
+    /// Offline tokens of a budget that were received.
     Transfer(Arc<str>, Transfer),
 }
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -1,16 +1,15 @@
-//! What a keeper passed to another box, and what became of it there.
+//! Totals of what a keeper passed on to another box, and of what that box did with it.
 //!
-//! A keeper is a box that draws tokens from the book and passes them on to boxes near it, which
-//! need not write there themselves. Both sides keep one [`Share`] for each pair of lives and each
-//! customer, and every message tells its totals, never a difference: messages that are lost, late,
-//! repeated or out of order change nothing but the moment at which a total is heard.
+//! A keeper is a box that draws tokens from the book and passes them on to the boxes near it, which
+//! then need not write the book. Both sides keep one [`Share`] for each pair of incarnations and
+//! each customer. Every message carries totals, never a difference, so lost, late, repeated and
+//! reordered messages only delay when a total becomes known.
 //!
-//! What keeps a customer from overspending: the keeper takes tokens out of its own account before
-//! it tells of them, and its grant in the book goes on to cover them until the other box told that
-//! they were used (then they are charged) or given back (then they are the keeper's again). The
-//! other box takes out of its account what it gives back, before it tells. So the tokens of a pair
-//! are counted at least once at any time. What is never told stays granted to the keeper, or
-//! counts as spent.
+//! Overspending is impossible because each token is counted at least once. The keeper debits its
+//! own account before it reports a total, and its grant in the book covers the tokens until the
+//! other box has reported them as used (then they are charged) or returned (then they are the
+//! keeper's again). The other box debits its account before it reports tokens as returned. Tokens
+//! that are never reported stay granted to the keeper, or count as spent.
 
 use std::sync::Arc;
 
@@ -23,39 +22,39 @@
     pub given: u64,
     /// Used by the box.
     pub used: u64,
-    /// Given back by the box.
+    /// Returned by the box.
     pub returned: u64,
     /// Requests that the box charged.
     pub requests: u64,
 }
 
-/// What a keeper hears newly of a box.
+/// What a report of a box changes for its keeper.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct News {
     /// Tokens used.
     pub used: u64,
-    /// Tokens given back.
+    /// Tokens returned.
     pub returned: u64,
     /// Requests charged.
     pub requests: u64,
 }
 
 impl Share {
-    /// Tokens that are neither used nor given back.
+    /// Tokens that are neither used nor returned.
     pub fn rest(&self) -> u64 {
         self.given.saturating_sub(self.used + self.returned)
     }
 
-    /// Marks up to `tokens` as used; returns how many were.
+    /// Counts up to `tokens` as used; returns how many were.
     pub fn spend(&mut self, tokens: u64) -> u64 {
         let spent = tokens.min(self.rest());
         self.used += spent;
         spent
     }
 
-    /// The keeper hears the totals of the box; returns what is new.
+    /// On the keeper: applies the totals that the box reports; returns what changed.
     ///
-    /// Totals that do not fit what was given are no word of this pair and change nothing.
+    /// Totals that exceed what was passed on can't belong to this pair, and change nothing.
     pub fn hear(&mut self, told: Share) -> Option<News> {
         let (used, returned) = (told.used.max(self.used), told.returned.max(self.returned));
         if used.checked_add(returned)? > self.given {
@@ -71,7 +70,7 @@
         Some(news)
     }
 
-    /// The box hears the keeper's total; returns what is newly given.
+    /// On the box: applies the total that the keeper reports; returns the tokens that are new.
     pub fn receive(&mut self, given: u64) -> u64 {
         let new = given.saturating_sub(self.given);
         self.given += new;
@@ -79,30 +78,28 @@
     }
 }
 
-/// What a box tells its keeper of one customer.
+/// A box's report to its keeper on one customer, with the tokens that it needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Customer whose budget it is.
     pub customer: Arc<str>,
     /// Totals as the box knows them.
     pub share: Share,
-    /// Tokens that all requests lack which wait.
+    /// Tokens that all waiting requests lack.
     pub need: u64,
-    /// Tokens that one of them lacks: fewer are of no use.
+    /// Tokens that one waiting request lacks; fewer are of no use.
     pub least: u64,
-    /// Tokens that the requests after it will lack, if there are plenty.
+    /// Tokens requested for later requests, if there are enough.
     pub ahead: u64,
 }
 
-/// What a keeper answers of one customer.
+/// A keeper's answer to a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Given {
-    /// Customer whose budget it is.
     pub customer: Arc<str>,
-    /// Total of what was passed on.
+    /// Total of the tokens passed on.
     pub given: u64,
-    /// Tokens that the customer is certain to have used, as the keeper knows.
+    /// Tokens that the customer has certainly used, as known to the keeper.
     pub used: u64,
-    /// Nobody in the keeper's reach has the tokens that were needed.
+    /// Neither the keeper nor any box that it reaches has the tokens needed.
     pub dry: bool,
 }
--- a/crates/ledger/src/sizing.rs
+++ b/crates/ledger/src/sizing.rs
@@ -1,26 +1,26 @@
 //! How much of a budget a box should hold, online and offline.
 //!
-//! The online part follows the draw rate over a short horizon: it is reclaimed exactly when its
-//! holder dies, so only the number of ledger writes speaks for holding more. The offline part is
-//! what a partition is served from and what a crash strands; its size is the operator's choice.
+//! The online part follows the rate of use over a short horizon. It is reclaimed exactly when its
+//! holder dies, so the only reason to hold more is to save ledger writes. The offline part serves
+//! requests during a partition and is stranded by a crash; its size is the operator's choice.
 
 use serde::{Deserialize, Serialize};
 
-/// What an operator prefers when the platform is out of reach.
+/// What an operator prefers while the platform is unreachable.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Prefer {
-    /// Hold much offline: few refusals in a partition, more stranded after a crash.
+    /// Hold much offline: few refusals during a partition, but more tokens stranded by a crash.
     Serve,
-    /// Hold a little offline.
+    /// Hold little offline.
     #[default]
     Balance,
-    /// Hold next to nothing offline: refuse rather than strand.
+    /// Hold next to nothing offline: refuse requests rather than strand tokens.
     Conserve,
 }
 
 impl Prefer {
-    /// Share of what is left of a budget that the whole fleet holds offline, in thousandths.
+    /// Part of the rest of a budget that the whole fleet holds offline, in thousandths.
     pub fn offline_share(self) -> u64 {
         match self {
             Prefer::Serve => 400,
@@ -33,29 +33,31 @@
 /// Bounds on what a box holds of one budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// Share that the fleet holds offline, in thousandths of what is left.
+    /// Part of the rest of a budget that the whole fleet holds offline, in thousandths.
     pub offline_share: u64,
-    /// Seconds of use the online part covers.
+    /// Seconds of use that the online part covers.
     pub online_horizon: u64,
-    /// Seconds of use the offline part covers at most.
+    /// Seconds of use that the offline part covers at most.
     pub offline_horizon: u64,
-    /// Boxes that may hold a part.
+    /// Number of boxes that may hold a part.
     pub boxes: u64,
-    /// Part of what is paid, in thousandths, below which the share shrinks with what is unspent.
+    /// Part of the paid amount, in thousandths, below which the offline part shrinks with what is
+    /// unspent.
     pub plenty: u64,
 }
 
-/// Share that the fleet holds once an outage was seen, in thousandths: nearly all, since seconds of use bound
-/// what is held, and what lies in the book is out of reach when the store is away again.
+/// Offline part after an outage, in thousandths. Nearly all: what is held is also bounded by
+/// seconds of use, and tokens in the book are out of reach in the next outage.
 const SHARE_AFTER_OUTAGE: u64 = 950;
-/// Part of what is paid below which that share shrinks, in thousandths: only the last tokens are not hoarded.
+/// Part of the paid amount, in thousandths, below which the offline part shrinks after an outage.
+/// Low, so that only the last tokens are not hoarded.
 const PLENTY_AFTER_OUTAGE: u64 = 100;
 
-/// Seconds of use that a box holds right after the platform came back.
+/// Seconds of use that a box holds right after the platform has become reachable again.
 const LEAST_HORIZON_S: u64 = 1;
 
 impl Policy {
-    /// The policy of a box that saw an outage lately: another one is likely.
+    /// Returns the policy after a recent outage, which makes another one likely.
     pub fn after_outage(self) -> Policy {
         Policy {
             offline_share: self.offline_share.max(SHARE_AFTER_OUTAGE),
@@ -64,29 +66,27 @@
         }
     }
 
-    /// The policy of a box that draws only what its requests wait for, while the keeper of its zone holds
-    /// what an outage takes. With a part for each box that stood in for one during an outage, eight boxes
-    /// shared what three of them held after it, and two thirds of it were nobody's.
+    /// Returns the policy of a box that draws only the tokens that its requests wait for, while the
+    /// keeper of its zone holds those for an outage. Boxes that take over for a keeper during an
+    /// outage would otherwise go on to hold a share of their own, which nobody uses.
     pub fn stand_in(self) -> Policy {
         Policy { offline_share: 0, ..self }
     }
 
-    /// The policy of a box whom the platform has answered for so many seconds: what it holds lasts
-    /// for an outage as long as that, up to the horizon.
+    /// Returns the policy of a box that has reached the platform for this many seconds: it holds
+    /// tokens for an outage of the same length, up to the horizon.
     ///
-    /// Boxes die most often while other things fail as well, and whatever they were just granted
-    /// dies with them. Over 54 days with outages and mostly a loss of all boxes at once, refusals
-    /// fell from 11.6% to 11.5% of what was owed and worth grew by 0.006 (standard error 0.003),
-    /// against the whole horizon at once.
+    /// Failures come in series, so a box is most likely to die shortly after an outage, and with it
+    /// all tokens that it was just granted.
     pub fn in_touch_for(self, seconds: u64) -> Policy {
         Policy { offline_horizon: self.offline_horizon.min(seconds + LEAST_HORIZON_S), ..self }
     }
 }
 
-/// What a box saw of one budget.
+/// What a box has observed of one budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observed {
-    /// Tokens that requests reserved or charged per second lately.
+    /// Tokens per second that requests reserved or charged lately.
     pub rate: u64,
     /// Largest worst case of one request lately, in tokens.
     pub largest: u64,
@@ -96,18 +96,16 @@
     pub unspent: u64,
 }
 
-/// What a box should hold free.
+/// Tokens that a box should hold free.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Target {
-    /// Free tokens of the online part.
     pub online: u64,
-    /// Free tokens of the offline part.
     pub offline: u64,
 }
 
-/// Sizes both parts from what was observed.
+/// Sizes both parts by what was observed.
 ///
-/// Near the end of a budget both shrink with what is left, so that no box hoards the last tokens.
+/// Both shrink with the rest of a budget, so that no box hoards the last tokens.
 pub fn target(policy: Policy, observed: Observed) -> Target {
     let boxes = policy.boxes.max(1);
     let fair = observed.unspent / (boxes * 2);
--- a/crates/ledger/src/witness.rs
+++ b/crates/ledger/src/witness.rs
@@ -1,10 +1,11 @@
-//! What a box keeps untouched, and the other box that can say so when it has died.
+//! Promises to keep tokens unused, and the witness that can confirm them after the box has died.
 //!
-//! A grant can be spent with no word from the platform, so nobody knows how much of it a box had
-//! used when it died. A box may therefore name a witness in the book and promise it to keep some
-//! tokens untouched. It takes the promise back only with the witness's word. Whoever settles for
-//! the dead box asks the witness, which takes no further promise from it: what was promised last
-//! is certainly unused, whether that box is dead, paused or cut off. No clock is read.
+//! A box spends its grant without contacting the platform, so nobody knows how much of it was used
+//! when the box dies. A box may therefore name a witness in the book and promise it to keep some
+//! tokens unused. It takes a promise back only after the witness has accepted the next one. Whoever
+//! settles for the dead box asks the witness, which from then on accepts no promise from it. So the
+//! tokens of the last promise are certainly unused, whether that box is dead, suspended or
+//! partitioned. This does not depend on a clock.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,33 +13,33 @@
 
 use crate::Incarnation;
 
-/// A box named to know what another one keeps untouched.
+/// A box that was named to record another one's promises.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
-    /// The box that knows.
+    /// The box that records the promises.
     pub by: Incarnation,
-    /// Number of this naming, rising with each one. A box may be named again: what it was promised
-    /// under an earlier naming does not count any more.
+    /// Number of the naming, increasing with each one. A box may be named again; its promises under
+    /// an earlier term no longer hold.
     pub term: u64,
 }
 
-/// What a box promises its witness to keep untouched.
+/// A promise to the witness to keep tokens unused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
-    /// Naming under which it is made.
+    /// Term of the witness under which the promise is made.
     pub term: u64,
-    /// Number of the promise, rising within a naming; the highest one counts.
+    /// Number of the promise, increasing within a term. The promise with the highest number holds.
     pub number: u64,
-    /// Tokens by customer; whoever does not stand here has none.
+    /// Promised tokens by customer; none for a customer that is not listed.
     pub tokens: BTreeMap<Arc<str>, u64>,
 }
 
-/// What an earlier life of a box certainly left untouched, by the word of its witness.
+/// Tokens that an earlier incarnation of a box certainly left unused, as confirmed by its witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Untouched {
-    /// The earlier life.
+    /// The earlier incarnation.
     pub holder: Incarnation,
-    /// Who says so; it must be the witness that the book names.
+    /// The witness that confirms it; it must be the one that the book names.
     pub witness: Witness,
     /// Tokens by customer.
     pub tokens: BTreeMap<Arc<str>, u64>,
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -1,4 +1,4 @@
-//! What boxes hold of a budget together.
+//! How much of a budget boxes hold, and what becomes of it when they stop or die.
 
 use ledger::{
     Book, Granted, Incarnation, Item, Observed, Policy, Settlement, Untouched, Witness, Writer,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a box holds of a budget of which this much is unspent, by a policy.
+/// Returns what a box holds of a budget with this much unspent under a policy.
 fn held(unspent: u64, rate: u64, policy: Policy) -> u64 {
     let mut book = Book::default();
     let mut target = 0;
@@ -66,9 +66,7 @@
     target
 }
 
-/// The load: two outages of 8 s, 12 s apart, and a budget that is used up at the end of the day. In the
-/// second one 7,200 of 7,342 refusals of a day came, most of customers of whom 9% to 17% of what they had
-/// paid lay in the book, out of reach, then and at the day's end.
+/// Guards against tokens left in the book, out of reach, in the second of two outages in a row.
 #[test]
 fn a_box_that_saw_an_outage_holds_enough_for_another_as_long() {
     let (rate, outage) = (PAID / 40, 8);
@@ -90,7 +88,7 @@
     assert!(held <= unspent / 5, "{held} of {unspent}");
 }
 
-/// One settlement of a box that uses so much a second.
+/// Settles once for a box that uses `rate` tokens per second.
 fn uses(book: &mut Book, name: &str, write: u64, rate: u64, policy: Policy) -> Granted {
     let item = Item {
         customer: "bornova".into(),
@@ -110,8 +108,8 @@
     book.settle(&settlement, policy).remove(0)
 }
 
-/// The load: an outage in which each box asked the book itself, since no keeper could give. After it three
-/// keepers prepare for the next one, and five others still stand in the book.
+/// Guards against a share for boxes that took over for keepers during an outage, which takes it
+/// from the keepers.
 #[test]
 fn boxes_that_stood_in_for_keepers_take_none_of_what_keepers_hold() {
     let rate = PAID / 100;
@@ -198,7 +196,8 @@
     assert_eq!(retire(5, 0), (false, 0), "again, since its answer was lost");
 }
 
-/// A box that dies, and what its next life and others may tell of it. `born` counts its lives.
+/// Settles twice for incarnation `life` of a box, which then dies; `earlier` is reported with the
+/// settlements.
 fn dies(book: &mut Book, life: u64, earlier: Vec<Untouched>) -> Incarnation {
     let holder = Incarnation::new("box-0", life);
     let by = Incarnation::new("box-1", 1);
@@ -223,7 +222,8 @@
     holder
 }
 
-/// The load: a box whose next life cannot ask its witness yet; 12.8% of all that was paid was lost in a play with one.
+/// Guards against writing off a grant before its witness was asked, while the next incarnation
+/// cannot reach it.
 #[test]
 fn what_a_life_held_stays_open_until_its_witness_told() {
     let mut book = Book::default();
@@ -251,10 +251,12 @@
     assert!(book.writers.contains_key(&fourth) && ledger.is_sound());
 }
 
-/// Boxes hold less where whole fleets died, not where one box did whose witness lives.
+/// Guards against counting the losses of a box whose witness lives as those of a whole fleet that
+/// died.
 #[test]
 fn what_is_lost_with_no_witness_left_is_counted_apart() {
-    // What the witness tells of the dead life, in parts of what that held, and what counts as lost unwitnessed.
+    // The part of the grant that the witness reports as unused (one in `told`), and whether the
+    // losses count as unwitnessed.
     for (told, unwitnessed) in [(Some(2), 0), (None, 1)] {
         let mut book = Book::default();
         let first = dies(&mut book, 1, Vec::new());
--- a/crates/ledger/tests/exhaustive.rs
+++ b/crates/ledger/tests/exhaustive.rs
@@ -1,9 +1,10 @@
-//! Every order of the steps of two boxes and one platform, with a lost answer and a pause.
+//! Model check of two boxes and one platform: all orders of their steps, with a lost answer and a
+//! pause.
 //!
-//! Box A draws, records an intent and dispatches; any of its writes may land late, or land with
-//! its answer lost, and A may stand still between any two steps. Box B seals A's journal, takes
-//! back what A can no longer use, and spends it. Whatever the order, the two never spend more
-//! than was paid. Broken variants of the rules must be caught, or the check could not fail.
+//! Box A draws, records an intent and dispatches. Any of its writes may land late, or land while
+//! the answer is lost, and A may pause between any two steps. Box B seals A's journal, takes back
+//! what A can no longer use, and spends it. In no order may the two spend more than was paid.
+//! Variants with a broken rule must be caught, to show that the check can fail.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -12,18 +13,18 @@
 const PAID: u64 = 3;
 const GRANT: u64 = 2;
 
-/// Rules that a variant breaks.
+/// The rule that a variant breaks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Broken {
     #[default]
     Nothing,
     /// A draw whose answer was lost counts as landed without reading back.
     Blind,
-    /// A seal frees everything, also what open intents hold.
+    /// A seal frees everything, including what open intents reserve.
     FreeHeld,
-    /// A dispatches before its intent landed.
+    /// A dispatches before its intent has landed.
     DispatchFirst,
-    /// A seal frees the offline part too.
+    /// A seal frees the offline part, too.
     FreeOffline,
 }
 
@@ -39,21 +40,21 @@
     Journal { expect: u64, value: Journal },
 }
 
-/// Where A stands.
+/// The progress of A.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
     Start,
-    /// Its draw is on the way; the answer may be lost.
+    /// The draw is in flight; its answer may be lost.
     Drawing {
         expect: u64,
         write: u64,
     },
     Drawn,
-    /// Its intent is on the way.
+    /// The intent is in flight.
     Recording {
         expect: u64,
     },
-    /// Its intent landed; it may stand here for as long as it likes.
+    /// The intent has landed; A may pause here for any time.
     Recorded,
     Done,
 }
@@ -117,7 +118,7 @@
         self.served_a + self.served_offline + self.served_b
     }
 
-    /// All worlds that one step leads to.
+    /// Returns all worlds that are one step away.
     fn next(&self, broken: Broken) -> Vec<World> {
         let mut found = Vec::new();
         self.platform_steps(&mut found);
@@ -127,7 +128,7 @@
         found
     }
 
-    /// Any message on the way arrives now; one that does not fit is refused.
+    /// Delivers each message in flight; one with an outdated version is refused.
     fn platform_steps(&self, found: &mut Vec<World>) {
         for (index, message) in self.in_flight.iter().enumerate() {
             let mut world = self.clone();
@@ -172,7 +173,7 @@
         Some(world)
     }
 
-    /// A got no answer and reads back.
+    /// A got no answer and reads the ledger back.
     fn learn_draw(&self, expect: u64, write: u64, broken: Broken, found: &mut Vec<World>) {
         let mine = self.ledger.value.grants.get(&a());
         let marked = mine.is_some_and(|grant| grant.write >= write);
@@ -215,7 +216,7 @@
         let mut world = self.clone();
         world.stage = match (landed, self.journal.value.is_open()) {
             (true, true) => Stage::Recorded,
-            // Read back as sealed: nothing more is dispatched, not even what landed.
+            // The journal was sealed meanwhile: A dispatches nothing, even if the intent landed.
             (true, false) => Stage::Done,
             (false, _) if self.journal.version != expect => Stage::Done,
             (false, _) => return None,
@@ -223,7 +224,7 @@
         Some(world)
     }
 
-    /// Cut off, A may serve from its offline part whenever it likes.
+    /// A may serve from its offline part at any time.
     fn offline_step(&self, found: &mut Vec<World>) {
         let mut world = self.clone();
         if let Ok(reservation) = world.account.reserve(Part::Offline, 1) {
@@ -253,7 +254,7 @@
                 world.ledger.version += 1;
                 world.closed_by_b = true;
             }
-            // B spends whatever is left, at once.
+            // B spends at once whatever is left.
             Some(_) => {
                 let left = self.ledger.value.left();
                 let draw = Draw { online: left, ..Draw::default() };
@@ -268,7 +269,7 @@
     }
 }
 
-/// Number of worlds reached, and the first one that breaks the promise.
+/// Returns the number of worlds reached, and the first one that violates an invariant.
 fn explore(broken: Broken) -> (usize, Option<World>) {
     let start = World::new();
     let mut seen = HashSet::from([format!("{start:?}")]);
@@ -303,7 +304,7 @@
     }
 }
 
-/// A sealed journal gets each outcome once, however many resolvers and hand-ins race.
+/// Guards against counting an outcome twice when several resolvers race on a sealed journal.
 #[test]
 fn outcomes_are_folded_once_in_any_order() {
     let mut journal = Journal::new(a());
@@ -321,8 +322,8 @@
     assert_eq!((ledger.spent, ledger.statement.count, ledger.left()), (1, 1, 2));
 }
 
-/// Found by random interleavings: a box that does not know of its seal returns surplus which the
-/// seal has freed already.
+/// Guards against freeing tokens twice: a box that does not know of its seal returns a surplus that
+/// the seal has already freed.
 #[test]
 fn a_sealed_holder_returns_nothing_by_itself() {
     let mut journal = Journal::new(a());
--- a/crates/ledger/tests/share.rs
+++ b/crates/ledger/tests/share.rs
@@ -1,16 +1,16 @@
-//! Totals between a keeper and a box, whatever becomes of the messages.
+//! Totals between a keeper and a box while messages are lost, late, repeated or reordered.
 
 use ledger::Share;
 use proptest::prelude::*;
 
-/// What happens to a pair.
+/// One step of a keeper and a box.
 #[derive(Debug, Clone)]
 enum Step {
     /// The keeper passes tokens on.
     Give(u64),
     /// The box uses tokens.
     Spend(u64),
-    /// The box gives tokens back.
+    /// The box returns tokens.
     Return(u64),
     /// One of the messages sent so far reaches the box.
     ToBox(usize),
@@ -33,7 +33,7 @@
     fn every_token_is_counted_at_least_once(steps in prop::collection::vec(step(), 0..80)) {
         let (mut keeper, mut holder) = (Share::default(), Share::default());
         let (mut to_box, mut to_keeper) = (vec![0], vec![Share::default()]);
-        // Free in the keeper's account by what was given back, and in the box's.
+        // Free tokens that were returned to the keeper, free tokens of the box, and used tokens.
         let (mut back, mut here, mut used) = (0, 0, 0);
         for step in steps {
             match step {
