--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,9 +6,11 @@
 //! daemon turns it into a conditional update. So the order in which the platform accepts the
 //! updates decides, not a clock.
 //!
-//! Two inequalities keep a customer from overspending. Every transition of [`Ledger`] keeps `spent
-//! + sum of grants <= paid`, and [`Account`] keeps `reserved + charged <= given`, where tokens are
-//! given to an account only after the grant has landed in the ledger.
+//! Two invariants keep a customer from overspending:
+//!
+//! - every transition of [`Ledger`] keeps `spent + sum of grants <= paid`;
+//! - every transition of [`Account`] keeps `reserved + charged <= given`, where tokens are given to
+//!   an account only after the grant has landed in the ledger.
 
 mod account;
 mod audit;
