--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -6,10 +6,10 @@
 
 use crate::{
     cold::Cold,
-    limit::{Limit, Said},
+    limit::{Limit, LimitSignal},
     pace::Pace,
-    rest::Rest,
-    standing::Departure,
+    back_off::BackOff,
+    availability::Departure,
 };
 
 /// Own counts remembered, one each [`SAMPLE_MS`].
@@ -98,11 +98,11 @@
     /// How fast it makes events of streams.
     pub pace: Pace,
     /// What it said of how much it takes; `None` while it never named a limit.
-    said: Option<Said>,
+    limit_signal: Option<LimitSignal>,
     /// While it names a limit, this box gets no turn there until then.
     closed_until: u64,
     /// What it asked this box for.
-    pub rest: Rest,
+    pub back_off: BackOff,
     /// It said itself that it leaves.
     pub departure: Option<Departure>,
 }
@@ -145,30 +145,30 @@
             cold: Cold::default(),
             doubt: Cold::default(),
             pace: Pace::default(),
-            said: None,
+            limit_signal: None,
             closed_until: 0,
-            rest: Rest::default(),
+            back_off: BackOff::default(),
             departure: None,
         }
     }
 
     /// What it said of how much it takes, if it ever named a limit.
-    pub fn said(&self) -> Option<Said> {
-        self.said
+    pub fn limit_signal(&self) -> Option<LimitSignal> {
+        self.limit_signal
     }
 
     /// Requests that it takes from all boxes together, while it says so.
     pub fn limit(&self) -> Option<Limit> {
-        self.said?.limit
+        self.limit_signal?.limit
     }
 
     /// It said how much it takes; says whether that changes what this box knows.
-    pub fn hear(&mut self, said: Said) -> bool {
+    pub fn update_limit(&mut self, limit_signal: LimitSignal) -> bool {
         let before = self.limit();
-        match &self.said {
-            None if said.limit.is_none() => return false,
-            Some(known) if !said.replaces(known) => return false,
-            _ => self.said = Some(said),
+        match &self.limit_signal {
+            None if limit_signal.limit.is_none() => return false,
+            Some(known) if !limit_signal.replaces(known) => return false,
+            _ => self.limit_signal = Some(limit_signal),
         }
         let is_new = self.limit() != before;
         if is_new {
@@ -178,7 +178,7 @@
     }
 
     /// This box gets no turn there for so many milliseconds.
-    pub fn close(&mut self, ms: u64, now: u64) {
+    pub fn defer_permits(&mut self, ms: u64, now: u64) {
         self.closed_until = now + ms;
     }
 
@@ -193,13 +193,13 @@
     }
 
     /// Whether it wants no request now, not even one that was meant for it before.
-    pub fn wants_nothing(&self, now: u64) -> bool {
-        self.has_left(now) || self.rest.left_ms(now) > 0
+    pub fn refuses_requests(&self, now: u64) -> bool {
+        self.has_left(now) || self.back_off.left_ms(now) > 0
     }
 
     /// Milliseconds until this box may send it a request after a rest.
     pub fn rest_wait_ms(&self, now: u64) -> u64 {
-        self.rest.wait_ms(self.unanswered, now)
+        self.back_off.wait_ms(self.unanswered, now)
     }
 
     /// A request was dispatched.
@@ -211,21 +211,21 @@
     }
 
     /// A request was sent of whose prompt this much is to be read.
-    pub fn read(&mut self, size: u64) {
+    pub fn start_prefill(&mut self, size: u64) {
         self.unanswered += 1;
         self.unread += size;
     }
 
     /// Its answer began, or it ended without one.
-    pub fn has_read(&mut self, size: u64) {
+    pub fn finish_prefill(&mut self, size: u64) {
         self.unanswered = self.unanswered.saturating_sub(1);
         self.unread = self.unread.saturating_sub(size);
     }
 
     /// Another box told of a prompt that it sent, or that it was read.
-    pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |told: &Told| told.by == *by && told.number == prompt.number;
-        self.prompts.retain(|told| !same(told) && told.at + PROMPT_MOST_MS > now);
+    pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
+        let same = |receive_prompt: &Told| receive_prompt.by == *by && receive_prompt.number == prompt.number;
+        self.prompts.retain(|receive_prompt| !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now);
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
             self.prompts.push(Told { by, number, size, at: now });
@@ -241,10 +241,10 @@
             let age = now.saturating_sub(report.at) as f64;
             waiting * (-age / BACKLOG_MS).exp()
         });
-        let told = self.prompts.iter().filter(|told| told.at + PROMPT_MOST_MS > now);
-        let told: u64 = told.map(|told| told.size).sum();
+        let receive_prompt = self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
+        let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
         // Those that were told of may be the ones that wait.
-        self.unread as f64 + (waiting * typical).max(told as f64)
+        self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
     }
 
     /// A request ended.
@@ -313,8 +313,8 @@
 
     /// Estimated requests at the endpoint now, over all boxes.
     pub fn load(&self, now: u64) -> f64 {
-        let told: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
-        let known = f64::from(self.in_flight) + f64::from(told);
+        let receive_prompt: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
+        let known = f64::from(self.in_flight) + f64::from(receive_prompt);
         let fresh = self.report.filter(|report| report.at + REPORT_MOST_MS > now);
         let Some(report) = fresh else { return known };
         let reported = f64::from(report.running + report.waiting);
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -3,12 +3,12 @@
 mod choose;
 mod wait;
 
-pub use choose::{Choice, Offer, Weights};
+pub use choose::{Choice, Candidates, Weights};
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::{
-    Allowance, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report, Rest,
+    Allowance, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report, BackOff,
     Snapshot, speed::Speed,
 };
 
@@ -29,7 +29,7 @@
     /// When the last request that no endpoint took for its limit is to come again.
     last_told: u64,
     /// Rests of endpoints that are not listed now: an entry that lapsed comes back within seconds.
-    rests: HashMap<Arc<str>, Rest>,
+    rests: HashMap<Arc<str>, BackOff>,
 }
 
 /// Gain of the mean size of prompts that are to be read: the last twenty or so count.
@@ -69,17 +69,17 @@
             let endpoint = match at {
                 Some(at) => known.swap_remove(at),
                 None => {
-                    let rest = self.rests.remove(&name).unwrap_or_default();
+                    let back_off = self.rests.remove(&name).unwrap_or_default();
                     let mut endpoint = Endpoint::new(name, zone, now, warm);
-                    endpoint.rest = rest;
+                    endpoint.back_off = back_off;
                     endpoint
                 }
             };
             self.endpoints.push(endpoint);
         }
-        self.rests.retain(|_, rest| rest.left_ms(now) > 0);
-        let resting = known.into_iter().filter(|endpoint| endpoint.rest.left_ms(now) > 0);
-        self.rests.extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.rest)));
+        self.rests.retain(|_, back_off| back_off.left_ms(now) > 0);
+        let resting = known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
+        self.rests.extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
         if self.rests.len() > MOST_RESTS {
             self.rests.clear();
         }
@@ -147,7 +147,7 @@
     }
 
     /// An endpoint is cold for `lasts_ms`, or for as long as endpoints are that do not say so.
-    pub fn chill(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
+    pub fn mark_cold(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
         let lasts_ms =
             lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
         let every = every_ms(self.allowance, &self.fleet, name);
@@ -166,10 +166,10 @@
     }
 
     /// An endpoint wants nothing from this box for so long; says whether that is longer than what it had asked for before.
-    pub fn rest(&mut self, name: &str, ms: u64, now: u64) -> bool {
+    pub fn back_off(&mut self, name: &str, ms: u64, now: u64) -> bool {
         let Some(endpoint) = self.get_mut(name) else { return false };
         let unanswered = endpoint.unanswered();
-        endpoint.rest.ask(ms, unanswered, now)
+        endpoint.back_off.ask(ms, unanswered, now)
     }
 
     /// Number of endpoints that are cold.
@@ -191,28 +191,28 @@
     }
 
     /// An endpoint that holds `held` of a prompt has the rest of it to read; returns how much.
-    pub fn read(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
+    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
         let missing = prefix.size().saturating_sub(held);
         self.typical += (missing as f64 - self.typical) * TYPICAL_GAIN;
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.read(missing);
+            endpoint.start_prefill(missing);
         }
         missing
     }
 
     /// Another box told of a prompt that it sent, or that it was read.
-    pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
+    pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
         let Some(endpoint) = self.get_mut(&prompt.endpoint) else { return };
-        endpoint.told(by, prompt, now);
+        endpoint.receive_prompt(by, prompt, now);
         for block in prompt.blocks.iter() {
             self.prefixes.add(*block, &prompt.endpoint);
         }
     }
 
     /// The answer of a request began, or it ended without one.
-    pub fn has_read(&mut self, name: &str, missing: u64) {
+    pub fn finish_prefill(&mut self, name: &str, missing: u64) {
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.has_read(missing);
+            endpoint.finish_prefill(missing);
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// A stream of an endpoint brought an event so many milliseconds after the one before.
-    pub fn paced(&mut self, name: &str, gap_ms: f64) {
+    pub fn record_gap(&mut self, name: &str, gap_ms: f64) {
         if gap_ms < SHORTEST_MS {
             return;
         }
@@ -245,9 +245,9 @@
     }
 
     /// A peer told what it has under way.
-    pub fn peer(&mut self, peer: &Arc<str>, told: &[Snapshot], now: u64) {
+    pub fn peer(&mut self, peer: &Arc<str>, receive_prompt: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
-            let count = told.iter().find(|snapshot| snapshot.name == endpoint.name);
+            let count = receive_prompt.iter().find(|snapshot| snapshot.name == endpoint.name);
             endpoint.peer(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
         }
     }
--- a/crates/balance/src/rest.rs
+++ b/crates/balance/src/rest.rs
@@ -19,7 +19,7 @@
 
 /// What an endpoint asked this box for, in milliseconds of the box's clock.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Rest {
+pub struct BackOff {
     /// When it asked.
     since: u64,
     /// The end of what it asked for.
@@ -32,7 +32,7 @@
     taken: u32,
 }
 
-impl Rest {
+impl BackOff {
     /// It wants nothing for so long from now on, and has so many requests of this box without an answer; says whether that is
     /// longer than what it had asked for before.
     pub fn ask(&mut self, ms: u64, unanswered: u32, now: u64) -> bool {
@@ -43,7 +43,7 @@
         // Requests that it turns away one after the other belong to one rest.
         let goes_on = now < self.until;
         let before = if goes_on { self.before.max(unanswered) } else { unanswered };
-        *self = Rest {
+        *self = BackOff {
             since: if goes_on { self.since } else { now },
             until,
             before,
@@ -72,9 +72,9 @@
         }
     }
 
-    /// It took a request that was sent at `asked`.
-    pub fn took(&mut self, asked: u64) {
-        let Some(window) = self.window.filter(|_| asked >= self.until) else { return };
+    /// It took a request that was sent at `sent_at`.
+    pub fn request_accepted(&mut self, sent_at: u64) {
+        let Some(window) = self.window.filter(|_| sent_at >= self.until) else { return };
         self.taken += 1;
         if window < self.before * FAST || self.taken >= window {
             self.taken = 0;
--- a/crates/balance/src/standing.rs
+++ b/crates/balance/src/standing.rs
@@ -20,14 +20,14 @@
     }
 
     /// It said so some time ago.
-    pub fn before(now: u64) -> Departure {
+    pub fn elapsed(now: u64) -> Departure {
         Departure { since: now, until: now }
     }
 }
 
 /// How an endpoint stands with this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It takes requests of this box.
     Open,
     /// It takes some after so many milliseconds: it is cold, it rests, or this box gets no turn there before.
--- a/crates/balance/src/turns.rs
+++ b/crates/balance/src/turns.rs
@@ -33,7 +33,7 @@
 
 /// What one box hands out at one endpoint, in milliseconds of that box.
 #[derive(Debug, Clone)]
-pub struct Turns {
+pub struct Permits {
     saved: f64,
     /// When the turns saved were counted last.
     at: u64,
@@ -45,34 +45,34 @@
 
 /// What comes of asking for a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum Permit {
     /// A request may be sent at once.
     Given,
     /// None is left; to be asked for again after so many milliseconds.
     After { ms: u64 },
 }
 
-impl Turns {
+impl Permits {
     /// None are saved: another box may have given some a moment ago.
-    pub fn open(now: u64) -> Turns {
-        Turns { saved: 0.0, at: now, given: now, last_told: now }
+    pub fn open(now: u64) -> Permits {
+        Permits { saved: 0.0, at: now, given: now, last_told: now }
     }
 
     /// Takes a turn at an endpoint that takes so many requests a second.
-    pub fn take(&mut self, per_s: f64, now: u64) -> Turn {
+    pub fn take(&mut self, per_s: f64, now: u64) -> Permit {
         let passed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
         self.saved = (self.saved + passed_s * per_s).min(1.0 + SAVED_S * per_s);
         self.at = now;
         if self.saved >= 1.0 || now >= self.given + ASK_AGAIN {
             self.saved = (self.saved - 1.0).max(0.0);
             self.given = now;
-            return Turn::Given;
+            return Permit::Given;
         }
         // The next one that is saved up, or the one by which the endpoint is asked again; no turns at all take for ever.
         let saved_up = ((1.0 - self.saved) * 1_000.0 / per_s).min(MOST_AFTER as f64).ceil() as u64;
         let next = (now + saved_up).min(self.given + ASK_AGAIN);
         let apart = (APART * 1_000.0 / per_s).min(MOST_AFTER as f64) as u64;
         self.last_told = (self.last_told + apart).clamp(next, now + MOST_AFTER);
-        Turn::After { ms: self.last_told - now }
+        Permit::After { ms: self.last_told - now }
     }
 }
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest answer body recorded with a claim, in bytes.
-pub const MAX_ANSWER: usize = 16 << 10;
+pub const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// A recorded answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/money/ends.rs
+++ b/crates/gateway/src/money/ends.rs
@@ -2,11 +2,11 @@
 
 /// Whether a box goes on drawing tokens from the book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ends {
+pub enum Participation {
     /// It goes on.
-    Not,
+    Active,
     /// It returns what it can, as another box is the keeper now.
-    Retires,
+    Retiring,
     /// It is about to stop.
-    Leaves,
+    Leaving,
 }
--- a/crates/gateway/src/money/lending.rs
+++ b/crates/gateway/src/money/lending.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::peers::Peers,
-    money::funds::{Funds, Hold},
+    tokens::funds::{Funds, Hold},
 };
 
 /// Time after which the next boxes are asked. Much longer than a round trip between availability
@@ -17,14 +17,14 @@
 
 /// Borrows tokens for this box.
 #[derive(Debug, Clone)]
-pub struct Lending {
+pub struct Borrower {
     funds: Funds,
     peers: Peers,
 }
 
-impl Lending {
-    pub fn new(funds: Funds, peers: Peers) -> Lending {
-        Lending { funds, peers }
+impl Borrower {
+    pub fn new(funds: Funds, peers: Peers) -> Borrower {
+        Borrower { funds, peers }
     }
 
     /// Reserves the worst case of a request with tokens of other boxes, until `until`.
--- a/crates/gateway/src/money/mod.rs
+++ b/crates/gateway/src/money/mod.rs
@@ -1,21 +1,21 @@
 //! The tokens that this box may spend of each budget, and how it gets more.
 //!
-//! A request reserves its worst case in `funds`, which hold one `purse` per customer. A box gets
+//! A request reserves its worst case in `funds`, which hold one `wallet` per customer. A box gets
 //! tokens from the keeper of its availability zone, or from the book in the store if it is the
-//! keeper itself or reaches none (`draws`). Keepers settle with the book (`settle`), pass tokens on
+//! keeper itself or reaches none (`acquirer`). Keepers settle with the book (`settle`), pass tokens on
 //! to the boxes near them (`shares`) and borrow from each other while the store cannot grant any
-//! (`lending`). `outlook` sizes what a box holds for an outage of the store. `witness` promises
+//! (`borrower`). `forecast` sizes what a box holds for an outage of the store. `witness` promises
 //! another box which tokens stay unused, and `claims` collects such promises of boxes that died.
 //! `bills` records what the tokens were charged for.
 
 pub mod bills;
 pub mod claims;
-pub mod draws;
-pub mod ends;
+pub mod acquirer;
+pub mod participation;
 pub mod funds;
-pub mod lending;
-pub mod outlook;
-pub mod purse;
+pub mod borrower;
+pub mod forecast;
+pub mod wallet;
 pub mod rate;
 pub mod report;
 pub mod settle;
--- a/crates/gateway/src/money/outlook.rs
+++ b/crates/gateway/src/money/outlook.rs
@@ -19,7 +19,7 @@
 
 /// What this box has observed of the store.
 #[derive(Debug)]
-pub struct Outlook {
+pub struct Forecast {
     /// When the store began to answer.
     in_touch_since: Instant,
     /// The outage in progress, if any.
@@ -39,9 +39,9 @@
     landed: u64,
 }
 
-impl Outlook {
-    pub fn open(now: Instant) -> Outlook {
-        Outlook { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
+impl Forecast {
+    pub fn open(now: Instant) -> Forecast {
+        Forecast { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
     }
 
     /// Records a failed call.
@@ -56,7 +56,7 @@
     }
 
     /// Records the outage in the book that this settlement ends, if any.
-    pub fn tell(&self, book: &mut Book, now: Instant) {
+    pub fn report_outage(&self, book: &mut Book, now: Instant) {
         if let (Some(lost), Some(_)) = (self.lost, self.away(now)) {
             book.note_outage(lost.landed);
         }
@@ -87,6 +87,6 @@
             Some(_) => Duration::ZERO,
             None => now.saturating_duration_since(self.in_touch_since),
         };
-        policy.in_touch_for(in_touch.as_secs())
+        policy.reachable_for(in_touch.as_secs())
     }
 }
--- a/crates/gateway/src/money/purse/mod.rs
+++ b/crates/gateway/src/money/purse/mod.rs
@@ -7,16 +7,16 @@
 //! The `kept` part of the free tokens is promised to the witness, which can then confirm after this
 //! box's death that they were not used. Only a later promise makes them available to requests.
 
-mod passing;
-mod promising;
-mod settling;
+mod transfers;
+mod promises;
+mod settlements;
 
 use std::{sync::Arc, time::Duration};
 
 use ledger::{Account, Granted, Part, Reservation, Transfer};
 use tokio::time::Instant;
 
-use crate::money::{
+use crate::tokens::{
     rate::Rate,
     shares::{Loans, Passed},
 };
@@ -54,7 +54,7 @@
 
 /// One customer's tokens on this box.
 #[derive(Debug, Default)]
-pub struct Purse {
+pub struct Wallet {
     account: Account,
     /// Paid amount, with the version of the configuration that sets it.
     pub paid: Option<(u64, u64)>,
@@ -100,7 +100,7 @@
     pub asking: Arc<tokio::sync::Mutex<()>>,
 }
 
-impl Purse {
+impl Wallet {
     /// Applies the paid amount of the configuration.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
@@ -116,7 +116,7 @@
 
     /// Free tokens that the book granted to this box.
     fn own(&self) -> u64 {
-        self.free().saturating_sub(self.loans.rest())
+        self.free().saturating_sub(self.loans.outstanding())
     }
 
     /// Own tokens that may be returned to the book.
--- a/crates/gateway/src/money/purse/passing.rs
+++ b/crates/gateway/src/money/purse/passing.rs
@@ -3,17 +3,17 @@
 
 use std::sync::Arc;
 
-use ledger::{Given, Incarnation, Part, Share, Told, Transfer};
+use ledger::{Supply, Incarnation, Part, Share, Demand, Transfer};
 use tokio::time::Instant;
 
-use super::{Purse, RESERVE_S};
+use super::{Wallet, RESERVE_S};
 
 /// Seconds of use that a box requests from its keeper beyond what a request lacks, and keeps in
 /// reserve. Enough for most requests to find their tokens here, while little is lost if the box
 /// dies.
 const AHEAD_S: f64 = 1.5;
 
-impl Purse {
+impl Wallet {
     /// Lends up to `wanted` tokens to another box.
     ///
     /// Only tokens that the book has granted to this box and that are not promised are lent.
@@ -40,7 +40,7 @@
 
     /// Adds tokens that another box lent.
     pub fn receive(&mut self, transfer: Transfer) {
-        self.account.give(Part::Offline, transfer.tokens);
+        self.account.pass_on(Part::Offline, transfer.tokens);
         self.received += transfer.tokens;
         self.transfers.push(transfer);
     }
@@ -48,13 +48,13 @@
     /// Returns the report that is due to a keeper for this customer, with the tokens that a waiting
     /// request needs; `None` if there is nothing to report. Tokens that it returns are taken out of
     /// the account here.
-    pub fn tell(
+    pub fn demands(
         &mut self,
         customer: &Arc<str>,
         keeper: &Incarnation,
         worst: Option<u64>,
         now: Instant,
-    ) -> Option<Told> {
+    ) -> Option<Demand> {
         let ahead = self.rate.over(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
@@ -66,7 +66,7 @@
         }
         let says = need > 0 || self.loans.has_news(keeper);
         let share = self.loans.share(keeper);
-        says.then(|| Told { customer: customer.clone(), share, need, least, ahead })
+        says.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
     }
 
     /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
@@ -81,23 +81,23 @@
     }
 
     /// Returns all tokens of a keeper that are not reserved.
-    pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Told> {
+    pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Demand> {
         self.give_back(keeper, 0);
         let share = self.loans.share(keeper);
         let says = self.loans.has_news(keeper);
-        says.then(|| Told { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
+        says.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
     /// Whether a report to a keeper is due.
     pub fn has_news(&mut self, keeper: &Incarnation, now: Instant) -> bool {
         let idle = self.open() > 2 * self.rate.over(AHEAD_S, now);
-        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).rest() > 0)
+        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).outstanding() > 0)
     }
 
     /// Applies a keeper's answer to a report.
-    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Given) {
+    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Supply) {
         let new = self.loans.receive(keeper, given.given);
-        self.account.give(Part::Offline, new);
+        self.account.pass_on(Part::Offline, new);
         self.loans.heard(keeper, told);
         self.used_told = self.used_told.max(Some(given.used));
     }
@@ -114,17 +114,17 @@
     }
 
     /// On a keeper: applies another box's report. Returns whether it was accepted.
-    pub fn hear(&mut self, from: &Incarnation, told: Share) -> bool {
-        let Some(news) = self.passed.hear(from, told) else { return false };
+    pub fn receive_report(&mut self, from: &Incarnation, told: Share) -> bool {
+        let Some(news) = self.passed.receive_report(from, told) else { return false };
         self.charged += news.used;
         self.requests += news.requests;
-        self.account.give(Part::Offline, news.returned);
+        self.account.pass_on(Part::Offline, news.returned);
         true
     }
 
     /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
     /// waiting requests and some for later ones. Returns whether it did.
-    pub fn give(&mut self, to: &Incarnation, told: &Told, now: Instant) -> bool {
+    pub fn pass_on(&mut self, to: &Incarnation, told: &Demand, now: Instant) -> bool {
         let under_way = self.passed.total(to).saturating_sub(told.share.given);
         let least = told.least.saturating_sub(under_way);
         // Borrowed tokens may be passed on as well: the book counts them with the lender until one
@@ -136,7 +136,7 @@
         let need = told.need.saturating_sub(under_way).min(spare);
         let ahead = if need > 0 { self.ahead(told.ahead, spare - need, now) } else { 0 };
         let tokens = self.account.take(Part::Offline, need + ahead);
-        self.passed.give(to, tokens);
+        self.passed.pass_on(to, tokens);
         self.rate.add(tokens, now);
         self.peak = self.peak.max(least);
         true
@@ -156,10 +156,10 @@
     }
 
     /// On a keeper: returns the answer to another box's report.
-    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Given {
+    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
         let dry = self.is_dry(need) && self.are_others_dry(need, now);
         let used = self.granted.used + self.charged;
-        Given { customer: customer.clone(), given: self.passed.total(to), used, dry }
+        Supply { customer: customer.clone(), given: self.passed.total(to), used, dry }
     }
 
     /// Tokens passed on as a keeper, and not reported as used or returned.
--- a/crates/gateway/src/money/purse/promising.rs
+++ b/crates/gateway/src/money/purse/promising.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::Purse;
+use super::Wallet;
 
 /// Seconds of use that are left out of a promise, so that most requests need not wait for a new
 /// one. These tokens are lost with the box if it dies.
@@ -12,7 +12,7 @@
 /// A new promise is due once fewer seconds of use than this are not promised.
 const OPEN_LOW_S: f64 = 0.5;
 
-impl Purse {
+impl Wallet {
     /// Counts tokens as needed that a promise keeps.
     pub fn want(&mut self, tokens: u64) {
         self.wanted += tokens;
--- a/crates/gateway/src/money/report.rs
+++ b/crates/gateway/src/money/report.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     fleet::peers::Peers,
-    money::{funds::Funds, purse::Parts},
+    tokens::{funds::Funds, wallet::Parts},
 };
 
 /// Most customers in one log line.
--- a/crates/gateway/src/money/settle.rs
+++ b/crates/gateway/src/money/settle.rs
@@ -16,11 +16,11 @@
     fleet::{entry, peers::Peers},
     metrics::Metrics,
     money::{
-        bills::Bills, claims, draws::Draws, ends::Ends, funds::Funds, outlook::Outlook, report,
-        spacing, witness::Naming,
+        bills::Bills, claims, acquirer::Acquirer, participation::Participation, funds::Funds, forecast::Forecast, report,
+        spacing, witness::Selector,
     },
-    outage::{Contact, Outage, Probe},
-    settings::{GATHER_MS, Settings},
+    outage::{Recovery, Outage, Probe},
+    settings::{SETTLEMENT_BATCH_MS, Settings},
 };
 
 /// Interval of the log lines on store calls and peer traffic.
@@ -61,8 +61,8 @@
     pub store: Client,
     pub funds: Funds,
     pub peers: Peers,
-    pub naming: Naming,
-    pub draws: Draws,
+    pub selector: Selector,
+    pub acquirer: Acquirer,
     pub metrics: Metrics,
     /// Version of this box's entry in the store, once it is written.
     pub registered: watch::Receiver<Option<u64>>,
@@ -75,7 +75,7 @@
 pub struct Settler {
     setup: Setup,
     outage: Outage,
-    contact: Contact,
+    recovery: Recovery,
     /// An outage ended: the next settlement follows without the usual delay. The settlement that
     /// ended the outage was planned before it, so only the next one reports what was used meanwhile
     /// and returns the surplus, which should happen before anything else fails.
@@ -84,7 +84,7 @@
     known: Option<(Book, u64)>,
     /// Whether a book was ever seen; if it is missing later, no new one is created.
     seen: bool,
-    outlook: Outlook,
+    forecast: Forecast,
     write: u64,
     /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
@@ -98,15 +98,15 @@
 }
 
 impl Settler {
-    pub fn new(setup: Setup, contact: Contact) -> Settler {
+    pub fn new(setup: Setup, recovery: Recovery) -> Settler {
         Settler {
             setup,
-            outage: Outage::new("book", Probe::Later, contact.clone()),
-            contact,
+            outage: Outage::new("book", Probe::Lazy, recovery.clone()),
+            recovery,
             at_once: false,
             known: None,
             seen: false,
-            outlook: Outlook::open(Instant::now()),
+            forecast: Forecast::open(Instant::now()),
             write: 0,
             pending: None,
             last: None,
@@ -123,7 +123,7 @@
         self.wait(REGISTER).await;
         loop {
             if self.is_of_book() {
-                self.settle(self.ends()).await;
+                self.settle(self.participation()).await;
             }
             self.setup.bills.write(&self.setup.store, false).await;
             if told.elapsed() >= TELL {
@@ -135,7 +135,7 @@
             let spacing = Duration::from_millis(settings.money.spacing_ms);
             let settle = Duration::from_millis(settings.money.settle_ms);
             let began = Instant::now();
-            tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SETTLEMENT_BATCH_MS)).await;
             if std::mem::take(&mut self.at_once) {
                 continue;
             }
@@ -151,7 +151,7 @@
     /// Asks the witnesses of dead incarnations for which the book has open claims: a keeper asks
     /// for all of them, another box for its own. Returns whether there is anything to settle.
     async fn collect(&mut self) -> bool {
-        let is_keeper = self.setup.peers.am_keeper();
+        let is_keeper = self.setup.peers.is_keeper();
         let Some((book, _)) = &self.known else { return false };
         let mine = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
         let due = self.asked.is_none_or(|at| at.elapsed() >= COLLECT_EVERY);
@@ -175,24 +175,24 @@
         self.stands
             || self.pending.is_some()
             || collected
-            || peers.am_keeper()
+            || peers.is_keeper()
             || funds.is_of_book()
     }
 
     /// Whether this box goes on drawing from the book or retires from it, as another box is the
     /// keeper now.
-    fn ends(&self) -> Ends {
+    fn participation(&self) -> Participation {
         let Setup { peers, funds, .. } = &self.setup;
         let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
-        let retires = self.stands && !drew && !peers.am_keeper();
+        let retires = self.stands && !drew && !peers.is_keeper();
         funds.retire(retires);
-        if retires { Ends::Retires } else { Ends::Not }
+        if retires { Participation::Retiring } else { Participation::Active }
     }
 
     /// Interval to the next settlement that no request waits for.
     fn pause(&self, spacing: Duration, settle: Duration) -> Duration {
-        match self.setup.funds.is_due() || self.setup.naming.is_due(&self.setup.peers) {
-            true => spacing * spacing::times_apart(self.writers()),
+        match self.setup.funds.is_due() || self.setup.selector.is_due(&self.setup.peers) {
+            true => spacing * spacing::interval_factor(self.writers()),
             false => settle,
         }
     }
@@ -219,23 +219,23 @@
             return;
         }
         self.collected = claims::ask(&self.setup.peers, book.earlier(&self.setup.holder)).await;
-        self.settle(Ends::Not).await;
+        self.settle(Participation::Active).await;
     }
 
     fn writer(&mut self) -> Writer {
         self.write += 1;
-        let Setup { peers, naming, .. } = &self.setup;
-        let witness = naming.choose(peers, self.write);
+        let Setup { peers, selector, .. } = &self.setup;
+        let witness = selector.choose(peers, self.write);
         let witness_at = witness.as_ref().and_then(|witness| peers.address_of(&witness.by));
         Writer { write: self.write, peer: peers.address(), witness, witness_at }
     }
 
     async fn failed(&mut self, fault: &Fault, pause: &mut Duration) {
         self.outage.failed(fault);
-        self.outlook.failed(Instant::now());
-        self.setup.funds.set_cut(true);
+        self.forecast.failed(Instant::now());
+        self.setup.funds.set_store_unreachable(true);
         // Ends the delay as soon as any task of this box reaches the store.
-        let _ = tokio::time::timeout(*pause, self.contact.regained()).await;
+        let _ = tokio::time::timeout(*pause, self.recovery.recovered()).await;
         *pause = (*pause * 2).min(PAUSE_MOST);
     }
 
@@ -246,13 +246,13 @@
     }
 
     /// Writes one settlement until it has landed. Cancel safe: the next call resumes it.
-    async fn settle(&mut self, ends: Ends) {
+    async fn settle(&mut self, participation: Participation) {
         let settlement = match self.pending.take() {
             Some(pending) => pending,
             None => {
                 let writer = self.writer();
                 let earlier = std::mem::take(&mut self.collected);
-                let plan = self.setup.funds.plan(&self.setup.holder, writer, ends);
+                let plan = self.setup.funds.plan(&self.setup.holder, writer, participation);
                 Settlement { earlier, ..plan }
             }
         };
@@ -267,7 +267,7 @@
             }
         };
         self.pending = None;
-        self.setup.funds.set_cut(false);
+        self.setup.funds.set_store_unreachable(false);
         tracing::info!(
             event = "settlement_landed",
             write = settlement.writer.write,
@@ -277,13 +277,13 @@
         );
         self.outage.answered();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.at_once = book.is_some_and(|book| self.outlook.landed(book, Instant::now()));
+        self.at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
         self.stands = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
         report::settled(&settlement, &granted);
         self.setup.funds.landed(&settlement, granted);
-        self.setup.naming.landed(&settlement.writer.witness, &self.setup.funds);
+        self.setup.selector.landed(&settlement.writer.witness, &self.setup.funds);
     }
 
     /// Makes one attempt; returns `None` if another box has changed the book meanwhile.
@@ -297,7 +297,7 @@
             return Ok(Some(self.last.take().unwrap_or_default()));
         }
         let mut next = book.clone();
-        self.outlook.tell(&mut next, Instant::now());
+        self.forecast.report_outage(&mut next, Instant::now());
         let policy = self.policy();
         let granted = next.settle(settlement, policy);
         self.last = Some(granted.clone());
@@ -326,10 +326,10 @@
     /// Returns the policy that sizes grants now.
     fn policy(&self) -> Policy {
         let policy = self.setup.settings.borrow().policy();
-        let policy = self.outlook.policy(policy, Instant::now());
-        match self.setup.peers.am_keeper() {
+        let policy = self.forecast.policy(policy, Instant::now());
+        match self.setup.peers.is_keeper() {
             true => policy,
-            false => policy.stand_in(),
+            false => policy.on_demand(),
         }
     }
 
@@ -358,9 +358,9 @@
     /// tokens are used, and the bills are handed over to another box, which writes them.
     pub async fn leave(&mut self, until: Instant) {
         let began = Instant::now();
-        let Setup { naming, funds, peers, draws, .. } = &self.setup;
-        draws.leave().await;
-        naming.promise_all(funds, peers).await;
+        let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
+        acquirer.leave().await;
+        selector.promise_all(funds, peers).await;
         let soon = until.min(Instant::now() + HAND_OVER);
         let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
         if !done {
@@ -379,10 +379,10 @@
     async fn leave_book(&mut self) {
         self.setup.bills.write(&self.setup.store, true).await;
         if self.pending.is_some() {
-            self.settle(Ends::Not).await;
+            self.settle(Participation::Active).await;
         }
         if self.is_of_book() {
-            self.settle(Ends::Leaves).await;
+            self.settle(Participation::Leaving).await;
         }
         let mut pause = PAUSE;
         while self.setup.bills.waiting() > 0 {
@@ -402,10 +402,10 @@
             return;
         }
         let count = pages.len();
-        let took = self.setup.peers.hand_bills(&pages).await;
+        let took = self.setup.peers.hand_over_bills(&pages).await;
         if took.is_empty() {
             tracing::warn!(event = "bills_not_handed_over", count);
-            self.setup.bills.carry(pages);
+            self.setup.bills.take_over(pages);
             return;
         }
         let to: Vec<&str> = took.iter().map(Incarnation::as_str).collect();
--- a/crates/gateway/src/money/spacing.rs
+++ b/crates/gateway/src/money/spacing.rs
@@ -11,6 +11,6 @@
 
 /// Returns the factor by which a box extends the configured interval between settlements that no
 /// request waits for.
-pub fn times_apart(writers: usize) -> u32 {
+pub fn interval_factor(writers: usize) -> u32 {
     u32::try_from(writers / FEW).unwrap_or(MOST).clamp(1, MOST)
 }
--- a/crates/gateway/src/money/witness.rs
+++ b/crates/gateway/src/money/witness.rs
@@ -1,7 +1,7 @@
 //! Promises of boxes to each other to keep tokens unused, so that little is lost when one of them
 //! dies.
 //!
-//! [`Naming`] selects this box's witness, which takes effect once the book names it, and [`Keeper`]
+//! [`Selector`] selects this box's witness, which takes effect once the book names it, and [`Promiser`]
 //! sends the promises to it. The witness's side is in `records`. While neither the store nor the
 //! witness answers, the last promise holds.
 
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 
 use crate::{
-    fleet::peers::{Peers, Told},
-    money::funds::Funds,
+    fleet::peers::{Peers, Delivery},
+    tokens::funds::Funds,
 };
 
 /// Delay after a promise that was not accepted, so that a box that is down is not called in a tight
@@ -25,16 +25,16 @@
 
 /// Selects this box's witness.
 #[derive(Debug, Clone)]
-pub struct Naming {
+pub struct Selector {
     /// The witness that the book names, as far as this box knows.
     named: Arc<watch::Sender<Option<Witness>>>,
     /// The witness did not answer, or is gone.
     lost: Arc<Mutex<bool>>,
 }
 
-impl Naming {
-    pub fn open() -> Naming {
-        Naming { named: Arc::new(watch::channel(None).0), lost: Arc::default() }
+impl Selector {
+    pub fn open() -> Selector {
+        Selector { named: Arc::new(watch::channel(None).0), lost: Arc::default() }
     }
 
     /// Returns the witness that the settlement with this number names: the current one, unless it
@@ -46,7 +46,7 @@
         if let Some(witness) = named.as_ref().filter(|witness| stays(witness)) {
             return Some(witness.clone());
         }
-        let other = peers.any_in_reach(named.as_ref().map(|witness| &witness.by));
+        let other = peers.any_reachable(named.as_ref().map(|witness| &witness.by));
         other.map(|by| Witness { by, term: number })
     }
 
@@ -58,7 +58,7 @@
         }
         *self.lost.lock() = false;
         self.named.send_replace(witness.clone());
-        funds.release();
+        funds.clear_promise();
         tracing::info!(
             event = "witness_named",
             witness = witness.as_ref().map(|witness| witness.by.as_str()),
@@ -91,13 +91,13 @@
 }
 
 /// Sends this box's promises to its witness.
-pub struct Keeper {
+pub struct Promiser {
     pub funds: Funds,
     pub peers: Peers,
-    pub naming: Naming,
+    pub selector: Selector,
 }
 
-impl Keeper {
+impl Promiser {
     /// Sends promises for as long as the box runs.
     pub async fn run(self) {
         let mut number = 0;
@@ -105,7 +105,7 @@
         let mut believed: (u64, BTreeMap<Arc<str>, u64>) = (0, BTreeMap::new());
         loop {
             self.funds.promise_due().await;
-            let Some(witness) = self.naming.named.borrow().clone() else { continue };
+            let Some(witness) = self.selector.named.borrow().clone() else { continue };
             let Some(tokens) = self.funds.promise() else { continue };
             if believed.0 != witness.term {
                 believed = (witness.term, BTreeMap::new());
@@ -122,19 +122,19 @@
                 outcome = ?told,
             );
             match told {
-                Told::Taken => {
-                    self.funds.promised(&tokens);
+                Delivery::Taken => {
+                    self.funds.promise_accepted(&tokens);
                     believed.1 = tokens;
                     continue;
                 }
-                Told::Not => self.funds.promised(&believed.1),
-                Told::Gone => {
-                    self.naming.note_lost(&witness);
-                    self.funds.release();
+                Delivery::Not => self.funds.promise_accepted(&believed.1),
+                Delivery::Gone => {
+                    self.selector.note_lost(&witness);
+                    self.funds.clear_promise();
                     believed.1.clear();
                 }
-                Told::Unknown => {
-                    self.naming.note_lost(&witness);
+                Delivery::Unknown => {
+                    self.selector.note_lost(&witness);
                     for (customer, tokens) in tokens {
                         let most = believed.1.entry(customer).or_default();
                         *most = tokens.max(*most);
--- a/crates/gateway/src/news/directory.rs
+++ b/crates/gateway/src/news/directory.rs
@@ -66,7 +66,7 @@
     /// until `until`. A list that was read since then has shown the end of that outage already, and
     /// what it lacked is gone when its own time is over: told of once more 2 s later by a task that
     /// looks seldom, an endpoint that had left got work for 1.3 s longer than it may.
-    pub fn returned(&mut self, lost_since: u64, until: u64) {
+    pub fn store_returned(&mut self, lost_since: u64, until: u64) {
         if self.listed.is_none_or(|listed| listed < lost_since) {
             self.lenient_until = until;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Version of the store at which an entry was known to be gone.
-    pub fn gone_at(&self, id: &str) -> Option<u64> {
+    pub fn removed_at(&self, id: &str) -> Option<u64> {
         self.gone.get(id).map(|gone| gone.at)
     }
 
@@ -173,7 +173,7 @@
 
     /// Time until what is missing counts as gone; `None` if nothing is missing.
     pub fn lenient_for(&self, now: u64) -> Option<u64> {
-        self.keeps_missing().then(|| self.lenient_until.saturating_sub(now))
+        self.has_missing().then(|| self.lenient_until.saturating_sub(now))
     }
 
     /// Forgets what is still missing once the time is over; says whether anything went.
@@ -189,7 +189,7 @@
     }
 
     /// Whether missing entries are being kept.
-    pub fn keeps_missing(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         self.known.values().any(|known| known.missing)
     }
 
--- a/crates/gateway/src/news/roster.rs
+++ b/crates/gateway/src/news/roster.rs
@@ -16,8 +16,8 @@
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    news::{look, view::View},
-    outage::{Contact, Outage, Probe},
+    sync::{watcher, view::View},
+    outage::{Recovery, Outage, Probe},
 };
 
 /// Time for which questions for a new list are gathered.
@@ -28,26 +28,26 @@
 const READS: usize = 8;
 
 /// Keeps the own entry and reads those of the others.
-pub struct Roster {
+pub struct Discovery {
     store: Client,
     me: Entry,
     peers: Peers,
     view: View,
     outage: Outage,
     /// Version of the own entry, once it is written and those of others were read.
-    written: watch::Sender<Option<u64>>,
+    registered: watch::Sender<Option<u64>>,
 }
 
-impl Roster {
+impl Discovery {
     /// Nothing is written or read yet.
-    pub fn new(store: Client, me: Entry, peers: Peers, view: View, contact: Contact) -> Roster {
-        let outage = Outage::new("boxes", Probe::Later, contact);
-        Roster { store, me, peers, view, outage, written: watch::channel(None).0 }
+    pub fn new(store: Client, me: Entry, peers: Peers, view: View, recovery: Recovery) -> Discovery {
+        let outage = Outage::new("boxes", Probe::Lazy, recovery);
+        Discovery { store, me, peers, view, outage, registered: watch::channel(None).0 }
     }
 
     /// The version of the own entry, by which it is removed.
-    pub fn written(&self) -> watch::Receiver<Option<u64>> {
-        self.written.subscribe()
+    pub fn registered(&self) -> watch::Receiver<Option<u64>> {
+        self.registered.subscribe()
     }
 
     /// Makes the boxes known to each other, and reads again where something shows that what is known
@@ -65,7 +65,7 @@
             }
             tokio::time::sleep(TOGETHER).await;
         }
-        self.written.send_replace(Some(version));
+        self.registered.send_replace(Some(version));
         loop {
             self.peers.unknown().await;
             // One read answers all that is asked meanwhile.
@@ -104,7 +104,7 @@
         match self.store.all_maybe_old(BOXES).await {
             Ok(list) => {
                 self.outage.answered();
-                self.view.boxes_read(look::entries(&list.objects), list.version);
+                self.view.boxes_read(watcher::entries(&list.objects), list.version);
                 Some(list.version)
             }
             Err(error) => {
--- a/crates/gateway/src/news/view/departures.rs
+++ b/crates/gateway/src/news/view/departures.rs
@@ -11,7 +11,7 @@
 
 impl View {
     /// An endpoint said so to this box or to another one, a moment ago.
-    pub fn hear_departure(&self, life: &Arc<str>, address: SocketAddr) {
+    pub fn receive_departure(&self, life: &Arc<str>, address: SocketAddr) {
         let text = serde_json::to_string(&address).expect("addresses always serialize");
         self.take_departure(&mut self.0.state.lock(), life, &text, true);
         self.tell();
@@ -27,8 +27,8 @@
     ) {
         match serde_json::from_str::<SocketAddr>(text) {
             Ok(address) => {
-                self.0.uses.endpoints.hear_departure(life, address, is_new);
-                state.shelf.put(DEPARTURES, life, NOT_STORED, Some(text));
+                self.0.uses.endpoints.receive_departure(life, address, is_new);
+                state.change_log.put(DEPARTURES, life, NOT_STORED, Some(text));
             }
             Err(error) => note_unreadable(DEPARTURES, life, &error),
         }
@@ -38,9 +38,9 @@
 impl State {
     /// What was forgotten is told no more.
     pub(super) fn unshelve_departures(&mut self, is_remembered: impl Fn(&str) -> bool) {
-        for (life, _) in self.shelf.names(DEPARTURES) {
+        for (life, _) in self.change_log.names(DEPARTURES) {
             if !is_remembered(&life) {
-                self.shelf.put(DEPARTURES, &life, NOT_STORED, None);
+                self.change_log.put(DEPARTURES, &life, NOT_STORED, None);
             }
         }
     }
--- a/crates/gateway/src/news/view/limits.rs
+++ b/crates/gateway/src/news/view/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use balance::Limit;
-use wire::Limited;
+use wire::LimitNotice;
 
 use super::{State, View, note_unreadable};
 
@@ -15,11 +15,11 @@
 impl View {
     /// Takes over a limit that a box tells, this one or another, nothing where the endpoint named none; says whether
     /// that is news. A limit that changes with each answer is not: boxes would be told of it all the time.
-    pub fn hear_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
+    pub fn receive_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
         let text = limit.map(|limit| serde_json::to_string(&limit).expect("it always serializes"));
         let mut state = self.0.state.lock();
         let told =
-            state.shelf.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
+            state.change_log.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
         let is_news = match (limit, told) {
             (Some(limit), Some(Ok(told))) => !limit.is_close(told),
             (None, None) => false,
@@ -39,11 +39,11 @@
             Ok(limit) => limit,
             Err(error) => return note_unreadable(LIMITS, endpoint, &error),
         };
-        if state.shelf.put(LIMITS, endpoint, NOT_STORED, text) {
+        if state.change_log.put(LIMITS, endpoint, NOT_STORED, text) {
             // It is told once, so it holds at once; an answer to a request that is sent from now on knows better.
             let endpoint = endpoint.clone();
-            let said = Limited { endpoint, limit, asked_ms: 0, heard_ms: 0 };
-            self.0.uses.endpoints.hear_said(&said, "news");
+            let said = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
+            self.0.uses.endpoints.receive_limit(&said, "news");
         }
     }
 }
@@ -51,9 +51,9 @@
 impl State {
     /// What an endpoint named goes with it.
     pub(super) fn unshelve_limits(&mut self, is_known: impl Fn(&str) -> bool) {
-        for (endpoint, _) in self.shelf.names(LIMITS) {
+        for (endpoint, _) in self.change_log.names(LIMITS) {
             if !is_known(&endpoint) {
-                self.shelf.put(LIMITS, &endpoint, NOT_STORED, None);
+                self.change_log.put(LIMITS, &endpoint, NOT_STORED, None);
             }
         }
     }
--- a/crates/gateway/src/news/view/mod.rs
+++ b/crates/gateway/src/news/view/mod.rs
@@ -9,7 +9,7 @@
 mod endpoints;
 mod evacuations;
 mod limits;
-mod listeners;
+mod subscribers;
 
 pub use boxes::read_box;
 use departures::DEPARTURES;
@@ -25,36 +25,36 @@
     sync::{Notify, watch},
     time::Instant,
 };
-use wire::News;
+use wire::Update;
 
 use crate::{
-    clock::{Moment, Part, Pulse},
+    clock::{Moment, Dataset, Watchdog},
     fleet::{
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    money::funds::Funds,
-    news::{directory::Directory, evacuations::Evacuations, shelf::Shelf},
-    outage::Contact,
+    tokens::funds::Funds,
+    updates::{directory::Directory, evacuations::Evacuations, change_log::ChangeLog},
+    outage::Recovery,
     table::Table,
-    way::{crashes::Crashes, endpoints::Endpoints},
+    proxy::{crashes::Crashes, endpoints::Endpoints},
 };
 
 /// The configuration in force; `None` until one was read.
 pub type InForce = watch::Sender<Option<Arc<Table>>>;
 
 /// What news is put to use in.
-pub struct Uses {
+pub struct Consumers {
     pub in_force: InForce,
     pub funds: Funds,
     pub endpoints: Arc<Endpoints>,
-    pub links: forward::Links,
+    pub connections: forward::Connections,
     pub peers: Peers,
     pub crashes: Crashes,
     /// Tells all tasks of the box when the store answers again.
-    pub contact: Contact,
+    pub recovery: Recovery,
     /// Tells whether the box was held up.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     /// This start of the box.
     pub started: Moment,
 }
@@ -64,10 +64,10 @@
 pub struct View(Arc<Shared>);
 
 struct Shared {
-    uses: Uses,
+    uses: Consumers,
     state: Mutex<State>,
     /// Raised with each piece of news.
-    news: watch::Sender<u64>,
+    updates: watch::Sender<u64>,
     /// Another box wants news that this one does not look for.
     wanted: Notify,
 }
@@ -75,7 +75,7 @@
 #[derive(Default)]
 struct State {
     directory: Directory,
-    shelf: Shelf,
+    change_log: ChangeLog,
     /// Entries of boxes by name, with their versions.
     boxes: BTreeMap<Arc<str>, (Entry, u64)>,
     evacuations: Evacuations,
@@ -84,7 +84,7 @@
     /// Since when the store has not answered whoever this box hears it from.
     away_since: Option<Instant>,
     /// Parts that this box has read from the store since it looks itself.
-    looks: Looks,
+    watches: Looks,
     /// When another box wanted news last.
     asked: Option<Instant>,
     /// When the store, or a home that reaches it, was heard last.
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
     /// It looks at the store itself.
-    pub looks: bool,
+    pub watches: bool,
     /// Time since the store, or a home that reaches it, was heard.
     pub age: Option<Duration>,
 }
@@ -118,9 +118,9 @@
 
 impl View {
     /// Nothing is known yet.
-    pub fn open(uses: Uses) -> View {
-        let (state, news) = (Mutex::default(), watch::channel(0).0);
-        View(Arc::new(Shared { uses, state, news, wanted: Notify::new() }))
+    pub fn open(uses: Consumers) -> View {
+        let (state, updates) = (Mutex::default(), watch::channel(0).0);
+        View(Arc::new(Shared { uses, state, updates, wanted: Notify::new() }))
     }
 
     fn now(&self) -> u64 {
@@ -133,14 +133,14 @@
     }
 
     fn tell(&self) {
-        self.0.news.send_modify(|count| *count += 1);
+        self.0.updates.send_modify(|count| *count += 1);
     }
 
     /// The configuration as it was read from the store.
-    pub fn config_read(&self, objects: &[Object], times: u64) {
-        self.0.state.lock().looks.config = true;
+    pub fn config_read(&self, objects: &[Object], suspensions: u64) {
+        self.0.state.lock().watches.config = true;
         objects.iter().for_each(|object| self.config(object));
-        self.0.uses.pulse.read(Part::Config, times);
+        self.0.uses.watchdog.read(Dataset::Config, suspensions);
         self.tell();
     }
 
@@ -168,7 +168,7 @@
         let (kind, name) = platform::CONFIG;
         let mut state = self.0.state.lock();
         state.config_at = object.version;
-        state.shelf.put(kind, name, object.version, Some(&object.value));
+        state.change_log.put(kind, name, object.version, Some(&object.value));
         drop(state);
         self.tell();
         tracing::info!(event = "config_in_force", version, routes, object = object.version);
@@ -203,25 +203,25 @@
     }
 
     /// How this box stands with its news.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> Standing {
         let state = self.0.state.lock();
         let age = state.heard.map(|at| at.elapsed());
-        Standing { looks: state.looks.is_whole(), age }
+        Standing { watches: state.watches.is_whole(), age }
     }
 
     /// This box begins to look at the store itself, or no longer does.
     pub fn start_over(&self) {
-        self.0.state.lock().looks = Looks::default();
+        self.0.state.lock().watches = Looks::default();
     }
 
     /// Takes over what a home tells.
-    pub fn hear(&self, news: News) {
+    pub fn hear(&self, updates: Update) {
         let mut state = self.0.state.lock();
         let mut endpoints = Vec::new();
         let mut boxes = Vec::new();
         let mut words = Vec::new();
         let mut config = None;
-        for change in news.changes {
+        for change in updates.changes {
             match &*change.kind {
                 platform::ENDPOINTS => endpoints.push(change),
                 BOXES => boxes.push(change),
@@ -235,22 +235,22 @@
                 kind => tracing::warn!(event = "news_not_understood", kind),
             }
         }
-        if news.whole || !endpoints.is_empty() {
-            state.hear_endpoints(endpoints, news.whole, news.endpoints_at);
-            self.publish(&mut state, "home", news.endpoints_at);
+        if updates.whole || !endpoints.is_empty() {
+            state.hear_endpoints(endpoints, updates.whole, updates.endpoints_at);
+            self.publish(&mut state, "home", updates.endpoints_at);
         }
         // After the endpoints: those that say something have to be known.
         for wire::Change { kind, name, value, .. } in words {
             match value.as_deref() {
                 value if &*kind == LIMITS => self.take_limit(&mut state, &name, value),
-                Some(text) => self.take_departure(&mut state, &name, text, !news.whole),
+                Some(text) => self.take_departure(&mut state, &name, text, !updates.whole),
                 // The home forgot it; this box does so by itself.
                 None => {}
             }
         }
-        if news.whole || !boxes.is_empty() {
-            state.hear_boxes(boxes, news.whole, news.boxes_at);
-            self.publish_boxes(&mut state, news.boxes_at);
+        if updates.whole || !boxes.is_empty() {
+            state.hear_boxes(boxes, updates.whole, updates.boxes_at);
+            self.publish_boxes(&mut state, updates.boxes_at);
         }
         drop(state);
         if let Some(wire::Change { kind, name, version, value: Some(value) }) = config {
@@ -258,11 +258,11 @@
         }
         let now = Instant::now();
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-        let away = news.away_ms.map(ago);
+        let away = updates.away_ms.map(ago);
         let before = self.away_since();
         self.set_away(away);
         if let (Some(lost_since), None) = (before, away) {
-            self.0.uses.contact.tell(lost_since);
+            self.0.uses.recovery.tell(lost_since);
         }
     }
 }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -407,8 +407,8 @@
 /// what is unspent, and less than that if little of the budget is left: tokens that were not used
 /// in an outage can be used after it, but those that a box held when it died cannot.
 fn target(unspent: u64, paid: u64, portion: u64, observed: Observed, policy: Policy) -> u64 {
-    let plenty = (paid * policy.plenty / 1_000).max(1);
-    let part = unspent * portion / 1_000 * unspent.min(plenty) / plenty;
+    let scarcity_permille = (paid * policy.scarcity_permille / 1_000).max(1);
+    let part = unspent * portion / 1_000 * unspent.min(scarcity_permille) / scarcity_permille;
     let large = observed.peak / policy.boxes.max(1);
     part.min(observed.rate * policy.offline_horizon + large)
 }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::{Bill, Grant, Incarnation, Journal, Numbers, Page, Part, Record, Statement, Transfer};
+use crate::{Bill, Grant, Incarnation, Journal, RangeSet, Page, Part, Record, Statement, Transfer};
 
 /// Number of bills on one page.
-pub const PAGE_BILLS: usize = 200;
+pub const BILLS_PER_PAGE: usize = 200;
 /// Number of billed keys that are remembered, so that a rerun is not billed twice.
 const KEYS: usize = 4_000;
 /// Most bills kept in a ledger; then a fold waits until pages of them are written. A value of the
@@ -96,7 +96,7 @@
     /// Numbers of the counted transfers between boxes, by giver. Kept after the giver is gone, as
     /// the receiver may report a transfer later.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub passed: BTreeMap<Incarnation, Numbers>,
+    pub passed: BTreeMap<Incarnation, RangeSet>,
     /// Transfers applied, while the giver or the receiver still has a grant.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub transfers: BTreeSet<Transfer>,
@@ -356,16 +356,16 @@
     /// Returns the full pages of bills that are to be written before they leave the ledger, oldest
     /// first.
     pub fn full_pages(&self) -> Vec<(u64, Page)> {
-        let pages = self.statement.recent.chunks_exact(PAGE_BILLS);
+        let pages = self.statement.recent.chunks_exact(BILLS_PER_PAGE);
         let numbered = (self.statement.pages..).zip(pages);
         numbered.map(|(number, bills)| (number, Page { bills: bills.to_vec() })).collect()
     }
 
     /// Drops the bills of page `number`, which was written.
     pub fn drop_page(&mut self, number: u64) -> bool {
-        let fits = self.statement.pages == number && self.statement.recent.len() >= PAGE_BILLS;
+        let fits = self.statement.pages == number && self.statement.recent.len() >= BILLS_PER_PAGE;
         if fits {
-            self.statement.recent.drain(..PAGE_BILLS);
+            self.statement.recent.drain(..BILLS_PER_PAGE);
             self.statement.pages += 1;
         }
         fits
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -30,7 +30,7 @@
 
 /// What a report of a box changes for its keeper.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct News {
+pub struct Delta {
     /// Tokens used.
     pub used: u64,
     /// Tokens returned.
@@ -41,13 +41,13 @@
 
 impl Share {
     /// Tokens that are neither used nor returned.
-    pub fn rest(&self) -> u64 {
+    pub fn outstanding(&self) -> u64 {
         self.given.saturating_sub(self.used + self.returned)
     }
 
     /// Counts up to `tokens` as used; returns how many were.
     pub fn spend(&mut self, tokens: u64) -> u64 {
-        let spent = tokens.min(self.rest());
+        let spent = tokens.min(self.outstanding());
         self.used += spent;
         spent
     }
@@ -55,13 +55,13 @@
     /// On the keeper: applies the totals that the box reports; returns what changed.
     ///
     /// Totals that exceed what was passed on can't belong to this pair, and change nothing.
-    pub fn hear(&mut self, told: Share) -> Option<News> {
+    pub fn receive_report(&mut self, told: Share) -> Option<Delta> {
         let (used, returned) = (told.used.max(self.used), told.returned.max(self.returned));
         if used.checked_add(returned)? > self.given {
             return None;
         }
         let requests = told.requests.max(self.requests);
-        let news = News {
+        let news = Delta {
             used: used - self.used,
             returned: returned - self.returned,
             requests: requests - self.requests,
@@ -80,7 +80,7 @@
 
 /// A box's report to its keeper on one customer, with the tokens that it needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Demand {
     pub customer: Arc<str>,
     /// Totals as the box knows them.
     pub share: Share,
@@ -94,7 +94,7 @@
 
 /// A keeper's answer to a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Given {
+pub struct Supply {
     pub customer: Arc<str>,
     /// Total of the tokens passed on.
     pub given: u64,
--- a/crates/ledger/src/sizing.rs
+++ b/crates/ledger/src/sizing.rs
@@ -43,7 +43,7 @@
     pub boxes: u64,
     /// Part of the paid amount, in thousandths, below which the offline part shrinks with what is
     /// unspent.
-    pub plenty: u64,
+    pub scarcity_permille: u64,
 }
 
 /// Offline part after an outage, in thousandths. Nearly all: what is held is also bounded by
@@ -61,7 +61,7 @@
     pub fn after_outage(self) -> Policy {
         Policy {
             offline_share: self.offline_share.max(SHARE_AFTER_OUTAGE),
-            plenty: self.plenty.min(PLENTY_AFTER_OUTAGE),
+            scarcity_permille: self.scarcity_permille.min(PLENTY_AFTER_OUTAGE),
             ..self
         }
     }
@@ -69,7 +69,7 @@
     /// Returns the policy of a box that draws only the tokens that its requests wait for, while the
     /// keeper of its zone holds those for an outage. Boxes that take over for a keeper during an
     /// outage would otherwise go on to hold a share of their own, which nobody uses.
-    pub fn stand_in(self) -> Policy {
+    pub fn on_demand(self) -> Policy {
         Policy { offline_share: 0, ..self }
     }
 
@@ -78,7 +78,7 @@
     ///
     /// Failures come in series, so a box is most likely to die shortly after an outage, and with it
     /// all tokens that it was just granted.
-    pub fn in_touch_for(self, seconds: u64) -> Policy {
+    pub fn reachable_for(self, seconds: u64) -> Policy {
         Policy { offline_horizon: self.offline_horizon.min(seconds + LEAST_HORIZON_S), ..self }
     }
 }
@@ -128,7 +128,7 @@
                 online_horizon: 10,
                 offline_horizon: 7_200,
                 boxes,
-                plenty: 0,
+                scarcity_permille: 0,
             };
             let observed =
                 Observed { rate: 1_000_000, largest: 5_000, peak: 5_000, unspent: 1_000_000 };
@@ -144,7 +144,7 @@
             online_horizon: 10,
             offline_horizon: 7_200,
             boxes: 8,
-            plenty: 0,
+            scarcity_permille: 0,
         };
         let observed = Observed { rate: 100, largest: 500, peak: 500, unspent: 800 };
         assert_eq!(target(policy, observed).online, 50);
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be run.
-    Free,
+    Allowed,
     /// It may be run, though so many endpoints ended with it.
     Suspect { ended: usize },
     /// Whether it may be run hangs on ends that are not proved yet, beside this many that are.
-    Unproved { ended: usize },
+    Unconfirmed { ended: usize },
     /// It is not run for so many seconds.
     Quarantined { for_s: u64 },
 }
@@ -49,7 +49,7 @@
 
 /// All reports that a box knows.
 #[derive(Debug)]
-pub struct Record {
+pub struct Registry {
     limits: Limits,
     reports: HashMap<Arc<str>, Known>,
     /// Names of the reports about a request.
@@ -58,11 +58,11 @@
     arrivals: u64,
 }
 
-impl Record {
+impl Registry {
     /// Nothing is known yet.
-    pub fn new(limits: Limits) -> Record {
+    pub fn new(limits: Limits) -> Registry {
         let (reports, about, answered) = Default::default();
-        Record { limits, reports, about, answered, arrivals: 0 }
+        Registry { limits, reports, about, answered, arrivals: 0 }
     }
 
     /// Takes over a report, with the version that the store gave it if it has one. Returns which of its
@@ -140,14 +140,14 @@
                 let last = seconds[proved - self.limits.ended];
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
-            _ if proved + open.len() >= self.limits.ended => Verdict::Unproved { ended: proved },
-            0 => Verdict::Free,
+            _ if proved + open.len() >= self.limits.ended => Verdict::Unconfirmed { ended: proved },
+            0 => Verdict::Allowed,
             _ => Verdict::Suspect { ended: proved },
         }
     }
 
     /// Whether a report counts.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.reports.contains_key(name)
     }
 
@@ -196,8 +196,8 @@
         if self.reports.len() <= MOST_REPORTS {
             return;
         }
-        let holds = |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
-        let rank = |known: &Known| (holds(known), known.order);
+        let contains = |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
+        let rank = |known: &Known| (contains(known), known.order);
         let ranked = self.reports.iter().map(|(name, known)| (rank(known), name.clone()));
         let mut ranked: Vec<((bool, _), Arc<str>)> = ranked.collect();
         ranked.sort();
