--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    availability::Departure,
+    back_off::BackOff,
     cold::Cold,
     limit::{Limit, LimitSignal},
     pace::Pace,
-    back_off::BackOff,
-    availability::Departure,
 };
 
 /// Own counts remembered, one each [`SAMPLE_MS`].
@@ -224,8 +224,12 @@
 
     /// Another box told of a prompt that it sent, or that it was read.
     pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |receive_prompt: &Told| receive_prompt.by == *by && receive_prompt.number == prompt.number;
-        self.prompts.retain(|receive_prompt| !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now);
+        let same = |receive_prompt: &Told| {
+            receive_prompt.by == *by && receive_prompt.number == prompt.number
+        };
+        self.prompts.retain(|receive_prompt| {
+            !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now
+        });
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
             self.prompts.push(Told { by, number, size, at: now });
@@ -241,7 +245,8 @@
             let age = now.saturating_sub(report.at) as f64;
             waiting * (-age / BACKLOG_MS).exp()
         });
-        let receive_prompt = self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
+        let receive_prompt =
+            self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
         let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
         // Those that were told of may be the ones that wait.
         self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
--- a/crates/balance/src/pool/wait.rs
+++ b/crates/balance/src/pool/wait.rs
@@ -1,7 +1,7 @@
 //! Who may get a request now, and when those come again that no endpoint took.
 
 use super::Pool;
-use crate::{Endpoint, Limit, Availability};
+use crate::{Availability, Endpoint, Limit};
 
 /// Longest time that is added for one request to come after the others, in milliseconds: callers that wait for an
 /// answer of a model have a few times as much.
@@ -51,7 +51,8 @@
     /// ones before others.
     pub fn retry_after_ms(&mut self, rank: u8, now: u64) -> Option<u64> {
         let wait = self.next_offer_ms(now)?;
-        let kept_back = self.staying().filter_map(|endpoint| endpoint.back_off.keeps_back_since(now));
+        let kept_back =
+            self.staying().filter_map(|endpoint| endpoint.back_off.keeps_back_since(now));
         if let Some(since) = kept_back.max().filter(|_| wait > 0) {
             let place = SOONEST + f64::from(rank.min(RANKS)) / f64::from(RANKS);
             let later = now.saturating_sub(since) as f64 * place;
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -17,7 +17,13 @@
 const TOO_MANY: usize = 17;
 
 fn weights() -> Weights {
-    Weights { random_candidates: 4, prefix_owners: 2, in_flight: 0.05, size_per_request: 2_000.0, ..Weights::default() }
+    Weights {
+        random_candidates: 4,
+        prefix_owners: 2,
+        in_flight: 0.05,
+        size_per_request: 2_000.0,
+        ..Weights::default()
+    }
 }
 
 fn name(n: usize) -> Arc<str> {
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -9,8 +9,8 @@
 mod requests;
 mod permits;
 
-pub use requests::{PromptNotice, Delivery, WitnessReply};
 pub use permits::MAX_HOPS;
+pub use requests::{Delivery, PromptNotice, WitnessReply};
 
 use std::{
     collections::HashMap,
@@ -30,10 +30,10 @@
 
 use crate::fleet::{
     entry::Entry,
-    watchers::{Watchers, watchers},
     keepers::{Profile, keepers},
     promises::Promises,
     traffic::Traffic,
+    watchers::{Watchers, watchers},
 };
 
 /// Boxes told of one prompt.
@@ -157,7 +157,8 @@
     pub fn keepers(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
-        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        let others: Vec<Profile> =
+            state.known.values().map(|known| known.entry.profile()).collect();
         let mut keepers = keepers(&state.profile, &others);
         keepers.retain(|name| state.known.get(name).is_none_or(|known| known.is_reachable(now)));
         keepers
@@ -166,7 +167,8 @@
     /// Whom this box listens to.
     pub fn watchers(&self) -> Watchers {
         let state = self.state.lock();
-        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        let others: Vec<Profile> =
+            state.known.values().map(|known| known.entry.profile()).collect();
         watchers(&state.profile, &others)
     }
 
--- a/crates/gateway/src/fleet/homes.rs
+++ b/crates/gateway/src/fleet/watchers.rs
@@ -50,8 +50,11 @@
 pub fn watchers(me: &Profile, others: &[Profile]) -> Watchers {
     let fleet = || others.iter().chain([me]);
     let strongest = fleet().map(|profile| profile.strength).max().unwrap_or_default();
-    let mut able: Vec<&Profile> = fleet().filter(|profile| profile.strength * 2 >= strongest).collect();
-    able.sort_by_key(|profile| (Reverse(member::weight(WORD, profile.name.box_name())), &profile.name));
+    let mut able: Vec<&Profile> =
+        fleet().filter(|profile| profile.strength * 2 >= strongest).collect();
+    able.sort_by_key(|profile| {
+        (Reverse(member::weight(WORD, profile.name.box_name())), &profile.name)
+    });
     let able = over_zones(able);
     let count = (others.len() + 1).div_ceil(SERVED).max(LEAST).min(able.len());
     let (first, rest) = able.split_at(count);
--- a/crates/gateway/src/door/handle.rs
+++ b/crates/gateway/src/inbound/handle.rs
@@ -12,10 +12,10 @@
 use crate::proxy::{
     admit,
     context::Context,
+    exchange::{Exchange, Outcome},
     link::Link,
     refusal::Refusal,
     relay::{InFlight, Relay},
-    exchange::{Outcome, Exchange},
 };
 
 /// How long a request without a deadline of its own may take.
@@ -30,7 +30,8 @@
         let since = self.clock.now();
         let head = Head::read(request.headers());
         let until = since.at() + head.deadline.unwrap_or(LONGEST);
-        let mut exchange = Exchange::begin(&head, since, until, self.metrics.clone(), self.bills.clone());
+        let mut exchange =
+            Exchange::begin(&head, since, until, self.metrics.clone(), self.bills.clone());
         let mut response = match self.answer(request, head, &mut exchange).await {
             Ok((answer, in_flight)) => relayed(*answer, in_flight, exchange, self.link.clone()),
             Err(refusal) => {
@@ -60,7 +61,12 @@
     }
 }
 
-fn relayed(answer: Answer, in_flight: InFlight, exchange: Exchange, link: Arc<Link>) -> Response<Body> {
+fn relayed(
+    answer: Answer,
+    in_flight: InFlight,
+    exchange: Exchange,
+    link: Arc<Link>,
+) -> Response<Body> {
     let headers = answer::towards_caller(&answer.head.headers);
     let status = answer.head.status;
     let relay = Relay::new(answer.body, status.as_u16(), in_flight, exchange, link);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -27,32 +27,32 @@
 pub use clock::{Clock, Dataset, Watchdog};
 pub use fleet::{
     entry::Entry,
-    watchers::{Watchers, watchers},
     keepers::{Profile, keepers},
     peers::Peers,
-    promises::{Promises, Acceptance},
+    promises::{Acceptance, Promises},
+    watchers::{Watchers, watchers},
 };
 pub use gateway::{Error, Gateway};
-pub use tokens::{
-    bills::Bills,
-    participation::Participation,
-    funds::{Balance, Funds, Hold, Shortage},
-    forecast::Forecast,
-    spacing::interval_factor,
+pub use outage::{Outage, Probe, Recovery};
+pub use proxy::{
+    crashes::{Crashes, Liveness, Prober},
+    endpoints::{Changes, Chosen, Endpoints},
+    event_counter::EventCounter,
+    link::Link,
+    refusal::{Reason, Refusal},
+    retries::Retries,
 };
+pub use settings::Settings;
 pub use sync::{
+    change_log::ChangeLog,
     directory::Directory,
     evacuations::{Evacuations, Zones},
-    change_log::ChangeLog,
 };
-pub use outage::{Recovery, Outage, Probe};
-pub use settings::Settings;
 pub use table::Table;
-pub use proxy::{
-    crashes::{Crashes, Liveness, Prober},
-    endpoints::{Chosen, Endpoints, Changes},
-    link::Link,
-    event_counter::EventCounter,
-    refusal::{Reason, Refusal},
-    retries::Retries,
+pub use tokens::{
+    bills::Bills,
+    forecast::Forecast,
+    funds::{Balance, Funds, Hold, Shortage},
+    participation::Participation,
+    spacing::interval_factor,
 };
--- a/crates/gateway/src/way/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -15,12 +15,12 @@
 use tokio::{sync::OwnedSemaphorePermit, time::Instant};
 
 use crate::{
-    money::funds::Shortage,
     proxy::{
         context::Context,
-        refusal::{Reason, Refusal, SOON},
         exchange::Exchange,
+        refusal::{Reason, Refusal, SOON},
     },
+    tokens::funds::Shortage,
 };
 
 /// When to come back where the box lacks tokens or its configuration: a settlement or a read
--- a/crates/gateway/src/way/bounds.rs
+++ b/crates/gateway/src/proxy/bounds.rs
@@ -16,6 +16,9 @@
 impl Bounds {
     /// What the operator allows.
     pub fn of(limits: &Limits) -> Bounds {
-        Bounds { head_bytes: limits.head_bytes, head_timeout: Duration::from_millis(limits.idle_ms) }
+        Bounds {
+            head_bytes: limits.head_bytes,
+            head_timeout: Duration::from_millis(limits.idle_ms),
+        }
     }
 }
--- a/crates/gateway/src/way/gate.rs
+++ b/crates/gateway/src/proxy/context.rs
@@ -11,13 +11,13 @@
     clock::{Clock, Moment, Watchdog},
     fleet::peers::Peers,
     metrics::Metrics,
-    tokens::{bills::Bills, acquirer::Acquirer, funds::Funds},
-    settings::Settings,
-    table::Table,
     proxy::{
-        bounds::Bounds, crashes::Crashes, endpoints::Endpoints, link::Link, retries::Retries,
-        announcer::Announcer, permits::Permits,
+        announcer::Announcer, bounds::Bounds, crashes::Crashes, endpoints::Endpoints, link::Link,
+        permits::Permits, retries::Retries,
     },
+    settings::Settings,
+    table::Table,
+    tokens::{acquirer::Acquirer, bills::Bills, funds::Funds},
 };
 
 /// All that the way of a request needs.
--- a/crates/gateway/src/way/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -149,7 +149,7 @@
     }
 
     /// Takes over a report, with the version of the store if it has one.
-    pub fn take(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
+    pub fn receive_report(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
         let (now_s, now_ms) = (unix_s(), self.now_ms());
         let mut state = self.0.state.lock();
         let given_up = match &report.finding {
@@ -230,7 +230,7 @@
             state.next += 1;
             format!("{}.{:06}", self.0.me, state.next).into()
         };
-        self.take(&name, None, report.clone());
+        self.receive_report(&name, None, report.clone());
         if let Err(error) = self.0.reports.try_send((name, report)) {
             tracing::error!(event = "crash_report_dropped", %error);
         }
--- a/crates/gateway/src/way/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -13,7 +13,9 @@
     time::Duration,
 };
 
-use balance::{Allowance, Choice, Failure, Fleet, Limit, Candidates, Pool, Prefix, Prompt, Weights};
+use balance::{
+    Allowance, Candidates, Choice, Failure, Fleet, Limit, Pool, Prefix, Prompt, Weights,
+};
 use parking_lot::Mutex;
 use platform::{config::Service, endpoint::Entry};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -86,8 +88,8 @@
 
 /// Name of a life of an endpoint: what was learned of an earlier one is not known of it.
 fn life_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
-    match entry.instance {
-        Some(instance) => format!("{id} {life}").into(),
+    match entry.life {
+        Some(instance) => format!("{id} {instance}").into(),
         None => id.clone(),
     }
 }
@@ -125,7 +127,9 @@
         for pool in self.services.values_mut() {
             let back = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
             back.iter().for_each(|instance| pool.mark_cold(instance, None, now));
-            pool.set_departures(|instance| self.left.get(instance, self.found.get(instance)?.address));
+            pool.set_departures(|instance| {
+                self.left.get(instance, self.found.get(instance)?.address)
+            });
         }
     }
 
@@ -287,7 +291,7 @@
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
-        let rest = Some(endpoint.rest.left_ms(now)).filter(|ms| *ms > 0);
+        let rest = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
         let rest = rest.map(Duration::from_millis);
         Some(Chosen { instance, id, address, held, load, limit, leaves, rest })
     }
--- a/crates/gateway/src/way/trip.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -10,8 +10,8 @@
 use crate::{
     clock::Moment,
     metrics::{Finished, Metrics},
-    tokens::{bills::Bills, funds::Hold},
     proxy::refusal::Refusal,
+    tokens::{bills::Bills, funds::Hold},
 };
 
 /// Events that an endpoint may make after the last one that was passed on, until it sees that its
@@ -130,7 +130,9 @@
         match end {
             _ if !self.may_have_run => 0,
             Outcome::Answered { status } if (200..300).contains(status) => made(events),
-            Outcome::Left | Outcome::Broken { .. } if self.sent == 1 => made(events + UNSEEN_EVENTS),
+            Outcome::Left | Outcome::Broken { .. } if self.sent == 1 => {
+                made(events + UNSEEN_EVENTS)
+            }
             _ => made(u64::MAX),
         }
     }
--- a/crates/gateway/src/way/turns.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use balance::Turn;
+use balance::Permit;
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use wire::{LimitNotice, PermitReply};
@@ -15,10 +15,10 @@
 use crate::{
     clock::Moment,
     fleet::peers::{MAX_HOPS, Peers},
-    metrics::{PermitOutcome, Metrics},
+    metrics::{Metrics, PermitOutcome},
     proxy::{
+        announcer::{Announcement, Announcer},
         endpoints::{Chosen, Endpoints},
-        announcer::{Announcer, Announcement},
     },
 };
 
@@ -67,7 +67,7 @@
     /// Whether a request of this box may be sent to an endpoint that names a limit.
     pub async fn take(&self, service: &str, chosen: &Chosen) -> bool {
         let Setup { endpoints, metrics, .. } = &self.0.setup;
-        let Some(signal) = endpoints.signal(&chosen.instance) else { return true };
+        let Some(signal) = endpoints.limit_notice(&chosen.instance) else { return true };
         let (turned, by) = self.ask(&chosen.instance, signal, 0).await;
         let outcome = match &turned {
             PermitReply::Given => "given",
@@ -90,20 +90,25 @@
     }
 
     /// Answers another box that asks for a turn.
-    pub async fn answer(&self, permit: wire::Turn, from: &str) -> PermitReply {
+    pub async fn answer(&self, permit: wire::PermitRequest, from: &str) -> PermitReply {
         let Setup { endpoints, stopping, .. } = &self.0.setup;
         if *stopping.borrow() {
             return PermitReply::Leaves;
         }
-        let wire::Turn { signal, hops } = permit;
+        let wire::PermitRequest { signal, hops } = permit;
         endpoints.receive_limit(&signal, from);
         let instance = signal.endpoint.clone();
-        let signal = endpoints.signal(&instance).unwrap_or(signal);
+        let signal = endpoints.limit_notice(&instance).unwrap_or(signal);
         self.ask(&instance, signal, hops + 1).await.0
     }
 
     /// Asks who hands out turns there, which may be this box; says who answered.
-    async fn ask(&self, instance: &Arc<str>, signal: LimitNotice, hops: u8) -> (PermitReply, String) {
+    async fn ask(
+        &self,
+        instance: &Arc<str>,
+        signal: LimitNotice,
+        hops: u8,
+    ) -> (PermitReply, String) {
         let Setup { peers, stopping, .. } = &self.0.setup;
         // The first and one that stands in for it; whoever hears of no other by then waits.
         for _ in 0..2 {
@@ -114,7 +119,7 @@
             if hops > MAX_HOPS {
                 break;
             }
-            let permit = wire::Turn { signal: signal.clone(), hops };
+            let permit = wire::PermitRequest { signal: signal.clone(), hops };
             if let Some(turned) = peers.permit(&issuer, permit).await {
                 return (turned, issuer.to_string());
             }
@@ -126,7 +131,8 @@
     /// have another one, and the sum of both is what the endpoint gets.
     fn give(&self, instance: &Arc<str>) -> PermitReply {
         let Setup { endpoints, peers, metrics, started, announcer, .. } = &self.0.setup;
-        let (Some(signal), Some(boxes)) = (endpoints.signal(instance), endpoints.boxes()) else {
+        let (Some(signal), Some(boxes)) = (endpoints.limit_notice(instance), endpoints.boxes())
+        else {
             return PermitReply::After { ms: UNKNOWN.as_millis() as u64 };
         };
         let Some(limit) = signal.limit else { return PermitReply::Free { signal } };
@@ -139,7 +145,7 @@
         let open = || Handed { permits: balance::Permits::open(now), told: now };
         let handed = given.entry(instance.clone()).or_insert_with(open);
         match handed.permits.take(limit.as_per_s() * part, now) {
-            Turn::Given => {
+            Permit::Given => {
                 metrics.permits_issued.inc();
                 if now >= handed.told + TELL_EVERY {
                     handed.told = now;
@@ -147,7 +153,7 @@
                 }
                 PermitReply::Given
             }
-            Turn::After { ms } => PermitReply::After { ms },
+            Permit::After { ms } => PermitReply::After { ms },
         }
     }
 }
--- a/crates/gateway/src/news/words.rs
+++ b/crates/gateway/src/sync/signals.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     fleet::peers::Peers,
+    proxy::{announcer::Announcement, endpoints::Endpoints},
     sync::view::View,
-    proxy::{endpoints::Endpoints, announcer::Announcement},
 };
 
 /// Time between two words of a box to which an endpoint said that it leaves, while the entry of that says nothing of it: a
@@ -36,8 +36,12 @@
         };
         let Some(word) = word else { return };
         match word {
-            Announcement::LimitChanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, false),
-            Announcement::LimitUnchanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, true),
+            Announcement::LimitChanged { instance } => {
+                publish_limit(&view, &peers, &endpoints, &instance, false)
+            }
+            Announcement::LimitUnchanged { instance } => {
+                publish_limit(&view, &peers, &endpoints, &instance, true)
+            }
             Announcement::Leaves { instance, address } => {
                 view.receive_departure(&instance, address);
                 peers.publish_departure(&instance, address);
@@ -53,7 +57,7 @@
     instance: &Arc<str>,
     is_repeated: bool,
 ) {
-    let Some(said) = endpoints.said(instance) else { return };
+    let Some(said) = endpoints.limit_notice(instance) else { return };
     if view.receive_limit(instance, said.limit) || is_repeated {
         peers.publish_limit(instance, said.limit);
     }
--- a/crates/gateway/src/news/listen.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -18,9 +18,9 @@
 
 use crate::{
     clock::Dataset,
-    fleet::{entry::BOXES, watchers::Watchers, peers::Peers},
-    updates::look::{Looking, Setup},
+    fleet::{entry::BOXES, peers::Peers, watchers::Watchers},
     outage::Probe,
+    sync::watcher::{Looking, Setup},
 };
 
 /// Time after which a home without news answers all the same.
@@ -231,7 +231,9 @@
     /// Another home, which reaches the store.
     async fn in_touch(&self, not: &Incarnation) -> Option<Heard> {
         let watchers = self.peers.watchers();
-        for home in watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home)) {
+        for home in
+            watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home))
+        {
             match self.ask(home, None, true, Duration::ZERO).await {
                 Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
                 _ => {}
@@ -284,7 +286,8 @@
             whole = updates.whole,
             away_ms = updates.away_ms,
         );
-        let heard = Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
+        let heard =
+            Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
         self.setup.view.hear(updates);
         heard
     }
--- a/crates/gateway/src/news/view/limits.rs
+++ b/crates/gateway/src/sync/view/limits.rs
@@ -18,8 +18,10 @@
     pub fn receive_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
         let text = limit.map(|limit| serde_json::to_string(&limit).expect("it always serializes"));
         let mut state = self.0.state.lock();
-        let told =
-            state.change_log.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
+        let told = state
+            .change_log
+            .value(LIMITS, endpoint)
+            .map(|text| serde_json::from_str::<Limit>(&text));
         let is_news = match (limit, told) {
             (Some(limit), Some(Ok(told))) => !limit.is_close(told),
             (None, None) => false,
--- a/crates/gateway/src/news/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -28,16 +28,16 @@
 use wire::Update;
 
 use crate::{
-    clock::{Moment, Dataset, Watchdog},
+    clock::{Dataset, Moment, Watchdog},
     fleet::{
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    tokens::funds::Funds,
-    updates::{directory::Directory, evacuations::Evacuations, change_log::ChangeLog},
     outage::Recovery,
-    table::Table,
     proxy::{crashes::Crashes, endpoints::Endpoints},
+    sync::{change_log::ChangeLog, directory::Directory, evacuations::Evacuations},
+    table::Table,
+    tokens::funds::Funds,
 };
 
 /// The configuration in force; `None` until one was read.
@@ -262,7 +262,7 @@
         let before = self.away_since();
         self.set_away(away);
         if let (Some(lost_since), None) = (before, away) {
-            self.0.uses.recovery.tell(lost_since);
+            self.0.uses.recovery.announce(lost_since);
         }
     }
 }
--- a/crates/gateway/src/money/draws.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -7,18 +7,18 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{Incarnation, Demand};
+use ledger::{Demand, Incarnation};
 use tokio::{sync::watch, time::Instant};
 use wire::{Draw, Drawn};
 
 use crate::{
     fleet::peers::Peers,
-    money::{
-        funds::{Funds, Hold},
+    settings::Settings,
+    tokens::{
         borrower::Borrower,
+        funds::{Funds, Hold},
         report,
     },
-    settings::Settings,
 };
 
 /// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
--- a/crates/gateway/src/money/funds/promising.rs
+++ b/crates/gateway/src/tokens/funds/promises.rs
@@ -14,7 +14,9 @@
     /// Waits for a new promise if the current one keeps tokens from a request of this size. Returns
     /// whether a new promise was accepted in time.
     pub async fn wait_for_release(&self, customer: &str, worst: u64, until: Instant) -> bool {
-        let Some(mut promise_accepted) = self.request_release(customer, worst) else { return false };
+        let Some(mut promise_accepted) = self.request_release(customer, worst) else {
+            return false;
+        };
         let until = until.min(Instant::now() + FREED_WITHIN);
         tokio::time::timeout_at(until, promise_accepted.changed()).await.is_ok()
     }
--- a/crates/gateway/src/money/funds/settling.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -40,13 +40,19 @@
 
     /// Plans the next settlement. What it reports and returns is taken out of the wallets here, so
     /// it must land, however long that takes.
-    pub fn plan(&self, holder: &Incarnation, writer: Writer, participation: Participation) -> Settlement {
+    pub fn plan(
+        &self,
+        holder: &Incarnation,
+        writer: Writer,
+        participation: Participation,
+    ) -> Settlement {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let limited = state.wallets.iter_mut().filter(|(_, wallet)| wallet.paid.is_some());
         let items = limited.map(|(customer, wallet)| wallet.item(customer, participation, now));
         let (items, earlier) = (items.collect(), Vec::new());
-        let (retires, leaves) = (participation == Participation::Retiring, participation == Participation::Leaving);
+        let (retires, leaves) =
+            (participation == Participation::Retiring, participation == Participation::Leaving);
         Settlement { holder: holder.clone(), writer, items, earlier, retires, leaves }
     }
 
--- a/crates/gateway/src/money/shares.rs
+++ b/crates/gateway/src/tokens/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ledger::{Incarnation, Delta, Share};
+use ledger::{Delta, Incarnation, Share};
 
 /// Tokens that keepers passed on to this box.
 #[derive(Debug, Default)]
--- a/crates/gateway/src/money/purse/settling.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -38,7 +38,12 @@
 
     /// Returns this customer's item of the next settlement. What it reports and returns is taken
     /// out of the account here.
-    pub fn item(&mut self, customer: &Arc<str>, participation: Participation, now: Instant) -> Item {
+    pub fn item(
+        &mut self,
+        customer: &Arc<str>,
+        participation: Participation,
+        now: Instant,
+    ) -> Item {
         if participation == Participation::Leaving {
             self.give_up();
         }
--- a/crates/gateway/src/money/witness.rs
+++ b/crates/gateway/src/tokens/witness.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    fleet::peers::{Peers, Delivery},
+    fleet::peers::{Delivery, Peers},
     tokens::funds::Funds,
 };
 
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/sync.rs
@@ -1,11 +1,11 @@
-//! How news spreads: who looks at the store, what is told, and that nothing goes backwards.
+//! Sync of the boxes' view of the store: who watches it, what is sent to subscribers, and that no view goes backwards.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
 };
 
-use gateway::{Directory, Watchers, Profile, ChangeLog, watchers};
+use gateway::{ChangeLog, Directory, Profile, Watchers, watchers};
 use ledger::Incarnation;
 use platform::{
     endpoint::Entry,
@@ -28,7 +28,8 @@
 }
 
 fn seen_from(fleet: &[Profile], me: usize) -> Watchers {
-    let others: Vec<Profile> = fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
+    let others: Vec<Profile> =
+        fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
     watchers(&fleet[me], &others)
 }
 
@@ -37,11 +38,11 @@
 }
 
 #[test]
-fn few_boxes_look_and_all_agree_on_them() {
+fn boxes_agree_on_few_watchers() {
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
         let first = seen_from(&fleet, 0);
-        assert_eq!(first.first.len(), count, "homes of {boxes} boxes");
+        assert_eq!(first.first.len(), count, "watchers of {boxes} boxes");
         for me in 0..boxes {
             let seen = seen_from(&fleet, me);
             assert_eq!(names(&seen.first), names(&first.first), "as box {me} of {boxes} sees it");
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn weak_boxes_do_not_look_for_others_and_listeners_are_shared() {
+fn watchers_are_strong_and_share_the_subscribers() {
     let fleet = fleet(295);
     let mut listeners = std::collections::BTreeMap::new();
     for me in 0..fleet.len() {
@@ -71,9 +72,9 @@
     assert!(listeners.len() == 6 && most <= 120, "{listeners:?}");
 }
 
-/// The load: the whole of 3,000 endpoints told to 301 boxes, most of it from zone to zone.
+/// Guards against traffic between zones: snapshots are large, so boxes subscribe within their zone if they can.
 #[test]
-fn homes_stand_in_as_many_zones_as_they_can_and_are_heard_there() {
+fn watchers_spread_over_zones_and_serve_their_own() {
     let zones = ["a", "b", "c", "d", "e", "f"];
     for (boxes, in_zones) in [(7, 2), (73, 2), (180, 4), (301, 6)] {
         let fleet: Vec<Profile> =
@@ -84,11 +85,15 @@
         };
         let watchers = seen_from(&fleet, 0).first;
         let with_home: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
-        assert_eq!(with_home.len(), in_zones, "{boxes} boxes: {homes:?}");
+        assert_eq!(with_home.len(), in_zones, "{boxes} boxes: {watchers:?}");
         for me in 0..boxes {
             let heard = zone_of(&seen_from(&fleet, me).first[0]);
             let own = &fleet[me].zone;
-            assert!(heard == *own || !with_home.contains(own), "{} hears {heard}", fleet[me].name);
+            assert!(
+                heard == *own || !with_home.contains(own),
+                "{} subscribes in {heard}",
+                fleet[me].name
+            );
         }
     }
 }
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn a_home_that_was_paused_and_tells_old_news_changes_nothing() {
+fn stale_snapshot_changes_nothing() {
     let mut directory = Directory::default();
     directory.list(
         vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))],
@@ -113,17 +118,17 @@
     directory.remove("left", 8);
     directory.set("drains".into(), 9, entry("draining"));
     directory.set("new".into(), 12, entry("ready"));
-    // What the paused home knew at version 7.
+    // State of the suspended watcher at version 7.
     let old = vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))];
     directory.mirror(old, 7);
     assert_eq!(ready(&directory), BTreeSet::from(["new".into()]));
-    // The endpoint was listed anew: its entry had lapsed with the store.
+    // The entry lapsed during an outage and was written again.
     directory.set("left".into(), 13, entry("ready"));
     assert_eq!(ready(&directory), BTreeSet::from(["left".into(), "new".into()]));
 }
 
 #[test]
-fn a_home_that_knows_more_takes_entries_away() {
+fn newer_snapshot_removes_entries() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))], 6, 0);
     directory.mirror(vec![("b".into(), 6, entry("ready"))], 8);
@@ -131,51 +136,51 @@
 }
 
 #[test]
-fn a_shelf_tells_what_came_since_or_the_whole() {
+fn change_log_returns_changes_or_a_snapshot() {
     let mut change_log = ChangeLog::default();
     assert!(change_log.put("servers", "a", 1, Some("{}")));
     assert!(change_log.put("servers", "b", 2, Some("{}")));
     let told = change_log.last();
-    assert!(!change_log.put("servers", "b", 2, Some("{}")), "nothing new");
-    assert!(!change_log.put("servers", "a", 0, Some("older")), "older than what is known");
+    assert!(!change_log.put("servers", "b", 2, Some("{}")), "unchanged");
+    assert!(!change_log.put("servers", "a", 0, Some("older")), "older than the known version");
     assert!(change_log.put("servers", "a", 1, None));
     let (changes, whole) = change_log.since(told);
     assert!(!whole && changes.len() == 1 && changes[0].value.is_none(), "{changes:?}");
     let (changes, whole) = change_log.since(0);
-    assert!(whole && changes.len() == 2, "those that went are told of too: {changes:?}");
+    assert!(whole && changes.len() == 2, "removals are included: {changes:?}");
     let (_, whole) = change_log.since(told + 9);
-    assert!(whole, "a number of another life");
+    assert!(whole, "a position of another incarnation");
 }
 
 #[test]
-fn a_shelf_forgets_what_went_long_ago_and_then_tells_the_whole() {
+fn truncated_change_log_returns_a_snapshot() {
     let mut change_log = ChangeLog::default();
     for n in 0..3_000 {
         change_log.put("servers", &format!("i-{n}"), n, Some("{}"));
         change_log.put("servers", &format!("i-{n}"), n, None);
     }
     let (changes, whole) = change_log.since(3);
-    assert!(whole && changes.len() < 2_000, "{} told", changes.len());
+    assert!(whole && changes.len() < 2_000, "{} changes", changes.len());
     let (changes, whole) = change_log.since(change_log.last() - 1);
     assert!(!whole && changes.len() == 1);
 }
 
-/// What happens in the store, and to two homes and a listener.
+/// An event at an endpoint, in the store, at one of two watchers, or at the subscriber.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An endpoint is listed, or says that it leaves.
+    /// An endpoint writes its entry: ready, or draining.
     Write { id: u8, ready: bool },
-    /// Its entry goes, and it with it.
+    /// An endpoint ends and its entry is removed.
     Remove { id: u8 },
-    /// It crashes and starts again under its id.
+    /// An endpoint crashes and restarts under its id.
     Restart { id: u8 },
-    /// What it wrote some time ago, in this life or an earlier one, lands only now.
+    /// An earlier write of an endpoint, by this or an earlier instance, lands late.
     Late { id: u8, ago: usize },
-    /// Somebody else writes over its entry.
+    /// Another writer overwrites the entry with garbage.
     Overwrite { id: u8 },
-    /// A home hears all that the store holds.
+    /// A watcher lists the store.
     Look { home: usize },
-    /// The listener hears a home: what came since, or the whole.
+    /// The subscriber receives changes since the last time, or a snapshot.
     Hear { home: usize, whole: bool },
 }
 
@@ -191,7 +196,7 @@
     ]
 }
 
-/// A home: what it saw, at which version of the store, and what it tells.
+/// A watcher: its view, the version of the store it is from, and its change log.
 #[derive(Default)]
 struct Home {
     directory: Directory,
@@ -200,7 +205,7 @@
     told: u64,
 }
 
-/// An endpoint that lives.
+/// A running endpoint.
 #[derive(Debug, Clone)]
 struct Lives {
     life: u64,
@@ -217,16 +222,16 @@
     }
 }
 
-/// The store: entries with their versions, and who lives.
+/// The store: entries with their versions, and the running endpoints.
 #[derive(Default)]
 struct Truth {
     entries: BTreeMap<Arc<str>, (u64, String)>,
     version: u64,
     lives: u64,
     living: BTreeMap<Arc<str>, Lives>,
-    /// Lives that ended, with the version of the store then.
+    /// Ended instances: id, instance, version of the store at the end.
     ended: Vec<(Arc<str>, u64, u64)>,
-    /// What each endpoint ever wrote.
+    /// All writes of each endpoint.
     written: BTreeMap<Arc<str>, Vec<String>>,
 }
 
@@ -236,7 +241,7 @@
         self.entries.insert(id.clone(), (self.version, text));
     }
 
-    /// A heartbeat of an endpoint; one that does not live starts.
+    /// A heartbeat of an endpoint, which starts if it is not running.
     fn write(&mut self, id: &Arc<str>, ready: bool) {
         let lives = &mut self.lives;
         let endpoint = self.living.entry(id.clone()).or_insert_with(|| {
@@ -244,7 +249,7 @@
             Lives { life: *lives, beat: 0, ready: true }
         });
         endpoint.beat += 1;
-        // What drains does not become ready.
+        // A draining endpoint never becomes ready again.
         endpoint.ready &= ready;
         let text = endpoint.text();
         self.written.entry(id.clone()).or_default().push(text.clone());
@@ -259,7 +264,7 @@
         }
     }
 
-    /// Endpoints that want work, with their lives.
+    /// Ready endpoints, with their instances.
     fn ready(&self) -> BTreeSet<(Arc<str>, u64)> {
         let ready = self.living.iter().filter(|(_, endpoint)| endpoint.ready);
         ready.map(|(id, endpoint)| (id.clone(), endpoint.life)).collect()
@@ -271,11 +276,11 @@
     truth: Truth,
     watchers: [Home; 2],
     listener: Directory,
-    /// Lives that the listener was told have left.
+    /// Instances whose removal the subscriber has received.
     left: BTreeSet<(Arc<str>, u64)>,
 }
 
-/// Endpoints that get work, with their lives.
+/// Endpoints that are ready in a view, with their instances.
 fn ready_lives(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
     let life = |entry: &Entry| entry.life.expect("each says it").to_string();
     let ready = directory.ready();
@@ -365,18 +370,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 800, ..ProptestConfig::default() })]
 
-    /// Whatever a listener hears in whichever order: no earlier life of an endpoint takes the place of a
-    /// later one, and once all endpoints wrote again, both homes are up to date and it heard one whole, it
-    /// knows who lives and wants work.
+    /// In any order of events, no earlier instance of an endpoint replaces a later one; and after another heartbeat
+    /// of all endpoints, a list and a snapshot, the subscriber knows exactly the ready endpoints.
     #[test]
-    fn news_only_goes_forwards(steps in prop::collection::vec(step(), 1..60), last in 0..2usize) {
+    fn subscriber_view_never_goes_back(steps in prop::collection::vec(step(), 1..60), last in 0..2usize) {
         let mut run = Run::default();
         let mut newest: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for step in &steps {
             run.step(step);
             for (id, life) in ready_lives(&run.listener) {
                 let known = newest.entry(id.clone()).or_default();
-                prop_assert!(*known <= life, "{id} went back from life {known} to {life}");
+                prop_assert!(*known <= life, "{id} went back from instance {known} to {life}");
                 *known = life;
             }
         }
@@ -384,7 +388,7 @@
             run.truth.write(&id, endpoint.ready);
         }
         let dead = |id: &Arc<str>| !run.truth.living.contains_key(id);
-        // What landed late of an endpoint that died lapses.
+        // Late writes of ended endpoints lapse.
         let lapsed: Vec<Arc<str>> = run.truth.entries.keys().filter(|id| dead(id)).cloned().collect();
         for id in lapsed {
             run.truth.version += 1;
@@ -395,23 +399,23 @@
         prop_assert_eq!(ready_lives(&run.listener), run.truth.ready());
     }
 
-    /// What was told has left gets no work again, unless its entry was written anew.
+    /// An instance whose removal was received never becomes ready again, unless its entry is written again.
     #[test]
-    fn what_left_stays_away(steps in prop::collection::vec(step(), 1..60)) {
+    fn removed_instance_stays_removed(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
         for step in steps.iter().filter(|step| {
             !matches!(step, Step::Late { .. } | Step::Overwrite { .. })
         }) {
             run.step(step);
             let known = ready_lives(&run.listener);
-            prop_assert!(known.is_disjoint(&run.left), "{known:?} after {:?} left", run.left);
+            prop_assert!(known.is_disjoint(&run.left), "{known:?} ready after the removal of {:?}", run.left);
         }
     }
 }
 
-/// Two orders in which something that had left got work again.
+/// Regression cases of the property above.
 #[test]
-fn what_left_stays_away_in_orders_that_once_failed() {
+fn removed_instance_stays_removed_in_regression_cases() {
     let (look, hear) = (|home| Step::Look { home }, |home| Step::Hear { home, whole: false });
     let ready = |id| Step::Write { id, ready: true };
     let orders = [
@@ -436,7 +440,7 @@
     }
 }
 
-/// Anything that may stand in an object of the store.
+/// Arbitrary JSON.
 fn anything() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -456,10 +460,10 @@
 }
 
 proptest! {
-    /// Whatever somebody else writes over a field of an entry, or as a whole: it can be read as the page
-    /// of the platform says, or names no endpoint; reading never fails otherwise.
+    /// Garbage in place of an entry or of one of its fields is rejected, unless it has the type that the platform
+    /// specifies; reading never panics.
     #[test]
-    fn an_entry_of_another_writer_names_no_endpoint(
+    fn malformed_entries_are_rejected(
         whole in anything(),
         field in 0..ENTRY_FIELDS.len(),
         value in anything(),
@@ -488,7 +492,7 @@
 }
 
 #[test]
-fn an_entry_that_no_longer_says_when_its_endpoint_started_is_somebody_elses() {
+fn entry_without_start_time_does_not_replace_one_with_it() {
     let address = "127.0.0.1:1".parse().expect("an address");
     let entry = |born, beat| {
         let entry = Listed { born, beat, ..listed("engines", address) }.entry();
@@ -498,8 +502,8 @@
     assert!(directory.set("a".into(), 3, entry(Some(7), 20)));
     assert!(!directory.set("a".into(), 4, entry(None, 21)));
     assert!(ready(&directory).is_empty());
-    assert!(!directory.set("a".into(), 5, entry(Some(6), 90)), "an earlier life");
-    assert!(directory.set("a".into(), 6, entry(Some(7), 21)), "it wrote again");
+    assert!(!directory.set("a".into(), 5, entry(Some(6), 90)), "an earlier instance");
+    assert!(directory.set("a".into(), 6, entry(Some(7), 21)), "the same instance wrote again");
     assert!(!directory.set("a".into(), 7, entry(Some(7), 20)), "an earlier heartbeat");
-    assert!(directory.set("a".into(), 8, entry(Some(8), 1)), "it started again");
+    assert!(directory.set("a".into(), 8, entry(Some(8), 1)), "a new instance");
 }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::{Bill, Grant, Incarnation, Journal, RangeSet, Page, Part, Record, Statement, Transfer};
+use crate::{Bill, Grant, Incarnation, Journal, Page, Part, RangeSet, Record, Statement, Transfer};
 
 /// Number of bills on one page.
 pub const BILLS_PER_PAGE: usize = 200;
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::{Ended, Evidence, Incarnation, RangeSet, Outcome, Part, Record, Transfer};
+use crate::{Ended, Evidence, Incarnation, Outcome, Part, RangeSet, Record, Transfer};
 
 /// Whether a journal accepts new intents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -81,7 +81,10 @@
         // A hint; boxes of this kind tell what they have under way regularly.
         Frame::Prompt(_) => Frame::Done,
         // The engines of this interface name no limits, and say in their reports whether they leave.
-        Frame::PermitRequest(_) | Frame::PermitReply(_) | Frame::Limit { .. } | Frame::Departure { .. } => {
+        Frame::PermitRequest(_)
+        | Frame::PermitReply(_)
+        | Frame::Limit { .. }
+        | Frame::Departure { .. } => {
             Frame::Refused { reason: "endpoints of this interface report to each box".into() }
         }
         Frame::Draw(_) | Frame::Drawn(_) | Frame::Bills { .. } | Frame::HandOver { .. } => {
--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ledger::{Account, Draw, Ledger, Deficit, Part, Reservation};
+use ledger::{Account, Deficit, Draw, Ledger, Part, Reservation};
 use parking_lot::Mutex;
 use tokio::{sync::Mutex as Turn, time::Instant};
 
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -7,7 +7,11 @@
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The peer speaks a format that this box does not know.
-    #[snafu(display("format {format} is not between {} and {}", crate::OLDEST_FORMAT, crate::NEWEST_FORMAT))]
+    #[snafu(display(
+        "format {format} is not between {} and {}",
+        crate::OLDEST_FORMAT,
+        crate::NEWEST_FORMAT
+    ))]
     Format { format: u16 },
     /// The message is larger than any of ours.
     #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_MESSAGE_BYTES))]
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
 use balance::{Limit, Prompt, Snapshot};
-use ledger::{Entry, Given, Incarnation, Promise, Transfer};
+use ledger::{Entry, Incarnation, Promise, Supply, Transfer};
 use quarantine::Report;
 use serde::{Deserialize, Serialize};
 use timeline::Stamp;
@@ -99,7 +99,7 @@
     /// The life of the keeper that is meant: another one knows nothing of these totals.
     pub keeper: Incarnation,
     /// Customers of whom there is something to tell or to ask.
-    pub items: Vec<ledger::Status>,
+    pub items: Vec<ledger::Demand>,
     /// How long the keeper may look for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender ends by plan: nothing comes after this.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drawn {
     /// Customers asked for.
-    pub items: Vec<Given>,
+    pub items: Vec<Supply>,
     /// The keeper does not reach the store: another one may.
     pub cut: bool,
     /// The keeper ends by plan: it wants back what is not used, and another one is to be asked.
@@ -156,6 +156,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscribe {
     /// The life of the teller that is meant: another one counts its changes anew.
+    #[serde(rename = "teller")]
     pub watcher: Incarnation,
     /// Number of the newest change known, 0 for none; nothing where no changes are wanted, but whether
     /// the teller reaches the store.
@@ -193,8 +194,10 @@
     /// How much it takes; nothing where it named no limit.
     pub limit: Option<Limit>,
     /// Milliseconds since the request was sent whose answer said so.
+    #[serde(rename = "asked_ms")]
     pub sent_ms: u64,
     /// Milliseconds since that answer came.
+    #[serde(rename = "heard_ms")]
     pub answered_ms: u64,
 }
 
@@ -202,6 +205,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// What the asker knows of the endpoint.
+    #[serde(rename = "said")]
     pub signal: LimitNotice,
     /// Boxes that passed this question on.
     pub hops: u8,
@@ -215,7 +219,10 @@
     /// None is left; to be asked for again after so many milliseconds.
     After { ms: u64 },
     /// The endpoint named no limit last.
-    Free { signal: LimitNotice },
+    Free {
+        #[serde(rename = "said")]
+        signal: LimitNotice,
+    },
     /// The box that was asked hands out no turns any more: it is about to stop.
     Leaves,
 }
@@ -224,6 +231,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Regular exchange; answered in kind.
+    #[serde(rename = "Tell")]
     Status(Status),
     /// Entries to carry while the platform is out of reach.
     Carry { by: Incarnation, entries: Vec<Entry> },
@@ -250,8 +258,10 @@
     /// A request with a key is run here.
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
     /// Where is the request with this key run? If nowhere, the asker is about to run it.
+    #[serde(rename = "Where")]
     Locate { customer: Arc<str>, key: Arc<str> },
     /// What the key's home knows.
+    #[serde(rename = "There")]
     Location(Location),
     /// Understood, nothing to say.
     Done,
@@ -275,14 +285,18 @@
     /// before send it.
     Bills { pages: Vec<BillPage> },
     /// Wants news of what the store holds.
+    #[serde(rename = "Listen")]
     Subscribe(Subscribe),
     /// News.
+    #[serde(rename = "News")]
     Update(Update),
     /// What the sender found of requests and an endpoint, for the receiver to pass on.
     Crash { name: Arc<str>, report: Report },
     /// Asks for a turn at an endpoint.
+    #[serde(rename = "Turn")]
     PermitRequest(PermitRequest),
     /// What came of that.
+    #[serde(rename = "Turned")]
     PermitReply(PermitReply),
     /// What an endpoint named last, for the receiver to pass on.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -18,7 +18,7 @@
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
 };
-use wire::{Answer, Change, Frame, Subscribe, Message, Update, Peer, Server, encode};
+use wire::{Answer, Change, Frame, Message, Peer, Server, Subscribe, Update, encode};
 
 /// Endpoints of the load.
 const ENDPOINTS: u64 = 3_000;
@@ -48,7 +48,14 @@
     };
     let changes = (0..endpoints).map(change).collect();
     let (last, at) = (endpoints, endpoints + 400);
-    Frame::Update(Update { last, whole: true, changes, endpoints_at: at, boxes_at: at, away_ms: None })
+    Frame::Update(Update {
+        last,
+        whole: true,
+        changes,
+        endpoints_at: at,
+        boxes_at: at,
+        away_ms: None,
+    })
 }
 
 /// Tells the whole of this many endpoints.
