--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -23,20 +23,20 @@
 
 /// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
 /// longer than a round trip, for boxes under load.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
 /// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
 /// time for which a box holds tokens in reserve.
-const TELL: Duration = Duration::from_millis(1_000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The result of asking a keeper.
 #[derive(Debug)]
-enum Drew {
+enum Outcome {
     Hold(Hold),
     /// The keeper answered, but it and the boxes that it reaches have too few tokens.
-    TooLittle,
+    Insufficient,
     /// The same, and the keeper does not reach the store or is about to stop.
-    Cut,
-    Nothing,
+    StoreUnreachable,
+    Unanswered,
 }
 
 /// Gets tokens for requests.
@@ -59,7 +59,7 @@
     }
 
     /// Longest time for which a keeper may look for tokens.
-    fn keeper_within(&self) -> Duration {
+    fn keeper_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.borrow().money.keeper_ms)
     }
 
@@ -78,28 +78,28 @@
         let mut answered = false;
         for keeper in self.peers.keepers() {
             if keeper == *self.peers.me() {
-                return self.hold_self(customer, worst, from_store, until).await;
+                return self.hold_from_book(customer, worst, from_store, until).await;
             }
-            match self.hold_by(&keeper, customer, worst, until).await {
-                Drew::Hold(hold) => return Some(hold),
+            match self.hold_from_keeper(&keeper, customer, worst, until).await {
+                Outcome::Hold(hold) => return Some(hold),
                 // The other keepers write the same book and have no more.
-                Drew::TooLittle => return None,
-                Drew::Cut => answered = true,
-                Drew::Nothing => {}
+                Outcome::Insufficient => return None,
+                Outcome::StoreUnreachable => answered = true,
+                Outcome::Unanswered => {}
             }
-            if self.funds.are_others_dry(customer, worst) || Instant::now() >= until {
+            if self.funds.are_others_exhausted(customer, worst) || Instant::now() >= until {
                 return None;
             }
         }
         match answered {
             true => None,
             // A box that reaches no keeper turns to the book itself.
-            false => self.hold_self(customer, worst, from_store, until).await,
+            false => self.hold_from_book(customer, worst, from_store, until).await,
         }
     }
 
     /// Asks the book, then other keepers.
-    async fn hold_self(
+    async fn hold_from_book(
         &self,
         customer: &Arc<str>,
         worst: u64,
@@ -114,86 +114,87 @@
     }
 
     /// Asks one keeper.
-    async fn hold_by(
+    async fn hold_from_keeper(
         &self,
         keeper: &Incarnation,
         customer: &Arc<str>,
         worst: u64,
         until: Instant,
-    ) -> Drew {
+    ) -> Outcome {
         let began = Instant::now();
-        let asking = self.funds.asking(customer);
-        let _lacking = self.funds.lacking(customer, worst);
-        let asked = async {
-            let _one_at_a_time = asking.lock().await;
+        let ask_lock = self.funds.ask_lock(customer);
+        let _keeper_wait = self.funds.waiting_for_keeper(customer, worst);
+        let attempt = async {
+            let _guard = ask_lock.lock().await;
             // Another request may have brought enough tokens for both, or found that there are
             // none.
             if let Some(hold) = self.funds.try_hold(customer, worst) {
-                return Drew::Hold(hold);
+                return Outcome::Hold(hold);
             }
-            if self.funds.are_others_dry(customer, worst) {
-                return Drew::TooLittle;
+            if self.funds.are_others_exhausted(customer, worst) {
+                return Outcome::Insufficient;
             }
-            let told = self.funds.demands(keeper, Some((customer, worst)));
-            let within = self.keeper_within().min(until.saturating_duration_since(Instant::now()));
-            let Some(drawn) = self.draw(keeper, told, within, false).await else {
-                return Drew::Nothing;
+            let demands = self.funds.demands(keeper, Some((customer, worst)));
+            let timeout =
+                self.keeper_timeout().min(until.saturating_duration_since(Instant::now()));
+            let Some(drawn) = self.draw(keeper, demands, timeout, false).await else {
+                return Outcome::Unanswered;
             };
-            let given = drawn.items.iter().find(|given| given.customer == *customer);
-            if given.is_some_and(|given| given.dry) {
-                self.funds.note_others_dry(customer, worst);
+            let supply = drawn.items.iter().find(|supply| supply.customer == *customer);
+            if supply.is_some_and(|supply| supply.dry) {
+                self.funds.note_others_exhausted(customer, worst);
             }
             match self.funds.try_hold(customer, worst) {
-                Some(hold) => Drew::Hold(hold),
-                None if drawn.cut || drawn.leaves => Drew::Cut,
-                None => Drew::TooLittle,
+                Some(hold) => Outcome::Hold(hold),
+                None if drawn.cut || drawn.leaves => Outcome::StoreUnreachable,
+                None => Outcome::Insufficient,
             }
         };
-        let drew = tokio::time::timeout_at(until, asked).await.unwrap_or(Drew::Nothing);
+        let outcome = tokio::time::timeout_at(until, attempt).await.unwrap_or(Outcome::Unanswered);
         tracing::info!(
             event = "tokens_drawn",
             keeper = keeper.as_str(),
             customer = &**customer,
             worst,
-            held = matches!(drew, Drew::Hold(_)),
+            held = matches!(outcome, Outcome::Hold(_)),
             took_ms = began.elapsed().as_millis() as u64,
         );
-        drew
+        outcome
     }
 
-    /// Sends one question to a keeper. It runs as a task of its own, so that tokens that arrive
-    /// after the caller has gone are still accounted for.
+    /// Sends demands to a keeper and adds the tokens that it passes on. This runs in a separate
+    /// task, so that tokens that arrive after the caller has gone are still accounted for.
     async fn draw(
         &self,
         keeper: &Incarnation,
         items: Vec<Demand>,
-        within: Duration,
+        timeout: Duration,
         leaves: bool,
     ) -> Option<Drawn> {
         let (this, keeper) = (self.clone(), keeper.clone());
-        let asked = tokio::spawn(async move {
-            let within_ms = within.as_millis() as u64;
+        let attempt = tokio::spawn(async move {
+            let within_ms = timeout.as_millis() as u64;
             let draw = Draw { keeper: keeper.clone(), items: items.clone(), within_ms, leaves };
-            let most = within.max(this.keeper_within()) + ON_THE_WAY;
-            let drawn = this.peers.draw(&keeper, draw, most).await?;
+            let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
+            let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
             this.funds.drawn(&keeper, &items, &drawn.items);
             Some(drawn)
         });
         // The panic hook has logged a panic in the task.
-        asked.await.ok().flatten()
+        attempt.await.ok().flatten()
     }
 
     /// Reports used tokens to keepers and returns idle ones, for as long as the box runs.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(TELL).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             report::held(&self.funds);
-            for keeper in self.funds.keepers_to_tell() {
+            for keeper in self.funds.keepers_to_report_to() {
                 if !self.peers.knows(&keeper) {
                     continue;
                 }
-                let told = self.funds.demands(&keeper, None);
-                let drawn = self.draw(&keeper, told, Duration::ZERO, false).await;
+                let demands = self.funds.demands(&keeper, None);
+                let drawn = self.draw(&keeper, demands, Duration::ZERO, false).await;
                 if drawn.is_some_and(|drawn| drawn.leaves) {
                     self.return_all(&keeper, false).await;
                 }
@@ -203,7 +204,7 @@
 
     /// Reports used tokens to keepers and returns the rest, before a planned stop.
     pub async fn leave(&self) {
-        self.funds.give_up();
+        self.funds.abandon();
         for keeper in self.funds.keepers() {
             if self.peers.knows(&keeper) {
                 self.return_all(&keeper, true).await;
@@ -212,9 +213,14 @@
     }
 
     async fn return_all(&self, keeper: &Incarnation, leaves: bool) {
-        let told = self.funds.return_all(keeper);
-        let returned = told.iter().map(|told| told.share.returned).sum::<u64>();
-        let heard = self.draw(keeper, told, Duration::ZERO, leaves).await.is_some();
-        tracing::info!(event = "tokens_returned", keeper = keeper.as_str(), returned, heard);
+        let demands = self.funds.return_all(keeper);
+        let returned = demands.iter().map(|demand| demand.share.returned).sum::<u64>();
+        let acknowledged = self.draw(keeper, demands, Duration::ZERO, leaves).await.is_some();
+        tracing::info!(
+            event = "tokens_returned",
+            keeper = keeper.as_str(),
+            returned,
+            heard = acknowledged
+        );
     }
 }
--- a/crates/gateway/src/tokens/bills.rs
+++ b/crates/gateway/src/tokens/bills.rs
@@ -17,10 +17,10 @@
 
 /// Interval between two pages of a box: short, so that few bills are lost if it dies, but long
 /// enough to keep store calls rare.
-const PAGE_EVERY: Duration = Duration::from_secs(10);
+const PAGE_INTERVAL: Duration = Duration::from_secs(10);
 /// Most bills on one page. At about 200 bytes each, a page takes a fifth of the largest value that
 /// the store accepts.
-const PAGE_BILLS: usize = 1_000;
+const MAX_BILLS_PER_PAGE: usize = 1_000;
 
 /// Bills of this box that are not written yet.
 #[derive(Debug, Clone)]
@@ -30,25 +30,25 @@
 struct State {
     by: Incarnation,
     open: Vec<Bill>,
-    n: u64,
+    last_number: u64,
     page: u64,
     /// Number of bills on the page that was sent last, until it is known to be written. The page
     /// may have landed, so later bills belong on the next one.
     sent: Option<usize>,
     written: Instant,
     /// Pages of other boxes, to be written by this one.
-    carried: Vec<BillPage>,
+    taken_over: Vec<BillPage>,
 }
 
 impl State {
     /// Returns the next page and the number of bills on it.
     fn next(&mut self) -> Option<(BillPage, usize)> {
-        let count = self.sent.unwrap_or(self.open.len().min(PAGE_BILLS));
+        let count = self.sent.unwrap_or(self.open.len().min(MAX_BILLS_PER_PAGE));
         if count == 0 {
             return None;
         }
         self.sent = Some(count);
-        Some((sheet(&self.by, self.page, self.open[..count].to_vec()), count))
+        Some((bill_page(&self.by, self.page, self.open[..count].to_vec()), count))
     }
 
     /// Removes the bills of the page that was written.
@@ -63,21 +63,21 @@
 impl Bills {
     /// Starts without bills.
     pub fn open(by: Incarnation) -> Bills {
-        let (open, carried) = (Vec::new(), Vec::new());
+        let (open, taken_over) = (Vec::new(), Vec::new());
         let (page, sent, written) = (0, None, Instant::now());
-        let state = State { by, open, n: 0, page, sent, written, carried };
+        let state = State { by, open, last_number: 0, page, sent, written, taken_over };
         Bills(Arc::new(Mutex::new(state)))
     }
 
     /// Adds the bill of a request that ended.
     pub fn add(&self, customer: &Arc<str>, key: &Arc<str>, tokens: u64, ended: Ended) {
         let mut state = self.0.lock();
-        state.n += 1;
+        state.last_number += 1;
         let bill = Bill {
             key: key.clone(),
             customer: customer.clone(),
             by: state.by.clone(),
-            n: state.n,
+            n: state.last_number,
             part: Part::Offline,
             tokens,
             ended,
@@ -89,18 +89,18 @@
     /// Number of bills of this box and pages of others that are not written yet.
     pub fn waiting(&self) -> usize {
         let state = self.0.lock();
-        state.open.len() + state.carried.len()
+        state.open.len() + state.taken_over.len()
     }
 
     /// Takes over pages of a box that stops.
     pub fn take_over(&self, pages: Vec<BillPage>) {
-        self.0.lock().carried.extend(pages);
+        self.0.lock().taken_over.extend(pages);
     }
 
     /// Removes all that is not written, as pages for another box to write.
     pub fn hand_over(&self) -> Vec<BillPage> {
         let mut state = self.0.lock();
-        let mut pages = std::mem::take(&mut state.carried);
+        let mut pages = std::mem::take(&mut state.taken_over);
         while let Some((page, count)) = state.next() {
             pages.push(page);
             state.written(count);
@@ -110,19 +110,21 @@
 
     fn next(&self, all: bool) -> Option<(BillPage, usize)> {
         let mut state = self.0.lock();
-        let due = all || state.written.elapsed() >= PAGE_EVERY || state.open.len() >= PAGE_BILLS;
+        let due = all
+            || state.written.elapsed() >= PAGE_INTERVAL
+            || state.open.len() >= MAX_BILLS_PER_PAGE;
         due.then(|| state.next()).flatten()
     }
 
     /// Writes the pages of other boxes; stops at the first failure.
-    async fn write_carried(&self, store: &Client) {
+    async fn write_taken_over(&self, store: &Client) {
         loop {
-            let Some(BillPage { name, text }) = self.0.lock().carried.last().cloned() else {
+            let Some(BillPage { name, text }) = self.0.lock().taken_over.last().cloned() else {
                 return;
             };
             match store.replace(BILLS, &name, &text, Expect::Absent).await {
                 Put::Landed(_) | Put::Refused(_) => {
-                    self.0.lock().carried.retain(|page| page.name != name);
+                    self.0.lock().taken_over.retain(|page| page.name != name);
                     tracing::info!(event = "bills_written_for_another", page = name);
                 }
                 Put::Failed(reason) | Put::Unknown(reason) => {
@@ -137,7 +139,7 @@
     ///
     /// Must not run concurrently: the written bills are removed by position.
     pub async fn write(&self, store: &Client, all: bool) {
-        self.write_carried(store).await;
+        self.write_taken_over(store).await;
         while let Some((BillPage { name, text }, count)) = self.next(all) {
             let put = store.replace(BILLS, &name, &text, Expect::Absent).await;
             match put {
@@ -156,7 +158,7 @@
     }
 }
 
-fn sheet(by: &Incarnation, page: u64, bills: Vec<Bill>) -> BillPage {
+fn bill_page(by: &Incarnation, page: u64, bills: Vec<Bill>) -> BillPage {
     let text = serde_json::to_string(&Page { bills }).expect("bills always serialize");
     BillPage { name: format!("{by}.{page:06}"), text }
 }
--- a/crates/gateway/src/tokens/borrower.rs
+++ b/crates/gateway/src/tokens/borrower.rs
@@ -12,8 +12,8 @@
 
 /// Time after which the next boxes are asked. Much longer than a round trip between availability
 /// zones, for boxes under load.
-const NEXT: Duration = Duration::from_millis(50);
-const ASKED: usize = 3;
+const BATCH_TIMEOUT: Duration = Duration::from_millis(50);
+const BATCH_SIZE: usize = 3;
 
 /// Borrows tokens for this box.
 #[derive(Debug, Clone)]
@@ -40,13 +40,13 @@
         until: Instant,
         attempt: impl Fn() -> Option<T>,
     ) -> Option<T> {
-        if self.funds.are_others_dry(customer, worst) {
+        if self.funds.are_others_exhausted(customer, worst) {
             return None;
         }
         let asked = tokio::time::timeout_at(until, self.ask(customer, worst)).await.unwrap_or(0);
         let found = attempt();
         if found.is_none() {
-            self.funds.note_others_dry(customer, worst);
+            self.funds.note_others_exhausted(customer, worst);
         }
         tracing::info!(
             event = "asked_other_boxes",
@@ -60,26 +60,26 @@
 
     /// Asks keepers, a few at a time, until no tokens are missing; returns how many it asked.
     async fn ask(&self, customer: &Arc<str>, worst: u64) -> usize {
-        let asking = self.funds.asking(customer);
-        let _one_at_a_time = asking.lock().await;
+        let ask_lock = self.funds.ask_lock(customer);
+        let _guard = ask_lock.lock().await;
         let mut asked = 0;
         // Another request may have brought enough tokens for both.
         let mut missing = self.funds.missing(customer, worst);
         let lenders = self.peers.lenders();
-        for few in lenders.chunks(ASKED) {
+        for batch in lenders.chunks(BATCH_SIZE) {
             if missing == 0 {
                 break;
             }
-            let wanted = missing.div_ceil(few.len() as u64);
-            let answers = few.iter().map(|lender| {
+            let wanted = missing.div_ceil(batch.len() as u64);
+            let answers = batch.iter().map(|lender| {
                 let (this, lender, customer) = (self.clone(), lender.clone(), customer.clone());
                 tokio::spawn(async move {
                     let lent = this.peers.borrow(&lender, &customer, wanted).await;
                     lent.into_iter().for_each(|transfer| this.funds.receive(&customer, transfer));
                 })
             });
-            let _ = tokio::time::timeout(NEXT, join_all(answers)).await;
-            asked += few.len();
+            let _ = tokio::time::timeout(BATCH_TIMEOUT, join_all(answers)).await;
+            asked += batch.len();
             missing = self.funds.missing(customer, worst);
         }
         asked
--- a/crates/gateway/src/tokens/claims.rs
+++ b/crates/gateway/src/tokens/claims.rs
@@ -9,22 +9,22 @@
 
 /// Returns the answers of the witnesses. Claims whose witness did not answer are left out.
 pub async fn ask(peers: &Peers, open: Vec<(Incarnation, Claim)>) -> Vec<Untouched> {
-    let asked = open.iter().map(|(holder, claim)| peers.seal(holder, claim));
-    let words = join_all(asked).await;
-    let told = open.into_iter().zip(words);
-    told.filter_map(|((holder, claim), word)| untouched(holder, claim, word)).collect()
+    let requests = open.iter().map(|(holder, claim)| peers.seal(holder, claim));
+    let replies = join_all(requests).await;
+    let answered = open.into_iter().zip(replies);
+    answered.filter_map(|((holder, claim), reply)| untouched(holder, claim, reply)).collect()
 }
 
-fn untouched(holder: Incarnation, claim: Claim, word: WitnessReply) -> Option<Untouched> {
+fn untouched(holder: Incarnation, claim: Claim, reply: WitnessReply) -> Option<Untouched> {
     let witness = claim.witness;
     tracing::info!(
         event = "witness_asked",
         holder = holder.as_str(),
         witness = witness.by.as_str(),
-        answer = word.as_str(),
-        untouched = word.untouched().map(|tokens| tokens.values().sum::<u64>()),
+        answer = reply.as_str(),
+        untouched = reply.untouched().map(|tokens| tokens.values().sum::<u64>()),
     );
-    let tokens = match word {
+    let tokens = match reply {
         WitnessReply::Untouched(tokens) => tokens,
         WitnessReply::Nothing => BTreeMap::new(),
         WitnessReply::NoAnswer => return None,
--- a/crates/gateway/src/tokens/forecast.rs
+++ b/crates/gateway/src/tokens/forecast.rs
@@ -13,27 +13,27 @@
 use tokio::time::Instant;
 
 /// Shortest outage that counts. Requests wait through shorter ones.
-const MATTERS: Duration = Duration::from_millis(1_000);
+const MIN_OUTAGE: Duration = Duration::from_millis(1_000);
 /// Time for which an outage makes another one likely.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const OUTAGE_MEMORY: Duration = Duration::from_secs(30);
 
 /// What this box has observed of the store.
 #[derive(Debug)]
 pub struct Forecast {
     /// When the store began to answer.
-    in_touch_since: Instant,
+    reachable_since: Instant,
     /// The outage in progress, if any.
-    lost: Option<Lost>,
+    ongoing: Option<Ongoing>,
     /// Number of fleet-wide outages at the last increase, and when this box read of it.
-    seen: Option<(u64, Instant)>,
+    last_outage: Option<(u64, Instant)>,
     /// Number of fleet-wide outages when this box first read the book.
-    known: Option<u64>,
+    initial_count: Option<u64>,
     /// Number of settlements in the book when this box last saw it.
     landed: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Lost {
+struct Ongoing {
     since: Instant,
     /// Number of settlements in the book before the outage.
     landed: u64,
@@ -41,52 +41,60 @@
 
 impl Forecast {
     pub fn open(now: Instant) -> Forecast {
-        Forecast { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
+        Forecast {
+            reachable_since: now,
+            ongoing: None,
+            last_outage: None,
+            initial_count: None,
+            landed: 0,
+        }
     }
 
     /// Records a failed call.
     pub fn failed(&mut self, now: Instant) {
-        self.lost.get_or_insert(Lost { since: now, landed: self.landed });
+        self.ongoing.get_or_insert(Ongoing { since: now, landed: self.landed });
     }
 
     /// Returns for how long the store has not answered, if that is long enough to count.
-    pub fn away(&self, now: Instant) -> Option<Duration> {
-        let away = now.saturating_duration_since(self.lost?.since);
-        (away >= MATTERS).then_some(away)
+    pub fn unreachable_for(&self, now: Instant) -> Option<Duration> {
+        let elapsed = now.saturating_duration_since(self.ongoing?.since);
+        (elapsed >= MIN_OUTAGE).then_some(elapsed)
     }
 
     /// Records the outage in the book that this settlement ends, if any.
     pub fn report_outage(&self, book: &mut Book, now: Instant) {
-        if let (Some(lost), Some(_)) = (self.lost, self.away(now)) {
-            book.note_outage(lost.landed);
+        if let (Some(ongoing), Some(_)) = (self.ongoing, self.unreachable_for(now)) {
+            book.note_outage(ongoing.landed);
         }
     }
 
     /// Records a settlement that landed, and the resulting book. Returns whether it ended an
     /// outage.
     pub fn landed(&mut self, book: &Book, now: Instant) -> bool {
-        let ended = self.away(now).is_some();
-        self.lost = None;
+        let ended = self.unreachable_for(now).is_some();
+        self.ongoing = None;
         self.landed = book.landed;
         if ended {
-            self.in_touch_since = now;
+            self.reachable_since = now;
         }
-        let known = *self.known.get_or_insert(book.outages.count);
-        if book.outages.count > self.seen.map_or(known, |(count, _)| count) {
-            self.seen = Some((book.outages.count, now));
+        let initial_count = *self.initial_count.get_or_insert(book.outages.count);
+        if book.outages.count > self.last_outage.map_or(initial_count, |(count, _)| count) {
+            self.last_outage = Some((book.outages.count, now));
         }
         ended
     }
 
     /// Returns the policy that sizes what this box holds.
     pub fn policy(&self, policy: Policy, now: Instant) -> Policy {
-        let seen = self.seen.is_some_and(|(_, at)| now.saturating_duration_since(at) < REMEMBERED);
-        let policy = if seen { policy.after_outage() } else { policy };
-        let in_touch = match self.away(now) {
+        let recent = self
+            .last_outage
+            .is_some_and(|(_, at)| now.saturating_duration_since(at) < OUTAGE_MEMORY);
+        let policy = if recent { policy.after_outage() } else { policy };
+        let reachable = match self.unreachable_for(now) {
             // This settlement ends the outage.
             Some(_) => Duration::ZERO,
-            None => now.saturating_duration_since(self.in_touch_since),
+            None => now.saturating_duration_since(self.reachable_since),
         };
-        policy.reachable_for(in_touch.as_secs())
+        policy.reachable_for(reachable.as_secs())
     }
 }
--- a/crates/gateway/src/tokens/funds/mod.rs
+++ b/crates/gateway/src/tokens/funds/mod.rs
@@ -5,9 +5,9 @@
 //! charged and what is lacking, and [`Funds::landed`] applies what the book granted.
 //! [`Funds::promise`] returns what this box promises its witness to keep unused.
 
-mod transfers;
 mod promises;
 mod settlements;
+mod transfers;
 
 use std::{cmp::Reverse, collections::HashMap, fmt, sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 
 use crate::{
     table::Table,
-    tokens::wallet::{Parts, Wallet},
+    tokens::wallet::{Breakdown, Wallet},
 };
 
 /// Why tokens could not be reserved.
@@ -91,11 +91,11 @@
 struct State {
     wallets: HashMap<Arc<str>, Wallet>,
     /// The store does not answer, so that no settlement can bring tokens.
-    cut: bool,
+    store_unreachable: bool,
     /// When tokens were last passed on to another box, or requested from the book.
-    drew: Option<Instant>,
+    last_draw: Option<Instant>,
     /// When the last settlement landed.
-    landed: Option<Instant>,
+    last_landed: Option<Instant>,
     /// All tokens were promised before a planned stop. The promise holds whatever the witness
     /// answers, as the next incarnation may get the tokens back by it.
     promised_all: bool,
@@ -159,13 +159,13 @@
     }
 
     /// Sets whether the store is unreachable.
-    pub fn set_store_unreachable(&self, cut: bool) {
-        self.0.state.lock().cut = cut;
+    pub fn set_store_unreachable(&self, unreachable: bool) {
+        self.0.state.lock().store_unreachable = unreachable;
     }
 
     /// Whether the store is unreachable.
     pub fn is_store_unreachable(&self) -> bool {
-        self.0.state.lock().cut
+        self.0.state.lock().store_unreachable
     }
 
     /// Reserves the worst case of a request, waiting until `until` for a settlement that brings the
@@ -190,10 +190,10 @@
         {
             return Some(found);
         }
-        if self.is_store_unreachable() || self.is_dry(customer, tokens) {
+        if self.is_store_unreachable() || self.is_book_exhausted(customer, tokens) {
             return None;
         }
-        let _waiting = Waiting::join(self, customer, tokens);
+        let _book_wait = BookWait::join(self, customer, tokens);
         let mut settled = self.0.settled.subscribe();
         let joined = *settled.borrow_and_update();
         loop {
@@ -204,7 +204,7 @@
             }
             // The settlement in progress when this request arrived did not include it; the next one
             // does.
-            if changed.is_err() || now >= joined + 2 || self.is_dry(customer, tokens) {
+            if changed.is_err() || now >= joined + 2 || self.is_book_exhausted(customer, tokens) {
                 return None;
             }
             self.0.wanted.notify_one();
@@ -230,9 +230,9 @@
     }
 
     /// Whether the book had too few tokens left for the request at the last settlement.
-    fn is_dry(&self, customer: &str, worst: u64) -> bool {
+    fn is_book_exhausted(&self, customer: &str, worst: u64) -> bool {
         let state = self.0.state.lock();
-        state.wallets.get(customer).is_some_and(|wallet| wallet.is_dry(worst))
+        state.wallets.get(customer).is_some_and(|wallet| wallet.is_book_exhausted(worst))
     }
 
     /// Returns why a request of this size cannot be paid for now.
@@ -244,7 +244,7 @@
                 free: wallet.free(),
                 kept: wallet.kept(),
                 left: wallet.granted.left,
-                age: state.landed.map(|at| at.elapsed()),
+                age: state.last_landed.map(|at| at.elapsed()),
             },
             None => Shortage::Local { free: 0, kept: 0, left: 0, age: None },
         }
@@ -275,39 +275,39 @@
         wallets.map(balance).collect()
     }
 
-    /// Returns the `most` customers with the most tokens on this box, and what these are used for.
-    pub fn parts(&self, most: usize) -> Vec<(Arc<str>, Parts)> {
+    /// Returns the `limit` customers with the most tokens on this box, and what these are used for.
+    pub fn breakdown(&self, limit: usize) -> Vec<(Arc<str>, Breakdown)> {
         let state = self.0.state.lock();
         let wallets = state.wallets.iter();
-        let mut parts: Vec<_> =
-            wallets.map(|(name, wallet)| (name.clone(), wallet.parts())).collect();
+        let mut breakdown: Vec<_> =
+            wallets.map(|(name, wallet)| (name.clone(), wallet.breakdown())).collect();
         drop(state);
-        parts.retain(|(_, parts)| parts.total() > 0);
-        parts.sort_by_key(|(_, parts)| Reverse(parts.total()));
-        parts.truncate(most);
-        parts
+        breakdown.retain(|(_, breakdown)| breakdown.total() > 0);
+        breakdown.sort_by_key(|(_, breakdown)| Reverse(breakdown.total()));
+        breakdown.truncate(limit);
+        breakdown
     }
 }
 
 /// Counts a request that waits for tokens from the book, until dropped.
-struct Waiting<'a> {
+struct BookWait<'a> {
     funds: &'a Funds,
     customer: Arc<str>,
     worst: u64,
 }
 
-impl<'a> Waiting<'a> {
-    fn join(funds: &'a Funds, customer: &Arc<str>, worst: u64) -> Waiting<'a> {
+impl<'a> BookWait<'a> {
+    fn join(funds: &'a Funds, customer: &Arc<str>, worst: u64) -> BookWait<'a> {
         let mut state = funds.0.state.lock();
         state.wallets.entry(customer.clone()).or_default().waiting += worst;
-        state.drew = Some(Instant::now());
+        state.last_draw = Some(Instant::now());
         drop(state);
         funds.0.wanted.notify_one();
-        Waiting { funds, customer: customer.clone(), worst }
+        BookWait { funds, customer: customer.clone(), worst }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for BookWait<'_> {
     fn drop(&mut self) {
         let mut state = self.funds.0.state.lock();
         if let Some(wallet) = state.wallets.get_mut(&self.customer) {
--- a/crates/gateway/src/tokens/funds/promises.rs
+++ b/crates/gateway/src/tokens/funds/promises.rs
@@ -8,7 +8,7 @@
 
 /// Longest wait for the witness to accept a promise that frees tokens. Much longer than a round
 /// trip between availability zones, for boxes under load.
-const FREED_WITHIN: Duration = Duration::from_millis(30);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(30);
 
 impl Funds {
     /// Waits for a new promise if the current one keeps tokens from a request of this size. Returns
@@ -17,7 +17,7 @@
         let Some(mut promise_accepted) = self.request_release(customer, worst) else {
             return false;
         };
-        let until = until.min(Instant::now() + FREED_WITHIN);
+        let until = until.min(Instant::now() + RELEASE_TIMEOUT);
         tokio::time::timeout_at(until, promise_accepted.changed()).await.is_ok()
     }
 
@@ -25,8 +25,9 @@
     /// returned receiver changes with each promise accepted from then on.
     pub fn request_release(&self, customer: &str, worst: u64) -> Option<watch::Receiver<u64>> {
         let mut state = self.0.state.lock();
-        let wallet = state.wallets.get_mut(customer).filter(|wallet| wallet.is_kept_from(worst))?;
-        wallet.want(worst);
+        let wallet =
+            state.wallets.get_mut(customer).filter(|wallet| wallet.is_promise_blocking(worst))?;
+        wallet.need_promised(worst);
         let promise_accepted = self.0.promise_accepted.subscribe();
         drop(state);
         self.0.promise_due.notify_one();
--- a/crates/gateway/src/tokens/funds/settlements.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -10,26 +10,29 @@
 
 impl Funds {
     /// Whether this box has something to report to the book or holds tokens granted by it.
-    pub fn is_of_book(&self) -> bool {
-        self.0.state.lock().wallets.values().any(Wallet::is_of_book)
+    pub fn uses_book(&self) -> bool {
+        self.0.state.lock().wallets.values().any(Wallet::uses_book)
     }
 
     /// Sets whether this box returns its tokens to the book. If so, none are promised to the
     /// witness any more.
-    pub fn retire(&self, retires: bool) {
-        self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retires = retires);
+    pub fn retire(&self, retiring: bool) {
+        self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retiring = retiring);
         self.0.promise_due.notify_one();
     }
 
     /// Charges all open reservations in full, as this box is about to stop.
-    pub fn give_up(&self) {
-        self.0.state.lock().wallets.values_mut().for_each(Wallet::give_up);
+    pub fn abandon(&self) {
+        self.0.state.lock().wallets.values_mut().for_each(Wallet::abandon);
     }
 
     /// Whether a request waits for tokens that a settlement may bring.
     pub fn is_urgent(&self) -> bool {
         let state = self.0.state.lock();
-        state.wallets.values().any(|wallet| wallet.waiting > 0 && !wallet.is_dry(wallet.waiting))
+        state
+            .wallets
+            .values()
+            .any(|wallet| wallet.waiting > 0 && !wallet.is_book_exhausted(wallet.waiting))
     }
 
     /// Whether a settlement is due because this box holds too few or too many tokens.
@@ -59,7 +62,7 @@
     /// Applies what a settlement that landed granted.
     pub fn landed(&self, settlement: &Settlement, granted: Vec<Granted>) {
         let mut state = self.0.state.lock();
-        state.landed = Some(Instant::now());
+        state.last_landed = Some(Instant::now());
         for item in &settlement.items {
             let brought = granted.iter().find(|granted| granted.customer == item.customer);
             let wallet = state.wallets.entry(item.customer.clone()).or_default();
@@ -72,7 +75,7 @@
 
     /// Returns the time since tokens were last passed on to another box, or requested from the
     /// book.
-    pub fn drew_ago(&self) -> Option<Duration> {
-        self.0.state.lock().drew.map(|at| at.elapsed())
+    pub fn since_last_draw(&self) -> Option<Duration> {
+        self.0.state.lock().last_draw.map(|at| at.elapsed())
     }
 }
--- a/crates/gateway/src/tokens/funds/transfers.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -11,42 +11,43 @@
 impl Funds {
     /// Returns the reports that are due to a keeper, with the tokens that a waiting request needs
     /// of it.
-    pub fn demands(&self, keeper: &Incarnation, asked: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
+    pub fn demands(&self, keeper: &Incarnation, waiting: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let all = state.wallets.iter_mut().filter_map(|(customer, wallet)| {
-            let worst = asked.filter(|(name, _)| *name == customer).map(|(_, worst)| worst);
-            wallet.demands(customer, keeper, worst, now)
+            let worst = waiting.filter(|(name, _)| *name == customer).map(|(_, worst)| worst);
+            wallet.demand(customer, keeper, worst, now)
         });
         all.collect()
     }
 
     /// Applies a keeper's answer to the reports that were sent to it.
-    pub fn drawn(&self, keeper: &Incarnation, told: &[Demand], given: &[Supply]) {
+    pub fn drawn(&self, keeper: &Incarnation, demands: &[Demand], supplies: &[Supply]) {
         let mut state = self.0.state.lock();
-        for (told, given) in told.iter().zip(given) {
-            let wallet = state.wallets.get_mut(&told.customer);
-            let wallet = wallet.filter(|_| told.customer == given.customer);
+        for (demand, supply) in demands.iter().zip(supplies) {
+            let wallet = state.wallets.get_mut(&demand.customer);
+            let wallet = wallet.filter(|_| demand.customer == supply.customer);
             if let Some(wallet) = wallet {
-                wallet.drawn(keeper, told.share, given);
+                wallet.drawn(keeper, demand.share, supply);
             }
         }
     }
 
     /// Counts a request that waits for a keeper's tokens, until the returned guard is dropped.
-    pub fn lacking(&self, customer: &Arc<str>, worst: u64) -> Lacking<'_> {
-        self.0.state.lock().wallets.entry(customer.clone()).or_default().lacking += worst;
-        Lacking { funds: self, customer: customer.clone(), worst }
+    pub fn waiting_for_keeper(&self, customer: &Arc<str>, worst: u64) -> KeeperWait<'_> {
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().waiting_for_keeper +=
+            worst;
+        KeeperWait { funds: self, customer: customer.clone(), worst }
     }
 
     /// Returns the keepers to which a report is due.
-    pub fn keepers_to_tell(&self) -> Vec<Incarnation> {
+    pub fn keepers_to_report_to(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let mut keepers = Vec::new();
         for wallet in state.wallets.values_mut() {
             for keeper in wallet.keepers().cloned().collect::<Vec<_>>() {
-                if !keepers.contains(&keeper) && wallet.has_news(&keeper, now) {
+                if !keepers.contains(&keeper) && wallet.has_unreported(&keeper, now) {
                     keepers.push(keeper);
                 }
             }
@@ -72,49 +73,49 @@
     }
 
     /// On a keeper: applies the reports of another box. Returns whether all of them were accepted.
-    pub fn receive_report(&self, from: &Incarnation, told: &[Demand]) -> bool {
+    pub fn receive_report(&self, from: &Incarnation, demands: &[Demand]) -> bool {
         let mut state = self.0.state.lock();
         state.wallets.values_mut().for_each(|wallet| wallet.close_earlier(from));
-        let mut believed = true;
-        for told in told {
-            let wallet = state.wallets.entry(told.customer.clone()).or_default();
-            believed &= wallet.receive_report(from, told.share);
+        let mut accepted = true;
+        for demand in demands {
+            let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+            accepted &= wallet.receive_report(from, demand.share);
         }
-        believed
+        accepted
     }
 
     /// On a keeper: passes on the tokens that another box needs, waiting until `until` for a
     /// settlement that brings them. Returns whether it did.
-    pub async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) -> bool {
-        let pass_on = || self.try_pass_on(to, told).then_some(());
-        self.obtain(&told.customer, told.least, until, pass_on).await.is_some()
+    pub async fn pass_on(&self, to: &Incarnation, demand: &Demand, until: Instant) -> bool {
+        let pass_on = || self.try_pass_on(to, demand).then_some(());
+        self.obtain(&demand.customer, demand.least, until, pass_on).await.is_some()
     }
 
     /// On a keeper: passes on the tokens that another box needs if they are here. Returns whether
     /// it did.
-    pub fn try_pass_on(&self, to: &Incarnation, told: &Demand) -> bool {
+    pub fn try_pass_on(&self, to: &Incarnation, demand: &Demand) -> bool {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let wallet = state.wallets.entry(told.customer.clone()).or_default();
-        let given = wallet.pass_on(to, told, now);
+        let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+        let passed = wallet.pass_on(to, demand, now);
         let due = wallet.is_promise_due(now);
-        state.drew = Some(now);
+        state.last_draw = Some(now);
         drop(state);
         if due {
             self.0.promise_due.notify_one();
         }
-        given
+        passed
     }
 
     /// On a keeper: returns the answers to another box's reports.
-    pub fn given(&self, to: &Incarnation, told: &[Demand]) -> Vec<Supply> {
+    pub fn given(&self, to: &Incarnation, demands: &[Demand]) -> Vec<Supply> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let given = told.iter().map(|told| {
-            let wallet = state.wallets.entry(told.customer.clone()).or_default();
-            wallet.given(&told.customer, to, told.least, now)
+        let supplies = demands.iter().map(|demand| {
+            let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+            wallet.given(&demand.customer, to, demand.least, now)
         });
-        given.collect()
+        supplies.collect()
     }
 
     /// Lends tokens to another box, up to `wanted` and as many as this box can spare.
@@ -135,18 +136,18 @@
     }
 
     /// Whether other boxes recently had too few tokens for a request of this size.
-    pub fn are_others_dry(&self, customer: &str, worst: u64) -> bool {
+    pub fn are_others_exhausted(&self, customer: &str, worst: u64) -> bool {
         let now = Instant::now();
         let state = self.0.state.lock();
         let wallet = state.wallets.get(customer);
-        wallet.is_some_and(|wallet| wallet.are_others_dry(worst, now))
+        wallet.is_some_and(|wallet| wallet.are_others_exhausted(worst, now))
     }
 
     /// Records that other boxes had too few tokens for a request of this size.
-    pub fn note_others_dry(&self, customer: &str, worst: u64) {
+    pub fn note_others_exhausted(&self, customer: &str, worst: u64) {
         let mut state = self.0.state.lock();
         if let Some(wallet) = state.wallets.get_mut(customer) {
-            wallet.note_others_dry(worst, Instant::now());
+            wallet.note_others_exhausted(worst, Instant::now());
         }
     }
 
@@ -158,23 +159,23 @@
     }
 
     /// Returns the lock that lets one request per customer ask other boxes at a time.
-    pub fn asking(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
-        self.0.state.lock().wallets.entry(customer.clone()).or_default().asking.clone()
+    pub fn ask_lock(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().ask_lock.clone()
     }
 }
 
 /// Counts a request that waits for a keeper's tokens, until dropped.
-pub struct Lacking<'a> {
+pub struct KeeperWait<'a> {
     funds: &'a Funds,
     customer: Arc<str>,
     worst: u64,
 }
 
-impl Drop for Lacking<'_> {
+impl Drop for KeeperWait<'_> {
     fn drop(&mut self) {
         let mut state = self.funds.0.state.lock();
         if let Some(wallet) = state.wallets.get_mut(&self.customer) {
-            wallet.lacking = wallet.lacking.saturating_sub(self.worst);
+            wallet.waiting_for_keeper = wallet.waiting_for_keeper.saturating_sub(self.worst);
         }
     }
 }
--- a/crates/gateway/src/tokens/rate.rs
+++ b/crates/gateway/src/tokens/rate.rs
@@ -3,10 +3,10 @@
 use tokio::time::Instant;
 
 /// Time constant of the average, in seconds.
-const RATE_S: f64 = 6.0;
+const TIME_CONSTANT_S: f64 = 6.0;
 /// Shortest observed time to divide by, in seconds, as a single large first request says little
 /// about the next ones.
-const LEAST_OBSERVED_S: f64 = 2.0;
+const MIN_OBSERVED_S: f64 = 2.0;
 
 /// Use per second, as an exponentially decaying average.
 ///
@@ -17,7 +17,7 @@
     sum: f64,
     /// When the first use was counted.
     since: Option<Instant>,
-    at: Option<Instant>,
+    updated: Option<Instant>,
 }
 
 impl Rate {
@@ -30,21 +30,23 @@
 
     /// Returns the tokens used per second.
     pub fn per_second(&mut self, now: Instant) -> u64 {
-        self.over(1.0, now)
+        self.used_in(1.0, now)
     }
 
     /// Returns the tokens used in this many seconds.
-    pub fn over(&mut self, seconds: f64, now: Instant) -> u64 {
+    pub fn used_in(&mut self, seconds: f64, now: Instant) -> u64 {
         self.decay(now);
         let Some(since) = self.since else { return 0 };
-        let observed = now.saturating_duration_since(since).as_secs_f64().max(LEAST_OBSERVED_S);
-        let window = RATE_S * (1.0 - (-observed / RATE_S).exp());
+        let observed = now.saturating_duration_since(since).as_secs_f64().max(MIN_OBSERVED_S);
+        let window = TIME_CONSTANT_S * (1.0 - (-observed / TIME_CONSTANT_S).exp());
         (self.sum / window * seconds) as u64
     }
 
     fn decay(&mut self, now: Instant) {
-        let passed = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        self.sum *= (-passed / RATE_S).exp();
-        self.at = Some(now);
+        let elapsed = self
+            .updated
+            .map_or(0.0, |updated| now.saturating_duration_since(updated).as_secs_f64());
+        self.sum *= (-elapsed / TIME_CONSTANT_S).exp();
+        self.updated = Some(now);
     }
 }
--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -8,11 +8,11 @@
 
 use crate::{
     fleet::peers::Peers,
-    tokens::{funds::Funds, wallet::Parts},
+    tokens::{funds::Funds, wallet::Breakdown},
 };
 
 /// Most customers in one log line.
-const LOGGED: usize = 16;
+const MAX_CUSTOMERS_LOGGED: usize = 16;
 
 /// Logs the store calls of this process so far, by operation and kind.
 pub fn calls(store: &Client) {
@@ -73,15 +73,15 @@
 /// Logs the tokens that this box holds, by customer and use. These are lost if the box dies without
 /// a witness.
 pub fn held(funds: &Funds) {
-    let parts = funds.parts(LOGGED);
-    if parts.is_empty() {
+    let breakdown = funds.breakdown(MAX_CUSTOMERS_LOGGED);
+    if breakdown.is_empty() {
         return;
     }
-    let of = |(customer, parts): &(Arc<str>, Parts)| {
-        let Parts { kept, open, of_keepers, reserved, unsettled, passed } = parts;
+    let of = |(customer, breakdown): &(Arc<str>, Breakdown)| {
+        let Breakdown { kept, open, of_keepers, reserved, unsettled, passed } = breakdown;
         format!("{customer} {kept} {open} {of_keepers} {reserved} {unsettled} {passed}")
     };
-    let held: Vec<String> = parts.iter().map(of).collect();
+    let held: Vec<String> = breakdown.iter().map(of).collect();
     tracing::info!(
         event = "funds_held",
         order = "kept open of_keepers reserved unsettled passed",
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -24,24 +24,24 @@
 };
 
 /// Interval of the log lines on store calls and peer traffic.
-const TELL: Duration = Duration::from_secs(10);
-/// First delay after a failed call; doubles up to [`PAUSE_MOST`].
-const PAUSE: Duration = Duration::from_millis(50);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// First delay after a failed call; doubles up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between two calls while the store does not answer.
-const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// A box that is not a keeper retires from the book when nobody has drawn from it for this long.
-/// Longer than a restart of a box, during which others take over for it.
-const RETIRE: Duration = Duration::from_secs(8);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// A box that is not a keeper retires from the book once it has not passed on or requested tokens
+/// for this long. Longer than a restart of a box, during which others take over for it.
+const RETIRE_DELAY: Duration = Duration::from_secs(8);
 /// Time for the store to accept the last settlement before other boxes are asked to write the
 /// bills. Longer than a slow call of the store.
-const HAND_OVER: Duration = Duration::from_millis(600);
+const HAND_OVER_DELAY: Duration = Duration::from_millis(600);
 /// Longest wait for the list of boxes before the first settlement; witnesses are looked up there.
-const LISTED: Duration = Duration::from_millis(2_000);
+const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Interval at which witnesses are asked that did not answer, or whose box was not known yet.
-const COLLECT_EVERY: Duration = Duration::from_millis(500);
-const MOST_ASKED: usize = 8;
+const COLLECT_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_WITNESSES_ASKED: usize = 8;
 /// Delay before the first grants are requested, during which the other boxes register.
-const REGISTER: Duration = Duration::from_millis(1_500);
+const REGISTER_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Why the book could not be read or written.
 #[derive(Debug, Snafu)]
@@ -79,22 +79,22 @@
     /// An outage ended: the next settlement follows without the usual delay. The settlement that
     /// ended the outage was planned before it, so only the next one reports what was used meanwhile
     /// and returns the surplus, which should happen before anything else fails.
-    at_once: bool,
+    settle_at_once: bool,
     /// The book as last read or written, with its version; version 0 if there is none in the store.
     known: Option<(Book, u64)>,
     /// Whether a book was ever seen; if it is missing later, no new one is created.
-    seen: bool,
+    book_seen: bool,
     forecast: Forecast,
     write: u64,
     /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
     /// What the newest attempt to write it would grant, in case the answer is lost.
-    last: Option<Vec<Granted>>,
+    last_granted: Option<Vec<Granted>>,
     /// Whether this box is listed as a writer in the book.
-    stands: bool,
+    is_listed: bool,
     /// Tokens that dead incarnations left unused, for the next settlement.
     collected: Vec<Untouched>,
-    asked: Option<Instant>,
+    last_asked: Option<Instant>,
 }
 
 impl Settler {
@@ -103,31 +103,31 @@
             setup,
             outage: Outage::new("book", Probe::Lazy, recovery.clone()),
             recovery,
-            at_once: false,
+            settle_at_once: false,
             known: None,
-            seen: false,
+            book_seen: false,
             forecast: Forecast::open(Instant::now()),
             write: 0,
             pending: None,
-            last: None,
-            stands: false,
+            last_granted: None,
+            is_listed: false,
             collected: Vec::new(),
-            asked: None,
+            last_asked: None,
         }
     }
 
     /// Settles as needed, for as long as the box runs.
     pub async fn run(&mut self) {
-        let mut told = Instant::now();
+        let mut last_log = Instant::now();
         self.settle_first().await;
-        self.wait(REGISTER).await;
+        self.wait(REGISTER_DELAY).await;
         loop {
-            if self.is_of_book() {
+            if self.uses_book() {
                 self.settle(self.participation()).await;
             }
             self.setup.bills.write(&self.setup.store, false).await;
-            if told.elapsed() >= TELL {
-                told = Instant::now();
+            if last_log.elapsed() >= LOG_INTERVAL {
+                last_log = Instant::now();
                 report::calls(&self.setup.store);
                 report::traffic(&self.setup.peers);
             }
@@ -136,10 +136,11 @@
             let settle = Duration::from_millis(settings.money.settle_ms);
             let began = Instant::now();
             tokio::time::sleep(Duration::from_millis(SETTLEMENT_BATCH_MS)).await;
-            if std::mem::take(&mut self.at_once) {
+            if std::mem::take(&mut self.settle_at_once) {
                 continue;
             }
-            while !self.setup.funds.is_urgent() && began.elapsed() < self.pause(spacing, settle) {
+            while !self.setup.funds.is_urgent() && began.elapsed() < self.interval(spacing, settle)
+            {
                 self.wait(spacing).await;
                 if self.collect().await {
                     break;
@@ -153,15 +154,17 @@
     async fn collect(&mut self) -> bool {
         let is_keeper = self.setup.peers.is_keeper();
         let Some((book, _)) = &self.known else { return false };
-        let mine = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
-        let due = self.asked.is_none_or(|at| at.elapsed() >= COLLECT_EVERY);
-        let open = book.claims.iter().filter(|(name, _)| is_keeper || mine(name));
-        let open: Vec<(Incarnation, Claim)> =
-            open.take(MOST_ASKED).map(|(name, claim)| (name.clone(), claim.clone())).collect();
+        let is_own = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
+        let due = self.last_asked.is_none_or(|at| at.elapsed() >= COLLECT_INTERVAL);
+        let open = book.claims.iter().filter(|(name, _)| is_keeper || is_own(name));
+        let open: Vec<(Incarnation, Claim)> = open
+            .take(MAX_WITNESSES_ASKED)
+            .map(|(name, claim)| (name.clone(), claim.clone()))
+            .collect();
         if open.is_empty() || !due {
             return false;
         }
-        self.asked = Some(Instant::now());
+        self.last_asked = Some(Instant::now());
         let collected = claims::ask(&self.setup.peers, open).await;
         self.collected.extend(collected);
         !self.collected.is_empty()
@@ -169,28 +172,28 @@
 
     /// Whether this box settles with the book: it is the keeper of its availability zone, holds
     /// tokens granted by the book, or has something to report.
-    fn is_of_book(&self) -> bool {
+    fn uses_book(&self) -> bool {
         let Setup { peers, funds, .. } = &self.setup;
         let collected = !self.collected.is_empty();
-        self.stands
+        self.is_listed
             || self.pending.is_some()
             || collected
             || peers.is_keeper()
-            || funds.is_of_book()
+            || funds.uses_book()
     }
 
     /// Whether this box goes on drawing from the book or retires from it, as another box is the
     /// keeper now.
     fn participation(&self) -> Participation {
         let Setup { peers, funds, .. } = &self.setup;
-        let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
-        let retires = self.stands && !drew && !peers.is_keeper();
+        let drawn_lately = funds.since_last_draw().is_some_and(|ago| ago < RETIRE_DELAY);
+        let retires = self.is_listed && !drawn_lately && !peers.is_keeper();
         funds.retire(retires);
         if retires { Participation::Retiring } else { Participation::Active }
     }
 
     /// Interval to the next settlement that no request waits for.
-    fn pause(&self, spacing: Duration, settle: Duration) -> Duration {
+    fn interval(&self, spacing: Duration, settle: Duration) -> Duration {
         match self.setup.funds.is_due() || self.setup.selector.is_due(&self.setup.peers) {
             true => spacing * spacing::interval_factor(self.writers()),
             false => settle,
@@ -207,12 +210,12 @@
     async fn settle_first(&mut self) {
         let mut registered = self.setup.registered.clone();
         let listed = registered.wait_for(Option::is_some);
-        let _ = tokio::time::timeout(LISTED, listed).await;
-        let mut pause = PAUSE;
+        let _ = tokio::time::timeout(LIST_TIMEOUT, listed).await;
+        let mut delay = RETRY_DELAY;
         let book = loop {
             match self.read().await {
                 Ok(known) => break self.known.insert(known).0.clone(),
-                Err(fault) => self.failed(&fault, &mut pause).await,
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
             }
         };
         if !book.knows_box_of(&self.setup.holder) {
@@ -230,18 +233,18 @@
         Writer { write: self.write, peer: peers.address(), witness, witness_at }
     }
 
-    async fn failed(&mut self, fault: &Fault, pause: &mut Duration) {
+    async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
         self.outage.failed(fault);
         self.forecast.failed(Instant::now());
         self.setup.funds.set_store_unreachable(true);
         // Ends the delay as soon as any task of this box reaches the store.
-        let _ = tokio::time::timeout(*pause, self.recovery.recovered()).await;
-        *pause = (*pause * 2).min(PAUSE_MOST);
+        let _ = tokio::time::timeout(*delay, self.recovery.recovered()).await;
+        *delay = (*delay * 2).min(MAX_RETRY_DELAY);
     }
 
-    async fn wait(&self, pause: Duration) {
+    async fn wait(&self, timeout: Duration) {
         if !self.setup.funds.is_urgent() {
-            let _ = tokio::time::timeout(pause, self.setup.funds.wanted()).await;
+            let _ = tokio::time::timeout(timeout, self.setup.funds.wanted()).await;
         }
     }
 
@@ -257,13 +260,13 @@
             }
         };
         self.pending = Some(settlement.clone());
-        let mut pause = PAUSE;
-        let (began, mut met) = (Instant::now(), 0);
+        let mut delay = RETRY_DELAY;
+        let (began, mut conflicts) = (Instant::now(), 0);
         let granted = loop {
             match self.attempt(&settlement).await {
                 Ok(Some(granted)) => break granted,
-                Ok(None) => met += 1,
-                Err(fault) => self.failed(&fault, &mut pause).await,
+                Ok(None) => conflicts += 1,
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
             }
         };
         self.pending = None;
@@ -271,14 +274,14 @@
         tracing::info!(
             event = "settlement_landed",
             write = settlement.writer.write,
-            met,
+            met = conflicts,
             took_ms = began.elapsed().as_millis() as u64,
             writers = self.writers(),
         );
         self.outage.answered();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
-        self.stands = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
+        self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
+        self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
         report::settled(&settlement, &granted);
@@ -294,22 +297,22 @@
         };
         if book.has(&settlement.holder, settlement.writer.write) {
             self.known = Some((book, version));
-            return Ok(Some(self.last.take().unwrap_or_default()));
+            return Ok(Some(self.last_granted.take().unwrap_or_default()));
         }
         let mut next = book.clone();
         self.forecast.report_outage(&mut next, Instant::now());
         let policy = self.policy();
         let granted = next.settle(settlement, policy);
-        self.last = Some(granted.clone());
+        self.last_granted = Some(granted.clone());
         let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
         match self.setup.store.replace(BOOK.0, BOOK.1, &next.to_json(), expect).await {
             Put::Landed(version) => {
                 self.known = Some((next, version));
-                self.seen = true;
+                self.book_seen = true;
                 Ok(Some(granted))
             }
             Put::Refused(Some(object)) => {
-                self.take_over(&object)?;
+                self.set_known(&object)?;
                 Ok(None)
             }
             Put::Refused(None) => Err(Fault::Gone),
@@ -337,18 +340,18 @@
         let found = self.setup.store.get(BOOK.0, BOOK.1).await;
         match found.map_err(|source| Fault::Store { source })? {
             Some(object) => {
-                self.take_over(&object)?;
+                self.set_known(&object)?;
                 self.known.take().ok_or(Fault::Gone)
             }
-            None if self.seen => Err(Fault::Gone),
+            None if self.book_seen => Err(Fault::Gone),
             None => Ok((Book::default(), 0)),
         }
     }
 
-    fn take_over(&mut self, object: &objects::Object) -> Result<(), Fault> {
+    fn set_known(&mut self, object: &objects::Object) -> Result<(), Fault> {
         let book = serde_json::from_str(&object.value).map_err(|source| Fault::Book { source })?;
         self.known = Some((book, object.version));
-        self.seen = true;
+        self.book_seen = true;
         Ok(())
     }
 
@@ -361,7 +364,7 @@
         let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
         acquirer.leave().await;
         selector.promise_all(funds, peers).await;
-        let soon = until.min(Instant::now() + HAND_OVER);
+        let soon = until.min(Instant::now() + HAND_OVER_DELAY);
         let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
         if !done {
             self.hand_over().await;
@@ -381,14 +384,14 @@
         if self.pending.is_some() {
             self.settle(Participation::Active).await;
         }
-        if self.is_of_book() {
+        if self.uses_book() {
             self.settle(Participation::Leaving).await;
         }
-        let mut pause = PAUSE;
+        let mut delay = RETRY_DELAY;
         while self.setup.bills.waiting() > 0 {
             self.setup.bills.write(&self.setup.store, true).await;
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
         let version = *self.setup.registered.borrow();
         if let Some(version) = version {
@@ -402,13 +405,13 @@
             return;
         }
         let count = pages.len();
-        let took = self.setup.peers.hand_over_bills(&pages).await;
-        if took.is_empty() {
+        let takers = self.setup.peers.hand_over_bills(&pages).await;
+        if takers.is_empty() {
             tracing::warn!(event = "bills_not_handed_over", count);
             self.setup.bills.take_over(pages);
             return;
         }
-        let to: Vec<&str> = took.iter().map(Incarnation::as_str).collect();
+        let to: Vec<&str> = takers.iter().map(Incarnation::as_str).collect();
         tracing::info!(event = "bills_handed_over", to = to.join(","), count);
     }
 }
--- a/crates/gateway/src/tokens/spacing.rs
+++ b/crates/gateway/src/tokens/spacing.rs
@@ -4,13 +4,15 @@
 //! fail. Settling less often avoids most of these conflicts.
 
 /// Number of boxes that may write the book at the configured interval.
-const FEW: usize = 3;
+const UNSPACED_WRITERS: usize = 3;
 /// Largest factor, however many boxes write: what a box has charged since its last settlement
 /// counts as lost if it dies.
-const MOST: u32 = 2;
+const MAX_INTERVAL_FACTOR: u32 = 2;
 
 /// Returns the factor by which a box extends the configured interval between settlements that no
 /// request waits for.
 pub fn interval_factor(writers: usize) -> u32 {
-    u32::try_from(writers / FEW).unwrap_or(MOST).clamp(1, MOST)
+    u32::try_from(writers / UNSPACED_WRITERS)
+        .unwrap_or(MAX_INTERVAL_FACTOR)
+        .clamp(1, MAX_INTERVAL_FACTOR)
 }
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -7,9 +7,9 @@
 //! The `kept` part of the free tokens is promised to the witness, which can then confirm after this
 //! box's death that they were not used. Only a later promise makes them available to requests.
 
-mod transfers;
 mod promises;
 mod settlements;
+mod transfers;
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,18 +18,18 @@
 
 use crate::tokens::{
     rate::Rate,
-    shares::{Loans, Passed},
+    shares::{BoxShares, KeeperShares},
 };
 
 /// Time for which other boxes are not asked again after they had too few tokens; about the interval
 /// of their settlements.
-const DRY: Duration = Duration::from_millis(500);
+const EXHAUSTED_TTL: Duration = Duration::from_millis(500);
 /// Seconds of use that a box keeps back when it lends, and asks for beyond what one request lacks.
 const RESERVE_S: f64 = 1.0;
 
 /// One customer's tokens on this box, by what they are used for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct Breakdown {
     /// Free, granted by the book and promised to the witness.
     pub kept: u64,
     /// Free, granted by the book and not promised.
@@ -44,7 +44,7 @@
     pub passed: u64,
 }
 
-impl Parts {
+impl Breakdown {
     /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
         let free = self.kept + self.open + self.of_keepers;
@@ -64,47 +64,47 @@
     /// Sum of the worst cases of requests that wait for tokens from the book.
     pub waiting: u64,
     /// Sum of the worst cases of requests that wait for tokens from a keeper.
-    pub lacking: u64,
+    pub waiting_for_keeper: u64,
     rate: Rate,
     peak: u64,
     /// Result of the last settlement.
     pub granted: Granted,
-    known: bool,
+    has_settled: bool,
     /// Tokens lent or borrowed, and not planned into a settlement yet.
     transfers: Vec<Transfer>,
     /// Borrowed tokens that no settlement has reported yet.
-    received: u64,
+    borrowed: u64,
     /// Number of the last transfer to another box.
-    given: u64,
+    last_transfer: u64,
     /// Promised free tokens: the highest amount that the witness may have on record.
     kept: u64,
     /// Promised tokens that requests need.
-    wanted: u64,
+    needed_promised: u64,
     /// The paid amount has changed since the last settlement.
     topped_up: bool,
     /// Until this time other boxes are not asked for this many tokens or more, as they had too few.
-    others_dry: Option<(Instant, u64)>,
+    others_exhausted: Option<(Instant, u64)>,
     /// Tokens that keepers passed on to this box.
-    loans: Loans,
+    keeper_shares: KeeperShares,
     /// Tokens that this box passed on as a keeper.
-    passed: Passed,
+    box_shares: BoxShares,
     /// Tokens passed on to boxes that died, not settled yet.
     lost: u64,
     /// Tokens that the customer has certainly used, as reported by keepers.
-    used_told: Option<u64>,
+    reported_used: Option<u64>,
     /// This box returns its tokens to the book.
-    pub retires: bool,
+    pub retiring: bool,
     /// This box is about to stop: all open reservations are charged already.
-    given_up: bool,
+    abandoned: bool,
     /// Lets one request at a time ask other boxes for this customer's tokens.
-    pub asking: Arc<tokio::sync::Mutex<()>>,
+    pub ask_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
 impl Wallet {
     /// Applies the paid amount of the configuration.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
-            (self.topped_up, self.others_dry) = (true, None);
+            (self.topped_up, self.others_exhausted) = (true, None);
         }
         self.paid = paid.map(|paid| (paid, version));
     }
@@ -116,32 +116,32 @@
 
     /// Free tokens that the book granted to this box.
     fn own(&self) -> u64 {
-        self.free().saturating_sub(self.loans.outstanding())
+        self.free().saturating_sub(self.keeper_shares.outstanding())
     }
 
     /// Own tokens that may be returned to the book.
     fn disposable(&self) -> u64 {
-        self.own().saturating_sub(self.received + self.kept)
+        self.own().saturating_sub(self.borrowed + self.kept)
     }
 
     /// Whether this box has something to report to the book or holds tokens granted by it.
-    pub fn is_of_book(&self) -> bool {
-        let transfers = !self.transfers.is_empty() || self.received > 0;
+    pub fn uses_book(&self) -> bool {
+        let transfers = !self.transfers.is_empty() || self.borrowed > 0;
         let unsettled = self.charged + self.lost > 0 || transfers;
-        self.waiting > 0 || unsettled || self.own() > 0 || self.passed.outstanding() > 0
+        self.waiting > 0 || unsettled || self.own() > 0 || self.box_shares.outstanding() > 0
     }
 
     /// Returns the tokens by what they are used for.
-    pub fn parts(&self) -> Parts {
+    pub fn breakdown(&self) -> Breakdown {
         let own = self.own();
         let kept = self.kept.min(own);
-        Parts {
+        Breakdown {
             kept,
             open: own - kept,
             of_keepers: self.free() - own,
             reserved: self.account.tokens(Part::Offline).reserved,
-            unsettled: self.charged + self.loans.untold(),
-            passed: self.passed.outstanding(),
+            unsettled: self.charged + self.keeper_shares.unreported(),
+            passed: self.box_shares.outstanding(),
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Whether a promise keeps tokens from a request of this size.
-    pub fn is_kept_from(&self, worst: u64) -> bool {
+    pub fn is_promise_blocking(&self, worst: u64) -> bool {
         self.kept > 0 && self.open() < worst
     }
 
@@ -169,7 +169,7 @@
     /// Ends a reservation; returns what is charged.
     pub fn settle(&mut self, reservation: Reservation, charged: u64) -> u64 {
         let charged = self.account.settle(reservation, charged);
-        if !self.given_up {
+        if !self.abandoned {
             self.spend(charged);
         }
         charged
@@ -177,18 +177,18 @@
 
     /// Counts tokens as used, those of keepers first.
     fn spend(&mut self, tokens: u64) {
-        let of_keepers = self.loans.spend(tokens);
+        let of_keepers = self.keeper_shares.spend(tokens);
         self.charged += tokens - of_keepers;
         self.requests += u64::from(tokens > 0 && of_keepers == 0);
     }
 
     /// Charges all open reservations in full, before a planned stop. Tokens that were passed on
     /// cannot return any more and count as lost.
-    pub fn give_up(&mut self) {
-        if !self.given_up {
+    pub fn abandon(&mut self) {
+        if !self.abandoned {
             self.spend(self.account.tokens(Part::Offline).reserved);
-            self.lost += self.passed.close_all();
-            self.given_up = true;
+            self.lost += self.box_shares.close_all();
+            self.abandoned = true;
         }
     }
 
@@ -196,32 +196,32 @@
     pub fn missing(&mut self, worst: u64, now: Instant) -> u64 {
         match worst.saturating_sub(self.open()) {
             0 => 0,
-            missing => missing + self.rate.over(RESERVE_S, now),
+            missing => missing + self.rate.used_in(RESERVE_S, now),
         }
     }
 
     /// Whether the book could not bring this box up to `tokens` as of the last settlement. If so,
     /// nothing is requested before the next regular one, since such settlements rarely succeed and
     /// load the store.
-    pub fn is_dry(&self, tokens: u64) -> bool {
-        self.known && !self.topped_up && self.own() + self.granted.left < tokens
+    pub fn is_book_exhausted(&self, tokens: u64) -> bool {
+        self.has_settled && !self.topped_up && self.own() + self.granted.left < tokens
     }
 
     /// Whether other boxes recently had too few tokens for a request of this size.
-    pub fn are_others_dry(&self, worst: u64, now: Instant) -> bool {
-        self.others_dry.is_some_and(|(until, lacked)| until > now && worst >= lacked)
+    pub fn are_others_exhausted(&self, worst: u64, now: Instant) -> bool {
+        self.others_exhausted.is_some_and(|(until, lacked)| until > now && worst >= lacked)
     }
 
     /// Records that other boxes had too few tokens for a request of this size.
-    pub fn note_others_dry(&mut self, worst: u64, now: Instant) {
-        self.others_dry = Some((now + DRY, worst));
+    pub fn note_others_exhausted(&mut self, worst: u64, now: Instant) {
+        self.others_exhausted = Some((now + EXHAUSTED_TTL, worst));
     }
 
     /// Whether the rest of the budget certainly does not cover a request of this size.
     pub fn is_exhausted(&self, worst: u64) -> bool {
         let paid = self.paid.map_or(0, |(paid, _)| paid);
-        let settled = self.known.then_some(self.granted.used + self.charged);
-        let used = settled.max(self.used_told);
+        let settled = self.has_settled.then_some(self.granted.used + self.charged);
+        let used = settled.max(self.reported_used);
         used.is_some_and(|used| paid.saturating_sub(used) < worst)
     }
 }
--- a/crates/gateway/src/tokens/wallet/promises.rs
+++ b/crates/gateway/src/tokens/wallet/promises.rs
@@ -8,25 +8,25 @@
 
 /// Seconds of use that are left out of a promise, so that most requests need not wait for a new
 /// one. These tokens are lost with the box if it dies.
-const OPEN_S: f64 = 1.5;
+const UNPROMISED_S: f64 = 1.5;
 /// A new promise is due once fewer seconds of use than this are not promised.
-const OPEN_LOW_S: f64 = 0.5;
+const MIN_UNPROMISED_S: f64 = 0.5;
 
 impl Wallet {
     /// Counts tokens as needed that a promise keeps.
-    pub fn want(&mut self, tokens: u64) {
-        self.wanted += tokens;
+    pub fn need_promised(&mut self, tokens: u64) {
+        self.needed_promised += tokens;
     }
 
     /// Whether a new promise would free tokens that are needed, or keep many more.
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
         let open = self.open();
-        let wanted = self.wanted > 0 || open < self.rate.over(OPEN_LOW_S, now);
+        let needed = self.needed_promised > 0 || open < self.rate.used_in(MIN_UNPROMISED_S, now);
         let keepable = self.keepable(now);
         match self.kept.cmp(&keepable) {
-            Ordering::Less => keepable > self.kept + self.rate.over(OPEN_S, now),
+            Ordering::Less => keepable > self.kept + self.rate.used_in(UNPROMISED_S, now),
             Ordering::Equal => false,
-            Ordering::Greater => wanted || self.exceeds() || self.retires,
+            Ordering::Greater => needed || self.has_spare() || self.retiring,
         }
     }
 
@@ -34,24 +34,24 @@
     /// as well.
     pub fn promise(&mut self, now: Instant) -> u64 {
         let keeps = self.keepable(now);
-        self.wanted = 0;
+        self.needed_promised = 0;
         self.kept = self.kept.max(keeps);
         keeps
     }
 
     /// Returns the tokens of the last promise before a planned stop: all that are free.
     pub fn promise_all(&mut self) -> u64 {
-        self.kept = self.own().saturating_sub(self.received);
+        self.kept = self.own().saturating_sub(self.borrowed);
         self.kept
     }
 
     fn keepable(&mut self, now: Instant) -> u64 {
-        let open = self.rate.over(OPEN_S, now) + self.wanted;
-        if self.retires {
+        let open = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
+        if self.retiring {
             return 0;
         }
-        let keepable = self.own().saturating_sub(self.received + open);
-        match self.exceeds() {
+        let keepable = self.own().saturating_sub(self.borrowed + open);
+        match self.has_spare() {
             // The surplus is to be returned to the book.
             true => keepable.min(self.granted.target),
             false => keepable,
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -9,31 +9,31 @@
 use crate::tokens::participation::Participation;
 
 /// A box requests more once it holds less than this share of its target.
-const LOW: f64 = 0.6;
+const REFILL_FACTOR: f64 = 0.6;
 /// A box settles in order to return tokens once it holds more than this multiple of its target.
-const HIGH: f64 = 2.0;
+const RETURN_FACTOR: f64 = 2.0;
 /// Tokens beyond this multiple of the target are returned with any settlement, since they would be
 /// lost if the box died.
-const SPARE: f64 = 1.2;
+const KEEP_FACTOR: f64 = 1.2;
 /// Until use has been observed, a box expects requests as large as this fraction of what is
 /// unspent, one of them for all boxes together.
-const GUESS: u64 = 64;
+const EXPECTED_REQUEST_DIVISOR: u64 = 64;
 
 impl Wallet {
     /// Whether a settlement is due because this box holds too few or too many tokens.
     pub fn is_due(&self) -> bool {
         let (free, target) = (self.own() as f64, self.granted.target as f64);
-        let low = free < target * LOW && self.granted.left > 0;
-        self.known && (low || self.has_surplus())
+        let low = free < target * REFILL_FACTOR && self.granted.left > 0;
+        self.has_settled && (low || self.has_surplus())
     }
 
     fn has_surplus(&self) -> bool {
-        self.own() as f64 > self.granted.target as f64 * HIGH + self.peak as f64
+        self.own() as f64 > self.granted.target as f64 * RETURN_FACTOR + self.peak as f64
     }
 
     /// Whether this box holds more than any settlement should leave here.
-    pub(super) fn exceeds(&self) -> bool {
-        self.own() as f64 > self.granted.target as f64 * SPARE
+    pub(super) fn has_spare(&self) -> bool {
+        self.own() as f64 > self.granted.target as f64 * KEEP_FACTOR
     }
 
     /// Returns this customer's item of the next settlement. What it reports and returns is taken
@@ -45,11 +45,12 @@
         now: Instant,
     ) -> Item {
         if participation == Participation::Leaving {
-            self.give_up();
+            self.abandon();
         }
         let returned = self.surplus(participation);
         let returned = self.account.take(Part::Offline, returned);
-        let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid)) / GUESS;
+        let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
+            / EXPECTED_REQUEST_DIVISOR;
         Item {
             customer: customer.clone(),
             paid: self.paid,
@@ -74,7 +75,7 @@
         match participation {
             Participation::Leaving => self.own(),
             Participation::Retiring => self.disposable(),
-            Participation::Active if !self.known || !self.exceeds() => 0,
+            Participation::Active if !self.has_settled || !self.has_spare() => 0,
             Participation::Active => self.disposable().min(self.own() - self.granted.target),
         }
     }
@@ -82,12 +83,12 @@
     /// Applies the result of a settlement with `item` that landed.
     pub fn landed(&mut self, item: &Item, holder: &Incarnation, brought: Option<&Granted>) {
         let to_me = item.transfers.iter().filter(|transfer| transfer.to == *holder);
-        self.received -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
+        self.borrowed -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
         self.topped_up &= item.paid != self.paid;
         if let Some(granted) = brought {
             self.account.add(Part::Offline, granted.tokens);
             self.granted = granted.clone();
-            self.known = true;
+            self.has_settled = true;
         }
     }
 }
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -26,14 +26,15 @@
         to: &Incarnation,
         now: Instant,
     ) -> Option<Transfer> {
-        let reserve = self.rate.over(RESERVE_S, now);
-        let spare = self.own().saturating_sub(reserve.max(self.received + self.kept));
+        let reserve = self.rate.used_in(RESERVE_S, now);
+        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.kept));
         let tokens = self.account.take(Part::Offline, wanted.min(spare));
         if tokens == 0 {
             return None;
         }
-        self.given += 1;
-        let transfer = Transfer { from: from.clone(), n: self.given, to: to.clone(), tokens };
+        self.last_transfer += 1;
+        let transfer =
+            Transfer { from: from.clone(), n: self.last_transfer, to: to.clone(), tokens };
         self.transfers.push(transfer.clone());
         Some(transfer)
     }
@@ -41,40 +42,40 @@
     /// Adds tokens that another box lent.
     pub fn receive(&mut self, transfer: Transfer) {
         self.account.add(Part::Offline, transfer.tokens);
-        self.received += transfer.tokens;
+        self.borrowed += transfer.tokens;
         self.transfers.push(transfer);
     }
 
     /// Returns the report that is due to a keeper for this customer, with the tokens that a waiting
     /// request needs; `None` if there is nothing to report. Tokens that it returns are taken out of
     /// the account here.
-    pub fn demands(
+    pub fn demand(
         &mut self,
         customer: &Arc<str>,
         keeper: &Incarnation,
         worst: Option<u64>,
         now: Instant,
     ) -> Option<Demand> {
-        let ahead = self.rate.over(AHEAD_S, now);
+        let ahead = self.rate.used_in(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
         // One question covers all waiting requests. If each asked in turn, most of them would time
         // out on a busy box.
-        let need = worst.map_or(0, |worst| lacks(worst.max(self.lacking)));
+        let need = worst.map_or(0, |worst| lacks(worst.max(self.waiting_for_keeper)));
         if worst.is_none() {
-            self.give_back(keeper, ahead);
+            self.return_surplus(keeper, ahead);
         }
-        let says = need > 0 || self.loans.has_news(keeper);
-        let share = self.loans.share(keeper);
-        says.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
+        let due = need > 0 || self.keeper_shares.has_unreported(keeper);
+        let share = self.keeper_shares.share(keeper);
+        due.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
     }
 
     /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
     /// Otherwise every box would accumulate tokens that its requests did not use.
-    fn give_back(&mut self, keeper: &Incarnation, keep: u64) {
+    fn return_surplus(&mut self, keeper: &Incarnation, keep: u64) {
         let free = self.open();
         if free > 2 * keep {
-            let returned = self.loans.give_back(keeper, free - keep);
+            let returned = self.keeper_shares.return_tokens(keeper, free - keep);
             let taken = self.account.take(Part::Offline, returned);
             debug_assert_eq!(taken, returned, "unused tokens of keepers are free");
         }
@@ -82,61 +83,62 @@
 
     /// Returns all tokens of a keeper that are not reserved.
     pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Demand> {
-        self.give_back(keeper, 0);
-        let share = self.loans.share(keeper);
-        let says = self.loans.has_news(keeper);
-        says.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
+        self.return_surplus(keeper, 0);
+        let share = self.keeper_shares.share(keeper);
+        let due = self.keeper_shares.has_unreported(keeper);
+        due.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
     /// Whether a report to a keeper is due.
-    pub fn has_news(&mut self, keeper: &Incarnation, now: Instant) -> bool {
-        let idle = self.open() > 2 * self.rate.over(AHEAD_S, now);
-        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).outstanding() > 0)
+    pub fn has_unreported(&mut self, keeper: &Incarnation, now: Instant) -> bool {
+        let idle = self.open() > 2 * self.rate.used_in(AHEAD_S, now);
+        self.keeper_shares.has_unreported(keeper)
+            || (idle && self.keeper_shares.share(keeper).outstanding() > 0)
     }
 
     /// Applies a keeper's answer to a report.
-    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Supply) {
-        let new = self.loans.receive(keeper, given.given);
+    pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
+        let new = self.keeper_shares.receive(keeper, supply.given);
         self.account.add(Part::Offline, new);
-        self.loans.heard(keeper, told);
-        self.used_told = self.used_told.max(Some(given.used));
+        self.keeper_shares.acknowledge(keeper, reported);
+        self.reported_used = self.reported_used.max(Some(supply.used));
     }
 
     /// Returns the keepers that have passed tokens on to this box.
     pub fn keepers(&self) -> impl Iterator<Item = &Incarnation> {
-        self.loans.keepers()
+        self.keeper_shares.keepers()
     }
 
     /// On a keeper: closes the accounts of earlier incarnations of a box, which are dead since a
     /// later one is running.
     pub fn close_earlier(&mut self, than: &Incarnation) {
-        self.lost += self.passed.close_earlier(than);
+        self.lost += self.box_shares.close_earlier(than);
     }
 
     /// On a keeper: applies another box's report. Returns whether it was accepted.
-    pub fn receive_report(&mut self, from: &Incarnation, told: Share) -> bool {
-        let Some(news) = self.passed.receive_report(from, told) else { return false };
-        self.charged += news.used;
-        self.requests += news.requests;
-        self.account.add(Part::Offline, news.returned);
+    pub fn receive_report(&mut self, from: &Incarnation, reported: Share) -> bool {
+        let Some(delta) = self.box_shares.receive_report(from, reported) else { return false };
+        self.charged += delta.used;
+        self.requests += delta.requests;
+        self.account.add(Part::Offline, delta.returned);
         true
     }
 
     /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
     /// waiting requests and some for later ones. Returns whether it did.
-    pub fn pass_on(&mut self, to: &Incarnation, told: &Demand, now: Instant) -> bool {
-        let under_way = self.passed.total(to).saturating_sub(told.share.given);
-        let least = told.least.saturating_sub(under_way);
+    pub fn pass_on(&mut self, to: &Incarnation, demand: &Demand, now: Instant) -> bool {
+        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.given);
+        let least = demand.least.saturating_sub(in_transit);
         // Borrowed tokens may be passed on as well: the book counts them with the lender until one
         // side reports the transfer, and never with the box that gets them here.
         let spare = self.own().saturating_sub(self.kept);
-        if spare < least || self.passed.is_closed(to) || self.given_up {
+        if spare < least || self.box_shares.is_closed(to) || self.abandoned {
             return false;
         }
-        let need = told.need.saturating_sub(under_way).min(spare);
-        let ahead = if need > 0 { self.ahead(told.ahead, spare - need, now) } else { 0 };
+        let need = demand.need.saturating_sub(in_transit).min(spare);
+        let ahead = if need > 0 { self.ahead(demand.ahead, spare - need, now) } else { 0 };
         let tokens = self.account.take(Part::Offline, need + ahead);
-        self.passed.pass_on(to, tokens);
+        self.box_shares.pass_on(to, tokens);
         self.rate.add(tokens, now);
         self.peak = self.peak.max(least);
         true
@@ -146,7 +148,7 @@
     /// boxes; if the rest does not last for all, it is split by use, since equal parts would starve
     /// the busiest box.
     fn ahead(&mut self, wanted: u64, spare: u64, now: Instant) -> u64 {
-        let all = self.rate.over(AHEAD_S, now).max(wanted);
+        let all = self.rate.used_in(AHEAD_S, now).max(wanted);
         match all {
             0 => 0,
             all => {
@@ -157,13 +159,13 @@
 
     /// On a keeper: returns the answer to another box's report.
     pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
-        let dry = self.is_dry(need) && self.are_others_dry(need, now);
+        let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
-        Supply { customer: customer.clone(), given: self.passed.total(to), used, dry }
+        Supply { customer: customer.clone(), given: self.box_shares.total(to), used, dry }
     }
 
     /// Tokens passed on as a keeper, and not reported as used or returned.
     pub fn outstanding(&self) -> u64 {
-        self.passed.outstanding()
+        self.box_shares.outstanding()
     }
 }
--- a/crates/gateway/src/tokens/witness.rs
+++ b/crates/gateway/src/tokens/witness.rs
@@ -1,9 +1,9 @@
 //! Promises of boxes to each other to keep tokens unused, so that little is lost when one of them
 //! dies.
 //!
-//! [`Selector`] selects this box's witness, which takes effect once the book names it, and [`Promiser`]
-//! sends the promises to it. The witness's side is in `records`. While neither the store nor the
-//! witness answers, the last promise holds.
+//! [`Selector`] selects this box's witness, which takes effect once the book names it, and
+//! [`Promiser`] sends the promises to it. The witness's side is in `records`. While neither the
+//! store nor the witness answers, the last promise holds.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,10 +18,10 @@
 
 /// Delay after a promise that was not accepted, so that a box that is down is not called in a tight
 /// loop.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Number of the last promise, before a planned stop.
-const LAST: u64 = u64::MAX;
+const LAST_NUMBER: u64 = u64::MAX;
 
 /// Selects this box's witness.
 #[derive(Debug, Clone)]
@@ -42,8 +42,8 @@
     pub fn choose(&self, peers: &Peers, number: u64) -> Option<Witness> {
         let named = self.named.borrow().clone();
         let lost = *self.lost.lock();
-        let stays = |witness: &Witness| !lost && peers.knows(&witness.by);
-        if let Some(witness) = named.as_ref().filter(|witness| stays(witness)) {
+        let is_usable = |witness: &Witness| !lost && peers.knows(&witness.by);
+        if let Some(witness) = named.as_ref().filter(|witness| is_usable(witness)) {
             return Some(witness.clone());
         }
         let other = peers.any_reachable(named.as_ref().map(|witness| &witness.by));
@@ -78,9 +78,9 @@
         let Some(witness) = self.named.borrow().clone() else { return };
         let tokens = funds.promise_all();
         let kept: u64 = tokens.values().sum();
-        let promise = Promise { term: witness.term, number: LAST, tokens };
-        let told = peers.promise(&witness.by, promise).await;
-        tracing::info!(event = "promised_all", witness = witness.by.as_str(), kept, outcome = ?told);
+        let promise = Promise { term: witness.term, number: LAST_NUMBER, tokens };
+        let outcome = peers.promise(&witness.by, promise).await;
+        tracing::info!(event = "promised_all", witness = witness.by.as_str(), kept, outcome = ?outcome);
     }
 
     /// Whether another witness is to be named.
@@ -102,46 +102,46 @@
     pub async fn run(self) {
         let mut number = 0;
         // The term of the witness, and the highest amounts that it may have on record.
-        let mut believed: (u64, BTreeMap<Arc<str>, u64>) = (0, BTreeMap::new());
+        let mut recorded: (u64, BTreeMap<Arc<str>, u64>) = (0, BTreeMap::new());
         loop {
             self.funds.promise_due().await;
             let Some(witness) = self.selector.named.borrow().clone() else { continue };
             let Some(tokens) = self.funds.promise() else { continue };
-            if believed.0 != witness.term {
-                believed = (witness.term, BTreeMap::new());
+            if recorded.0 != witness.term {
+                recorded = (witness.term, BTreeMap::new());
             }
             number += 1;
             let promise = Promise { term: witness.term, number, tokens: tokens.clone() };
-            let told = self.peers.promise(&witness.by, promise).await;
+            let outcome = self.peers.promise(&witness.by, promise).await;
             tracing::debug!(
                 event = "promised",
                 witness = witness.by.as_str(),
                 term = witness.term,
                 number,
                 kept = tokens.values().sum::<u64>(),
-                outcome = ?told,
+                outcome = ?outcome,
             );
-            match told {
+            match outcome {
                 Delivery::Taken => {
                     self.funds.promise_accepted(&tokens);
-                    believed.1 = tokens;
+                    recorded.1 = tokens;
                     continue;
                 }
-                Delivery::Not => self.funds.promise_accepted(&believed.1),
+                Delivery::Not => self.funds.promise_accepted(&recorded.1),
                 Delivery::Gone => {
                     self.selector.note_lost(&witness);
                     self.funds.clear_promise();
-                    believed.1.clear();
+                    recorded.1.clear();
                 }
                 Delivery::Unknown => {
                     self.selector.note_lost(&witness);
                     for (customer, tokens) in tokens {
-                        let most = believed.1.entry(customer).or_default();
-                        *most = tokens.max(*most);
+                        let highest = recorded.1.entry(customer).or_default();
+                        *highest = tokens.max(*highest);
                     }
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -1,8 +1,8 @@
 //! The ledgers of many budgets in one object, which all boxes write in turn.
 //!
-//! A box settles all its budgets by one conditional update, without a journal: what it charged since
-//! the last one, what it returns, and what it would like to hold. [`Book::settle`] grants from what
-//! is really left, so a box with a stale view can only request too much or too little.
+//! A box settles all its budgets by one conditional update, without a journal: what it charged
+//! since the last one, what it returns, and what it would like to hold. [`Book::settle`] grants
+//! from what is really left, so a box with a stale view can only request too much or too little.
 //!
 //! A box spends its grant without contacting the platform, so when it dies, nobody knows how much
 //! of the grant was used, except for what its witness has on record. As soon as a later incarnation
@@ -22,19 +22,19 @@
 
 /// Part of what all boxes may hold that is split evenly, in thousandths. Thus a box that is the
 /// first to get a customer's requests has some tokens.
-const EVEN: u64 = 300;
+const EVEN_SHARE_PERMILLE: u64 = 300;
 
 /// Most settlements of one box while all boxes return after an outage: a few in a row, one of them
 /// planned before it.
-const SETTLE_AT_RETURN: u64 = 4;
+const MAX_SETTLEMENTS_AT_RETURN: u64 = 4;
 
 /// Weight of unwitnessed losses: with 1/20 of the paid amount lost, boxes hold half as much. Where
 /// all boxes died once they are likely to die again, and losses add up, whereas tokens that were
 /// not held in an outage can still be used after it.
-const CAUTION: u64 = 20;
+const LOSS_WEIGHT: u64 = 20;
 
 /// Most open claims. What is held under further ones counts as spent.
-const MOST_CLAIMS: usize = 128;
+const MAX_CLAIMS: usize = 128;
 
 /// Kind and name of the object that holds the book.
 pub const BOOK: (&str, &str) = ("books", "main");
@@ -157,11 +157,11 @@
 impl Settlement {
     /// Whether it changes nothing, so that it may be repeated.
     fn is_empty(&self) -> bool {
-        let says = |item: &Item| {
+        let has_effect = |item: &Item| {
             item.charged + item.lost + item.returned + item.waiting > 0
                 || !item.transfers.is_empty()
         };
-        self.earlier.is_empty() && !self.items.iter().any(says)
+        self.earlier.is_empty() && !self.items.iter().any(has_effect)
     }
 }
 
@@ -189,8 +189,8 @@
 impl Book {
     /// Number of boxes that hold tokens ahead of need.
     pub fn boxes(&self) -> u64 {
-        let draw = self.writers.keys().filter(|name| !self.idle.contains(*name));
-        let names: BTreeSet<&str> = draw.map(Incarnation::box_name).collect();
+        let drawing = self.writers.keys().filter(|name| !self.idle.contains(*name));
+        let names: BTreeSet<&str> = drawing.map(Incarnation::box_name).collect();
         names.len() as u64
     }
 
@@ -198,12 +198,12 @@
     /// before. This counts as a fleet-wide outage unless other boxes went on to settle meanwhile,
     /// and only once for all boxes that return.
     pub fn note_outage(&mut self, landed_before: u64) {
-        let return_all = SETTLE_AT_RETURN * self.boxes().max(1);
-        if self.landed.saturating_sub(landed_before) > return_all {
+        let max_settlements = MAX_SETTLEMENTS_AT_RETURN * self.boxes().max(1);
+        if self.landed.saturating_sub(landed_before) > max_settlements {
             return;
         }
         let Outages { count, landed } = &mut self.outages;
-        let is_same = *count > 0 && self.landed.saturating_sub(*landed) <= return_all;
+        let is_same = *count > 0 && self.landed.saturating_sub(*landed) <= max_settlements;
         if !is_same {
             (*count, *landed) = (*count + 1, self.landed);
         }
@@ -274,8 +274,8 @@
     /// Returns the earlier incarnations of the box of `holder` whose witnesses are to be asked:
     /// those that are still listed as writers, and those with open claims.
     pub fn earlier(&self, holder: &Incarnation) -> Vec<(Incarnation, Claim)> {
-        let lives = self.writers.iter().filter(|(name, _)| is_earlier(name, holder));
-        let asked = lives.filter_map(|(name, writer)| Some((name.clone(), writer.claim()?)));
+        let writers = self.writers.iter().filter(|(name, _)| is_earlier(name, holder));
+        let asked = writers.filter_map(|(name, writer)| Some((name.clone(), writer.claim()?)));
         let open = self.claims.iter().filter(|(name, _)| is_earlier(name, holder));
         asked.chain(open.map(|(name, claim)| (name.clone(), claim.clone()))).collect()
     }
@@ -296,7 +296,7 @@
                 _ => self.write_off(&name, &BTreeMap::new()),
             }
         }
-        while self.claims.len() > MOST_CLAIMS {
+        while self.claims.len() > MAX_CLAIMS {
             let Some((name, _)) = self.claims.pop_first() else { return };
             self.write_off(&name, &BTreeMap::new());
         }
@@ -365,11 +365,11 @@
         ledger.apply_paid(paid, version);
     }
     ledger.charge(holder, item.charged, item.requests);
-    ledger.lose(holder, item.lost);
+    ledger.count_lost(holder, item.lost);
     let unspent = ledger.paid_wanted.saturating_sub(ledger.spent);
-    let part = portion(ledger, holder, item, policy);
+    let part = share_permille(ledger, holder, item, policy);
     let target = target(unspent, ledger.paid_wanted, part, item.observed, policy);
-    let target = cautious(target, ledger);
+    let target = reduce_after_losses(target, ledger);
     let left = (ledger.left() + item.returned).min(unspent);
     // If the rest does not cover the waiting requests, it is left for smaller ones on any box.
     let need = item.need();
@@ -378,9 +378,9 @@
     let target_now = if first { 0 } else { target };
     let ahead =
         if waiting > 0 { ahead(left - waiting.min(left), item.observed, policy) } else { 0 };
-    let wish = (target_now.max(ahead) + waiting).saturating_sub(item.free);
+    let wanted = (target_now.max(ahead) + waiting).saturating_sub(item.free);
     let draws = !settlement.leaves && !settlement.retires;
-    let tokens = if draws { wish.min(left) } else { 0 };
+    let tokens = if draws { wanted.min(left) } else { 0 };
     let draw = Draw { offline: tokens, return_offline: item.returned, ..Draw::default() };
     let drawn = ledger.draw(holder, draw, settlement.writer.write).is_ok();
     if let Some(grant) = ledger.grants.get_mut(holder) {
@@ -406,17 +406,17 @@
 /// policy, and its share of one large request, as boxes lend to each other. Limited to its share of
 /// what is unspent, and less than that if little of the budget is left: tokens that were not used
 /// in an outage can be used after it, but those that a box held when it died cannot.
-fn target(unspent: u64, paid: u64, portion: u64, observed: Observed, policy: Policy) -> u64 {
-    let scarcity_permille = (paid * policy.scarcity_permille / 1_000).max(1);
-    let part = unspent * portion / 1_000 * unspent.min(scarcity_permille) / scarcity_permille;
+fn target(unspent: u64, paid: u64, share_permille: u64, observed: Observed, policy: Policy) -> u64 {
+    let scarcity_limit = (paid * policy.scarcity_permille / 1_000).max(1);
+    let part = unspent * share_permille / 1_000 * unspent.min(scarcity_limit) / scarcity_limit;
     let large = observed.peak / policy.boxes.max(1);
     part.min(observed.rate * policy.offline_horizon + large)
 }
 
 /// Reduces a target if boxes have died with tokens of the budget and no witness was left.
-fn cautious(target: u64, ledger: &Ledger) -> u64 {
+fn reduce_after_losses(target: u64, ledger: &Ledger) -> u64 {
     let paid = u128::from(ledger.paid_wanted.max(1));
-    let lost = u128::from(CAUTION) * u128::from(ledger.unwitnessed);
+    let lost = u128::from(LOSS_WEIGHT) * u128::from(ledger.unwitnessed);
     (u128::from(target) * paid / (paid + lost)) as u64
 }
 
@@ -433,14 +433,15 @@
 
 /// Returns a box's share of what is unspent, in thousandths. Part of what all boxes may hold is
 /// split evenly, the rest by use.
-fn portion(ledger: &Ledger, holder: &Incarnation, item: &Item, policy: Policy) -> u64 {
+fn share_permille(ledger: &Ledger, holder: &Incarnation, item: &Item, policy: Policy) -> u64 {
     let others = ledger.grants.iter().filter(|(name, _)| *name != holder);
     let used: u64 = others.map(|(_, grant)| grant.rate).sum::<u64>() + item.observed.rate;
     let even = policy.offline_share / policy.boxes.max(1);
     match used {
         0 => even,
         used => {
-            (even * EVEN + policy.offline_share * item.observed.rate / used * (1_000 - EVEN))
+            (even * EVEN_SHARE_PERMILLE
+                + policy.offline_share * item.observed.rate / used * (1_000 - EVEN_SHARE_PERMILLE))
                 / 1_000
         }
     }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -13,12 +13,12 @@
 /// Number of bills on one page.
 pub const BILLS_PER_PAGE: usize = 200;
 /// Number of billed keys that are remembered, so that a rerun is not billed twice.
-const KEYS: usize = 4_000;
+const MAX_KEYS: usize = 4_000;
 /// Most bills kept in a ledger; then a fold waits until pages of them are written. A value of the
 /// store holds 1 MB.
-const RECENT: usize = 2_000;
+const MAX_RECENT_BILLS: usize = 2_000;
 /// Number of ended holders that are remembered.
-const ENDED: usize = 64;
+const MAX_ENDED_HOLDERS: usize = 64;
 
 /// Why a transition is not possible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
@@ -187,7 +187,7 @@
         let fresh = journal.outcomes_after(budget, folded);
         let mut outcomes = 0;
         for (record, position) in &fresh {
-            let full = self.statement.recent.len() >= RECENT;
+            let full = self.statement.recent.len() >= MAX_RECENT_BILLS;
             if full || self.fold_one(&journal.incarnation, record, *position).is_err() {
                 break;
             }
@@ -258,7 +258,7 @@
     /// Everything that the holder ever did must have been folded.
     pub fn end(&mut self, holder: &Incarnation) -> u64 {
         let freed = self.grants.remove(holder).map_or(0, |grant| grant.total());
-        if self.ended.len() == ENDED {
+        if self.ended.len() == MAX_ENDED_HOLDERS {
             self.ended.remove(0);
         }
         self.ended.push(holder.clone());
@@ -285,7 +285,7 @@
     }
 
     /// Counts tokens as spent that `holder` passed on to boxes that died.
-    pub fn lose(&mut self, holder: &Incarnation, tokens: u64) {
+    pub fn count_lost(&mut self, holder: &Incarnation, tokens: u64) {
         let Some(held) = self.grants.get_mut(holder) else { return };
         let lost = tokens.min(held.offline);
         held.offline -= lost;
@@ -393,8 +393,8 @@
     fn add(&mut self, bill: Bill) {
         self.count += 1;
         self.tokens += bill.tokens;
-        if self.keys.len() >= KEYS {
-            self.keys.drain(..KEYS / 4);
+        if self.keys.len() >= MAX_KEYS {
+            self.keys.drain(..MAX_KEYS / 4);
         }
         self.keys.push(key_hash(&bill.customer, &bill.key));
         self.recent.push(bill);
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -55,19 +55,19 @@
     /// On the keeper: applies the totals that the box reports; returns what changed.
     ///
     /// Totals that exceed what was passed on can't belong to this pair, and change nothing.
-    pub fn receive_report(&mut self, told: Share) -> Option<Delta> {
-        let (used, returned) = (told.used.max(self.used), told.returned.max(self.returned));
+    pub fn receive_report(&mut self, report: Share) -> Option<Delta> {
+        let (used, returned) = (report.used.max(self.used), report.returned.max(self.returned));
         if used.checked_add(returned)? > self.given {
             return None;
         }
-        let requests = told.requests.max(self.requests);
-        let news = Delta {
+        let requests = report.requests.max(self.requests);
+        let delta = Delta {
             used: used - self.used,
             returned: returned - self.returned,
             requests: requests - self.requests,
         };
         (self.used, self.returned, self.requests) = (used, returned, requests);
-        Some(news)
+        Some(delta)
     }
 
     /// On the box: applies the total that the keeper reports; returns the tokens that are new.
--- a/crates/ledger/src/sizing.rs
+++ b/crates/ledger/src/sizing.rs
@@ -48,20 +48,20 @@
 
 /// Offline part after an outage, in thousandths. Nearly all: what is held is also bounded by
 /// seconds of use, and tokens in the book are out of reach in the next outage.
-const SHARE_AFTER_OUTAGE: u64 = 950;
+const SHARE_PERMILLE_AFTER_OUTAGE: u64 = 950;
 /// Part of the paid amount, in thousandths, below which the offline part shrinks after an outage.
 /// Low, so that only the last tokens are not hoarded.
-const PLENTY_AFTER_OUTAGE: u64 = 100;
+const SCARCITY_PERMILLE_AFTER_OUTAGE: u64 = 100;
 
 /// Seconds of use that a box holds right after the platform has become reachable again.
-const LEAST_HORIZON_S: u64 = 1;
+const MIN_HORIZON_S: u64 = 1;
 
 impl Policy {
     /// Returns the policy after a recent outage, which makes another one likely.
     pub fn after_outage(self) -> Policy {
         Policy {
-            offline_share: self.offline_share.max(SHARE_AFTER_OUTAGE),
-            scarcity_permille: self.scarcity_permille.min(PLENTY_AFTER_OUTAGE),
+            offline_share: self.offline_share.max(SHARE_PERMILLE_AFTER_OUTAGE),
+            scarcity_permille: self.scarcity_permille.min(SCARCITY_PERMILLE_AFTER_OUTAGE),
             ..self
         }
     }
@@ -79,7 +79,7 @@
     /// Failures come in series, so a box is most likely to die shortly after an outage, and with it
     /// all tokens that it was just granted.
     pub fn reachable_for(self, seconds: u64) -> Policy {
-        Policy { offline_horizon: self.offline_horizon.min(seconds + LEAST_HORIZON_S), ..self }
+        Policy { offline_horizon: self.offline_horizon.min(seconds + MIN_HORIZON_S), ..self }
     }
 }
 
@@ -108,9 +108,9 @@
 /// Both shrink with the rest of a budget, so that no box hoards the last tokens.
 pub fn target(policy: Policy, observed: Observed) -> Target {
     let boxes = policy.boxes.max(1);
-    let fair = observed.unspent / (boxes * 2);
-    let wish = observed.rate * policy.online_horizon;
-    let online = wish.max(observed.largest * 4).min(fair);
+    let even_share = observed.unspent / (boxes * 2);
+    let wanted = observed.rate * policy.online_horizon;
+    let online = wanted.max(observed.largest * 4).min(even_share);
     let share = observed.unspent * policy.offline_share / 1_000 / boxes;
     let use_offline = (observed.rate * policy.offline_horizon).max(observed.peak * 8);
     Target { online, offline: share.min(use_offline) }
--- a/crates/ledger/tests/share.rs
+++ b/crates/ledger/tests/share.rs
@@ -54,8 +54,8 @@
                 }
                 Step::ToBox(which) => here += holder.receive(to_box[which % to_box.len()]),
                 Step::ToKeeper(which) => {
-                    let news = keeper.receive_report(to_keeper[which % to_keeper.len()]);
-                    back += news.expect("a word of this pair fits").returned;
+                    let delta = keeper.receive_report(to_keeper[which % to_keeper.len()]);
+                    back += delta.expect("a word of this pair fits").returned;
                 }
             }
             prop_assert_eq!(here, holder.outstanding());
@@ -69,12 +69,12 @@
 fn totals_that_do_not_fit_change_nothing() {
     let mut keeper = Share { given: 100, used: 40, ..Share::default() };
     let before = keeper;
-    for told in [
+    for report in [
         Share { used: 101, ..Share::default() },
         Share { used: 60, returned: 41, ..Share::default() },
         Share { used: u64::MAX, returned: 1, ..Share::default() },
     ] {
-        assert_eq!(keeper.receive_report(told), None, "{told:?}");
+        assert_eq!(keeper.receive_report(report), None, "{report:?}");
         assert_eq!(keeper, before);
     }
 }
