--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -105,7 +105,7 @@
     }
 
     #[test]
-    fn only_own_word_lets_another_take_over() {
+    fn only_a_claim_that_did_not_run_is_taken_over() {
         let answer = Answer { status: 200, content_type: "text/plain".into(), body: None };
         let mine = claim("b.1", 1, State::Open);
         let cases = [
--- a/crates/gateway/src/tokens/funds/transfers.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -9,8 +9,8 @@
 use crate::tokens::wallet::Wallet;
 
 impl Funds {
-    /// Returns the reports that are due to a keeper, with the tokens that a waiting request needs
-    /// of it.
+    /// Returns the demands to send to a keeper, including the tokens that a `waiting` request
+    /// needs. They report what was used and returned of the keeper's tokens.
     pub fn demands(&self, keeper: &Incarnation, waiting: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -21,7 +21,7 @@
         all.collect()
     }
 
-    /// Applies a keeper's answer to the reports that were sent to it.
+    /// Applies a keeper's answer to these demands.
     pub fn drawn(&self, keeper: &Incarnation, demands: &[Demand], supplies: &[Supply]) {
         let mut state = self.0.state.lock();
         for (demand, supply) in demands.iter().zip(supplies) {
@@ -40,7 +40,7 @@
         KeeperWait { funds: self, customer: customer.clone(), worst }
     }
 
-    /// Returns the keepers to which a report is due.
+    /// Returns the keepers to which used or idle tokens are to be reported.
     pub fn keepers_to_report_to(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -65,14 +65,15 @@
         keepers
     }
 
-    /// Returns all tokens of a keeper that are not reserved, as reports to be sent to it.
+    /// Returns all tokens of a keeper that are not reserved, as demands to send to it.
     pub fn return_all(&self, keeper: &Incarnation) -> Vec<Demand> {
         let mut state = self.0.state.lock();
         let wallets = state.wallets.iter_mut();
         wallets.filter_map(|(customer, wallet)| wallet.return_all(customer, keeper)).collect()
     }
 
-    /// On a keeper: applies the reports of another box. Returns whether all of them were accepted.
+    /// On a keeper: applies the totals in another box's demands. Returns whether all of them were
+    /// accepted.
     pub fn receive_report(&self, from: &Incarnation, demands: &[Demand]) -> bool {
         let mut state = self.0.state.lock();
         state.wallets.values_mut().for_each(|wallet| wallet.close_earlier(from));
@@ -107,7 +108,7 @@
         passed
     }
 
-    /// On a keeper: returns the answers to another box's reports.
+    /// On a keeper: returns the answers to another box's demands.
     pub fn given(&self, to: &Incarnation, demands: &[Demand]) -> Vec<Supply> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -46,7 +46,7 @@
         self.transfers.push(transfer);
     }
 
-    /// Returns the report that is due to a keeper for this customer, with the tokens that a waiting
+    /// Returns the demand to send to a keeper for this customer, with the tokens that a waiting
     /// request needs; `None` if there is nothing to report. Tokens that it returns are taken out of
     /// the account here.
     pub fn demand(
@@ -89,14 +89,14 @@
         due.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
-    /// Whether a report to a keeper is due.
+    /// Whether used or idle tokens are to be reported to a keeper.
     pub fn has_unreported(&mut self, keeper: &Incarnation, now: Instant) -> bool {
         let idle = self.open() > 2 * self.rate.used_in(AHEAD_S, now);
         self.keeper_shares.has_unreported(keeper)
             || (idle && self.keeper_shares.share(keeper).outstanding() > 0)
     }
 
-    /// Applies a keeper's answer to a report.
+    /// Applies a keeper's answer to a demand with the `reported` totals.
     pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
         let new = self.keeper_shares.receive(keeper, supply.given);
         self.account.add(Part::Offline, new);
@@ -115,7 +115,8 @@
         self.lost += self.box_shares.close_earlier(than);
     }
 
-    /// On a keeper: applies another box's report. Returns whether it was accepted.
+    /// On a keeper: applies the totals that another box reports. Returns whether they were
+    /// accepted.
     pub fn receive_report(&mut self, from: &Incarnation, reported: Share) -> bool {
         let Some(delta) = self.box_shares.receive_report(from, reported) else { return false };
         self.charged += delta.used;
@@ -157,7 +158,7 @@
         }
     }
 
-    /// On a keeper: returns the answer to another box's report.
+    /// On a keeper: returns the answer to another box's demand.
     pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
         let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
--- a/crates/ledger/src/range_set.rs
+++ b/crates/ledger/src/range_set.rs
@@ -48,7 +48,7 @@
 
     proptest! {
         #[test]
-        fn holds_what_a_plain_set_holds(numbers in prop::collection::vec(0u64..60, 0..80)) {
+        fn matches_a_btree_set(numbers in prop::collection::vec(0u64..60, 0..80)) {
             let mut set = RangeSet::default();
             let mut model = BTreeSet::new();
             for n in numbers {
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// A box's report to its keeper on one customer, with the tokens that it needs.
+/// What a box sends to its keeper for one customer: the totals, and the tokens that it needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     pub customer: Arc<str>,
@@ -92,7 +92,7 @@
     pub ahead: u64,
 }
 
-/// A keeper's answer to a report.
+/// A keeper's answer to a [`Demand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Supply {
     pub customer: Arc<str>,
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn all_boxes_together_hold_the_largest_request_once() {
+fn boxes_together_hold_the_largest_request_once() {
     for boxes in [1, 7, 86] {
         let mut book = Book::default();
         for write in [1, 2] {
@@ -73,7 +73,7 @@
 
 /// Guards against tokens left in the book, out of reach, in the second of two outages in a row.
 #[test]
-fn a_box_that_saw_an_outage_holds_enough_for_another_as_long() {
+fn box_holds_enough_for_another_outage_after_one() {
     let (rate, outage) = (PAID / 40, 8);
     for unspent in [PAID / 2, PAID * 4 / 10, PAID / 4] {
         let policy = Policy { offline_share: 600, ..POLICY };
@@ -82,11 +82,11 @@
         assert!(seen >= needed, "{seen} of {unspent}, and {needed} are used in an outage");
     }
     let before = held(PAID / 4, rate, Policy { offline_share: 600, ..POLICY });
-    assert!(before < rate * outage, "it would not have lasted: {before}");
+    assert!(before < rate * outage, "held before the outage: {before}");
 }
 
 #[test]
-fn of_the_last_tokens_a_box_holds_less_whatever_it_saw() {
+fn box_holds_less_of_scarce_tokens_even_after_an_outage() {
     let policy = Policy { offline_share: 600, ..POLICY }.after_outage();
     let unspent = PAID / 50;
     let held = held(unspent, PAID / 40, policy);
@@ -94,7 +94,7 @@
 }
 
 /// Settles once for a box that uses `rate` tokens per second.
-fn uses(book: &mut Book, name: &str, write: u64, rate: u64, policy: Policy) -> Granted {
+fn settle_use(book: &mut Book, name: &str, write: u64, rate: u64, policy: Policy) -> Granted {
     let item = Item {
         customer: "bornova".into(),
         paid: Some((PAID, 1)),
@@ -116,18 +116,18 @@
 /// Guards against a share for boxes that took over for keepers during an outage, which takes it
 /// from the keepers.
 #[test]
-fn boxes_that_stood_in_for_keepers_take_none_of_what_keepers_hold() {
+fn boxes_on_demand_take_no_share_from_keepers() {
     let rate = PAID / 100;
-    let held_by_keepers = |stand_ins: usize| {
+    let held_by_keepers = |on_demand_boxes: usize| {
         let mut book = Book::default();
         let mut held = 0;
         for write in 1..=3 {
-            for name in (0..stand_ins).map(|n| format!("other-{n}")) {
-                let granted = uses(&mut book, &name, write, rate, POLICY.on_demand());
-                assert_eq!(granted.target, 0, "it holds nothing ahead");
+            for name in (0..on_demand_boxes).map(|n| format!("other-{n}")) {
+                let granted = settle_use(&mut book, &name, write, rate, POLICY.on_demand());
+                assert_eq!(granted.target, 0, "holds no tokens ahead of need");
             }
             let names = ["box-0", "box-1", "box-2"];
-            let targets = names.map(|name| uses(&mut book, name, write, rate, POLICY).target);
+            let targets = names.map(|name| settle_use(&mut book, name, write, rate, POLICY).target);
             held = targets.iter().sum();
         }
         held
@@ -138,42 +138,42 @@
 }
 
 #[test]
-fn boxes_hold_less_of_a_budget_of_which_boxes_died_with_much() {
+fn boxes_hold_less_after_unwitnessed_losses() {
     let target = |lost| {
         let mut book = Book::default();
-        uses(&mut book, "box-0", 1, PAID / 100, POLICY);
-        let ledger = book.ledgers.get_mut("bornova").expect("it was settled");
+        settle_use(&mut book, "box-0", 1, PAID / 100, POLICY);
+        let ledger = book.ledgers.get_mut("bornova").expect("the budget was settled");
         (ledger.lost, ledger.unwitnessed, ledger.spent) = (lost, lost, lost);
-        uses(&mut book, "box-0", 2, PAID / 100, POLICY).target
+        settle_use(&mut book, "box-0", 2, PAID / 100, POLICY).target
     };
     let (before, after) = (target(0), target(PAID / 20));
     assert!(after <= before / 2, "{after} after {before}");
-    assert!(target(PAID / 500) > before * 9 / 10, "little was lost");
+    assert!(target(PAID / 500) > before * 9 / 10, "small losses change little");
 }
 
 #[test]
-fn an_outage_is_noted_once() {
+fn outage_is_noted_once() {
     let mut book = Book::default();
     let names = ["box-0", "box-1", "box-2"];
-    names.iter().for_each(|name| drop(uses(&mut book, name, 1, 1, POLICY)));
+    names.iter().for_each(|name| drop(settle_use(&mut book, name, 1, 1, POLICY)));
     let before = book.landed;
     for name in names {
         book.note_outage(before);
-        uses(&mut book, name, 2, 1, POLICY);
+        settle_use(&mut book, name, 2, 1, POLICY);
     }
-    assert_eq!(book.outages.count, 1, "all boxes tell of the same one");
-    (3..20).for_each(|write| drop(uses(&mut book, "box-0", write, 1, POLICY)));
+    assert_eq!(book.outages.count, 1, "all boxes report the same outage");
+    (3..20).for_each(|write| drop(settle_use(&mut book, "box-0", write, 1, POLICY)));
     book.note_outage(before);
-    assert_eq!(book.outages.count, 1, "others went on to settle");
+    assert_eq!(book.outages.count, 1, "other boxes went on to settle");
     book.note_outage(book.landed);
     assert_eq!(book.outages.count, 2);
 }
 
 #[test]
-fn a_box_that_retires_stands_in_the_book_until_it_holds_nothing() {
+fn retiring_box_is_listed_until_it_holds_nothing() {
     let mut book = Book::default();
     let held = (1..=2).map(|write| settle(&mut book, 0, write).tokens).sum::<u64>();
-    assert!(held > 0, "it draws");
+    assert!(held > 0, "a new box draws tokens");
     let holder = Incarnation::new("box-0", 1);
     let mut retire = |write, returned| {
         let item = Item {
@@ -192,19 +192,18 @@
             leaves: false,
         };
         let granted = book.settle(&settlement, POLICY).remove(0);
-        assert_eq!(granted.tokens, 0, "it draws no more");
+        assert_eq!(granted.tokens, 0, "a retiring box draws no tokens");
         (book.writers.contains_key(&holder), book.ledgers["bornova"].granted())
     };
-    assert_eq!(retire(3, held / 2), (true, held - held / 2), "some is still out");
-    assert_eq!(retire(4, held - held / 2), (true, 0), "the answer may be lost: read it back");
+    assert_eq!(retire(3, held / 2), (true, held - held / 2), "some tokens are still held");
+    assert_eq!(retire(4, held - held / 2), (true, 0), "still listed, as the answer may be lost");
     assert_eq!(retire(5, 0), (false, 0));
-    assert_eq!(retire(5, 0), (false, 0), "again, since its answer was lost");
+    assert_eq!(retire(5, 0), (false, 0), "repeated after a lost answer");
 }
 
-/// Settles twice for incarnation `life` of a box, which then dies; `earlier` is reported with the
-/// settlements.
-fn dies(book: &mut Book, life: u64, earlier: Vec<Untouched>) -> Incarnation {
-    let holder = Incarnation::new("box-0", life);
+/// Settles twice for incarnation `number` of a box, with the `earlier` answers of witnesses.
+fn settle_incarnation(book: &mut Book, number: u64, earlier: Vec<Untouched>) -> Incarnation {
+    let holder = Incarnation::new("box-0", number);
     let by = Incarnation::new("box-1", 1);
     let item = Item {
         customer: "bornova".into(),
@@ -213,7 +212,7 @@
         ..Item::default()
     };
     for write in 1..=2 {
-        let witness = Some(Witness { by: by.clone(), term: life });
+        let witness = Some(Witness { by: by.clone(), term: number });
         let settlement = Settlement {
             holder: holder.clone(),
             writer: Writer { write, peer: None, witness, witness_at: None },
@@ -230,28 +229,32 @@
 /// Guards against writing off a grant before its witness was asked, while the next incarnation
 /// cannot reach it.
 #[test]
-fn what_a_life_held_stays_open_until_its_witness_told() {
+fn grant_of_a_dead_incarnation_stays_open_until_its_witness_answers() {
     let mut book = Book::default();
-    let first = dies(&mut book, 1, Vec::new());
+    let first = settle_incarnation(&mut book, 1, Vec::new());
     let held = book.ledgers["bornova"].granted();
     assert!(held > 0);
-    let second = dies(&mut book, 2, Vec::new());
+    let second = settle_incarnation(&mut book, 2, Vec::new());
     let ledger = &book.ledgers["bornova"];
-    assert_eq!((ledger.lost, ledger.grants[&first].total()), (0, held), "nobody told yet");
+    assert_eq!(
+        (ledger.lost, ledger.grants[&first].total()),
+        (0, held),
+        "the witness has not answered yet"
+    );
     assert!(book.claims.contains_key(&first) && !book.writers.contains_key(&first));
     let audited = ledger::audit(&book, &[]).claims;
     assert_eq!(audited.iter().map(|claim| claim.tokens).collect::<Vec<_>>(), [held]);
     let tokens = std::collections::BTreeMap::from([("bornova".into(), held / 2)]);
-    let told = |term| Untouched {
+    let answer = |term| Untouched {
         holder: first.clone(),
         witness: Witness { by: Incarnation::new("box-1", 1), term },
         tokens: tokens.clone(),
     };
-    let third = dies(&mut book, 3, vec![told(9)]);
-    assert_eq!(book.ledgers["bornova"].lost, 0, "under another naming it is not believed");
-    let fourth = dies(&mut book, 4, vec![told(1), told(1)]);
+    let third = settle_incarnation(&mut book, 3, vec![answer(9)]);
+    assert_eq!(book.ledgers["bornova"].lost, 0, "an answer for another term is ignored");
+    let fourth = settle_incarnation(&mut book, 4, vec![answer(1), answer(1)]);
     let ledger = &book.ledgers["bornova"];
-    assert_eq!(ledger.lost, held - held / 2, "once, and the rest is lost");
+    assert_eq!(ledger.lost, held - held / 2, "freed once, and the rest is lost");
     assert_eq!(book.claims.keys().collect::<Vec<_>>(), [&second, &third]);
     assert!(book.writers.contains_key(&fourth) && ledger.is_sound());
 }
@@ -259,30 +262,30 @@
 /// Guards against counting the losses of a box whose witness lives as those of a whole fleet that
 /// died.
 #[test]
-fn what_is_lost_with_no_witness_left_is_counted_apart() {
-    // The part of the grant that the witness reports as unused (one in `told`), and whether the
-    // losses count as unwitnessed.
-    for (told, unwitnessed) in [(Some(2), 0), (None, 1)] {
+fn unwitnessed_losses_are_counted_separately() {
+    // The witness reports `1 / divisor` of the grant as unused, if it answers; `unwitnessed` is 1 if
+    // the losses count as such.
+    for (divisor, unwitnessed) in [(Some(2), 0), (None, 1)] {
         let mut book = Book::default();
-        let first = dies(&mut book, 1, Vec::new());
+        let first = settle_incarnation(&mut book, 1, Vec::new());
         let held = book.ledgers["bornova"].granted();
-        let tokens = told.map(|part| ("bornova".into(), held / part));
+        let tokens = divisor.map(|divisor| ("bornova".into(), held / divisor));
         let witness = Witness { by: Incarnation::new("box-1", 1), term: 1 };
         let untouched = Untouched { holder: first, witness, tokens: tokens.into_iter().collect() };
-        dies(&mut book, 2, vec![untouched]);
+        settle_incarnation(&mut book, 2, vec![untouched]);
         let ledger = &book.ledgers["bornova"];
         assert!(ledger.lost > 0);
-        assert_eq!(ledger.unwitnessed, ledger.lost * unwitnessed, "{told:?}");
+        assert_eq!(ledger.unwitnessed, ledger.lost * unwitnessed, "{divisor:?}");
     }
 }
 
 #[test]
-fn a_life_without_a_witness_leaves_nothing_to_ask_for() {
+fn grant_without_a_witness_is_written_off_at_once() {
     let mut book = Book::default();
     settle(&mut book, 0, 1);
     settle(&mut book, 0, 2);
     let held = book.ledgers["bornova"].granted();
-    dies(&mut book, 2, Vec::new());
+    settle_incarnation(&mut book, 2, Vec::new());
     assert_eq!(book.ledgers["bornova"].lost, held);
     assert!(book.claims.is_empty());
 }
--- a/crates/ledger/tests/exhaustive.rs
+++ b/crates/ledger/tests/exhaustive.rs
@@ -19,7 +19,7 @@
     #[default]
     Nothing,
     /// A draw whose answer was lost counts as landed without reading back.
-    Blind,
+    NoReadBack,
     /// A seal frees everything, including what open intents reserve.
     FreeHeld,
     /// A dispatches before its intent has landed.
@@ -149,9 +149,9 @@
     fn steps_of_a(&self, broken: Broken, found: &mut Vec<World>) {
         match &self.stage {
             Stage::Start => found.extend(self.send_draw(1)),
-            Stage::Drawing { expect, write } => self.learn_draw(*expect, *write, broken, found),
+            Stage::Drawing { expect, write } => self.read_back_draw(*expect, *write, broken, found),
             Stage::Drawn => found.extend(self.send_intent(broken)),
-            Stage::Recording { expect } => found.extend(self.learn_intent(*expect)),
+            Stage::Recording { expect } => found.extend(self.read_back_intent(*expect)),
             Stage::Recorded => {
                 let mut world = self.clone();
                 world.served_a += 1;
@@ -174,15 +174,15 @@
     }
 
     /// A got no answer and reads the ledger back.
-    fn learn_draw(&self, expect: u64, write: u64, broken: Broken, found: &mut Vec<World>) {
-        let mine = self.ledger.value.grants.get(&a());
-        let marked = mine.is_some_and(|grant| grant.write >= write);
+    fn read_back_draw(&self, expect: u64, write: u64, broken: Broken, found: &mut Vec<World>) {
+        let own_grant = self.ledger.value.grants.get(&a());
+        let marked = own_grant.is_some_and(|grant| grant.write >= write);
         let settled = objects::resolve(expect, self.ledger.version, marked);
         match settled {
-            objects::Resolution::Lost if broken != Broken::Blind => {
+            objects::Resolution::Lost if broken != Broken::NoReadBack => {
                 found.extend(self.send_draw(write));
             }
-            objects::Resolution::Open if broken != Broken::Blind => {}
+            objects::Resolution::Open if broken != Broken::NoReadBack => {}
             _ => {
                 let mut world = self.clone();
                 world.account.add(Part::Online, GRANT - 1);
@@ -211,7 +211,7 @@
         Some(world)
     }
 
-    fn learn_intent(&self, expect: u64) -> Option<World> {
+    fn read_back_intent(&self, expect: u64) -> Option<World> {
         let landed = self.journal.value.record(1).is_some();
         let mut world = self.clone();
         world.stage = match (landed, self.journal.value.is_open()) {
@@ -297,7 +297,8 @@
 
 #[test]
 fn broken_rules_are_caught() {
-    for broken in [Broken::Blind, Broken::FreeHeld, Broken::DispatchFirst, Broken::FreeOffline] {
+    for broken in [Broken::NoReadBack, Broken::FreeHeld, Broken::DispatchFirst, Broken::FreeOffline]
+    {
         let (states, violation) = explore(broken);
         println!("{broken:?}: caught after {states} states");
         assert!(violation.is_some(), "{broken:?} was not caught in {states} states");
@@ -325,7 +326,7 @@
 /// Guards against freeing tokens twice: a box that does not know of its seal returns a surplus that
 /// the seal has already freed.
 #[test]
-fn a_sealed_holder_returns_nothing_by_itself() {
+fn sealed_holder_cannot_return_tokens() {
     let mut journal = Journal::new(a());
     journal.intend(Record { reserved: 2, ..record() }).unwrap();
     journal.seal(&b());
--- a/crates/ledger/tests/share.rs
+++ b/crates/ledger/tests/share.rs
@@ -34,7 +34,7 @@
         let (mut keeper, mut holder) = (Share::default(), Share::default());
         let (mut to_box, mut to_keeper) = (vec![0], vec![Share::default()]);
         // Free tokens that were returned to the keeper, free tokens of the box, and used tokens.
-        let (mut back, mut here, mut used) = (0, 0, 0);
+        let (mut returned_to_keeper, mut free, mut used) = (0, 0, 0);
         for step in steps {
             match step {
                 Step::Give(tokens) => {
@@ -43,30 +43,30 @@
                 }
                 Step::Spend(tokens) => {
                     let spent = holder.spend(tokens);
-                    (here, used) = (here - spent, used + spent);
+                    (free, used) = (free - spent, used + spent);
                     to_keeper.push(holder);
                 }
                 Step::Return(tokens) => {
                     let returned = tokens.min(holder.outstanding());
                     holder.returned += returned;
-                    here -= returned;
+                    free -= returned;
                     to_keeper.push(holder);
                 }
-                Step::ToBox(which) => here += holder.receive(to_box[which % to_box.len()]),
+                Step::ToBox(which) => free += holder.receive(to_box[which % to_box.len()]),
                 Step::ToKeeper(which) => {
                     let delta = keeper.receive_report(to_keeper[which % to_keeper.len()]);
-                    back += delta.expect("a word of this pair fits").returned;
+                    returned_to_keeper += delta.expect("totals of this pair fit").returned;
                 }
             }
-            prop_assert_eq!(here, holder.outstanding());
-            prop_assert!(used + here + back <= keeper.given);
-            prop_assert!(used + here <= keeper.used + keeper.outstanding());
+            prop_assert_eq!(free, holder.outstanding());
+            prop_assert!(used + free + returned_to_keeper <= keeper.given);
+            prop_assert!(used + free <= keeper.used + keeper.outstanding());
         }
     }
 }
 
 #[test]
-fn totals_that_do_not_fit_change_nothing() {
+fn excessive_totals_are_ignored() {
     let mut keeper = Share { given: 100, used: 40, ..Share::default() };
     let before = keeper;
     for report in [
