--- a/crates/gateway/src/tokens/participation.rs
+++ b/crates/gateway/src/tokens/participation.rs
@@ -1,9 +1,9 @@
 //! Whether a box goes on drawing tokens from the book after a settlement.
 
-/// Whether a box goes on drawing tokens from the book.
+/// How a box takes part in the book after a settlement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Participation {
-    /// It goes on.
+    /// It goes on drawing tokens.
     Active,
     /// It returns what it can, as another box is the keeper now.
     Retiring,
--- a/crates/gateway/src/tokens/witness.rs
+++ b/crates/gateway/src/tokens/witness.rs
@@ -2,8 +2,8 @@
 //! dies.
 //!
 //! [`Selector`] selects this box's witness, which takes effect once the book names it, and
-//! [`Promiser`] sends the promises to it. The witness's side is in `records`. While neither the
-//! store nor the witness answers, the last promise holds.
+//! [`Promiser`] sends the promises to it. The witness's side is in `fleet::promises`. While neither
+//! the store nor the witness answers, the last promise holds.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -27,7 +27,7 @@
     #[snafu(display("the budget lacks {missing} tokens"))]
     Exhausted { missing: u64 },
     /// The holder's journal is sealed, or the holder has ended.
-    #[snafu(display("the journal of this incarnation is sealed"))]
+    #[snafu(display("the grant of this incarnation is sealed or has ended"))]
     Sealed,
     /// More tokens than the grant holds: the caller violated an invariant.
     #[snafu(display("{tokens} tokens exceed what the grant holds"))]
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -263,8 +263,8 @@
 /// died.
 #[test]
 fn unwitnessed_losses_are_counted_separately() {
-    // The witness reports `1 / divisor` of the grant as unused, if it answers; `unwitnessed` is 1 if
-    // the losses count as such.
+    // The witness reports `1 / divisor` of the grant as unused, if it answers; `unwitnessed` is 1
+    // if the losses count as such.
     for (divisor, unwitnessed) in [(Some(2), 0), (None, 1)] {
         let mut book = Book::default();
         let first = settle_incarnation(&mut book, 1, Vec::new());
