--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -59,7 +59,7 @@
         let ahead = self.rate.used_in(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
-        // One question covers all waiting requests. If each asked in turn, most of them would time
+        // One demand covers all waiting requests. If each asked in turn, most of them would time
         // out on a busy box.
         let need = worst.map_or(0, |worst| lacks(worst.max(self.waiting_for_keeper)));
         if worst.is_none() {
