--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -1,7 +1,8 @@
-//! The task that settles this box's accounts with the book in the store.
+//! The task that settles this box's tokens with the book in the store.
 //!
-//! One settlement is under way at a time. It is written until it is known to have landed: a
-//! refusal brings the book as it stands, and a lost answer is resolved by the writer's number.
+//! One settlement is in progress at a time. It is retried until it is known to have landed: a
+//! refused write returns the current book, and a write whose answer was lost is resolved by its
+//! number.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,28 +23,27 @@
     },
 };
 
-/// Time between two log lines on the calls of the store.
-const TELL: Duration = Duration::from_secs(10);
-/// First pause after a call that failed; doubles up to [`PAUSE_MOST`].
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two calls while the store does not answer.
-const PAUSE_MOST: Duration = Duration::from_millis(400);
-/// A box that is no keeper, and was not asked for so long, draws no more from the book: longer than
-/// it takes to start a box again, which is when others stand in for it.
-const RETIRE: Duration = Duration::from_secs(8);
-/// Time for the store to take the last settlement before other boxes are asked to help: longer than a
-/// slow call of it.
-const HAND_OVER: Duration = Duration::from_millis(600);
-/// Longest wait for the list of boxes before the first settlement: witnesses are found by it.
-const LISTED: Duration = Duration::from_millis(2_000);
-/// Time between two questions to witnesses that did not answer, or whose box was not known yet.
-const COLLECT_EVERY: Duration = Duration::from_millis(500);
-/// Witnesses asked at once.
-const MOST_ASKED: usize = 8;
-/// Time until the first grants are asked for: the other boxes register meanwhile.
-const REGISTER: Duration = Duration::from_millis(1_500);
+/// Interval of the log lines on store calls and peer traffic.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// First delay after a failed call; doubles up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay between two calls while the store does not answer.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// A box that is not a keeper retires from the book once it has not passed on or requested tokens
+/// for this long. Longer than a restart of a box, during which others take over for it.
+const RETIRE_DELAY: Duration = Duration::from_secs(8);
+/// Time for the store to accept the last settlement before other boxes are asked to write the
+/// bills. Longer than a slow call of the store.
+const HAND_OVER_DELAY: Duration = Duration::from_millis(600);
+/// Longest wait for the list of boxes before the first settlement; witnesses are looked up there.
+const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Interval at which witnesses are asked that did not answer, or whose box was not known yet.
+const COLLECT_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_WITNESSES_ASKED: usize = 8;
+/// Delay before the first grants are requested, during which the other boxes register.
+const REGISTER_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What is wrong with the book.
+/// Why the book could not be read or written.
 #[derive(Debug, Snafu)]
 enum Fault {
     #[snafu(display("{source}"))]
@@ -56,7 +56,7 @@
     Write { reason: String },
 }
 
-/// What a settler works with.
+/// Dependencies of a [`Settler`].
 pub struct Setup {
     pub store: Client,
     pub funds: Funds,
@@ -64,74 +64,70 @@
     pub selector: Selector,
     pub acquirer: Acquirer,
     pub metrics: Metrics,
-    /// Version of the box's entry in the store, once it is written.
+    /// Version of this box's entry in the store, once it is written.
     pub registered: watch::Receiver<Option<u64>>,
     pub bills: Bills,
-    /// This start of the box.
     pub holder: Incarnation,
-    /// The settings in force.
     pub settings: watch::Receiver<Arc<Settings>>,
 }
 
-/// Settles accounts with the book.
+/// Settles this box's tokens with the book.
 pub struct Settler {
     setup: Setup,
     outage: Outage,
     recovery: Recovery,
-    /// An outage ended: the next settlement comes without the usual time before it. The one that ended it was
-    /// planned before, and only by its answer does the box know how little to hold now. The next one tells what
-    /// was used meanwhile and gives back what is too much, before something else fails.
-    at_once: bool,
-    /// The book as it was last read or written, with its version; 0 where there is none.
+    /// An outage ended: the next settlement follows without the usual delay. The settlement that
+    /// ended the outage was planned before it, so only the next one reports what was used meanwhile
+    /// and returns the surplus, which should happen before anything else fails.
+    settle_at_once: bool,
+    /// The book as last read or written, with its version; version 0 if there is none in the store.
     known: Option<(Book, u64)>,
-    /// Whether a book was ever seen: it is not made anew then.
-    seen: bool,
+    /// Whether a book was ever seen; if it is missing later, no new one is created.
+    book_seen: bool,
     forecast: Forecast,
     write: u64,
-    /// The settlement under way: it must land, also when this task was interrupted.
+    /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
-    /// What the newest write of it would grant, in case its answer is lost.
-    last: Option<Vec<Granted>>,
-    /// Whether this box stands in the book.
-    stands: bool,
-    /// What lives that ended left untouched, for the next settlement.
+    /// What the newest attempt to write it would grant, in case the answer is lost.
+    last_granted: Option<Vec<Granted>>,
+    /// Whether this box is listed as a writer in the book.
+    is_listed: bool,
+    /// Tokens that dead incarnations left unused, for the next settlement.
     collected: Vec<Untouched>,
-    /// When witnesses were last asked.
-    asked: Option<Instant>,
+    last_asked: Option<Instant>,
 }
 
 impl Settler {
-    /// Nothing is read yet.
     pub fn new(setup: Setup, recovery: Recovery) -> Settler {
         Settler {
             setup,
             outage: Outage::new("book", Probe::Lazy, recovery.clone()),
             recovery,
-            at_once: false,
+            settle_at_once: false,
             known: None,
-            seen: false,
+            book_seen: false,
             forecast: Forecast::open(Instant::now()),
             write: 0,
             pending: None,
-            last: None,
-            stands: false,
+            last_granted: None,
+            is_listed: false,
             collected: Vec::new(),
-            asked: None,
+            last_asked: None,
         }
     }
 
-    /// Settles as need arises, for as long as the box runs.
+    /// Settles as needed, for as long as the box runs.
     pub async fn run(&mut self) {
-        let mut told = Instant::now();
+        let mut last_log = Instant::now();
         self.settle_first().await;
-        self.wait(REGISTER).await;
+        self.wait(REGISTER_DELAY).await;
         loop {
-            if self.is_of_book() {
+            if self.uses_book() {
                 self.settle(self.participation()).await;
             }
             self.setup.bills.write(&self.setup.store, false).await;
-            if told.elapsed() >= TELL {
-                told = Instant::now();
+            if last_log.elapsed() >= LOG_INTERVAL {
+                last_log = Instant::now();
                 report::calls(&self.setup.store);
                 report::traffic(&self.setup.peers);
             }
@@ -140,10 +136,11 @@
             let settle = Duration::from_millis(settings.money.settle_ms);
             let began = Instant::now();
             tokio::time::sleep(Duration::from_millis(SETTLEMENT_BATCH_MS)).await;
-            if std::mem::take(&mut self.at_once) {
+            if std::mem::take(&mut self.settle_at_once) {
                 continue;
             }
-            while !self.setup.funds.is_urgent() && began.elapsed() < self.pause(spacing, settle) {
+            while !self.setup.funds.is_urgent() && began.elapsed() < self.interval(spacing, settle)
+            {
                 self.wait(spacing).await;
                 if self.collect().await {
                     break;
@@ -152,70 +149,73 @@
         }
     }
 
-    /// Asks the witnesses of lives that ended, if claims on those are open: a box for its own earlier lives,
-    /// keepers for all. Says whether anything came of it.
+    /// Asks the witnesses of dead incarnations for which the book has open claims: a keeper asks
+    /// for all of them, another box for its own. Returns whether there is anything to settle.
     async fn collect(&mut self) -> bool {
         let is_keeper = self.setup.peers.is_keeper();
         let Some((book, _)) = &self.known else { return false };
-        let mine = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
-        let due = self.asked.is_none_or(|at| at.elapsed() >= COLLECT_EVERY);
-        let open = book.claims.iter().filter(|(name, _)| is_keeper || mine(name));
-        let open: Vec<(Incarnation, Claim)> =
-            open.take(MOST_ASKED).map(|(name, claim)| (name.clone(), claim.clone())).collect();
+        let is_own = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
+        let due = self.last_asked.is_none_or(|at| at.elapsed() >= COLLECT_INTERVAL);
+        let open = book.claims.iter().filter(|(name, _)| is_keeper || is_own(name));
+        let open: Vec<(Incarnation, Claim)> = open
+            .take(MAX_WITNESSES_ASKED)
+            .map(|(name, claim)| (name.clone(), claim.clone()))
+            .collect();
         if open.is_empty() || !due {
             return false;
         }
-        self.asked = Some(Instant::now());
+        self.last_asked = Some(Instant::now());
         let collected = claims::ask(&self.setup.peers, open).await;
         self.collected.extend(collected);
         !self.collected.is_empty()
     }
 
-    /// Whether this box draws from the book: it is the keeper of its availability zone, holds
-    /// something of the book, or has something to settle.
-    fn is_of_book(&self) -> bool {
+    /// Whether this box settles with the book: it is the keeper of its availability zone, holds
+    /// tokens granted by the book, or has something to report.
+    fn uses_book(&self) -> bool {
         let Setup { peers, funds, .. } = &self.setup;
         let collected = !self.collected.is_empty();
-        self.stands
+        self.is_listed
             || self.pending.is_some()
             || collected
             || peers.is_keeper()
-            || funds.is_of_book()
+            || funds.uses_book()
     }
 
-    /// Whether another box keeps the tokens now.
+    /// Whether this box goes on drawing from the book or retires from it, as another box is the
+    /// keeper now.
     fn participation(&self) -> Participation {
         let Setup { peers, funds, .. } = &self.setup;
-        let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
-        let retires = self.stands && !drew && !peers.is_keeper();
+        let drawn_lately = funds.since_last_draw().is_some_and(|ago| ago < RETIRE_DELAY);
+        let retires = self.is_listed && !drawn_lately && !peers.is_keeper();
         funds.retire(retires);
         if retires { Participation::Retiring } else { Participation::Active }
     }
 
-    /// Time of the next settlement that no request waits for, after the last one.
-    fn pause(&self, spacing: Duration, settle: Duration) -> Duration {
+    /// Interval to the next settlement that no request waits for.
+    fn interval(&self, spacing: Duration, settle: Duration) -> Duration {
         match self.setup.funds.is_due() || self.setup.selector.is_due(&self.setup.peers) {
             true => spacing * spacing::interval_factor(self.writers()),
             false => settle,
         }
     }
 
-    /// Boxes that write the book, as it was last seen.
+    /// Number of boxes that write the book, as of the last read.
     fn writers(&self) -> usize {
         self.known.as_ref().map_or(0, |(book, _)| book.writers.len())
     }
 
-    /// The first settlement of a box whose earlier lives stand in the book, with what witnesses
-    /// know of them.
+    /// Settles for the earlier incarnations of this box, if the book lists any, with what their
+    /// witnesses report.
     async fn settle_first(&mut self) {
         let mut registered = self.setup.registered.clone();
         let listed = registered.wait_for(Option::is_some);
-        let _ = tokio::time::timeout(LISTED, listed).await;
-        let mut pause = PAUSE;
+        let _ = tokio::time::timeout(LIST_TIMEOUT, listed).await;
+        let mut delay = RETRY_DELAY;
         let book = loop {
             match self.read().await {
                 Ok(known) => break self.known.insert(known).0.clone(),
-                Err(fault) => self.failed(&fault, &mut pause).await,
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
             }
         };
         if !book.knows_box_of(&self.setup.holder) {
@@ -233,22 +233,22 @@
         Writer { write: self.write, peer: peers.address(), witness, witness_at }
     }
 
-    async fn failed(&mut self, fault: &Fault, pause: &mut Duration) {
+    async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
         self.outage.failed(fault);
         self.forecast.failed(Instant::now());
         self.setup.funds.set_store_unreachable(true);
-        // Whichever task of this box finds the store first ends the pause.
-        let _ = tokio::time::timeout(*pause, self.recovery.recovered()).await;
-        *pause = (*pause * 2).min(PAUSE_MOST);
+        // Ends the delay as soon as any task of this box reaches the store.
+        let _ = tokio::time::timeout(*delay, self.recovery.recovered()).await;
+        *delay = (*delay * 2).min(MAX_RETRY_DELAY);
     }
 
-    async fn wait(&self, pause: Duration) {
+    async fn wait(&self, timeout: Duration) {
         if !self.setup.funds.is_urgent() {
-            let _ = tokio::time::timeout(pause, self.setup.funds.wanted()).await;
+            let _ = tokio::time::timeout(timeout, self.setup.funds.wanted()).await;
         }
     }
 
-    /// Writes one settlement until it has landed. May be interrupted: the next call goes on.
+    /// Writes one settlement until it has landed. Cancel safe: the next call resumes it.
     async fn settle(&mut self, participation: Participation) {
         let settlement = match self.pending.take() {
             Some(pending) => pending,
@@ -260,13 +260,13 @@
             }
         };
         self.pending = Some(settlement.clone());
-        let mut pause = PAUSE;
-        let (began, mut met) = (Instant::now(), 0);
+        let mut delay = RETRY_DELAY;
+        let (began, mut conflicts) = (Instant::now(), 0);
         let granted = loop {
             match self.attempt(&settlement).await {
                 Ok(Some(granted)) => break granted,
-                Ok(None) => met += 1,
-                Err(fault) => self.failed(&fault, &mut pause).await,
+                Ok(None) => conflicts += 1,
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
             }
         };
         self.pending = None;
@@ -274,14 +274,14 @@
         tracing::info!(
             event = "settlement_landed",
             write = settlement.writer.write,
-            met,
+            met = conflicts,
             took_ms = began.elapsed().as_millis() as u64,
             writers = self.writers(),
         );
         self.outage.answered();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
-        self.stands = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
+        self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
+        self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
         report::settled(&settlement, &granted);
@@ -289,7 +289,7 @@
         self.setup.selector.landed(&settlement.writer.witness, &self.setup.funds);
     }
 
-    /// One call; `None` where the book had changed meanwhile.
+    /// Makes one attempt; returns `None` if another box has changed the book meanwhile.
     async fn attempt(&mut self, settlement: &Settlement) -> Result<Option<Vec<Granted>>, Fault> {
         let (book, version) = match self.known.take() {
             Some(known) => known,
@@ -297,36 +297,36 @@
         };
         if book.has(&settlement.holder, settlement.writer.write) {
             self.known = Some((book, version));
-            return Ok(Some(self.last.take().unwrap_or_default()));
+            return Ok(Some(self.last_granted.take().unwrap_or_default()));
         }
         let mut next = book.clone();
         self.forecast.report_outage(&mut next, Instant::now());
         let policy = self.policy();
         let granted = next.settle(settlement, policy);
-        self.last = Some(granted.clone());
+        self.last_granted = Some(granted.clone());
         let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
         match self.setup.store.replace(BOOK.0, BOOK.1, &next.to_json(), expect).await {
             Put::Landed(version) => {
                 self.known = Some((next, version));
-                self.seen = true;
+                self.book_seen = true;
                 Ok(Some(granted))
             }
             Put::Refused(Some(object)) => {
-                self.take_over(&object)?;
+                self.set_known(&object)?;
                 Ok(None)
             }
             Put::Refused(None) => Err(Fault::Gone),
-            // Not carried out: the book may stand as it did.
+            // Not applied: the known book may still be current.
             Put::Failed(reason) => {
                 self.known = Some((book, version));
                 Err(Fault::Write { reason })
             }
-            // Read back first: it may have landed.
+            // The write may have landed, so the next attempt reads the book first.
             Put::Unknown(reason) => Err(Fault::Write { reason }),
         }
     }
 
-    /// Sizing of grants now.
+    /// Returns the policy that sizes grants now.
     fn policy(&self) -> Policy {
         let policy = self.setup.settings.borrow().policy();
         let policy = self.forecast.policy(policy, Instant::now());
@@ -340,31 +340,31 @@
         let found = self.setup.store.get(BOOK.0, BOOK.1).await;
         match found.map_err(|source| Fault::Store { source })? {
             Some(object) => {
-                self.take_over(&object)?;
+                self.set_known(&object)?;
                 self.known.take().ok_or(Fault::Gone)
             }
-            None if self.seen => Err(Fault::Gone),
+            None if self.book_seen => Err(Fault::Gone),
             None => Ok((Book::default(), 0)),
         }
     }
 
-    fn take_over(&mut self, object: &objects::Object) -> Result<(), Fault> {
+    fn set_known(&mut self, object: &objects::Object) -> Result<(), Fault> {
         let book = serde_json::from_str(&object.value).map_err(|source| Fault::Book { source })?;
         self.known = Some((book, object.version));
-        self.seen = true;
+        self.book_seen = true;
         Ok(())
     }
 
-    /// Gives everything back by plan, until `until` at the latest.
+    /// Returns all tokens before a planned stop, until `until` at the latest.
     ///
-    /// Whatever the store does not take soon goes to other boxes: the witness knows that nothing
-    /// more is used, and pages of bills are written by another box.
+    /// If the store does not accept them soon, other boxes help: the witness knows that no more
+    /// tokens are used, and the bills are handed over to another box, which writes them.
     pub async fn leave(&mut self, until: Instant) {
         let began = Instant::now();
         let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
         acquirer.leave().await;
         selector.promise_all(funds, peers).await;
-        let soon = until.min(Instant::now() + HAND_OVER);
+        let soon = until.min(Instant::now() + HAND_OVER_DELAY);
         let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
         if !done {
             self.hand_over().await;
@@ -378,20 +378,20 @@
         );
     }
 
-    /// Writes all that is left to write. May be interrupted: the next call goes on.
+    /// Writes everything that is left. Cancel safe: the next call resumes it.
     async fn leave_book(&mut self) {
         self.setup.bills.write(&self.setup.store, true).await;
         if self.pending.is_some() {
             self.settle(Participation::Active).await;
         }
-        if self.is_of_book() {
+        if self.uses_book() {
             self.settle(Participation::Leaving).await;
         }
-        let mut pause = PAUSE;
+        let mut delay = RETRY_DELAY;
         while self.setup.bills.waiting() > 0 {
             self.setup.bills.write(&self.setup.store, true).await;
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
         let version = *self.setup.registered.borrow();
         if let Some(version) = version {
@@ -405,13 +405,13 @@
             return;
         }
         let count = pages.len();
-        let took = self.setup.peers.hand_over_bills(&pages).await;
-        if took.is_empty() {
+        let takers = self.setup.peers.hand_over_bills(&pages).await;
+        if takers.is_empty() {
             tracing::warn!(event = "bills_not_handed_over", count);
             self.setup.bills.take_over(pages);
             return;
         }
-        let to: Vec<&str> = took.iter().map(Incarnation::as_str).collect();
+        let to: Vec<&str> = takers.iter().map(Incarnation::as_str).collect();
         tracing::info!(event = "bills_handed_over", to = to.join(","), count);
     }
 }
