--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -1,45 +1,44 @@
-//! What a cold endpoint bears, shared by all boxes with no word exchanged.
+//! Rate limiting of cold endpoints, shared by all boxes without coordination.
 //!
-//! An endpoint that just started, or that was empty for a while, bears so few requests a second that a fleet
-//! must share them: each box sees only its own. As many boxes as the endpoint may get requests in a second
-//! send it one a second each, chosen by rendezvous hashing, so that all boxes agree on them and each cold
-//! endpoint has others. In a fleet of fewer boxes than that, all do, each its part.
+//! An endpoint that just started, or that was idle for a while, can handle only a few requests per
+//! second, and each box sees only its own. So the allowed rate is divided: as many boxes as the
+//! endpoint may get requests per second send it up to one per second each. They are chosen by
+//! rendezvous hashing, so that all boxes agree on them and different cold endpoints have different
+//! senders. In a smaller fleet all boxes send, each at an equal part of the rate.
 //!
-//! The load: a quarter of 140 engines comes back at once, and each of 75 boxes sees 35 idle engines that win
-//! every comparison of load.
+//! Without this, endpoints that restart together attract all boxes at once, because they are idle
+//! and win every comparison of load.
 
 use std::sync::Arc;
 
-/// Requests of a box are so much further apart than its part asks for, as a factor: two that leave a second
-/// apart may arrive closer.
+/// Factor by which a box stretches the interval between its requests: two requests may arrive
+/// closer together than they were sent.
 const APART: f64 = 1.1;
 
-/// Part of what a cold endpoint may get in a second that boxes send it: the rest is for requests that were
-/// on their way when it turned cold, and for boxes that know another fleet. With half of that used, days on which
-/// many cold engines meet a burst had a mean worth of 0.379, with this 0.391, with no bound at all 0.418 (four
-/// plays each; two of one day differ by 0.05).
+/// Part of the allowed rate that boxes use. The rest is left for requests that were in flight when
+/// the endpoint turned cold, and for boxes that know a different fleet.
 const USED: f64 = 0.85;
 
-/// What a cold endpoint bears.
+/// The rate that a cold endpoint can handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Most requests that it may get within any second, from all boxes together.
+    /// Maximum number of requests within any second, from all boxes together.
     pub per_s: f64,
-    /// Milliseconds for which an endpoint is cold that does not say it itself.
+    /// How long an endpoint stays cold that does not report it itself, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// The boxes that share what cold endpoints bear.
+/// The boxes that share the rate of cold endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// This box.
     pub me: Arc<str>,
-    /// The others.
+    /// All boxes but this one.
     pub others: Vec<Arc<str>>,
 }
 
 impl Allowance {
-    /// Milliseconds between two requests of this box to a cold endpoint; `None` if others send them.
+    /// Milliseconds between two requests of this box to a cold endpoint; `None` if only other boxes
+    /// send to it.
     pub fn every_ms(self, fleet: &Fleet, endpoint: &str) -> Option<u64> {
         let boxes = fleet.others.len() as f64 + 1.0;
         let per_s = self.per_s * USED;
@@ -53,10 +52,10 @@
     }
 }
 
-/// When a box may send a cold endpoint its next request.
+/// Rate limiter of one box for one cold endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cold {
-    /// It is cold until then.
+    /// The endpoint is cold until then.
     until: u64,
     /// Milliseconds between two requests; `None` if this box sends none.
     every: Option<u64>,
@@ -64,7 +63,8 @@
 }
 
 impl Cold {
-    /// Cold from `now` until `until`, with so much time between two requests.
+    /// Marks the endpoint cold from `now` until `until`, with `every` milliseconds between two
+    /// requests.
     pub fn extend(&mut self, now: u64, until: u64, every: Option<u64>) {
         if self.until <= now {
             self.next = self.next.max(now);
@@ -73,23 +73,23 @@
         self.every = every;
     }
 
-    /// From now on so much time is between two requests.
+    /// Changes the interval between two requests.
     pub fn share(&mut self, every: Option<u64>) {
         self.every = every;
     }
 
-    /// Whether it is cold.
+    /// Whether the endpoint is cold.
     pub fn holds(&self, now: u64) -> bool {
         now < self.until
     }
 
-    /// Milliseconds until this box may send it a request.
+    /// Milliseconds until this box may send a request to the endpoint.
     pub fn wait_ms(&self, now: u64) -> u64 {
         let next = self.every.map_or(self.until, |_| self.next.min(self.until));
         next.saturating_sub(now)
     }
 
-    /// A request was sent.
+    /// Records a request that was sent.
     pub fn sent(&mut self, now: u64) {
         self.next = now + self.every.unwrap_or_default();
     }
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a box knows of one endpoint.
+//! State of one endpoint, as one box knows it.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -12,28 +12,28 @@
     standing::Departure,
 };
 
-/// Own counts remembered, one each [`SAMPLE_MS`].
+/// Number of remembered samples of this box's own request count, one per [`SAMPLE_MS`].
 const SAMPLES: usize = 128;
-/// Milliseconds between two remembered counts.
+/// Milliseconds between two samples.
 const SAMPLE_MS: u64 = 50;
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 const EJECT_AFTER: u32 = 3;
-/// First time that an endpoint is passed over, in milliseconds; doubles with each failure after.
+/// First ejection time in milliseconds; doubles with each further failure.
 const EJECT_MS: u64 = 1_000;
-/// Longest time that an endpoint is passed over, in milliseconds.
+/// Longest ejection time in milliseconds.
 const EJECT_MOST_MS: u64 = 30_000;
-/// A new endpoint gets a growing share for this long, in milliseconds.
+/// Time in milliseconds over which a new endpoint is ramped up to its full share.
 const SLOW_START_MS: u64 = 5_000;
-/// A reported queue fades to a third in this time, in milliseconds: about what an engine needs to
-/// read a long prompt.
+/// Time constant in milliseconds by which a reported queue decays: about as long as an engine needs
+/// to prefill a long prompt.
 const BACKLOG_MS: f64 = 300.0;
-/// A prompt of another box counts for so long at most, in milliseconds, if nobody tells that it was
-/// read: longer than an engine takes to read the longest one.
+/// Time in milliseconds after which a peer's prompt no longer counts, even if nobody reported the
+/// end of its prefill. Longer than any prefill takes.
 const PROMPT_MOST_MS: u64 = 2_000;
-/// Age at which a report counts for nothing, in milliseconds.
+/// Age in milliseconds at which a load report no longer counts.
 const REPORT_MOST_MS: u64 = 15_000;
 
-/// A load report of an endpoint, taken at `at` on this box's clock.
+/// A load report of an endpoint, taken at `at` by this box's clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// When the endpoint counted, in milliseconds.
@@ -42,43 +42,41 @@
     pub running: u32,
     /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that its batch takes.
+    /// Capacity of its batch, in requests.
     pub slots: u32,
 }
 
-/// A prompt that another box sent to an endpoint, which has to read it before others.
+/// Published by a box that sends a prompt to an endpoint, and again with size 0 once it is
+/// prefilled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// Number of the prompt at the box that sent it.
+    /// Number of the prompt, unique at the box that sent it.
     pub number: u64,
-    /// Size of what is to be read; 0 once it was.
+    /// Size to prefill; 0 once that is done.
     pub size: u64,
-    /// Hashes of its blocks, which the endpoint holds from then on; 3% to 14% fewer tokens of shared
-    /// parts are read again where others know them.
+    /// Hashes of the prompt's blocks, which the endpoint caches from then on.
     pub blocks: Arc<[u64]>,
 }
 
-/// Why a dispatch did not end well.
+/// Why a request to an endpoint failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// No connection, or no first byte in time.
     Silent,
-    /// It refused before running.
+    /// The endpoint refused the request before running it.
     Refused,
-    /// The stream broke.
+    /// The stream broke off.
     Broken,
 }
 
 /// State of one endpoint on one box.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Name of the endpoint.
     pub name: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Gets no new work: by pool spec, platform list or the operator.
+    /// Gets no new work, by pool specification, platform list or operator.
     pub leaving: bool,
     report: Option<Report>,
     in_flight: u32,
@@ -87,27 +85,28 @@
     failures: u32,
     ejected_until: u64,
     new_since: Option<u64>,
-    /// Requests of this box whose answer has not begun, and what of their prompts is to be read.
+    /// Requests of this box whose answer has not begun, and the size of their prompts still to
+    /// prefill.
     unanswered: u32,
     unread: u64,
     prompts: Vec<Told>,
-    /// How little it bears for now.
+    /// Rate limiter while the endpoint is cold.
     pub cold: Cold,
-    /// The same for one that was silent: it may have started again.
+    /// Rate limiter after the endpoint was silent: it may have restarted and be cold.
     pub doubt: Cold,
-    /// How fast it makes events of streams.
+    /// Time that it takes between two events of a stream.
     pub pace: Pace,
-    /// What it said of how much it takes; `None` while it never named a limit.
+    /// Newest rate limit that it signaled; `None` if it never named one.
     said: Option<Said>,
-    /// While it names a limit, this box gets no turn there until then.
+    /// While it names a limit, this box asks for no permit before this time.
     closed_until: u64,
-    /// What it asked this box for.
+    /// Back-off that it asked this box for.
     pub rest: Rest,
-    /// It said itself that it leaves.
+    /// Set once it signaled that it leaves.
     pub departure: Option<Departure>,
 }
 
-/// A prompt that another box told of.
+/// A prompt that another box published.
 #[derive(Debug, Clone)]
 struct Told {
     by: Arc<str>,
@@ -116,17 +115,17 @@
     at: u64,
 }
 
-/// What others should know of an endpoint.
+/// What a box reports to its peers about one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Requests that the sender has under way there.
+    /// Requests of the sender in flight there.
     pub in_flight: u32,
 }
 
 impl Endpoint {
-    /// An endpoint first seen at `now`; `warm` if the whole pool is new.
+    /// A new endpoint, first seen at `now`. It gets its full share at once if it is `warm`, because
+    /// the whole pool is new.
     pub fn new(name: Arc<str>, zone: Arc<str>, now: u64, warm: bool) -> Endpoint {
         Endpoint {
             name,
@@ -152,17 +151,17 @@
         }
     }
 
-    /// What it said of how much it takes, if it ever named a limit.
+    /// Its newest limit signal, if it ever named a limit.
     pub fn said(&self) -> Option<Said> {
         self.said
     }
 
-    /// Requests that it takes from all boxes together, while it says so.
+    /// Rate limit over all boxes together, if it names one.
     pub fn limit(&self) -> Option<Limit> {
         self.said?.limit
     }
 
-    /// It said how much it takes; says whether that changes what this box knows.
+    /// Takes over a limit signal; returns whether the limit changed.
     pub fn hear(&mut self, said: Said) -> bool {
         let before = self.limit();
         match &self.said {
@@ -177,12 +176,12 @@
         is_new
     }
 
-    /// This box gets no turn there for so many milliseconds.
+    /// Asks for no permit there for `ms` milliseconds.
     pub fn close(&mut self, ms: u64, now: u64) {
         self.closed_until = now + ms;
     }
 
-    /// Milliseconds until this box may ask for a turn there, if it needs one.
+    /// Milliseconds until this box may ask for a permit; 0 if the endpoint names no limit.
     pub fn turn_wait_ms(&self, now: u64) -> u64 {
         self.limit().map_or(0, |_| self.closed_until.saturating_sub(now))
     }
@@ -192,17 +191,17 @@
         self.leaving || self.departure.is_some_and(|departure| departure.until <= now)
     }
 
-    /// Whether it wants no request now, not even one that was meant for it before.
+    /// Whether it gets no request now, not even one that was already assigned to it.
     pub fn wants_nothing(&self, now: u64) -> bool {
         self.has_left(now) || self.rest.left_ms(now) > 0
     }
 
-    /// Milliseconds until this box may send it a request after a rest.
+    /// Milliseconds until its back-off lets this box send a request.
     pub fn rest_wait_ms(&self, now: u64) -> u64 {
         self.rest.wait_ms(self.unanswered, now)
     }
 
-    /// A request was dispatched.
+    /// Records a request that was sent to it.
     pub fn start(&mut self, now: u64) {
         self.cold.sent(now);
         self.doubt.sent(now);
@@ -210,19 +209,19 @@
         self.sample(now);
     }
 
-    /// A request was sent of whose prompt this much is to be read.
+    /// Records a prompt that was sent to it, `size` of which is to be prefilled.
     pub fn read(&mut self, size: u64) {
         self.unanswered += 1;
         self.unread += size;
     }
 
-    /// Its answer began, or it ended without one.
+    /// Ends the prefill of a prompt, because its answer began or its request ended without one.
     pub fn has_read(&mut self, size: u64) {
         self.unanswered = self.unanswered.saturating_sub(1);
         self.unread = self.unread.saturating_sub(size);
     }
 
-    /// Another box told of a prompt that it sent, or that it was read.
+    /// Records a prompt that another box published, or the end of its prefill.
     pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
         let same = |told: &Told| told.by == *by && told.number == prompt.number;
         self.prompts.retain(|told| !same(told) && told.at + PROMPT_MOST_MS > now);
@@ -232,9 +231,10 @@
         }
     }
 
-    /// Size of prompts that are to be read before a new one: those of this box, and those of
-    /// others. They tell of large ones; besides, a `typical` one is counted for each request of
-    /// others that the endpoint reported to wait, which fades with the age of the report.
+    /// Size of prompts that are to be prefilled before a new one: those of this box, and those of
+    /// others. Other boxes publish only large prompts; so, if that gives more, a `typical` prompt
+    /// is counted for each request of others in the reported queue, decaying with the age of the
+    /// report.
     pub fn backlog(&self, typical: f64, now: u64) -> f64 {
         let waiting = self.report.map_or(0.0, |report| {
             let waiting = f64::from(report.waiting.saturating_sub(self.unanswered));
@@ -243,11 +243,11 @@
         });
         let told = self.prompts.iter().filter(|told| told.at + PROMPT_MOST_MS > now);
         let told: u64 = told.map(|told| told.size).sum();
-        // Those that were told of may be the ones that wait.
+        // Published prompts may be the ones in the reported queue, so they are not added up.
         self.unread as f64 + (waiting * typical).max(told as f64)
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn end(&mut self, now: u64, failure: Option<Failure>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.sample(now);
@@ -279,7 +279,7 @@
         }
     }
 
-    /// A report came in; an older one than known is dropped.
+    /// Takes over a load report, unless a newer one is known.
     pub fn report(&mut self, report: Report) {
         let newer = self.report.is_none_or(|known| known.at <= report.at);
         if newer {
@@ -287,7 +287,7 @@
         }
     }
 
-    /// A peer told what it has under way there.
+    /// Takes over the number of requests that a peer has in flight there.
     pub fn peer(&mut self, peer: &Arc<str>, in_flight: u32, now: u64) {
         match self.peers.iter_mut().find(|(name, ..)| name == peer) {
             Some(known) => (known.1, known.2) = (in_flight, now),
@@ -301,7 +301,7 @@
         known.map_or(0, |(_, count)| *count)
     }
 
-    /// Requests that this box has under way there.
+    /// Requests of this box in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -311,7 +311,7 @@
         self.unanswered
     }
 
-    /// Estimated requests at the endpoint now, over all boxes.
+    /// Estimated number of requests at the endpoint now, over all boxes.
     pub fn load(&self, now: u64) -> f64 {
         let told: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
         let known = f64::from(self.in_flight) + f64::from(told);
@@ -320,7 +320,7 @@
         let reported = f64::from(report.running + report.waiting);
         let change = f64::from(self.in_flight) - f64::from(self.own_at(report.at));
         let corrected = (reported + change).max(f64::from(self.in_flight));
-        // A fresh report outweighs what peers told; a late one does not.
+        // A fresh report outweighs what peers reported; an old one does not.
         let age = now.saturating_sub(report.at) as f64;
         let trust = 1.0 / (1.0 + age / 500.0);
         match self.peers.is_empty() {
@@ -329,27 +329,27 @@
         }
     }
 
-    /// Requests that the batch takes, if reported.
+    /// Capacity of its batch in requests, if reported.
     pub fn slots(&self) -> Option<u32> {
         self.report.map(|report| report.slots)
     }
 
-    /// Whether failures put it aside at `now`.
+    /// Whether it is ejected at `now`.
     pub fn is_ejected(&self, now: u64) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it was ejected, and the time is over: the next request is its probe.
+    /// Whether its ejection is over and the next request is to probe it.
     pub fn wants_probe(&self, now: u64) -> bool {
         self.failures >= EJECT_AFTER && !self.is_ejected(now) && self.in_flight == 0
     }
 
-    /// Whether it was ejected and a probe is under way.
+    /// Whether its ejection is over and a probe is in flight.
     pub fn is_probed(&self, now: u64) -> bool {
         self.failures >= EJECT_AFTER && !self.is_ejected(now) && self.in_flight > 0
     }
 
-    /// Load is multiplied by this while the endpoint is new.
+    /// Factor by which its load is multiplied while it is new.
     pub fn slow_start(&self, now: u64) -> f64 {
         match self.new_since.map(|since| now.saturating_sub(since)) {
             Some(age) if age < SLOW_START_MS => 4.0 - 3.0 * age as f64 / SLOW_START_MS as f64,
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which endpoint gets a request.
+//! Load balancing: which endpoint gets a request.
 //!
-//! Load reports are late, so each box corrects them by what it dispatched and finished itself
-//! since the report was taken, and by what its peers told. [`Pool::choose`] compares a few
-//! candidates by estimated cost: two drawn at random, and the ones that probably hold the
-//! longest part of the prompt in their cache. All times are milliseconds of a monotonic clock.
+//! Load reports arrive late, so each box corrects them by the requests that it sent and finished
+//! itself since the report was taken, and by what its peers reported. [`Pool::choose`] compares a
+//! few candidates by estimated cost: some drawn at random, and those that probably hold the longest
+//! part of the prompt in their cache. All times are milliseconds of a monotonic clock.
 
 mod cold;
 mod endpoint;
--- a/crates/balance/src/limit.rs
+++ b/crates/balance/src/limit.rs
@@ -1,51 +1,53 @@
-//! What an endpoint in need says that it takes from all boxes together.
+//! Rate limits that endpoints name for all boxes together.
 //!
-//! Answers come out of order, and some late, so each is known with the time between whose ends the endpoint said it.
-//! An earlier word never takes the place of a later one; where two overlap, the one that allows less holds. Without
-//! that an answer that was made before the endpoint was in need, and came after, would let every box send freely again.
+//! Answers come out of order, and some late. So each signal carries the time at which its request
+//! was sent and the time at which the answer came; the endpoint spoke in between. An earlier signal
+//! never replaces a later one, and where two overlap, the lower limit wins. Otherwise a late answer
+//! from before the limit would let every box send freely again.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests that an endpoint takes from all boxes together within 1,000 seconds.
+/// Rate limit over all boxes together, in requests per 1,000 seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Limit(u64);
 
 impl Limit {
-    /// What is taken of an endpoint that names a limit which cannot be read, and none before: one request a second. It
-    /// is in need, and one request in a second is less than any endpoint gets that is not.
+    /// Assumed if an endpoint names an unreadable limit and named none before. An endpoint that
+    /// names any limit is overloaded, and one request per second is less than any other endpoint
+    /// gets.
     pub const UNKNOWN: Limit = Limit(1_000);
 
-    /// So many requests a second; what is below a thousandth of one counts as nothing.
+    /// A limit in requests per second, rounded down to a thousandth.
     pub fn per_s(requests: f64) -> Limit {
         Limit((requests * 1_000.0) as u64)
     }
 
-    /// Whether two limits are within a quarter of each other: a box that only has to know that there is one needs
-    /// not hear of the other.
+    /// Whether two limits differ by at most a quarter. Boxes that issue no permits need to know
+    /// only that there is a limit, so they are not notified of such a change.
     pub fn is_close(self, other: Limit) -> bool {
         let (less, more) = (self.min(other).0, self.max(other).0);
         more - less <= more / 4
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn as_per_s(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
 }
 
-/// What an endpoint said, in milliseconds of one box's clock.
+/// A limit that an endpoint signaled, with times of one box's clock in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Said {
-    /// How much it takes; `None` where it named no limit.
+    /// Rate limit; `None` if the endpoint named none.
     pub limit: Option<Limit>,
-    /// When the request was sent whose answer said so.
+    /// When the request was sent whose answer carried the signal.
     pub asked: u64,
     /// When that answer came.
     pub heard: u64,
 }
 
 impl Said {
-    /// Whether this takes the place of what was known.
+    /// Whether this replaces the signal that is known.
     pub fn replaces(&self, known: &Said) -> bool {
         let is_stricter = match (self.limit, known.limit) {
             (Some(limit), Some(known)) => limit < known,
--- a/crates/balance/src/pace.rs
+++ b/crates/balance/src/pace.rs
@@ -1,15 +1,16 @@
-//! How long an endpoint takes for things that it does again and again.
+//! Estimate of the typical time that an endpoint takes for a repeated task, such as the next event
+//! of a stream.
 //!
-//! Nothing tells how fast an endpoint makes events or reads prompts, but what comes from it. Each
-//! time grows by whatever else the endpoint does meanwhile; what remains in the shortest times is
-//! its own speed.
+//! Endpoints do not report how fast they are, so this is estimated from observed times. Each
+//! observed time also contains other work that the endpoint does meanwhile; the shortest times come
+//! closest to its own speed, so a low quantile is tracked.
 
-/// Part of the times that lie below the pace: low enough that what is done in between does not
-/// count, high enough that events which arrive together do not either.
+/// Quantile that is tracked: low enough to exclude other work of the endpoint, high enough to
+/// exclude events that arrive together.
 const QUANTILE: f64 = 0.2;
-/// Relative change by one time; some fifty bring the pace to its place.
+/// Step of the estimate, relative to its value.
 const GAIN: f64 = 0.05;
-/// Times until a pace counts: the shortest of them is where it starts.
+/// Observations before the estimate is valid; it starts from the shortest of them.
 const LEAST_SEEN: u32 = 16;
 
 /// A low quantile of observed times.
@@ -20,7 +21,7 @@
 }
 
 impl Pace {
-    /// Takes in an observed time, in milliseconds.
+    /// Adds an observed time, in milliseconds.
     pub fn see(&mut self, ms: f64) {
         self.ms = match self.seen {
             0 => ms,
@@ -31,7 +32,7 @@
         self.seen = self.seen.saturating_add(1);
     }
 
-    /// Milliseconds, once enough was seen.
+    /// The estimate in milliseconds, once there are enough observations.
     pub fn ms(&self) -> Option<f64> {
         (self.seen >= LEAST_SEEN).then_some(self.ms)
     }
--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -8,28 +8,28 @@
 use super::Pool;
 use crate::{Endpoint, Prefix, Standing};
 
-/// What weighs how much in a choice.
+/// Weights of the cost by which endpoints are compared.
 #[derive(Debug, Clone, Copy)]
 pub struct Weights {
-    /// Prompt to prefill that weighs as much as one request under way, in the unit of the
+    /// Size of prompt to prefill that costs as much as one request in flight, in the unit of the
     /// prefixes.
     pub size_per_request: f64,
-    /// Weight of what this prompt makes an endpoint read, beside prompts that it has to read
-    /// before: it also delays everybody else's, and displaces what is cached there.
+    /// Weight of the prefill of the new prompt, relative to prompts that are to be prefilled before
+    /// it: it also delays all other requests and evicts cached prompts.
     pub reading: f64,
-    /// Weight of a request under way, beside prompts that are to be read.
+    /// Weight of a request in flight, relative to prompts that are to be prefilled.
     pub under_way: f64,
-    /// Requests under way that another availability zone weighs.
+    /// Cost of another availability zone, in requests in flight.
     pub other_zone: f64,
-    /// Load above the pool's mean at which a cached prompt no longer counts, as a factor.
+    /// Multiple of the pool's mean load above which a cached prompt no longer counts.
     pub bounded_load: f64,
-    /// Endpoints drawn at random to compare.
+    /// Number of endpoints that are drawn at random for comparison.
     pub draws: usize,
-    /// Endpoints compared because the shared part of the prompt hashes to them on every box. The
-    /// first of them counts as holding it where no holder is known: whichever box came before sent
-    /// it there.
+    /// Number of endpoints that are compared because the shared part of the prompt maps to them by
+    /// hash on every box. The first of them, the owner, counts as holding the shared part if no
+    /// holder is known: other boxes sent it there as well.
     pub homes: usize,
-    /// Size of the shared part of a prompt from which on its homes are not at slow endpoints.
+    /// Minimum size of a shared part whose owners must not be slow endpoints.
     pub large: u64,
 }
 
@@ -51,11 +51,10 @@
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Size of the leading blocks of the prompt that it probably holds.
+    /// Size of the prompt's leading blocks that it probably holds.
     pub held: u64,
-    /// Estimated requests there.
+    /// Estimated number of requests there.
     pub load: f64,
 }
 
@@ -64,16 +63,17 @@
 pub enum Offer {
     /// All that take work.
     All,
-    /// Of those only the ones that name no limit: they need no turn.
+    /// Only those that name no limit, and so need no permit.
     Unlimited,
 }
 
 impl Pool {
-    /// Chooses an endpoint for a prompt, passing over those in `tried`.
+    /// Chooses an endpoint for a prompt, skipping those in `tried`.
     ///
-    /// Never one that is leaving, nor one that is cold or limited and gets no more of this box now: [`Pool::standing`] says so. One that was
-    /// silent counts as cold, but where half of the pool was. One that failed is chosen only as its own probe, or when at
-    /// least half of the pool is put aside: then failures say more about the box than about them.
+    /// Only endpoints that [`Pool::standing`] reports as available are considered. One that was
+    /// silent is treated as cold, unless at least half of the pool was silent. One that was ejected
+    /// is chosen only for its probe, or if at least half of the pool is ejected: then the failures
+    /// are more likely the box's own.
     pub fn choose(
         &self,
         prefix: &Prefix,
@@ -84,7 +84,7 @@
         self.choose_from(Offer::All, prefix, tried, now, random)
     }
 
-    /// The same among all endpoints or some of them.
+    /// Like [`Pool::choose`], among all endpoints or some of them.
     pub fn choose_from(
         &self,
         offer: Offer,
@@ -101,7 +101,7 @@
         let most_aside = offered.iter().filter(aside).count() * 2 >= offered.len().max(1);
         let usable = offered.iter().filter(|e| most_aside || !aside(e)).copied();
         let mut candidates = usable.clone().choose_multiple(random, self.weights.draws);
-        // The draw keeps its candidates in the pool's order, which would decide every tie.
+        // The draw keeps the order of the pool, which would decide every tie.
         candidates.shuffle(random);
         let mean = usable.clone().map(|e| e.load(now)).sum::<f64>() / usable.clone().count() as f64;
         let bound = mean * self.weights.bounded_load + 2.0;
@@ -119,8 +119,8 @@
         judged.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
     }
 
-    /// Endpoints that may get a request of this box now, without those in `tried`. Where there is none, those that said a
-    /// moment ago that they leave.
+    /// Endpoints that may get a request of this box now, without those in `tried`. If there are
+    /// none, those that signaled recently that they leave.
     fn offered(&self, tried: &[Arc<str>], offer: Offer, now: u64) -> Vec<&Endpoint> {
         let staying = self.staying().count();
         let doubted = self.staying().filter(|e| e.doubt.holds(now)).count();
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Endpoints that the shared part of a prompt hashes to, the first one first. Prompts with a
-    /// large shared part are at home at endpoints that are not slow.
+    /// Endpoints that the shared part of a prompt maps to by hash, the owner first. For large
+    /// shared parts, slow endpoints come last.
     fn homes<'a>(
         &self,
         usable: impl Iterator<Item = &'a Endpoint>,
@@ -159,7 +159,7 @@
         homes.into_iter().take(self.weights.homes).map(|(_, endpoint)| endpoint).collect()
     }
 
-    /// Cost of sending a prompt to an endpoint that holds at least `assumed` of it.
+    /// Cost of sending a prompt to an endpoint that is assumed to hold at least `assumed` of it.
     fn judge(&self, endpoint: &Endpoint, prefix: &Prefix, assumed: u64, now: u64) -> (f64, Choice) {
         let load = endpoint.load(now);
         let held = self.prefixes.held(prefix, &endpoint.name).max(assumed);
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoints of one pool: what is learned of them here, the choice among them in `choose`, and who has to wait in `wait`.
+//! The endpoints of one pool: their state is kept here, `choose` chooses among them, and `wait`
+//! tells how long requests have to wait.
 
 mod choose;
 mod wait;
@@ -19,27 +20,28 @@
     prefixes: Prefixes,
     weights: Weights,
     zone: Arc<str>,
-    /// Mean size of what was to be read of a prompt.
+    /// Moving average of the size to prefill per prompt.
     typical: f64,
     speed: Speed,
-    /// What cold endpoints bear; `None` where that has no bound.
+    /// Rate that cold endpoints can handle; `None` if not limited.
     allowance: Option<Allowance>,
-    /// Who shares that; `None` while the other boxes are not known.
+    /// The boxes that share this rate; `None` until the other boxes are known.
     fleet: Option<Fleet>,
-    /// When the last request that no endpoint took for its limit is to come again.
+    /// Latest retry time given to a request that was refused because of rate limits.
     last_told: u64,
-    /// Rests of endpoints that are not listed now: an entry that lapsed comes back within seconds.
+    /// Back-offs of endpoints that are not listed now: an entry that expired may come back within
+    /// seconds.
     rests: HashMap<Arc<str>, Rest>,
 }
 
-/// Gain of the mean size of prompts that are to be read: the last twenty or so count.
+/// Smoothing factor of the average prompt size; about the last twenty prompts count.
 const TYPICAL_GAIN: f64 = 0.05;
-/// Shortest time between two events that says something, in milliseconds: below it they came
-/// together.
+/// Shortest event gap in milliseconds that is recorded; events closer together were delivered at
+/// once.
 const SHORTEST_MS: f64 = 1.0;
-/// Rests of endpoints that are not listed which are remembered, some 100 bytes each.
+/// Maximum number of remembered back-offs of unlisted endpoints, about 100 bytes each.
 const MOST_RESTS: usize = 4_096;
-/// Prompt blocks remembered by pool.
+/// Prompt blocks remembered per pool.
 const PREFIX_BLOCKS: usize = 65_536;
 
 impl Pool {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Takes over the pool's list; known endpoints keep their state.
+    /// Replaces the list of endpoints by pairs of name and zone; known endpoints keep their state.
     pub fn update(&mut self, list: impl IntoIterator<Item = (Arc<str>, Arc<str>)>, now: u64) {
         let warm = self.endpoints.is_empty();
         let mut known = std::mem::take(&mut self.endpoints);
@@ -85,22 +87,19 @@
         }
     }
 
-    /// The endpoint of a name.
     pub fn get(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints.iter().find(|endpoint| &*endpoint.name == name)
     }
 
-    /// The endpoint of a name.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Endpoint> {
         self.endpoints.iter_mut().find(|endpoint| &*endpoint.name == name)
     }
 
-    /// All endpoints.
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.endpoints
     }
 
-    /// Says of each endpoint whether it gets no new work; returns those that get some again.
+    /// Marks the endpoints that get no new work; returns those that get work again.
     pub fn set_leaving(&mut self, leaves: impl Fn(&Endpoint) -> bool) -> Vec<Arc<str>> {
         let mut back = Vec::new();
         for endpoint in &mut self.endpoints {
@@ -112,14 +111,14 @@
         back
     }
 
-    /// Says of each endpoint whether it said itself that it leaves.
+    /// Sets which endpoints signaled that they leave.
     pub fn set_departures(&mut self, of: impl Fn(&Arc<str>) -> Option<Departure>) {
         for endpoint in &mut self.endpoints {
             endpoint.departure = of(&endpoint.name);
         }
     }
 
-    /// What cold endpoints bear from now on; `None` where that has no bound.
+    /// Sets the rate that cold endpoints can handle; `None` if not limited.
     pub fn set_allowance(&mut self, allowance: Option<Allowance>, now: u64) {
         if self.allowance != allowance {
             self.allowance = allowance;
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Who shares what cold endpoints bear.
+    /// Sets the boxes that share the rate of cold endpoints.
     pub fn set_fleet(&mut self, fleet: &Fleet, now: u64) {
         if self.fleet.as_ref() != Some(fleet) {
             self.fleet = Some(fleet.clone());
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Finds this box's part at all endpoints that are cold.
+    /// Updates this box's share of the rate at all cold endpoints.
     fn share_cold(&mut self, now: u64) {
         for endpoint in &mut self.endpoints {
             if endpoint.cold.holds(now) || endpoint.doubt.holds(now) {
@@ -146,7 +145,7 @@
         }
     }
 
-    /// An endpoint is cold for `lasts_ms`, or for as long as endpoints are that do not say so.
+    /// Marks an endpoint cold for `lasts_ms`, or for the default time if it did not report one.
     pub fn chill(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
         let lasts_ms =
             lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
@@ -156,7 +155,7 @@
         }
     }
 
-    /// A silent endpoint may have crashed, and be cold when it comes back.
+    /// Treats a silent endpoint as cold: it may have crashed and restarted.
     fn doubt(&mut self, name: &str, now: u64) {
         let lasts_ms = self.allowance.map_or(0, |allowance| allowance.lasts_ms);
         let every = every_ms(self.allowance, &self.fleet, name);
@@ -165,24 +164,24 @@
         }
     }
 
-    /// An endpoint wants nothing from this box for so long; says whether that is longer than what it had asked for before.
+    /// Starts or extends an endpoint's back-off; returns whether it ends later than before.
     pub fn rest(&mut self, name: &str, ms: u64, now: u64) -> bool {
         let Some(endpoint) = self.get_mut(name) else { return false };
         let unanswered = endpoint.unanswered();
         endpoint.rest.ask(ms, unanswered, now)
     }
 
-    /// Number of endpoints that are cold.
+    /// Number of cold endpoints.
     pub fn cold(&self, now: u64) -> usize {
         self.endpoints.iter().filter(|endpoint| endpoint.cold.holds(now)).count()
     }
 
-    /// Which blocks are held where.
+    /// Index of cached blocks.
     pub fn prefixes_mut(&mut self) -> &mut Prefixes {
         &mut self.prefixes
     }
 
-    /// A request goes to an endpoint.
+    /// Records a request that is sent to an endpoint.
     pub fn start(&mut self, name: &Arc<str>, prefix: &Prefix, now: u64) {
         self.prefixes.sent(prefix, name);
         if let Some(endpoint) = self.get_mut(name) {
@@ -190,7 +189,8 @@
         }
     }
 
-    /// An endpoint that holds `held` of a prompt has the rest of it to read; returns how much.
+    /// Records the prefill of a prompt of which the endpoint holds `held`; returns the size to
+    /// prefill.
     pub fn read(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
         let missing = prefix.size().saturating_sub(held);
         self.typical += (missing as f64 - self.typical) * TYPICAL_GAIN;
@@ -200,7 +200,7 @@
         missing
     }
 
-    /// Another box told of a prompt that it sent, or that it was read.
+    /// Records a prompt that another box published, or the end of its prefill.
     pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
         let Some(endpoint) = self.get_mut(&prompt.endpoint) else { return };
         endpoint.told(by, prompt, now);
@@ -209,14 +209,14 @@
         }
     }
 
-    /// The answer of a request began, or it ended without one.
+    /// Ends the prefill of a prompt, because its answer began or its request ended without one.
     pub fn has_read(&mut self, name: &str, missing: u64) {
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.has_read(missing);
         }
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn end(&mut self, name: &str, failure: Option<Failure>, now: u64) {
         if failure == Some(Failure::Silent) {
             self.doubt(name, now);
@@ -226,14 +226,14 @@
         }
     }
 
-    /// An endpoint reported its load.
+    /// Takes over an endpoint's load report.
     pub fn report(&mut self, name: &str, report: Report) {
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.report(report);
         }
     }
 
-    /// A stream of an endpoint brought an event so many milliseconds after the one before.
+    /// Records the gap between two events of an endpoint's stream.
     pub fn paced(&mut self, name: &str, gap_ms: f64) {
         if gap_ms < SHORTEST_MS {
             return;
@@ -244,7 +244,7 @@
         self.speed.note_event(&self.endpoints);
     }
 
-    /// A peer told what it has under way.
+    /// Takes over the requests that a peer has in flight.
     pub fn peer(&mut self, peer: &Arc<str>, told: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
             let count = told.iter().find(|snapshot| snapshot.name == endpoint.name);
@@ -252,7 +252,7 @@
         }
     }
 
-    /// What peers should know.
+    /// Requests of this box in flight, as reported to peers.
     pub fn snapshot(&self) -> Vec<Snapshot> {
         let busy = self.endpoints.iter().filter(|endpoint| endpoint.in_flight() > 0);
         busy.map(|e| Snapshot { name: e.name.clone(), in_flight: e.in_flight() }).collect()
--- a/crates/balance/src/pool/wait.rs
+++ b/crates/balance/src/pool/wait.rs
@@ -1,24 +1,24 @@
-//! Who may get a request now, and when those come again that no endpoint took.
+//! Availability of endpoints, and when a request that no endpoint took should be retried.
 
 use super::Pool;
 use crate::{Endpoint, Limit, Standing};
 
-/// Longest time that is added for one request to come after the others, in milliseconds: callers that wait for an
-/// answer of a model have a few times as much.
+/// Longest delay in milliseconds that is added to space retries: callers wait a few times as long
+/// for a model's answer.
 const RETURN_MOST: u64 = 3_000;
-/// Requests that were kept back come again apart from each other by the time between them, times this for the most urgent ones
-/// and one more for the least urgent ones. As fast as they came, beside those that come anyway, they would fill endpoints
-/// that had half of what they bear, which then ask for rest once more.
+/// Factor by which retries are spread out relative to the arrival of the requests, for the most
+/// urgent ones; one more for the least urgent ones. Retries as fast as the original arrivals,
+/// beside new requests, would overload the endpoints and start another back-off.
 const SOONEST: f64 = 2.0;
-/// Longest time over which requests that were kept back come again, in milliseconds. Told a time that is too late for it, a
-/// caller knows that it waits for nothing; told one at which others come, all are turned away.
+/// Longest time in milliseconds over which held-back requests are spread. A caller that is given a
+/// later time gives up at once; callers that are all given the same time would be rejected again.
 const BACK_WITHIN: u64 = 60_000;
-/// Rank of the least urgent requests, the most urgent ones are 0.
+/// Rank of the least urgent requests; the most urgent ones have rank 0.
 const RANKS: u8 = 9;
 
 impl Pool {
-    /// Milliseconds until an endpoint of those that take work bears a request of this box; `None` if there
-    /// is none, 0 if one does now.
+    /// Milliseconds until the first endpoint becomes available, 0 if one is now; `None` if there is
+    /// none that stays.
     pub fn next_offer_ms(&self, now: u64) -> Option<u64> {
         let offered = self.staying().map(|endpoint| self.standing(endpoint, now));
         let waits = offered.filter_map(|standing| match standing {
@@ -29,12 +29,12 @@
         waits.min()
     }
 
-    /// Endpoints that are to go on.
+    /// Endpoints that neither are leaving nor signaled that they leave.
     pub(super) fn staying(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter().filter(|endpoint| !endpoint.leaving && endpoint.departure.is_none())
     }
 
-    /// How an endpoint stands with this box now.
+    /// Whether an endpoint may get a request of this box now.
     pub fn standing(&self, endpoint: &Endpoint, now: u64) -> Standing {
         let cold = self.allowance.map_or(0, |_| endpoint.cold.wait_ms(now));
         match cold.max(endpoint.turn_wait_ms(now)).max(endpoint.rest_wait_ms(now)) {
@@ -45,10 +45,13 @@
         }
     }
 
-    /// Milliseconds after which a request that no endpoint took is to come again. Where limits leave room for few, one
-    /// comes after the other: as many of this box as its part of the limits, so that callers do not return together. Where
-    /// endpoints rest, requests come again half as fast as they came, so that there is room for them and for others, and urgent
-    /// ones before others.
+    /// Milliseconds after which a request that no endpoint took should be retried; `None` if there
+    /// is no endpoint that stays.
+    ///
+    /// Where all endpoints name limits, retries are spaced by this box's share of the limits, so
+    /// that callers do not return together. During back-offs, retries are spread over at least
+    /// twice the time over which the requests arrived, so that there is room for new ones too, and
+    /// urgent requests come first.
     pub fn return_ms(&mut self, rank: u8, now: u64) -> Option<u64> {
         let wait = self.next_offer_ms(now)?;
         let kept_back = self.staying().filter_map(|endpoint| endpoint.rest.keeps_back_since(now));
@@ -66,7 +69,7 @@
         Some(self.last_told - now)
     }
 
-    /// Whether another endpoint than this one takes a request of this box now.
+    /// Whether an endpoint other than this one takes a request of this box now.
     pub fn has_other(&self, name: &str, now: u64) -> bool {
         let mut others = self.staying().filter(|endpoint| &*endpoint.name != name);
         others.any(|endpoint| self.standing(endpoint, now) == Standing::Open)
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -1,9 +1,9 @@
-//! Which endpoint probably holds which part of a prompt in its cache.
+//! Index of which endpoints probably hold which prompt prefixes in their cache.
 //!
-//! Cache events come late and with gaps, so they are hints; what this box sent where is known at
-//! once. Prompts are cut into blocks, and each block's hash covers all that comes before it. The
-//! size of a block is in whatever unit the caller counts in: bytes of text, or tokens of a named
-//! part.
+//! Cache events come late and incomplete, so they are only hints; the prompts that this box sent
+//! are recorded at once. Prompts are cut into blocks, and the hash of a block covers all blocks
+//! before it. Sizes of blocks are in whatever unit the caller uses: bytes of text, or tokens of a
+//! named part.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,15 +12,14 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt in one block.
+/// Bytes of prompt text in one block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of a prompt that are looked at.
+/// Maximum number of blocks of a prompt that are considered.
 const BLOCKS: usize = 256;
 
-/// One block of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Block {
-    /// Covers this block and all before it.
+    /// Hash of this block and all before it.
     hash: u64,
     /// Size of this block alone.
     size: u32,
@@ -46,7 +45,7 @@
         Prefix(blocks.collect())
     }
 
-    /// A prompt whose parts are named: the id and size of each, in order.
+    /// A prompt made of named parts, given as id and size of each in order.
     pub fn of_parts(parts: impl IntoIterator<Item = (u64, u32)>) -> Prefix {
         let mut seed = 0;
         let blocks = parts.into_iter().map(|(id, size)| {
@@ -56,17 +55,17 @@
         Prefix(blocks.collect())
     }
 
-    /// Size of all blocks together.
+    /// Total size of the blocks.
     pub fn size(&self) -> u64 {
         self.0.iter().map(|block| u64::from(block.size)).sum()
     }
 
-    /// The hashes of all blocks.
+    /// Hashes of the blocks.
     pub fn hashes(&self) -> Arc<[u64]> {
         self.0.iter().map(|block| block.hash).collect()
     }
 
-    /// The part that other prompts may share, all but the last block: its hash and size.
+    /// Hash and size of the part that other prompts may share: all blocks but the last.
     pub fn shared(&self) -> Option<(u64, u64)> {
         let (_, shared) = self.0.split_last()?;
         let size = shared.iter().map(|block| u64::from(block.size)).sum();
@@ -74,7 +73,7 @@
     }
 }
 
-/// A bounded map from blocks to the endpoints that probably hold them.
+/// A bounded index from blocks to the endpoints that probably hold them.
 #[derive(Debug)]
 pub struct Prefixes {
     holders: HashMap<u64, Vec<Arc<str>>>,
@@ -83,19 +82,19 @@
 }
 
 impl Prefixes {
-    /// Remembers up to `capacity` blocks.
+    /// An empty index for up to `capacity` blocks.
     pub fn new(capacity: usize) -> Prefixes {
         Prefixes { holders: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
-    /// A prompt was sent to an endpoint, which will hold it soon.
+    /// Records a prompt that was sent to an endpoint, which will cache its blocks.
     pub fn sent(&mut self, prefix: &Prefix, endpoint: &Arc<str>) {
         for block in &prefix.0 {
             self.add(block.hash, endpoint);
         }
     }
 
-    /// An endpoint published that it holds a block.
+    /// Records that an endpoint holds a block.
     pub fn add(&mut self, block: u64, endpoint: &Arc<str>) {
         let holders = self.holders.entry(block).or_insert_with(|| {
             self.order.push_back(block);
@@ -115,7 +114,7 @@
         self.holders.get(&block).is_some_and(|holders| !holders.is_empty())
     }
 
-    /// An endpoint published that it dropped a block.
+    /// Records that an endpoint dropped a block.
     pub fn remove(&mut self, block: u64, endpoint: &str) {
         if let Some(holders) = self.holders.get_mut(&block) {
             holders.retain(|name| &**name != endpoint);
@@ -131,7 +130,7 @@
         prefix.0.iter().take_while(holds).map(|block| u64::from(block.size)).sum()
     }
 
-    /// Endpoints that hold the longest known part, longest first, at most `most`.
+    /// Up to `most` endpoints that hold the longest known prefix, longest first.
     pub fn best(&self, prefix: &Prefix, most: usize) -> Vec<Arc<str>> {
         let mut found: Vec<Arc<str>> = Vec::new();
         let known = prefix.0.partition_point(|block| self.holders.contains_key(&block.hash));
--- a/crates/balance/src/rest.rs
+++ b/crates/balance/src/rest.rs
@@ -1,46 +1,47 @@
-//! Rest that an endpoint asks a box for when it turns a request of it away.
+//! Back-off that an endpoint asks a box for when it rejects a request.
 //!
-//! It gets nothing from this box for as long as it asked: no later answer shortens that, since an answer may have been made
-//! before it, and no probe goes there, since whatever it found could not be used before the end. Until then the endpoint looks
-//! like the emptiest of all, so what was kept back must not come at once when the rest is over: a box comes back with
-//! a part of what it had there before. What it may have there grows with what is taken, as a congestion
-//! window does (RFC 5681): by one for each request at first, later by one for as many as it may have.
+//! For that time the box sends nothing to the endpoint. No later answer shortens it, since that
+//! answer may have been made earlier, and no probe is sent. Meanwhile the endpoint becomes idle and
+//! would attract all waiting requests at once, so afterwards the box is limited to a window of
+//! unanswered requests. The window starts at a fraction of what the box had there before and grows
+//! with each accepted request, like a TCP congestion window (RFC 5681): by one per request at
+//! first, later by one per full window.
 
-/// Part of what a box had at an endpoint before its rest with which it comes back, as a divisor.
+/// Divisor of the number of unanswered requests before the back-off that gives the first window.
 const FIRST: u32 = 4;
-/// Requests there, as a multiple of those before, up to which each one that is taken makes room for one more: enough for those
-/// that were kept back beside those that come.
+/// Multiple of the number of requests before up to which each accepted request grows the window by
+/// one. Leaves room for requests that were held back beside new ones.
 const FAST: u32 = 2;
-/// The same from which on the endpoint counts like any other.
+/// Multiple of the number of requests before from which on the window is dropped.
 const WIDE: u32 = 4;
-/// Time after which a request is to come again that finds an endpoint which takes no more for the moment, in milliseconds: an
-/// answer of an engine begins by then.
+/// Delay in milliseconds before a request tries again that found the window full: by then an engine
+/// usually begins one of its answers.
 const NEXT_MS: u64 = 50;
 
-/// What an endpoint asked this box for, in milliseconds of the box's clock.
+/// Back-off of one endpoint towards one box, in milliseconds of the box's clock.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Rest {
-    /// When it asked.
+    /// Start of the back-off.
     since: u64,
-    /// The end of what it asked for.
+    /// End of the back-off.
     until: u64,
-    /// Requests without an answer that this box had there before.
+    /// Unanswered requests of this box at the endpoint when the back-off began.
     before: u32,
-    /// Those that it may have from this box then; `None` if as many as any other endpoint.
+    /// Maximum number of unanswered requests after the back-off; `None` if not limited.
     window: Option<u32>,
-    /// Requests taken since the window grew.
+    /// Requests accepted since the window grew.
     taken: u32,
 }
 
 impl Rest {
-    /// It wants nothing for so long from now on, and has so many requests of this box without an answer; says whether that is
-    /// longer than what it had asked for before.
+    /// Starts or extends the back-off by `ms` from now, with `unanswered` requests of this box at
+    /// the endpoint. Returns whether it ends later than before.
     pub fn ask(&mut self, ms: u64, unanswered: u32, now: u64) -> bool {
         let until = now.saturating_add(ms);
         if ms == 0 || until <= self.until {
             return false;
         }
-        // Requests that it turns away one after the other belong to one rest.
+        // Consecutive rejections belong to one back-off.
         let goes_on = now < self.until;
         let before = if goes_on { self.before.max(unanswered) } else { unanswered };
         *self = Rest {
@@ -53,17 +54,18 @@
         true
     }
 
-    /// Milliseconds until the end of what it asked for.
+    /// Milliseconds until the back-off ends.
     pub fn left_ms(&self, now: u64) -> u64 {
         self.until.saturating_sub(now)
     }
 
-    /// Since when requests of this box are kept back for it: by the rest, and then because few come at once. `None` if none is.
+    /// Since when requests are held back: first by the back-off, then by the window. `None` if they
+    /// are not.
     pub fn keeps_back_since(&self, now: u64) -> Option<u64> {
         self.window.map(|_| if now < self.until { self.since } else { self.until })
     }
 
-    /// Milliseconds until this box may send it a request, while so many are there without an answer.
+    /// Milliseconds until this box may send a request, with `unanswered` requests there.
     pub fn wait_ms(&self, unanswered: u32, now: u64) -> u64 {
         match self.window {
             _ if now < self.until => self.until - now,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// It took a request that was sent at `asked`.
+    /// Grows the window for an accepted request that was sent at `asked`.
     pub fn took(&mut self, asked: u64) {
         let Some(window) = self.window.filter(|_| asked >= self.until) else { return };
         self.taken += 1;
--- a/crates/balance/src/speed.rs
+++ b/crates/balance/src/speed.rs
@@ -1,26 +1,26 @@
-//! How fast the endpoints of a pool are, each beside the others.
+//! Relative speed of the endpoints of a pool.
 //!
-//! An endpoint's own pace comes from the times between the events of its streams.
+//! The speed of an endpoint is estimated from the times between the events of its streams.
 
 use crate::Endpoint;
 
-/// An endpoint is slow if its pace is so many times the pool's median. Engines of one make differ
-/// by less than a tenth as seen from one box, those of another make by a third.
+/// An endpoint is slow if its pace exceeds this multiple of the pool's median. Above the variation
+/// among engines of one type, below the difference to a slower type.
 const SLOW: f64 = 1.2;
-/// Times between events after which the median of the paces is taken again.
+/// Number of event gaps after which the median is computed anew.
 const MEDIAN_EVERY: u32 = 64;
 
-/// What a box knows of the speed of a pool's endpoints.
+/// Speed of a pool's endpoints, as one box observes it.
 #[derive(Debug, Default)]
 pub struct Speed {
-    /// Median of the paces of all endpoints, in milliseconds.
+    /// Median pace of all endpoints, in milliseconds.
     median_ms: Option<f64>,
-    /// Times between events that were seen.
+    /// Event gaps observed so far.
     events: u32,
 }
 
 impl Speed {
-    /// One more time between two events was taken into the pace of one of the endpoints.
+    /// Counts an event gap that was added to the pace of one of the endpoints.
     pub fn note_event(&mut self, endpoints: &[Endpoint]) {
         self.events = self.events.wrapping_add(1);
         if self.events.is_multiple_of(MEDIAN_EVERY) {
@@ -28,12 +28,12 @@
         }
     }
 
-    /// How many times as long as the median an endpoint takes.
+    /// Pace of an endpoint as a multiple of the median.
     fn slowness(&self, endpoint: &Endpoint) -> f64 {
         endpoint.pace.ms().zip(self.median_ms).map_or(1.0, |(pace, median)| pace / median)
     }
 
-    /// Whether an endpoint makes events much more slowly than most others.
+    /// Whether an endpoint is much slower than most others.
     pub fn is_slow(&self, endpoint: &Endpoint) -> bool {
         self.slowness(endpoint) > SLOW
     }
--- a/crates/balance/src/standing.rs
+++ b/crates/balance/src/standing.rs
@@ -1,38 +1,41 @@
-//! Whether an endpoint may get a request: the one state that every way of a request asks before it sends.
+//! Whether an endpoint may get a request. Every path of a request checks this state before it
+//! sends.
 
-/// Time for which an endpoint that said that it leaves still gets requests that no other endpoint takes, in milliseconds:
-/// its successors may not be known yet, and it serves until it ends. Half of the shortest time after which it may get none.
+/// Time in milliseconds for which an endpoint that signaled that it leaves still gets requests that
+/// no other endpoint takes: its successors may not be known yet. Half of the shortest time after
+/// which it must get none.
 pub const LAST_RESORT_MS: u64 = 1_000;
 
-/// When an endpoint said that it leaves, in milliseconds of one box's clock.
+/// When an endpoint signaled that it leaves, in milliseconds of one box's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
-    /// When this box heard of it.
+    /// When this box learned of it.
     pub since: u64,
-    /// From when on it gets nothing, whoever else takes no work.
+    /// From then on it gets no requests at all.
     pub until: u64,
 }
 
 impl Departure {
-    /// It said so now.
+    /// The endpoint signaled it just now.
     pub fn now(now: u64) -> Departure {
         Departure { since: now, until: now + LAST_RESORT_MS }
     }
 
-    /// It said so some time ago.
+    /// The endpoint signaled it some time ago, so it gets no requests any more.
     pub fn before(now: u64) -> Departure {
         Departure { since: now, until: now }
     }
 }
 
-/// How an endpoint stands with this box.
+/// Availability of an endpoint to this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes requests of this box.
+    /// It may get requests now.
     Open,
-    /// It takes some after so many milliseconds: it is cold, it rests, or this box gets no turn there before.
+    /// It may get requests after `ms` milliseconds: it is cold, it asked for a back-off, or this
+    /// box gets no permit earlier.
     Waits { ms: u64 },
-    /// It said a moment ago that it leaves: it gets what no other endpoint takes.
+    /// It signaled recently that it leaves, and gets only requests that no other endpoint takes.
     LastResort,
     /// It gets no new work any more.
     Leaving,
--- a/crates/balance/src/turns.rs
+++ b/crates/balance/src/turns.rs
@@ -1,64 +1,57 @@
-//! Turns at an endpoint that names how much it takes from all boxes together.
+//! Permits for an endpoint that names a rate limit for all boxes together.
 //!
-//! One box hands them out, one by one and when they are needed: a turn is used at once, none is kept in store, so that
-//! what all boxes send is what this box gave, however many they are and whichever of them has callers. A part for each
-//! box instead breaks the sum or starves it. Counted over a minute of 60 requests a second, for a limit of 6 a second
-//! (`tests/turns.rs`): most requests within 4 s, of 41 that are allowed, and the part of the limit that was used.
+//! One box issues the permits of an endpoint, one per request and on demand. A permit is used at
+//! once and never stored, so that the sum over all boxes is what the issuer granted, however many
+//! boxes there are and whichever of them have callers. A fixed part of the limit per box would
+//! either exceed the limit or leave most of it unused.
 //!
-//! | boxes | callers at | a part each | parts by use, told each second | few boxes by hash | turns | questions a second |
-//! |---|---|---|---|---|---|---|
-//! | 1 | it | 23, 0.91 | 23, 0.91 | 23, 0.91 | 25, 1.00 | 0 |
-//! | 7 | all | 25, 0.90 | 25, 0.89 | 24, 0.89 | 26, 1.00 | 18 |
-//! | 75 | all | 75, 0.83 | 17, 0.39 | 15, 0.44 | 26, 1.00 | 19 |
-//! | 75 | two | 2, 0.02 | 24, 0.89 | 0, 0.00 | 25, 1.00 | 17 |
-//! | 300 | all | 162, 0.72 | 1, 0.00 | 9, 0.18 | 25, 1.00 | 34 |
-//! | 300 | two | 2, 0.01 | 24, 0.89 | 0, 0.00 | 25, 1.00 | 17 |
-//!
-//! Whoever gets none is told when to ask again, each later than the one before, so that some twice as many ask as there
-//! are turns, and never all boxes at once. A request that takes a turn waits for one question, a millisecond or two, and
-//! only where its endpoint names a limit.
+//! A box that gets no permit is told when to ask again, each one later than the one before. So only
+//! about twice as many boxes ask as there are permits, never all at once. A request that needs a
+//! permit waits for one round trip between boxes, and only if its endpoint names a limit.
 
-/// Turns that are saved while nobody asks, as seconds of the limit, beside one: callers come in clumps. Of the 2 L + 5
-/// requests by which the sum over 4 s may exceed the limit, this takes L / 2 + 1, and as much again where another box
-/// takes over; the rest is for requests that arrive later than they left.
+/// Permits saved up while nobody asks, as seconds of the limit, beside one permit: requests come in
+/// bursts. An endpoint may get at most 2 L + 5 requests above the limit L within 4 s; this uses L /
+/// 2 + 1 of them, and as much again if another box takes over as issuer. The rest is for requests
+/// that are delayed on the way.
 const SAVED_S: f64 = 0.5;
-/// Milliseconds after which an endpoint is asked by a request although it takes none now: only its answers say when it
-/// takes more. One request in 5 s is far below the five in 4 s that any limit allows besides.
+/// Interval in milliseconds at which one request is sent to an endpoint although its limit allows
+/// none: only its answers report a higher limit. Far below the five requests within 4 s that any
+/// limit allows in addition.
 const ASK_AGAIN: u64 = 5_000;
-/// Those who are told to come again are half of a turn apart, as some find no use for theirs by then.
+/// Distance between the retry times that are given out, in permits. Below 1, because some of those
+/// who ask again no longer need their permit.
 const APART: f64 = 0.5;
-/// Longest time after which anyone is told to come again, in milliseconds: callers wait no longer, and a limit may
-/// have ended by then.
+/// Longest retry time in milliseconds: callers wait no longer, and the limit may be gone by then.
 const MOST_AFTER: u64 = 5_000;
 
-/// What one box hands out at one endpoint, in milliseconds of that box.
+/// Issuer's state for one endpoint, in milliseconds of the issuer's clock.
 #[derive(Debug, Clone)]
 pub struct Turns {
     saved: f64,
-    /// When the turns saved were counted last.
+    /// When `saved` was updated last.
     at: u64,
-    /// When a turn was given last.
+    /// When a permit was issued last.
     given: u64,
-    /// When the last one who got none is to come again.
+    /// Latest retry time given out so far.
     last_told: u64,
 }
 
-/// What comes of asking for a turn.
+/// Answer to a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
     /// A request may be sent at once.
     Given,
-    /// None is left; to be asked for again after so many milliseconds.
+    /// None is left; ask again after `ms` milliseconds.
     After { ms: u64 },
 }
 
 impl Turns {
-    /// None are saved: another box may have given some a moment ago.
+    /// No permits are saved up at first, because another box may have issued some a moment ago.
     pub fn open(now: u64) -> Turns {
         Turns { saved: 0.0, at: now, given: now, last_told: now }
     }
 
-    /// Takes a turn at an endpoint that takes so many requests a second.
+    /// Asks for a permit at an endpoint with a limit of `per_s` requests per second.
     pub fn take(&mut self, per_s: f64, now: u64) -> Turn {
         let passed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
         self.saved = (self.saved + passed_s * per_s).min(1.0 + SAVED_S * per_s);
@@ -68,7 +61,8 @@
             self.given = now;
             return Turn::Given;
         }
-        // The next one that is saved up, or the one by which the endpoint is asked again; no turns at all take for ever.
+        // When the next permit is saved up, or the endpoint is due for a request in any case. With
+        // a limit of zero, nothing is ever saved up.
         let saved_up = ((1.0 - self.saved) * 1_000.0 / per_s).min(MOST_AFTER as f64).ceil() as u64;
         let next = (now + saved_up).min(self.given + ASK_AGAIN);
         let apart = (APART * 1_000.0 / per_s).min(MOST_AFTER as f64) as u64;
