--- a/crates/quarantine/src/answered.rs
+++ b/crates/quarantine/src/answered.rs
@@ -1,14 +1,15 @@
-//! Requests that endpoints answered whole a short while ago.
+//! Requests that endpoints answered completely a short while ago.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Fingerprint;
 
-/// Requests remembered at most, some 90 bytes each. A box of the deployments answers up to 30 a second, so
-/// that all of a minute fit.
+/// Maximum number of remembered requests, about 90 bytes each. Covers more than a minute at the
+/// request rates expected of one box.
 const MOST: usize = 2_048;
 
-/// Requests with the time of their last whole answer, in milliseconds of a clock that counts suspensions.
+/// Requests with the time of their last complete answer, in milliseconds of a clock that includes
+/// suspensions.
 #[derive(Debug, Default)]
 pub struct Answered {
     last: HashMap<Fingerprint, u64>,
@@ -16,20 +17,20 @@
 }
 
 impl Answered {
-    /// A request was answered whole.
+    /// Records a complete answer.
     pub fn add(&mut self, request: &Fingerprint, now: u64) {
         self.last.insert(request.clone(), now);
         self.order.push_back((now, request.clone()));
         while self.order.len() > MOST {
             let Some((at, oldest)) = self.order.pop_front() else { return };
-            // One that was answered again since stands further back in the order, too.
+            // A request that was answered again has a later entry in `order`.
             if self.last.get(&oldest) == Some(&at) {
                 self.last.remove(&oldest);
             }
         }
     }
 
-    /// Takes out a request that was answered at `since` or later.
+    /// Removes a request if it was answered at `since` or later; returns whether it was.
     pub fn take(&mut self, request: &Fingerprint, since: u64) -> bool {
         let is_recent = self.last.get(request).is_some_and(|at| *at >= since);
         is_recent && self.last.remove(request).is_some()
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,17 +1,17 @@
-//! What makes two requests the same one.
+//! Identity of a request across retries.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Stands between the digest and the customer in the text form.
+/// Separates the digest from the customer in the text form.
 const SEPARATOR: char = '@';
 
-/// The content of a request: the same for each try of it, at whichever box.
+/// Hash of a request's content: the same for each try of it, at whichever box.
 ///
-/// The hash is not one of those that nobody can aim at, so the customer stands beside it in full: whoever
-/// makes two requests collide hits nobody's but its own.
+/// The hash is not cryptographic, so the customer is kept beside it in full: crafted collisions can
+/// affect only the customer who sends them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint {
     customer: Arc<str>,
@@ -19,14 +19,15 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a customer's request with these parts, such as its host, target and body, in order.
+    /// The fingerprint of a customer's request with these parts, such as its host, target and body,
+    /// in order.
     pub fn of<'a>(
         customer: Option<&Arc<str>>,
         parts: impl IntoIterator<Item = &'a [u8]>,
     ) -> Fingerprint {
         let mut hash = Xxh3::new();
         for part in parts {
-            // The length keeps apart what would read alike when it is joined.
+            // The length keeps different splits of the same bytes apart.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,18 +1,16 @@
-//! Which requests are not run any more, because endpoints ended under them.
+//! Quarantine of requests that crash endpoints.
 //!
-//! A request may end whoever runs it: the engine crashes over its content. Its caller sends it again, with
-//! another id and mostly to another box, and each try takes an endpoint and all that runs there with it. So
-//! boxes report to each other which requests an endpoint had when it ended, and a request that several
-//! endpoints ended with is not run any more: of nine engines in a model, 3 ended for each such request
-//! within 30 s instead of 27.
+//! The content of a request may crash whichever engine runs it. Its caller sends it again, with
+//! another id and usually to another box, and each try takes down an endpoint with all that runs
+//! there. So boxes report to each other which requests an endpoint had when it crashed, and a
+//! request that was there at several crashes is no longer run.
 //!
-//! Most requests in a report only ran beside the guilty one, or the endpoint ended for a reason of its own. Two
-//! things keep them from harm. They have to be there at several ends, and a request that an endpoint answered
-//! whole is not one that ends endpoints, whatever was reported before: without that 920 of 72,000 innocent
-//! requests were refused in the model, and none with it (`tests/fleet.rs`).
+//! Most requests in a report only ran beside the cause, or the endpoint crashed for a reason of its
+//! own. They are protected in two ways: a request is quarantined only after several crashes, and a
+//! request that an endpoint answered completely is cleared, whatever was reported before.
 //!
-//! Reports are facts that are only added and grow old. All boxes that know the same reports judge alike, and
-//! nothing is agreed; so a report may be heard twice, late, or from any box.
+//! Reports are immutable facts that expire. All boxes that know the same reports reach the same
+//! verdict without coordination, so a report may be received twice, late, or from any box.
 
 mod answered;
 mod fingerprint;
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -1,4 +1,4 @@
-//! All reports that a box knows, and what follows from them for a request.
+//! All crash reports that a box knows, and the verdicts that follow from them.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -7,66 +7,66 @@
 
 use crate::{Finding, Fingerprint, Report, answered::Answered};
 
-/// Reports kept at most, under 1 MB by arithmetic where each names ten requests. Those that keep a request in quarantine go
-/// last, so that a wave of other ends does not set it free.
+/// Maximum number of reports kept. Those that keep a request in quarantine are dropped last, so
+/// that many unrelated crashes do not free it.
 const MOST_REPORTS: usize = 1_024;
-/// Requests of one report that are read: more than an endpoint works on at once.
+/// Maximum number of requests that are read from one report; more than an endpoint runs at once.
 const MOST_REQUESTS: usize = 256;
-/// Time for which a whole answer speaks for a request that endpoints end with, in milliseconds: longer than the
-/// callers of one request wait and try again.
+/// How long a complete answer clears a request, in milliseconds: longer than callers wait and
+/// retry.
 const RECENT: u64 = 60_000;
-/// Order of a report that the store has not taken yet: it is newer than all that it took.
+/// Order of a report that the store has not confirmed yet: later than all that it has.
 const NEWEST: u64 = u64::MAX;
 
-/// When a request is not run any more.
+/// When a request is quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Endpoints that ended with it.
+    /// Number of crashed endpoints from which on a request is quarantined.
     pub ended: usize,
-    /// Time for which each of them counts, in seconds.
+    /// How long each crash counts, in seconds.
     pub keep_s: u64,
 }
 
-/// What follows for a request.
+/// Whether a request may be run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be run.
     Free,
-    /// It may be run, though so many endpoints ended with it.
+    /// It may be run, although `ended` endpoints crashed with it.
     Suspect { ended: usize },
-    /// Whether it may be run hangs on ends that are not proved yet, beside this many that are.
+    /// It depends on possible crashes that are not confirmed yet, in addition to `ended` confirmed
+    /// ones.
     Unproved { ended: usize },
-    /// It is not run for so many seconds.
+    /// It must not be run for `for_s` seconds.
     Quarantined { for_s: u64 },
 }
 
 #[derive(Debug)]
 struct Known {
     report: Report,
-    /// Version of the store and number of arrival: the order in which things happened.
+    /// Version in the store, then order of arrival: the order in which things happened.
     order: (u64, u64),
 }
 
-/// All reports that a box knows.
+/// All crash reports that a box knows.
 #[derive(Debug)]
 pub struct Record {
     limits: Limits,
     reports: HashMap<Arc<str>, Known>,
-    /// Names of the reports about a request.
+    /// Names of the reports that name a request.
     about: HashMap<Fingerprint, BTreeSet<Arc<str>>>,
     answered: Answered,
     arrivals: u64,
 }
 
 impl Record {
-    /// Nothing is known yet.
     pub fn new(limits: Limits) -> Record {
         let (reports, about, answered) = Default::default();
         Record { limits, reports, about, answered, arrivals: 0 }
     }
 
-    /// Takes over a report, with the version that the store gave it if it has one. Returns which of its
-    /// requests this box knows to be innocent, each once: the others are to be told.
+    /// Adds a report, with its version if it comes from the store. Returns the requests in it that
+    /// this box knows to be innocent, each only once: the caller has to report them as answered.
     pub fn take(
         &mut self,
         name: &Arc<str>,
@@ -97,20 +97,23 @@
         requests.into_iter().filter(|request| self.clears(request, now_ms)).collect()
     }
 
-    /// An endpoint answered a request whole; says whether the others are to be told.
+    /// Records that an endpoint answered a request completely. Returns whether the caller has to
+    /// report that, because the request is in quarantine or about to be.
     pub fn answered(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
         self.answered.add(request, now_ms);
         self.clears(request, now_ms)
     }
 
-    /// Whether this box may clear a request that is, or is about to be, in quarantine.
+    /// Whether to clear a request that is in quarantine, or would be after one more crash. True
+    /// only once per answer.
     fn clears(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
         let is_close =
             self.about.contains_key(request) && self.ended(request).len() + 1 >= self.limits.ended;
         is_close && self.answered.take(request, now_ms.saturating_sub(RECENT))
     }
 
-    /// Lives of endpoints that ended with a request since it was answered whole, with the second of the report.
+    /// Endpoint instances that crashed with a request since it was last answered completely, with
+    /// the second of the report.
     fn ended(&self, request: &Fingerprint) -> HashMap<&Arc<str>, u64> {
         let names = self.about.get(request).into_iter().flatten();
         let about: Vec<&Known> = names.filter_map(|name| self.reports.get(name)).collect();
@@ -124,8 +127,9 @@
         ends.collect()
     }
 
-    /// What follows for a request, beside lives of endpoints of which it is not known yet whether they ended
-    /// with it. Those never put it in quarantine: that holds for a day, and they are known within milliseconds.
+    /// Whether a request may be run. `unproved` are endpoint instances that may have crashed with
+    /// it. They never put it in quarantine, because a quarantine lasts long and they are confirmed
+    /// within milliseconds.
     pub fn verdict(&self, request: &Fingerprint, unproved: &[Arc<str>], now_s: u64) -> Verdict {
         let keep_s = self.limits.keep_s;
         let mut ended = self.ended(request);
@@ -136,7 +140,8 @@
             _ if proved >= self.limits.ended => {
                 let mut seconds: Vec<u64> = ended.into_values().collect();
                 seconds.sort_unstable();
-                // Until so many are too old that the rest is one less than what it takes.
+                // The quarantine ends when so many crashes have expired that one fewer than needed
+                // is left.
                 let last = seconds[proved - self.limits.ended];
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
@@ -146,22 +151,20 @@
         }
     }
 
-    /// Whether a report counts.
+    /// Whether a report is known and not expired.
     pub fn holds(&self, name: &str) -> bool {
         self.reports.contains_key(name)
     }
 
-    /// Number of reports that count.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether no report counts.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Number of requests that are not run any more.
+    /// Number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         self.about.keys().filter(|request| self.is_quarantined(request)).count()
     }
@@ -170,7 +173,7 @@
         self.ended(request).len() >= self.limits.ended
     }
 
-    /// Reports that are too old count no more.
+    /// Removes expired reports.
     pub fn expire(&mut self, now_s: u64) {
         let keep_s = self.limits.keep_s;
         let old = self.reports.iter().filter(|(_, known)| is_old(&known.report, keep_s, now_s));
@@ -178,7 +181,7 @@
         old.iter().for_each(|name| self.forget(name));
     }
 
-    /// A report counts no more.
+    /// Removes a report.
     pub fn forget(&mut self, name: &str) {
         let Some(known) = self.reports.remove(name) else { return };
         for request in &known.report.requests {
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Drops a quarter of what is kept once it is too much, so that this is seldom.
+    /// Drops a quarter of the reports once there are too many, so that this happens rarely.
     fn trim(&mut self) {
         if self.reports.len() <= MOST_REPORTS {
             return;
@@ -205,7 +208,8 @@
     }
 }
 
-/// Whether a report is too old to count; one from a clock that is far ahead never would be.
+/// Whether a report is expired. One from far in the future counts as expired, because it would
+/// not expire in time.
 fn is_old(report: &Report, keep_s: u64, now_s: u64) -> bool {
     report.at_s + keep_s <= now_s || report.at_s > now_s + keep_s
 }
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -1,4 +1,4 @@
-//! What a box tells the others of requests and endpoints.
+//! What boxes report to each other about requests and crashed endpoints.
 
 use std::sync::Arc;
 
@@ -6,26 +6,25 @@
 
 use crate::Fingerprint;
 
-/// Kind of the objects that hold reports, by names that no two reports share.
+/// Kind of the store objects that hold reports. Each report has a unique name.
 pub const CRASHES: &str = "crashes";
 
-/// What became of some requests. It never changes.
+/// A finding about some requests. It never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// What was found.
     pub finding: Finding,
-    /// Which requests it is about.
+    /// The requests that it is about.
     pub requests: Vec<Fingerprint>,
-    /// Unix second of the box that found it.
+    /// Unix time in seconds of the box that found it.
     pub at_s: u64,
 }
 
-/// What a box found of requests.
+/// What a box found about requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finding {
-    /// This life of an endpoint ended while it had them.
+    /// This instance of an endpoint crashed while it had them.
     Ended { endpoint: Arc<str> },
-    /// An endpoint answered them whole.
+    /// An endpoint answered them completely.
     Answered,
 }
