--- a/crates/gateway/src/news/directory.rs
+++ b/crates/gateway/src/news/directory.rs
@@ -1,13 +1,15 @@
 //! Which endpoints there are, from the entries in the store.
 //!
-//! An entry that goes while the store answers means that the endpoint left. Entries also lapse
-//! while the store is away, so what a list lacks shortly after its return is kept until the
-//! platform had time to put it back. What a watch reports afterwards did not lapse.
+//! An entry that disappears while the store is reachable means that the endpoint left. Entries also
+//! expire while the store is unreachable, so entries that a list lacks shortly after an outage are
+//! kept until the platform had time to write them again. An entry whose removal a watch reports did
+//! not expire.
 //!
-//! An entry that went comes back only with a newer version, and what somebody tells late of an older one is
-//! not believed. An endpoint may start again under its id: a later life replaces an earlier one, never the
-//! other way round, although what an earlier life wrote may land after it died. Within a life its heartbeats
-//! are numbered, and an earlier one that landed late is passed over, unless it says that the endpoint leaves.
+//! A removed entry comes back only with a newer version; late updates about an older one are
+//! ignored. An endpoint may restart under its id: an entry of a later instance replaces that of an
+//! earlier one, never the other way round, although a write of the earlier instance may reach the
+//! store after it died. Within one instance the heartbeats are numbered, and an older one that
+//! arrives late is ignored, unless it says that the endpoint leaves.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,10 +18,11 @@
 
 use platform::endpoint::{Entry, Life, State};
 
-/// Entries that went, as far as they are remembered; a box tells what it knows within a second.
+/// Maximum number of remembered removals. Outdated updates arrive within about a second, so only
+/// recent removals matter.
 const MOST_GONE: usize = 4_096;
 
-/// Endpoints by incarnation. Times are milliseconds of a monotonic clock.
+/// Endpoints by id. Times are milliseconds of a monotonic clock.
 #[derive(Debug, Default)]
 pub struct Directory {
     known: HashMap<Arc<str>, Known>,
@@ -27,9 +30,9 @@
     lenient_until: u64,
     /// When the newest list was read.
     listed: Option<u64>,
-    /// Entries that went.
+    /// Removed entries.
     gone: HashMap<Arc<str>, Gone>,
-    /// Version of the store up to which all entries were seen.
+    /// Store version up to which all entries are known.
     at: u64,
 }
 
@@ -40,17 +43,17 @@
     missing: bool,
 }
 
-/// An entry that went.
+/// A removed entry.
 #[derive(Debug, Clone, Copy, Default)]
 struct Gone {
-    /// Version of the store at which it was known to be gone.
+    /// Store version at which it was known to be removed.
     at: u64,
-    /// The last life known.
+    /// The last known instance.
     life: Option<Life>,
 }
 
 impl Known {
-    /// Whether a newer entry takes the place of this one.
+    /// Whether a newer entry replaces this one.
     fn gives_way_to(&self, entry: &Entry) -> bool {
         match (self.entry.life, entry.life) {
             (known, new) if known == new => {
@@ -62,17 +65,16 @@
 }
 
 impl Directory {
-    /// The store answers again after it was away since `lost_since`: what is missing may come back
-    /// until `until`. A list that was read since then has shown the end of that outage already, and
-    /// what it lacked is gone when its own time is over: told of once more 2 s later by a task that
-    /// looks seldom, an endpoint that had left got work for 1.3 s longer than it may.
+    /// The store is reachable again after an outage since `lost_since`: missing entries may come
+    /// back until `until`. Has no effect if a list was read since then: that list already showed
+    /// the end of the outage, and a task that notices it later must not prolong the grace period.
     pub fn returned(&mut self, lost_since: u64, until: u64) {
         if self.listed.is_none_or(|listed| listed < lost_since) {
             self.lenient_until = until;
         }
     }
 
-    /// Takes over a whole list, as the store stood at version `at`.
+    /// Takes over a complete list, read at store version `at`.
     pub fn list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
         self.seen(at);
         let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
@@ -87,12 +89,12 @@
         self.listed = Some(now);
     }
 
-    /// An entry was written; says whether it is what counts now.
+    /// Takes over an entry that was written; returns whether it is now the current one.
     pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
         let known = self.known.get(&id);
         let said_before = known.is_some_and(|known| known.entry.life.is_some());
         if said_before && entry.life.is_none() {
-            // No endpoint forgets to say when it started: this is somebody else's.
+            // Endpoints always report their start time, so this was not written by the endpoint.
             self.remove(&id, version);
             return false;
         }
@@ -108,7 +110,7 @@
         counts
     }
 
-    /// Takes over all that another box knows, which has seen the store up to version `at`.
+    /// Takes over all entries that another box knows, which are complete up to store version `at`.
     pub fn mirror(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
         self.seen(at);
         let told: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
@@ -123,12 +125,12 @@
         }
     }
 
-    /// The version of an entry that is known.
+    /// The version of a known entry.
     pub fn version(&self, id: &str) -> Option<u64> {
         self.known.get(id).map(|known| known.version)
     }
 
-    /// A list lacks an entry.
+    /// Handles an entry that a list lacks.
     fn miss(&mut self, id: &str, at: u64, now: u64) {
         match self.known.get_mut(id) {
             Some(known) if now < self.lenient_until => known.missing = true,
@@ -136,17 +138,17 @@
         }
     }
 
-    /// All entries were seen up to a version of the store.
+    /// Records that all entries up to a store version are known.
     pub fn seen(&mut self, at: u64) {
         self.at = self.at.max(at);
     }
 
-    /// Version of the store up to which all entries were seen.
+    /// Store version up to which all entries are known.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// An entry is gone at version `at` of the store. What is known here may be newer: then it came back.
+    /// Removes an entry that is gone at store version `at`, unless a newer version of it is known.
     pub fn remove(&mut self, id: &str, at: u64) {
         let known = self.known.get(id);
         if known.is_some_and(|known| known.version > at) {
@@ -157,7 +159,7 @@
         self.note_gone(id.into(), Gone { at, life });
     }
 
-    /// Version of the store at which an entry was known to be gone.
+    /// Store version at which an entry was known to be removed.
     pub fn gone_at(&self, id: &str) -> Option<u64> {
         self.gone.get(id).map(|gone| gone.at)
     }
@@ -171,12 +173,12 @@
         newest.life = gone.life.max(newest.life);
     }
 
-    /// Time until what is missing counts as gone; `None` if nothing is missing.
+    /// Time until missing entries count as removed; `None` if none is missing.
     pub fn lenient_for(&self, now: u64) -> Option<u64> {
         self.keeps_missing().then(|| self.lenient_until.saturating_sub(now))
     }
 
-    /// Forgets what is still missing once the time is over; says whether anything went.
+    /// Removes missing entries if the grace period is over; returns whether there were any.
     pub fn sweep(&mut self, now: u64) -> bool {
         let before = self.known.len();
         if now >= self.lenient_until {
@@ -188,7 +190,7 @@
         self.known.len() < before
     }
 
-    /// Whether missing entries are being kept.
+    /// Whether there are missing entries that are being kept.
     pub fn keeps_missing(&self) -> bool {
         self.known.values().any(|known| known.missing)
     }
@@ -199,12 +201,11 @@
         known.map(|(id, known)| (id, &known.entry))
     }
 
-    /// Number of endpoints known, whatever their state.
+    /// Number of known endpoints, whatever their state.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/crates/gateway/src/news/evacuations.rs
+++ b/crates/gateway/src/news/evacuations.rs
@@ -1,8 +1,8 @@
-//! Which availability zones are to get no more work, as the operator says.
+//! Availability zones that the operator evacuates: they get no more work.
 //!
-//! There are few of them, so all are told of together, with a version of the store at which it was just
-//! these: what is newer takes the place of what is older, wherever it was heard. They do not lapse while the
-//! store is away; only the operator takes one back.
+//! There are few, so all are published together, with the store version at which exactly these were
+//! evacuated; a newer version replaces an older one, whatever its source. Evacuations do not expire
+//! while the store is unreachable; only the operator ends them.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -11,16 +11,17 @@
 /// Names of availability zones.
 pub type Zones = BTreeSet<Arc<str>>;
 
-/// Zones that are to get no more work, and since which version of the store it is these.
+/// Evacuated zones, and the store version at which they were read.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     zones: Zones,
-    /// `None` until the store was read, or another box told.
+    /// `None` until read from the store or received from another box.
     at: Option<u64>,
 }
 
 impl Evacuations {
-    /// Takes over which zones it was at a version of the store; says whether that is newer than what is known.
+    /// Takes over the zones evacuated at a store version; returns whether that is newer than what
+    /// is known.
     pub fn replace(&mut self, zones: Zones, at: u64) -> bool {
         let is_newer = self.at.is_none_or(|known| known < at);
         if is_newer {
@@ -30,7 +31,7 @@
         is_newer
     }
 
-    /// Takes over changes, the oldest first; says whether any is newer than what is known.
+    /// Applies changes, oldest first; returns whether any is newer than what is known.
     pub fn change(&mut self, changes: &[Change]) -> bool {
         let known = self.at.unwrap_or_default();
         let newer: Vec<&Change> = changes.iter().filter(|change| change.version > known).collect();
@@ -44,12 +45,11 @@
         !newer.is_empty()
     }
 
-    /// The zones.
     pub fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// Version of the store at which it was these; 0 while nothing is known.
+    /// Store version at which these zones were evacuated; 0 while nothing is known.
     pub fn at(&self) -> u64 {
         self.at.unwrap_or_default()
     }
--- a/crates/gateway/src/news/listen.rs
+++ b/crates/gateway/src/news/listen.rs
@@ -1,10 +1,10 @@
-//! Where a box gets its news: from the store if it is a home, else from one, in the end from the store.
+//! Chooses the source of this box's updates: the store itself if it is a watcher, else a watcher,
+//! and the store as a fallback.
 //!
-//! The time that news may take is bounded by what endpoints and callers rely on: 2 s on the smallest
-//! deployments. A home that is paused or gone is noticed after [`SIGN`] and [`LATE`], one that is cut off
-//! from the store says so itself within 1.3 s; the next home answers within some milliseconds, or not
-//! within [`LATE`]; a read of the store takes a quarter of a second where it is slow. So 1.7 s at worst,
-//! where no two of these come together.
+//! Endpoints and callers rely on updates within a bounded time, 2 s in the strictest deployments. A
+//! watcher that is suspended or gone is noticed after [`SIGN`] plus [`LATE`]; one that cannot reach
+//! the store reports that itself (see `look`). The next watcher answers within [`LATE`] or is
+//! skipped. If none does, the box reads the store itself.
 
 use std::time::Duration;
 
@@ -23,48 +23,48 @@
     outage::Probe,
 };
 
-/// Time after which a home without news answers all the same.
+/// Time after which a watcher without updates answers anyway, as a heartbeat.
 const SIGN: Duration = Duration::from_millis(500);
-/// Longest time for the answer to come besides: many times the way there and back between availability
-/// zones, with room for a box that is busy.
+/// Additional time allowed for the answer: many times the round trip between availability zones,
+/// with a margin for a busy box.
 const LATE: Duration = Duration::from_millis(300);
-/// The same for all that a home knows: some 100 KB to each of 50 listeners over its link.
+/// The same for a full snapshot, which a watcher may have to send to all its subscribers at once.
 const LATE_WHOLE: Duration = Duration::from_millis(600);
-/// Pause before homes are asked once more where none answered: those that stand by begin to look when
-/// they are asked, which takes a few calls of the store.
+/// Pause before watchers are asked again if none answered: standby watchers start to watch when
+/// they are asked, which takes a few calls to the store.
 const AGAIN: Duration = Duration::from_millis(100);
-/// Longest random pause before a box looks itself because it heard nobody, so that boxes that lost the
-/// same homes do not read the store at the same moment.
+/// Longest random delay before a box without a source watches the store itself, so that boxes that
+/// lost the same watchers do not read the store at the same moment.
 const SPREAD: Duration = Duration::from_millis(200);
-/// How long it looks then, before it asks homes again; up to half more at random.
+/// How long it watches then before it asks watchers again; up to half longer at random.
 const ON_ITS_OWN: Duration = Duration::from_secs(5);
-/// A box that stands by looks for this long after it was asked last: longer than its listeners' other
-/// homes take to start again.
+/// A standby watcher keeps watching for this long after the last request: longer than the other
+/// watchers of its subscribers take to restart.
 const STANDS_IN: Duration = Duration::from_secs(10);
-/// Time between two looks at the store itself while the home that is listened to does not reach it and
-/// no other home does: the store may turn away just these. At random up to half longer. Where all boxes
-/// have lost the store, 295 of them make 150 such reads a second, at a tenth of the price of a call.
+/// Interval at which a box probes the store itself while no watcher reaches it, up to half longer
+/// at random: the store may be reachable from here only. Long enough that a whole fleet may do so
+/// during an outage; each probe is a cheap read.
 const OWN_LOOK: Duration = Duration::from_millis(1_500);
-/// Longest time for its answer: a store that is slow takes half of it.
+/// Timeout of that probe: twice the latency of a slow store.
 const OWN_LOOK_WITHIN: Duration = Duration::from_millis(500);
-/// Time for a home to find the store once it is back, two of its looks: a box that finds it sooner goes
-/// on to listen. Of 40 boxes 18 read the store by themselves at its return before.
+/// Time for a watcher to reach the store again after an outage, two of its probes. A box that finds
+/// the store first waits this long before it reads the store itself.
 const RETURN: Duration = Duration::from_millis(1_000);
-/// Time between two looks whether this box is a home.
+/// Interval at which a box checks whether it is a watcher.
 const ROLE: Duration = Duration::from_millis(500);
-/// Longest wait of a start for the other boxes to be known.
+/// Longest time that a starting box waits to learn of other boxes.
 const KNOWN: Duration = Duration::from_secs(3);
 
-/// Gets the news of one box.
+/// Receives the updates of this box.
 pub struct Listener {
     peers: Peers,
     setup: Setup,
-    /// Set once this box has read which others there are.
+    /// Set once this box has read the list of boxes.
     listed: watch::Receiver<Option<u64>>,
     random: SmallRng,
 }
 
-/// What a box has heard of the home that it listens to.
+/// State of the subscription to one watcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Heard {
     home: Incarnation,
@@ -73,7 +73,6 @@
 }
 
 impl Listener {
-    /// Knows nothing yet.
     pub fn new(
         peers: Peers,
         setup: Setup,
@@ -83,7 +82,7 @@
         Listener { peers, setup, listed, random: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Gets news for as long as the box runs.
+    /// Receives updates for as long as the box runs.
     pub async fn run(mut self) {
         self.wait_for_others().await;
         loop {
@@ -98,7 +97,8 @@
         }
     }
 
-    /// Boxes that start together know few others at first; one that starts later knows them at once.
+    /// Waits until this box knows others or has read the list: boxes that start together know few
+    /// others at first.
     async fn wait_for_others(&mut self) {
         let peers = self.peers.clone();
         let listed = async {
@@ -113,7 +113,7 @@
         self.setup.view.asked().is_some_and(|at| at.elapsed() < STANDS_IN)
     }
 
-    /// Looks at the store for as long as this box is a home or was asked lately, or for a time.
+    /// Watches the store for as long as this box is a watcher or was asked recently, or for `time`.
     async fn look(&self, why: &str, time: Option<Duration>) {
         tracing::info!(event = "news_from_store", why);
         let probe = if why == "home" { Probe::First } else { Probe::Later };
@@ -135,12 +135,13 @@
         }
     }
 
-    /// Listens to homes until this box is to look itself; `false` if none answers.
+    /// Subscribes to watchers until this box should watch the store itself; returns false if no
+    /// watcher answers.
     async fn listen(&mut self) -> bool {
         let mut heard: Option<Heard> = None;
         let mut lost = Instant::now();
         let mut next_look = Instant::now();
-        // Whether this box looked at the store itself since the home lost it, and found nothing.
+        // Whether this box probed the store itself during the outage and did not reach it either.
         let mut in_vain = false;
         loop {
             let homes = self.peers.homes();
@@ -178,14 +179,14 @@
         }
     }
 
-    /// Whether the store answers this box, though no home reaches it.
+    /// Whether the store answers this box, although no watcher reaches it.
     async fn reaches_store(&self) -> bool {
         let Setup { store, name, .. } = &self.setup;
         store.answers(BOXES, name, OWN_LOOK_WITHIN).await.is_ok()
     }
 
-    /// This box found the store again before the home said so: what the home tells a little later, if it
-    /// reaches the store by then.
+    /// This box reached the store again before its watcher reported that. Gives the watcher time to
+    /// reach it too, and continues the subscription if it does.
     async fn after_return(&self, heard: &Heard) -> Option<Heard> {
         sleep(RETURN).await;
         let news = self.ask(&heard.home, Some(heard.last), true, Duration::ZERO).await?;
@@ -194,13 +195,13 @@
         (!now.away).then_some(now)
     }
 
-    /// A time, at random up to half longer.
+    /// A duration, up to half longer at random.
     fn spread(&mut self, time: Duration) -> Duration {
         time.mul_f64(1.0 + self.random.random::<f64>() / 2.0)
     }
 
-    /// How long homes are looked for after the last one was found silent. A box that knows nothing yet
-    /// is not in use, and boxes that start together are no homes at first.
+    /// How long to look for a watcher after the last one was silent. A box without a configuration
+    /// serves no requests yet, and boxes that start together have no watchers at first.
     fn patience(&self) -> Duration {
         match self.setup.view.knows_config() {
             true => AGAIN,
@@ -208,15 +209,15 @@
         }
     }
 
-    /// Hears the next news of a home; `None` if it is silent.
+    /// Waits for the next updates of a watcher; `None` if it is silent.
     async fn listen_on(&self, heard: Heard) -> Option<Heard> {
         let times = self.setup.pulse.times();
         let listened = self.ask(&heard.home, Some(heard.last), heard.away, SIGN);
         let news = tokio::select! {
             news = listened => news?,
-            // Another box wants this one to look.
+            // Another box asks this one to watch the store.
             () = self.setup.view.wanted() => return Some(heard),
-            // The home may be gone, and the connection to it dead.
+            // After a suspension the watcher may be gone and the connection dead.
             () = self.setup.pulse.held_up(times) => return None,
         };
         let now = Heard { last: news.last, away: news.away_ms.is_some(), ..heard.clone() };
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Another home, which reaches the store.
+    /// Subscribes to another watcher, one that reaches the store.
     async fn in_touch(&self, not: &Incarnation) -> Option<Heard> {
         let homes = self.peers.homes();
         for home in homes.first.iter().filter(|home| *home != not && self.peers.is_awake(home)) {
@@ -240,8 +241,8 @@
         None
     }
 
-    /// The first home that answers and reaches the store; if none does, one that answers; in the end one
-    /// that stands by.
+    /// Subscribes to the first watcher that answers and reaches the store; if none does, to one
+    /// that answers; as a last resort to a standby watcher.
     async fn find(&self, homes: &Homes) -> Option<Heard> {
         let awake = |home: &&Incarnation| self.peers.is_awake(home);
         let mut away = None;
@@ -264,7 +265,7 @@
         None
     }
 
-    /// All that a home knows.
+    /// Receives a full snapshot from a watcher.
     async fn whole(&self, home: &Incarnation) -> Option<Heard> {
         let times = self.setup.pulse.times();
         let news = self.ask(home, Some(0), false, Duration::ZERO).await?;
--- a/crates/gateway/src/news/look.rs
+++ b/crates/gateway/src/news/look.rs
@@ -1,4 +1,5 @@
-//! Looking at the store: what a home does for its listeners, and a box that hears nobody for itself.
+//! Watching the store: done by watchers for their subscribers, and by a box without a source for
+//! itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,45 +14,43 @@
     outage::{Contact, Outage, Probe},
 };
 
-/// Pause after news of endpoints: what comes meanwhile is told by the next watch, so that a hundred
-/// endpoints that start together cost a few calls a box instead of one each. An eighth of the time
-/// within which a leaving endpoint may get no more work.
+/// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
+/// the number of calls low when many endpoints start together.
 const GATHER: Duration = Duration::from_millis(250);
-/// Time between two reads of the other boxes: as long as copies may be old.
+/// Interval between two reads of the other boxes: as long as replica reads may be out of date.
 const BOXES_EVERY: Duration = Duration::from_secs(4);
-/// Time between two looks whether the store answers at all. A watch that waits says nothing of that, and
-/// listeners in touch rely on a home that is cut off to say so: with the times below in 1.3 s, of the
-/// 2 s after which a leaving endpoint may get no more work on small deployments. A read from a copy,
-/// at a tenth of the price of a call: 15 calls a minute.
+/// Interval between two probes of the store. A waiting watch does not show whether the store is
+/// reachable, and subscribers rely on their watcher to report an outage. Even with both timeouts
+/// below, that stays under the 2 s after which a leaving endpoint must get no more work in the
+/// strictest deployments. Probes read from a replica, which is cheap.
 const LOOK_EVERY: Duration = Duration::from_millis(400);
-/// Longest time for its answer: twice what the store takes when it is slow.
+/// Timeout of a probe: twice the latency of a slow store.
 const LOOK_WITHIN: Duration = Duration::from_millis(600);
-/// The same for the second look, after one that got no answer: answers are lost now and then.
+/// Timeout of the second probe, after one that got no answer: single answers get lost.
 const LOOK_AGAIN_WITHIN: Duration = Duration::from_millis(300);
 
-/// Entries of endpoints may lapse once the store was away this long: shorter than the time between two
-/// signs of life of an endpoint on any deployment known.
+/// Entries of endpoints may expire in an outage longer than this: shorter than the heartbeat
+/// interval of endpoints in any deployment.
 const LAPSES_AFTER: Duration = Duration::from_millis(900);
 
-/// What looking needs.
+/// What a watcher needs.
 #[derive(Clone)]
 pub struct Setup {
     pub store: Client,
     pub view: View,
     pub contact: Contact,
-    /// Tells when the box was held up: watches may be dead then without a sign.
+    /// Reports suspensions of this box, after which watches may be dead.
     pub pulse: Pulse,
-    /// Name of this box.
     pub name: Arc<str>,
-    /// How long missing entries are kept after the store's return.
+    /// How long missing entries are kept after an outage of the store.
     pub lapse: Duration,
 }
 
-/// A box that looks; it ends when dropped.
+/// Tasks that watch the store; they end when this is dropped.
 pub struct Looking(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
 
 impl Looking {
-    /// Starts to look.
+    /// Starts to watch the store.
     pub fn spawn(setup: &Setup, probe: Probe) -> Looking {
         setup.view.start_over();
         let mut tasks = JoinSet::new();
@@ -65,7 +64,7 @@
     }
 }
 
-/// An outage that may have been seen already, by this box or the one that it listened to.
+/// The state of a store connection; an outage that this box already knows of goes on.
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
     let mut outage = Outage::new(what, probe, setup.contact.clone());
     if let Some(since) = setup.view.away_since() {
@@ -74,7 +73,7 @@
     outage
 }
 
-/// Looks whether the store answers, and says so to the other tasks and to listeners.
+/// Probes the store, and reports to the other tasks and to subscribers whether it answers.
 async fn look_at_store(setup: Setup, probe: Probe) {
     let mut outage = outage(&setup, "store", probe);
     loop {
@@ -112,7 +111,7 @@
     follow(&setup, "configuration", platform::CONFIG.0, seen).await;
 }
 
-/// Follows which availability zones are to get no more work.
+/// Follows which availability zones are evacuated.
 async fn look_at_evacuations(setup: Setup) {
     let view = setup.view.clone();
     let seen = |seen| match seen {
@@ -122,7 +121,7 @@
     follow(&setup, "evacuations", platform::EVACUATIONS, seen).await;
 }
 
-/// Follows which requests endpoints ended with.
+/// Follows the reports of requests that crash endpoints.
 async fn look_at_crashes(setup: Setup) {
     let view = setup.view.clone();
     let seen = |seen| match seen {
@@ -132,15 +131,15 @@
     follow(&setup, "crashes", quarantine::CRASHES, seen).await;
 }
 
-/// What was seen of the objects of a kind.
+/// What a list or a watch returned.
 enum Seen {
-    /// All of them, by a call that began when the box had been held up so often.
+    /// All objects, with the number of suspensions before the call began.
     All(List, u64),
-    /// What changed since.
+    /// Changes since the last call.
     Changes(Vec<Change>),
 }
 
-/// Follows all objects of a kind, by lists and watches.
+/// Follows all objects of a kind, by a list and then watches.
 async fn follow(setup: &Setup, what: &'static str, kind: &str, seen: impl Fn(Seen)) {
     let Setup { store, contact, pulse, .. } = setup;
     let mut outage = outage(setup, what, Probe::Later);
@@ -209,7 +208,7 @@
     }
 }
 
-/// The store answered: entries may have lapsed if it had not for long.
+/// Records an answer of the store; after a long outage, entries may have expired.
 fn heard(setup: &Setup, outage: &mut Outage) {
     let since = outage.since();
     outage.answered();
@@ -225,7 +224,7 @@
             None => Ok(watch_once(setup, outage, from).await),
         };
         match watched {
-            // What is still missing now is gone.
+            // Entries that are still missing now are gone.
             Err(_) => setup.view.sweep(),
             Ok(Ok(Some(next))) => {
                 from = next;
@@ -244,7 +243,7 @@
     let watch = tokio::select! {
         watch = setup.store.changes(platform::ENDPOINTS, from) => watch?,
         lost_since = setup.contact.regained() => {
-            // Another task lost the store and found it again: this watch may be dead.
+            // Another task noticed an outage and its end: this watch may be dead.
             setup.view.returned(lost_since, setup.lapse);
             return Ok(None);
         }
@@ -258,7 +257,7 @@
     Ok(Some(watch.next))
 }
 
-/// Reads the entries of the other boxes from time to time.
+/// Reads the entries of the other boxes at intervals.
 async fn look_at_boxes(setup: Setup) {
     let mut outage = outage(&setup, "boxes", Probe::Later);
     loop {
--- a/crates/gateway/src/news/mod.rs
+++ b/crates/gateway/src/news/mod.rs
@@ -1,20 +1,20 @@
-//! How a box hears what the store holds: the configuration, the entries of endpoints, the other boxes.
+//! Keeps this box's view of the store current: the configuration, the entries of endpoints, the
+//! other boxes.
 //!
-//! A few boxes look at the store, the homes of news; all others listen to one of those. `look` is what such a box does: it
-//! watches the store, and finds out quickly when it is out of reach. `listen` is what the others do:
-//! one open question to a home, answered when there is news, or after a moment as a sign of life.
-//! Both put what they learn into the [`View`](view::View), which puts it in force on this box and keeps
-//! it for those that listen, on a [`Shelf`](shelf::Shelf).
+//! A few boxes, the watchers, watch the store itself; all other boxes subscribe to one of them. A
+//! watcher also has to notice quickly when the store is unreachable. A subscriber sends one
+//! long-poll request at a time to a watcher, answered when there are updates, or after a moment as
+//! a heartbeat. Both apply what they learn to the [`View`](view::View), which puts it in force on
+//! this box and keeps it for subscribers in a [`Shelf`](shelf::Shelf).
 //!
-//! Where the news comes from does not matter for what it means: each object carries the version that
-//! the store gave it, and a view only goes forwards. So a box may change its source at any moment, hear
-//! two of them, or hear one that was paused and tells old news.
+//! The source of an update does not matter: each object carries the version that the store gave it,
+//! and a view never goes back to an older one. So a box may switch to another source at any time,
+//! use two at once, or receive outdated updates from a box that was suspended.
 //!
-//! What boxes find themselves is added to it: of requests that end endpoints by `reporter`, of what endpoints say of
-//! themselves by `words`.
+//! What boxes find out themselves is passed on the same way: crash reports by `reporter`, signals
+//! of endpoints by `words`.
 //!
-//! If each box looked for itself, a calm day of 295 boxes took 21,000 calls of the store for this
-//! alone, of 24,000 (counted by the boxes).
+//! If every box watched the store itself, these would be most of all calls to the store.
 
 pub mod directory;
 pub mod evacuations;
--- a/crates/gateway/src/news/reporter.rs
+++ b/crates/gateway/src/news/reporter.rs
@@ -1,7 +1,7 @@
-//! Reports of this box on their way to all others.
+//! Publishes the crash reports of this box.
 //!
-//! A report goes into the store, where each box hears of it like of everything there, also one that starts
-//! later. It is told to the homes of news besides, which pass it on at once: also while the store is away.
+//! A report is written to the store, where every box finds it, also one that starts later. It is
+//! also sent to the watchers, which pass it on at once, even while the store is unreachable.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
     way::crashes::Named,
 };
 
-/// Reports that wait for the store: those of 64 endpoints that end while it is away.
+/// Maximum number of reports that wait for the store to become reachable.
 const WAITING: usize = 64;
-/// Time between two looks for reports that are too old to count, which homes remove from the store.
+/// Interval at which a watcher removes expired reports from the store.
 const SWEEP_EVERY: Duration = Duration::from_secs(300);
 
-/// Passes on the reports of this box.
+/// Publishes the crash reports of this box.
 pub struct Reporter {
     pub store: Client,
     pub peers: Peers,
@@ -31,7 +31,7 @@
 }
 
 impl Reporter {
-    /// Passes on reports for as long as the box runs.
+    /// Publishes reports for as long as the box runs.
     pub async fn run(self, mut reports: mpsc::Receiver<Named>) {
         let (to_write, waiting) = mpsc::channel(WAITING);
         let outage = Outage::new("crash reports", Probe::Later, self.contact.clone());
@@ -60,7 +60,7 @@
         let text = serde_json::to_string(&report).expect("reports always serialize");
         loop {
             match store.replace(CRASHES, &name, &text, Expect::Absent).await {
-                // One that is there already was written by an earlier call.
+                // If it already exists, an earlier call of this box wrote it.
                 Put::Landed(_) | Put::Refused(_) => {
                     outage.answered();
                     break;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Removes reports that are too old from the store, while this box looks at it.
+/// Removes expired reports from the store while this box watches it.
 async fn sweep(store: &Client, view: &View) {
     loop {
         tokio::time::sleep(SWEEP_EVERY).await;
--- a/crates/gateway/src/news/roster.rs
+++ b/crates/gateway/src/news/roster.rs
@@ -1,9 +1,9 @@
-//! The boxes of the fleet, each of which keeps one object in the store that says where it is.
+//! Discovery of boxes: each box keeps one object in the store with its address.
 //!
-//! A box writes its object once a start and reads those of all others then, from copies of the store
-//! that may be old: reading those is cheap, and a list that is old costs a question to a box that is
-//! gone. From then on it hears of others with the rest of the news. A later life of a box that answers
-//! in place of an earlier one is news that needs no read at all.
+//! A box writes its object once per start and then reads those of all others. It reads from
+//! replicas, which may be out of date: that is cheap, and an outdated list costs only a request to
+//! a box that is gone. Later changes come with the other updates. If a newer incarnation of a box
+//! answers in place of an earlier one, that alone updates the list without a read.
 
 use std::time::Duration;
 
@@ -20,40 +20,40 @@
     outage::{Contact, Outage, Probe},
 };
 
-/// Time for which questions for a new list are gathered.
+/// Time over which requests for a new list are collected into one read.
 const GATHER: Duration = Duration::from_millis(200);
-/// Time between two reads until a copy shows the own entry, and so those of boxes that started together.
+/// Interval between two reads until a replica shows the own entry, and so those of boxes that
+/// started together.
 const TOGETHER: Duration = Duration::from_millis(700);
-/// Reads until then at most: copies are some seconds old at worst.
+/// Maximum number of these reads: replicas are at most some seconds behind.
 const READS: usize = 8;
 
-/// Keeps the own entry and reads those of the others.
+/// Registers this box and reads the entries of the others.
 pub struct Roster {
     store: Client,
     me: Entry,
     peers: Peers,
     view: View,
     outage: Outage,
-    /// Version of the own entry, once it is written and those of others were read.
+    /// Version of the own entry, set once it is written and the others were read.
     written: watch::Sender<Option<u64>>,
 }
 
 impl Roster {
-    /// Nothing is written or read yet.
     pub fn new(store: Client, me: Entry, peers: Peers, view: View, contact: Contact) -> Roster {
         let outage = Outage::new("boxes", Probe::Later, contact);
         Roster { store, me, peers, view, outage, written: watch::channel(None).0 }
     }
 
-    /// The version of the own entry, by which it is removed.
+    /// The version of the own entry, which is needed to remove it.
     pub fn written(&self) -> watch::Receiver<Option<u64>> {
         self.written.subscribe()
     }
 
-    /// Makes the boxes known to each other, and reads again where something shows that what is known
-    /// is old, for as long as this one runs.
+    /// Registers this box, then reads the list again whenever something shows that it is out of
+    /// date.
     pub async fn run(mut self) {
-        // Of those that run already, before the first request comes.
+        // Learns of the boxes that already run before the first request comes.
         self.read().await;
         let version = self.register().await;
         let mut greeted = Vec::new();
@@ -68,7 +68,7 @@
         self.written.send_replace(Some(version));
         loop {
             self.peers.unknown().await;
-            // One read answers all that is asked meanwhile.
+            // One read serves all requests made in the meantime.
             tokio::time::sleep(GATHER).await;
             self.read().await;
         }
@@ -78,7 +78,7 @@
     async fn register(&mut self) -> u64 {
         let value = serde_json::to_string(&self.me).expect("entries always serialize");
         let name = self.me.incarnation.box_name().to_owned();
-        // An earlier life's entry, as a copy showed it: one call instead of two.
+        // If the replica showed the entry of an earlier incarnation, one call is enough.
         let earlier = self.view.box_version(&name);
         let mut expect = earlier.map_or(Expect::Absent, Expect::Version);
         loop {
@@ -88,7 +88,8 @@
                     tracing::info!(event = "box_registered", name, version);
                     return version;
                 }
-                // An earlier life's, or this one's if an answer was lost: written over.
+                // The entry is of an earlier incarnation, or of this one if an answer was lost:
+                // overwrite it.
                 Put::Refused(Some(object)) => expect = Expect::Version(object.version),
                 Put::Refused(None) => expect = Expect::Absent,
                 Put::Failed(reason) | Put::Unknown(reason) => {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Reads a copy; returns the version of the store that it shows.
+    /// Reads a replica; returns the store version that it shows.
     async fn read(&mut self) -> Option<u64> {
         match self.store.all_maybe_old(BOXES).await {
             Ok(list) => {
--- a/crates/gateway/src/news/shelf.rs
+++ b/crates/gateway/src/news/shelf.rs
@@ -1,7 +1,9 @@
-//! What a box tells its listeners: the newest state of each object, in the order in which it learned it.
+//! Change log for subscribers: the newest state of each object, in the order in which this box
+//! learned of it.
 //!
-//! Changes are numbered from 1 within the life of the box. A listener says up to which number it knows,
-//! and gets the rest, or the whole where that is not known any more.
+//! Changes are numbered from 1 within one incarnation of the box. A subscriber names the last
+//! number that it knows, and gets the changes since, or a full snapshot if those are no longer all
+//! known.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,20 +12,20 @@
 
 use wire::Change;
 
-/// Objects that went, as far as they are remembered: an endpoint that leaves is told of within a second,
-/// and a release replaces some hundred of them in a minute.
+/// Maximum number of remembered deletions. Subscribers fetch them within a second, so this covers
+/// the deletions of a rolling update of all endpoints.
 const MOST_GONE: usize = 1_024;
 
 type Id = (Arc<str>, Arc<str>);
 
-/// Objects by kind and name, with the number of their last change.
+/// Objects by kind and name, each with the number of its last change.
 #[derive(Debug, Default)]
 pub struct Shelf {
     last: u64,
     objects: HashMap<Id, Kept>,
     order: BTreeMap<u64, Id>,
     gone: BTreeMap<u64, Id>,
-    /// Changes up to this number are not all known any more.
+    /// Some deletions up to this change number have been dropped.
     forgotten: u64,
 }
 
@@ -31,7 +33,7 @@
 struct Kept {
     number: u64,
     version: u64,
-    /// `None` once the object went.
+    /// `None` if the object was deleted.
     value: Option<Arc<str>>,
 }
 
@@ -41,7 +43,8 @@
         self.last
     }
 
-    /// An object was written, or went; says whether that is news.
+    /// Records that an object was written, or deleted if `value` is `None`; returns whether that is
+    /// new.
     pub fn put(&mut self, kind: &str, name: &str, version: u64, value: Option<&str>) -> bool {
         let id: Id = (kind.into(), name.into());
         let known = self.objects.get(&id);
@@ -76,20 +79,20 @@
         }
     }
 
-    /// The text of an object, if it is there.
+    /// The text of an object, unless deleted.
     pub fn value(&self, kind: &str, name: &str) -> Option<Arc<str>> {
         self.objects.get(&(kind.into(), name.into()))?.value.clone()
     }
 
-    /// Names of the objects of a kind that are there, with their versions.
+    /// Names and versions of the objects of a kind, without deleted ones.
     pub fn names(&self, kind: &str) -> Vec<(Arc<str>, u64)> {
         let there =
             self.objects.iter().filter(|((of, _), kept)| &**of == kind && kept.value.is_some());
         there.map(|((_, name), kept)| (name.clone(), kept.version)).collect()
     }
 
-    /// What came after change `since`, and whether that is all there is: so for 0, and for numbers
-    /// that are not remembered or were never given.
+    /// The changes after number `since`, and whether they are a full snapshot. That is so for 0,
+    /// and for numbers that are no longer remembered or were never assigned.
     pub fn since(&self, since: u64) -> (Vec<Change>, bool) {
         let whole = since == 0 || since < self.forgotten || since > self.last;
         let from = if whole { 0 } else { since };
--- a/crates/gateway/src/news/view/boxes.rs
+++ b/crates/gateway/src/news/view/boxes.rs
@@ -1,4 +1,4 @@
-//! Which other boxes there are: from the store, or from another box.
+//! The other boxes, from the store or from another box.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,7 +9,7 @@
 use crate::fleet::entry::{BOXES, Entry};
 
 impl View {
-    /// All entries of boxes as they were read at a version of the store, which may be old.
+    /// Takes over all entries of boxes, as read at a store version that may be out of date.
     pub fn boxes_read(&self, entries: Vec<(Entry, u64)>, at: u64) {
         let mut state = self.0.state.lock();
         let named = |(entry, version): (Entry, u64)| {
@@ -18,7 +18,7 @@
         let mut listed: BTreeMap<Arc<str>, (Entry, u64)> = entries.into_iter().map(named).collect();
         for (name, known) in std::mem::take(&mut state.boxes) {
             let newer = listed.get(&name).is_none_or(|(_, version)| known.1 > *version);
-            // What is newer than the list does not go by it.
+            // An entry newer than the list is not removed by it.
             if newer && known.1 > at {
                 listed.insert(name, known);
             }
@@ -27,7 +27,8 @@
         self.publish_boxes(&mut state, at);
     }
 
-    /// A box that registered after this one says where it is: this one may be cut off from the store since.
+    /// Takes over the address of a box that registered after this one, which this one may not have
+    /// read: it may be cut off from the store since.
     pub fn hear_greeting(&self, from: &Incarnation, sender: Greeting) {
         let Greeting { zone, peer, strength, version } = sender;
         let name: Arc<str> = from.box_name().into();
@@ -87,7 +88,7 @@
     }
 }
 
-/// Reads the entry of a box.
+/// Parses the entry of a box.
 pub fn read_box(name: &str, text: &str) -> Option<Entry> {
     serde_json::from_str(text).inspect_err(|error| note_unreadable(BOXES, name, error)).ok()
 }
--- a/crates/gateway/src/news/view/crashes.rs
+++ b/crates/gateway/src/news/view/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests endpoints ended with: from the store, or told by a box.
+//! Reports of requests that crash endpoints, from the store or from another box.
 
 use std::sync::Arc;
 
@@ -7,11 +7,11 @@
 
 use super::{State, View, note_unreadable};
 
-/// Version of a report that a box told and the store has not taken yet.
+/// Version of a report that was received from a box and is not in the store yet.
 const NOT_STORED: u64 = 0;
 
 impl View {
-    /// Reports of requests that endpoints ended with, as they were read from the store.
+    /// Takes over the reports read from the store.
     pub fn crashes_read(&self, objects: &[Object]) {
         let mut state = self.0.state.lock();
         state.looks.crashes = true;
@@ -22,7 +22,7 @@
         self.tell();
     }
 
-    /// Reports came to the store, or went.
+    /// Takes over reports that were written to the store or removed from it.
     pub fn crashes_changed(&self, changes: &[Change]) {
         let mut state = self.0.state.lock();
         for Change { name, version, value, .. } in changes {
@@ -32,7 +32,7 @@
         self.tell();
     }
 
-    /// Takes over a report that a box tells, this one or another.
+    /// Takes over a report made by this box or received from another one.
     pub fn hear_crash(&self, name: &Arc<str>, report: Report) {
         let text = serde_json::to_string(&report).expect("reports always serialize");
         self.0.uses.crashes.take(name, None, report);
@@ -40,7 +40,7 @@
         self.tell();
     }
 
-    /// A report as it stands in the store, or that it went.
+    /// Takes over a report in the store, or its removal.
     pub(super) fn take_crash(
         &self,
         state: &mut State,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Reports in the store that are too old to count, with their versions, while this box looks at it.
+    /// Expired reports in the store, with their versions; empty unless this box watches the store.
     pub fn old_crashes(&self) -> Vec<(Arc<str>, u64)> {
         let state = self.0.state.lock();
         let is_old = |name: &str| !self.0.uses.crashes.holds(name);
--- a/crates/gateway/src/news/view/departures.rs
+++ b/crates/gateway/src/news/view/departures.rs
@@ -1,23 +1,26 @@
-//! Which endpoints said in their answers that they leave, as boxes tell each other. Nothing of it is in the store.
+//! Endpoints that signaled that they leave. Boxes publish this to each other; it is not in the
+//! store.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use super::{State, View, note_unreadable};
 
-/// Kind of the news by which boxes tell each other.
+/// Kind of these updates.
 pub const DEPARTURES: &str = "departures";
-/// Version of what is not in the store.
+/// Version of objects that are not in the store.
 const NOT_STORED: u64 = 0;
 
 impl View {
-    /// An endpoint said so to this box or to another one, a moment ago.
+    /// Takes over that an endpoint signaled a moment ago, to this box or another one, that it
+    /// leaves.
     pub fn hear_departure(&self, life: &Arc<str>, address: SocketAddr) {
         let text = serde_json::to_string(&address).expect("addresses always serialize");
         self.take_departure(&mut self.0.state.lock(), life, &text, true);
         self.tell();
     }
 
-    /// What the shelf of a home holds: new, or all that it knows.
+    /// Takes over an update from a watcher: a new one, or one from a full snapshot, which may be
+    /// old.
     pub(super) fn take_departure(
         &self,
         state: &mut State,
@@ -36,7 +39,7 @@
 }
 
 impl State {
-    /// What was forgotten is told no more.
+    /// Removes forgotten departures from the change log.
     pub(super) fn unshelve_departures(&mut self, is_remembered: impl Fn(&str) -> bool) {
         for (life, _) in self.shelf.names(DEPARTURES) {
             if !is_remembered(&life) {
--- a/crates/gateway/src/news/view/endpoints.rs
+++ b/crates/gateway/src/news/view/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which endpoints there are: from the store, or from another box.
+//! The endpoints, from the store or from another box.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use crate::clock::Part;
 
 impl View {
-    /// All entries of endpoints as they were read from the store at a version, by a call that began when the
-    /// box had been held up so often.
+    /// Takes over all entries of endpoints as read from the store at version `at`. `times` is the
+    /// number of suspensions of the box before the call began.
     pub fn endpoints_read(&self, objects: &[Object], at: u64, times: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
@@ -31,7 +31,7 @@
         self.0.uses.pulse.read(Part::Endpoints, times);
     }
 
-    /// Entries of endpoints changed, up to a version of the store.
+    /// Takes over changed entries of endpoints, complete up to store version `at`.
     pub fn endpoints_changed(&self, changes: Vec<Change>, at: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
@@ -52,20 +52,21 @@
         }
     }
 
-    /// The store is back: entries that lapsed since `lost_since` may come back too, for `lapse`.
+    /// The store is reachable again: entries that expired since `lost_since` may come back for
+    /// `lapse`.
     pub fn returned(&self, lost_since: Instant, lapse: Duration) {
         let until = self.now() + lapse.as_millis() as u64;
         let lost_since = self.ms(lost_since);
         self.0.state.lock().directory.returned(lost_since, until);
     }
 
-    /// Time until entries that are missing count as gone; `None` if nothing is missing.
+    /// Time until missing entries count as removed; `None` if none is missing.
     pub fn lenient_for(&self) -> Option<Duration> {
         let rest = self.0.state.lock().directory.lenient_for(self.now());
         rest.map(Duration::from_millis)
     }
 
-    /// Entries that are still missing are gone, if their time is over.
+    /// Removes missing entries if the grace period is over.
     pub fn sweep(&self) {
         let now = self.now();
         let mut state = self.0.state.lock();
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Puts in force which endpoints there are.
+    /// Puts the known endpoints in force.
     pub(super) fn publish(&self, state: &mut State, by: &str, version: u64) {
         state.unshelve_endpoints();
         let Uses { endpoints, links, .. } = &self.0.uses;
@@ -91,14 +92,14 @@
 }
 
 impl State {
-    /// Keeps the text of an entry for listeners, if it is the one that counts.
+    /// Adds an entry to the change log, if it is the current one.
     fn shelve_endpoint(&mut self, id: &str, version: u64, text: &str) {
         if self.directory.version(id) == Some(version) {
             self.shelf.put(platform::ENDPOINTS, id, version, Some(text));
         }
     }
 
-    /// Endpoints that are not known any more go from the shelf.
+    /// Records the removal of endpoints in the change log.
     fn unshelve_endpoints(&mut self) {
         for (id, version) in self.shelf.names(platform::ENDPOINTS) {
             if self.directory.version(&id).is_none() {
--- a/crates/gateway/src/news/view/evacuations.rs
+++ b/crates/gateway/src/news/view/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which availability zones are to get no more work: from the store, or from another box.
+//! The evacuated availability zones, from the store or from another box.
 
 use objects::{Change, Object};
 
@@ -6,7 +6,7 @@
 use crate::news::evacuations::Zones;
 
 impl View {
-    /// The zones that are to get no more work as they were read from the store at a version.
+    /// Takes over the evacuated zones as read from the store at a version.
     pub fn evacuations_read(&self, objects: &[Object], at: u64) {
         let zones = objects.iter().map(|object| object.name.clone()).collect();
         let mut state = self.0.state.lock();
@@ -17,7 +17,7 @@
         self.tell();
     }
 
-    /// Zones were evacuated, or taken back.
+    /// Takes over evacuations that the operator started or ended.
     pub fn evacuations_changed(&self, changes: &[Change]) {
         let mut state = self.0.state.lock();
         if state.evacuations.change(changes) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Another box tells which zones it was at a version of the store.
+    /// Takes over the zones that another box knows, with their store version.
     pub(super) fn hear_evacuations(&self, state: &mut State, change: wire::Change) {
         match change.value.as_deref().map(serde_json::from_str::<Zones>) {
             Some(Ok(zones)) => {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Puts in force which zones get no more work.
+    /// Puts the evacuated zones in force.
     fn publish_evacuations(&self, state: &mut State) {
         let (zones, version) = (state.evacuations.zones(), state.evacuations.at());
         let changed = self.0.uses.endpoints.evacuate(zones);
@@ -49,7 +49,7 @@
         if changed {
             tracing::info!(event = "evacuations_in_force", zones = text, version);
         }
-        // Under one name: all are told of together.
+        // All zones share one name, because they are published together.
         state.shelf.put(platform::EVACUATIONS, "all", version, Some(&text));
     }
 }
--- a/crates/gateway/src/news/view/limits.rs
+++ b/crates/gateway/src/news/view/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name, as boxes tell them: the store knows nothing of them.
+//! Rate limits that endpoints name. Boxes publish them to each other; they are not in the store.
 
 use std::sync::Arc;
 
@@ -7,16 +7,18 @@
 
 use super::{State, View, note_unreadable};
 
-/// Kind under which limits are told.
+/// Kind of these updates.
 pub const LIMITS: &str = "limits";
-/// Version of all that the store does not know.
+/// Version of objects that are not in the store.
 const NOT_STORED: u64 = 0;
 
 impl View {
-    /// Takes over a limit that a box tells, this one or another, nothing where the endpoint named none; says whether
-    /// that is news. A limit that changes with each answer is not: boxes would be told of it all the time.
+    /// Takes over a limit from this box or another one, `None` if the endpoint named none; returns
+    /// whether it is to be published. Small changes are not, because a limit may change with each
+    /// answer.
     pub fn hear_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
-        let text = limit.map(|limit| serde_json::to_string(&limit).expect("it always serializes"));
+        let text =
+            limit.map(|limit| serde_json::to_string(&limit).expect("limits always serialize"));
         let mut state = self.0.state.lock();
         let told =
             state.shelf.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
@@ -33,14 +35,16 @@
         is_news
     }
 
-    /// A limit as the shelf of a home holds it, or that the endpoint names none any more.
+    /// Takes over a limit from the change log of a watcher; `None` if the endpoint names none any
+    /// more.
     pub(super) fn take_limit(&self, state: &mut State, endpoint: &Arc<str>, text: Option<&str>) {
         let limit = match text.map(serde_json::from_str::<Limit>).transpose() {
             Ok(limit) => limit,
             Err(error) => return note_unreadable(LIMITS, endpoint, &error),
         };
         if state.shelf.put(LIMITS, endpoint, NOT_STORED, text) {
-            // It is told once, so it holds at once; an answer to a request that is sent from now on knows better.
+            // Counts as signaled just now, so that it takes effect at once; any answer to a later
+            // request replaces it.
             let endpoint = endpoint.clone();
             let said = Limited { endpoint, limit, asked_ms: 0, heard_ms: 0 };
             self.0.uses.endpoints.hear_said(&said, "news");
@@ -49,7 +53,7 @@
 }
 
 impl State {
-    /// What an endpoint named goes with it.
+    /// Removes limits of unknown endpoints from the change log.
     pub(super) fn unshelve_limits(&mut self, is_known: impl Fn(&str) -> bool) {
         for (endpoint, _) in self.shelf.names(LIMITS) {
             if !is_known(&endpoint) {
--- a/crates/gateway/src/news/view/listeners.rs
+++ b/crates/gateway/src/news/view/listeners.rs
@@ -1,4 +1,4 @@
-//! What listeners are told.
+//! Answers to subscribers.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 
 use super::View;
 
-/// Longest wait of a listener, in milliseconds: a connection that is dead is found by silence.
+/// Longest time that a subscriber may wait, in milliseconds: dead connections are noticed only by
+/// silence.
 const WAIT_MOST_MS: u64 = 5_000;
 
-/// Whether there is something in it for a listener.
+/// Whether an answer contains anything new for a subscriber.
 fn is_new(news: &News, listen: &Listen) -> bool {
     news.whole
         || listen.since.is_none()
@@ -19,18 +20,18 @@
 }
 
 impl View {
-    /// When another box wanted news last.
+    /// When another box asked for updates last.
     pub fn asked(&self) -> Option<Instant> {
         self.0.state.lock().asked
     }
 
-    /// Waits until another box wants news that this one does not look for.
+    /// Waits until another box asks for updates while this one does not watch the store.
     pub async fn wanted(&self) {
         self.0.wanted.notified().await;
     }
 
-    /// What a listener is told: at once if there is something that it does not know, else when there
-    /// is, or after the time that it waits. `None` while this box does not look at the store itself.
+    /// Updates for a subscriber: at once if there are any that it does not know, else when there
+    /// are, or after its waiting time. `None` while this box does not watch the store itself.
     pub async fn news(&self, listen: &Listen) -> Option<News> {
         let until = Instant::now() + Duration::from_millis(listen.wait_ms.min(WAIT_MOST_MS));
         let mut heard = self.0.news.subscribe();
--- a/crates/gateway/src/news/view/mod.rs
+++ b/crates/gateway/src/news/view/mod.rs
@@ -1,7 +1,7 @@
-//! What a box knows of what the store holds, wherever it heard it, and what it tells of that.
+//! What this box knows of the store, whatever the source, and what it passes on to subscribers.
 //!
-//! Each piece of news goes into force on this box and onto the shelf for those that listen. Nothing goes
-//! backwards: the configuration by its version, entries by theirs.
+//! Each update is put in force on this box and added to the change log for subscribers. Nothing
+//! goes backwards: the configuration has a version, and so has each entry.
 
 mod boxes;
 mod crashes;
@@ -43,7 +43,7 @@
 /// The configuration in force; `None` until one was read.
 pub type InForce = watch::Sender<Option<Arc<Table>>>;
 
-/// What news is put to use in.
+/// Where updates are applied.
 pub struct Uses {
     pub in_force: InForce,
     pub funds: Funds,
@@ -51,24 +51,24 @@
     pub links: forward::Links,
     pub peers: Peers,
     pub crashes: Crashes,
-    /// Tells all tasks of the box when the store answers again.
+    /// Announces to all tasks of the box that the store answers again.
     pub contact: Contact,
-    /// Tells whether the box was held up.
+    /// Reports suspensions of this box.
     pub pulse: Pulse,
-    /// This start of the box.
+    /// Start of this box.
     pub started: Moment,
 }
 
-/// What this box knows.
+/// What this box knows of the store.
 #[derive(Clone)]
 pub struct View(Arc<Shared>);
 
 struct Shared {
     uses: Uses,
     state: Mutex<State>,
-    /// Raised with each piece of news.
+    /// Incremented with each update.
     news: watch::Sender<u64>,
-    /// Another box wants news that this one does not look for.
+    /// Notified when another box subscribes while this one does not watch the store.
     wanted: Notify,
 }
 
@@ -81,26 +81,26 @@
     evacuations: Evacuations,
     config_at: u64,
     boxes_at: u64,
-    /// Since when the store has not answered whoever this box hears it from.
+    /// Since when the store has not answered the source of this box's updates.
     away_since: Option<Instant>,
-    /// Parts that this box has read from the store since it looks itself.
+    /// What this box has read from the store since it began to watch it.
     looks: Looks,
-    /// When another box wanted news last.
+    /// When another box asked for updates last.
     asked: Option<Instant>,
-    /// When the store, or a home that reaches it, was heard last.
+    /// When this box last heard from the store, or from a watcher that reaches it.
     heard: Option<Instant>,
 }
 
-/// How this box stands with its news, for metrics.
+/// State of this box's updates, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
-    /// It looks at the store itself.
+    /// Whether this box watches the store itself.
     pub looks: bool,
-    /// Time since the store, or a home that reaches it, was heard.
+    /// Time since this box last heard from the store, or from a watcher that reaches it.
     pub age: Option<Duration>,
 }
 
-/// What a box that looks has read.
+/// What a box that watches the store has read from it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Looks {
     config: bool,
@@ -110,14 +110,13 @@
 }
 
 impl Looks {
-    /// Whether others may listen.
+    /// Whether other boxes may subscribe.
     fn is_whole(self) -> bool {
         self.config && self.endpoints && self.evacuations && self.crashes
     }
 }
 
 impl View {
-    /// Nothing is known yet.
     pub fn open(uses: Uses) -> View {
         let (state, news) = (Mutex::default(), watch::channel(0).0);
         View(Arc::new(Shared { uses, state, news, wanted: Notify::new() }))
@@ -127,7 +126,7 @@
         self.0.uses.started.elapsed().as_millis() as u64
     }
 
-    /// A moment of the steady clock, as if the box had not been suspended since.
+    /// Milliseconds of an instant, on the assumption that the box was not suspended since then.
     fn ms(&self, at: Instant) -> u64 {
         self.now().saturating_sub(at.elapsed().as_millis() as u64)
     }
@@ -136,7 +135,7 @@
         self.0.news.send_modify(|count| *count += 1);
     }
 
-    /// The configuration as it was read from the store.
+    /// Takes over the configuration as read from the store.
     pub fn config_read(&self, objects: &[Object], times: u64) {
         self.0.state.lock().looks.config = true;
         objects.iter().for_each(|object| self.config(object));
@@ -144,7 +143,7 @@
         self.tell();
     }
 
-    /// The configuration was written.
+    /// Takes over a configuration that was written.
     pub fn config(&self, object: &Object) {
         if &*object.name != platform::CONFIG.1 {
             return;
@@ -174,7 +173,7 @@
         tracing::info!(event = "config_in_force", version, routes, object = object.version);
     }
 
-    /// Whether the store answers this box, or the one that it listens to.
+    /// Sets since when the store has not answered this box or its watcher; `None` if it answers.
     pub fn set_away(&self, since: Option<Instant>) {
         let mut state = self.0.state.lock();
         let before = std::mem::replace(&mut state.away_since, since);
@@ -192,29 +191,29 @@
         self.0.uses.in_force.borrow().is_some()
     }
 
-    /// Version of the object that holds the configuration in force; 0 if none is.
+    /// Version of the object that holds the configuration in force; 0 if there is none.
     pub fn config_at(&self) -> u64 {
         self.0.state.lock().config_at
     }
 
-    /// Since when the store has been away, as this box heard last.
+    /// Since when the store has been unreachable, as last reported.
     pub fn away_since(&self) -> Option<Instant> {
         self.0.state.lock().away_since
     }
 
-    /// How this box stands with its news.
+    /// State of this box's updates.
     pub fn standing(&self) -> Standing {
         let state = self.0.state.lock();
         let age = state.heard.map(|at| at.elapsed());
         Standing { looks: state.looks.is_whole(), age }
     }
 
-    /// This box begins to look at the store itself, or no longer does.
+    /// Called when this box begins or ends to watch the store.
     pub fn start_over(&self) {
         self.0.state.lock().looks = Looks::default();
     }
 
-    /// Takes over what a home tells.
+    /// Takes over updates from a watcher.
     pub fn hear(&self, news: News) {
         let mut state = self.0.state.lock();
         let mut endpoints = Vec::new();
@@ -239,12 +238,12 @@
             state.hear_endpoints(endpoints, news.whole, news.endpoints_at);
             self.publish(&mut state, "home", news.endpoints_at);
         }
-        // After the endpoints: those that say something have to be known.
+        // Applied after the endpoints, because signals of unknown endpoints are ignored.
         for wire::Change { kind, name, value, .. } in words {
             match value.as_deref() {
                 value if &*kind == LIMITS => self.take_limit(&mut state, &name, value),
                 Some(text) => self.take_departure(&mut state, &name, text, !news.whole),
-                // The home forgot it; this box does so by itself.
+                // The watcher dropped it; this box does so by its own rules.
                 None => {}
             }
         }
@@ -267,10 +266,10 @@
     }
 }
 
-/// Most of a name or a reason that a log line holds: others may have written anything there.
+/// Longest part of a name or reason that is logged: anybody may write any text to the store.
 const MOST_LOGGED: usize = 120;
 
-/// Somebody else may have written it: it names nothing to use, and the others hold.
+/// Logs an unreadable entry. It is ignored; the others stay valid.
 fn note_unreadable(kind: &str, name: &str, error: &serde_json::Error) {
     let reason: String = error.to_string().chars().take(MOST_LOGGED).collect();
     let name: String = name.chars().take(MOST_LOGGED).collect();
--- a/crates/gateway/src/news/words.rs
+++ b/crates/gateway/src/news/words.rs
@@ -1,8 +1,9 @@
-//! What endpoints said of themselves in answers to this box, on its way to all others.
+//! Publishes signals of endpoints to all other boxes.
 //!
-//! A box that has not heard of a limit, or that an endpoint leaves, goes on to send until an answer tells it. So each is told
-//! to the homes of news, which pass it on to all boxes within milliseconds. Of limits only who hands out turns needs the
-//! figure itself, and hears it with each question; to the others news says that a turn is needed, or not any more.
+//! A box that does not know of a limit, or that an endpoint leaves, would continue to send until an
+//! answer shows it. So signals are sent to the watchers, which pass them on to all boxes within
+//! milliseconds. Only the issuer of permits needs the value of a limit, and gets it with each
+//! request for a permit; the other boxes learn only whether a permit is needed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,11 +15,11 @@
     way::{endpoints::Endpoints, teller::Word},
 };
 
-/// Time between two words of a box to which an endpoint said that it leaves, while the entry of that says nothing of it: a
-/// home of news that started since has not heard.
+/// Interval at which a box repeats that an endpoint leaves, until the endpoint's entry shows it: a
+/// watcher that started since does not know.
 const TELL_EVERY: Duration = Duration::from_millis(1_000);
 
-/// Tells of words for as long as the box runs.
+/// Publishes signals for as long as the box runs.
 pub async fn tell(
     view: View,
     peers: Peers,
