--- a/crates/balance/src/rest.rs
+++ b/crates/balance/src/rest.rs
@@ -1,7 +1,7 @@
 //! Back-off that an endpoint asks a box for when it rejects a request.
 //!
 //! For that time the box sends nothing to the endpoint. No later answer shortens it, since that
-//! answer may have been made earlier, and no probe is sent. Meanwhile the endpoint becomes idle and
+//! answer may have been generated before the rejection, and no probe is sent. Meanwhile the endpoint becomes idle and
 //! would attract all waiting requests at once, so afterwards the box is limited to a window of
 //! unanswered requests. The window starts at a fraction of what the box had there before and grows
 //! with each accepted request, like a TCP congestion window (RFC 5681): by one per request at
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choices under leaving, failing, cached and loaded endpoints.
+//! The choice among leaving, failing, loaded and caching endpoints.
 
 use std::sync::Arc;
 
@@ -113,20 +113,22 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     pool.start(&"e1".into(), &long, 0);
     let unread = pool.read("e1", &long, 0);
-    // Many answers under way cost less than one long prompt.
+    // Many answers in flight cost less than one long prompt.
     for _ in 0..8 {
         pool.start(&"e2".into(), &Prefix::default(), 0);
     }
-    let mut choose = |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("one").name;
-    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to read");
+    let mut choose =
+        |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("an endpoint").name;
+    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to prefill");
     pool.has_read("e1", unread);
     assert!(
         (0..20).all(|_| &*choose(&pool) == "e1"),
-        "it has read it, and less is under way there"
+        "the prefill is done, and fewer requests are in flight there"
     );
-    // Another box's request waits there: it counts as a typical one, less as the report ages.
+    // Another box's request waits there: it counts as a typical prompt, decaying with the report's
+    // age.
     pool.report("e1", Report { at: 0, running: 1, waiting: 1, slots: 64 });
-    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "others have something to read at e1");
+    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has prompts of other boxes to prefill");
 }
 
 #[test]
@@ -143,15 +145,15 @@
     let [(one, mut first), (two, mut second)] = pools;
     for part in 0..40 {
         let of = |own| Prefix::of_parts([(7, 2_000), (100 + part, 4_000), (own, 900)]);
-        let here = one.choose(&of(1), &[], 0, &mut first).expect("one").name;
-        let there = two.choose(&of(2), &[], 0, &mut second).expect("one").name;
+        let here = one.choose(&of(1), &[], 0, &mut first).expect("an endpoint").name;
+        let there = two.choose(&of(2), &[], 0, &mut second).expect("an endpoint").name;
         assert_eq!(here, there, "part {part}");
         homes.insert(here);
     }
-    assert!(homes.len() >= 7, "the parts are spread: {homes:?}");
+    assert!(homes.len() >= 7, "the shared parts are spread: {homes:?}");
 }
 
-/// Two engines without anything to read, as one box sees them.
+/// A pool of two idle engines.
 fn engines() -> Pool {
     let weights = Weights {
         size_per_request: 2_000.0,
@@ -174,23 +176,24 @@
         |number, size| Prompt { endpoint: "e1".into(), number, size, blocks: Arc::default() };
     let mut random = random();
     let mut chosen = |pool: &Pool, now| {
-        let names = (0..40).map(|_| pool.choose(&short, &[], now, &mut random).expect("one").name);
+        let names =
+            (0..40).map(|_| pool.choose(&short, &[], now, &mut random).expect("an endpoint").name);
         names.collect::<std::collections::BTreeSet<_>>().len()
     };
-    assert_eq!(chosen(&pool, 10), 2, "both are alike");
+    assert_eq!(chosen(&pool, 10), 2, "both are equal");
     let e1 = |pool: &mut Pool, prompt, now| {
-        pool.get_mut("e1").expect("it is there").told(&by, &prompt, now);
+        pool.get_mut("e1").expect("in the pool").told(&by, &prompt, now);
     };
     e1(&mut pool, prompt(1, 30_000), 10);
-    assert_eq!(chosen(&pool, 10), 1, "e1 has a long prompt of another box to read");
+    assert_eq!(chosen(&pool, 10), 1, "e1 has a long prompt of another box to prefill");
     e1(&mut pool, prompt(2, 9_000), 20);
     e1(&mut pool, prompt(1, 0), 30);
-    assert_eq!(chosen(&pool, 30), 1, "one of two was read");
+    assert_eq!(chosen(&pool, 30), 1, "one of two is prefilled");
     e1(&mut pool, prompt(2, 0), 40);
-    assert_eq!(chosen(&pool, 40), 2, "both were read");
+    assert_eq!(chosen(&pool, 40), 2, "both are prefilled");
     e1(&mut pool, prompt(3, 30_000), 50);
     assert_eq!(chosen(&pool, 2_049), 1);
-    assert_eq!(chosen(&pool, 2_051), 2, "the word that it was read was lost");
+    assert_eq!(chosen(&pool, 2_051), 2, "the end of the prefill was never reported");
 }
 
 #[test]
@@ -199,19 +202,20 @@
     let shared = |own| Prefix::of_parts([(7, 6_000), (own, 900)]);
     pool.start(&"e1".into(), &shared(1), 0);
     let mut random = random();
-    let mut chosen = |pool: &Pool| pool.choose(&shared(2), &[], 0, &mut random).expect("one").name;
-    assert_eq!(&*chosen(&pool), "e1", "it holds the shared part");
+    let mut chosen =
+        |pool: &Pool| pool.choose(&shared(2), &[], 0, &mut random).expect("an endpoint").name;
+    assert_eq!(&*chosen(&pool), "e1", "it caches the shared part");
     let waits = |pool: &mut Pool, size| {
         let prompt = Prompt { endpoint: "e1".into(), number: 1, size, blocks: Arc::default() };
-        pool.get_mut("e1").expect("it is there").told(&"box-2".into(), &prompt, 0);
+        pool.get_mut("e1").expect("in the pool").told(&"box-2".into(), &prompt, 0);
     };
     waits(&mut pool, 9_000);
-    assert_eq!(&*chosen(&pool), "e1", "waiting is better than to read 6,000 again");
+    assert_eq!(&*chosen(&pool), "e1", "waiting is cheaper than another prefill of 6,000");
     waits(&mut pool, 15_000);
-    assert_eq!(&*chosen(&pool), "e2", "too much is waiting there");
+    assert_eq!(&*chosen(&pool), "e2", "too much is queued there");
 }
 
-/// A pool of engines, some of which make events in `slow_ms` instead of 20 ms.
+/// A pool of engines, some of which take `slow_ms` instead of 20 ms between events.
 fn paced(slow: &[&str], slow_ms: f64) -> Pool {
     let weights = Weights { homes: 1, large: 2_000, draws: 4, ..Weights::default() };
     let mut pool = Pool::new("z1".into(), weights);
@@ -220,7 +224,7 @@
     for _ in 0..100 {
         for name in &names {
             pool.paced(name, if slow.contains(&&**name) { slow_ms } else { 20.0 });
-            // Events that come together say nothing.
+            // Events delivered together are ignored.
             pool.paced(name, 0.1);
         }
     }
@@ -234,7 +238,7 @@
         let pool = paced(&["e1", "e4", "e7"], slow_ms);
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
-            let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("all take work");
+            let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
             choice.held > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
         });
         let at_slow = at_slow.count().min(1);
@@ -246,8 +250,8 @@
 fn a_prompt_goes_to_the_engine_where_another_box_sent_its_shared_part() {
     let mut pool = paced(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
-    let home = pool.choose(&prefix, &[], 0, &mut random()).expect("all take work");
-    assert_eq!(home.held, 6_000, "nobody told: it counts as held at its home");
+    let home = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
+    assert_eq!(home.held, 6_000, "nothing is known: its owner counts as holding it");
     let other: Arc<str> = if &*home.name == "e0" { "e1".into() } else { "e0".into() };
     let mut prompt =
         Prompt { endpoint: other.clone(), number: 1, size: 6_100, blocks: prefix.hashes() };
@@ -255,6 +259,6 @@
     (prompt.size, prompt.blocks) = (0, Arc::default());
     pool.told(&"box-2".into(), &prompt, 200);
     let again = Prefix::of_parts([(1, 6_000), (3, 100)]);
-    let choice = pool.choose(&again, &[], 300, &mut random()).expect("all take work");
+    let choice = pool.choose(&again, &[], 300, &mut random()).expect("an endpoint");
     assert_eq!((choice.name, choice.held), (other, 6_000));
 }
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -1,9 +1,8 @@
-//! A fleet shares what cold endpoints bear.
+//! The boxes of a fleet share the rate of cold endpoints.
 //!
-//! The load: 75 boxes send 565 generations a second to 140 engines, twice that in a burst, and a quarter of
-//! the engines comes back at once, cold for 3 s. A cold engine bears 7.7 requests a second and falls over at
-//! well above; more than half as much again and five in any second are too many, 16.55. Figures of a
-//! deployment of that size.
+//! Simulates a fleet in which a quarter of the engines comes back at once and stays cold for 3 s,
+//! at normal and at double load. The bound for a cold engine is one and a half times its rate plus
+//! five requests within any second.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const ALLOWANCE: Allowance = Allowance { per_s: 7.7 * 1.5 + 5.0, lasts_ms: 3_000 };
-/// Requests within a second that a cold engine must not get.
+/// Number of requests within a second that a cold engine must not reach.
 const TOO_MANY: usize = 17;
 
 fn weights() -> Weights {
@@ -29,7 +28,7 @@
     Fleet { me: name(me), others }
 }
 
-/// The pools of all boxes of a fleet before the same engines, in four zones.
+/// The pools of all boxes of a fleet for the same engines, in four zones.
 fn pools(boxes: usize, engines: usize) -> Vec<Pool> {
     let pool = |me: usize| {
         let mut pool = Pool::new(format!("z{}", me % 4).into(), weights());
@@ -42,7 +41,7 @@
     (0..boxes).map(pool).collect()
 }
 
-/// Most arrivals at one engine within any second.
+/// Maximum number of arrivals at one engine within any second.
 fn most_in_a_second(arrived: &BTreeMap<Arc<str>, Vec<u64>>) -> usize {
     let within = |times: &Vec<u64>, from: u64| {
         times.iter().filter(|at| (from..from + 1_000).contains(*at)).count()
@@ -51,8 +50,8 @@
     arrived.values().filter_map(most).max().unwrap_or_default()
 }
 
-/// Sends `per_s` requests a second from boxes at random for a while; those that the cold engines got, and
-/// how many found no engine.
+/// Sends `per_s` requests per second from random boxes for `ms` milliseconds. Returns the arrivals
+/// at cold engines, and how many requests found no engine.
 fn play(
     pools: &mut [Pool],
     per_s: u64,
@@ -80,7 +79,7 @@
             };
             pools[at].start(&choice.name, &prefix, now);
             under_way.push((now + 300, at, choice.name.clone()));
-            // The way there takes up to a millisecond, more beside a busy link.
+            // Usually up to a millisecond, longer if the link is busy.
             let arrives = now + random.random_range(0..30);
             if cold(&choice.name) {
                 arrived.entry(choice.name).or_default().push(arrives);
@@ -104,7 +103,7 @@
         let (arrived, refused) = play(&mut pools, per_s, 2_900, zone);
         let most = most_in_a_second(&arrived);
         assert!(most < TOO_MANY, "{boxes} boxes: {most} within a second");
-        assert_eq!(refused, 0, "{boxes} boxes: the others take the rest");
+        assert_eq!(refused, 0, "{boxes} boxes: the warm engines take the other requests");
     }
 }
 
@@ -113,7 +112,7 @@
     let mut pools = pools(75, 140);
     for pool in &mut pools {
         pool.set_allowance(None, 0);
-        // What they had is gone, so that they win by load.
+        // Other engines are busy, so that these win by load.
         for n in 0..140 {
             let name: Arc<str> = format!("i-{n}").into();
             if n % 4 != 1 {
@@ -126,7 +125,7 @@
     let zone = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
     let (arrived, _) = play(&mut pools, 1_400, 2_900, zone);
     let most = most_in_a_second(&arrived);
-    assert!(most >= TOO_MANY, "the test is able to fail: {most} within a second");
+    assert!(most >= TOO_MANY, "the load is too low for this test: {most} within a second");
 }
 
 #[test]
@@ -139,7 +138,7 @@
     assert!(most_in_a_second(&arrived) < TOO_MANY);
     let served: usize = arrived.values().map(Vec::len).sum();
     assert!(served > 8 * 12 && refused > 0, "{served} served, {refused} refused");
-    let waits = pools.iter().map(|pool| pool.next_offer_ms(3_000).expect("there are endpoints"));
+    let waits = pools.iter().map(|pool| pool.next_offer_ms(3_000).expect("an endpoint"));
     assert!(waits.max().is_some_and(|ms| ms <= 1_100), "no longer than they stay cold");
 }
 
@@ -185,8 +184,8 @@
 }
 
 proptest! {
-    /// However large the fleet is and whatever an endpoint bears: all boxes together send it no more than
-    /// that in a second on average, and one request each at most beside it.
+    /// For any fleet size and rate: all boxes together stay below the rate on average, and no more
+    /// boxes send than the rate allows.
     #[test]
     fn a_fleet_sends_what_is_borne(boxes in 1..300usize, per_s in 0.2..60.0f64) {
         let bears = Allowance { per_s, lasts_ms: 3_000 };
@@ -205,15 +204,21 @@
     pool.update([("i-0".into(), "z0".into())], 0);
     pool.chill("i-0", Some(3_000), 100);
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    assert!(pool.choose(&Prefix::default(), &[], 200, &mut random).is_some(), "no bound is known");
+    assert!(pool.choose(&Prefix::default(), &[], 200, &mut random).is_some(), "no rate is known");
     pool.set_allowance(Some(ALLOWANCE), 300);
     assert!(
         pool.choose(&Prefix::default(), &[], 300, &mut random).is_none(),
-        "nor the other boxes"
+        "the other boxes are not known"
     );
     pool.set_fleet(&fleet(2, 0), 400);
-    let chosen = pool.choose(&Prefix::default(), &[], 400, &mut random).expect("its part");
+    let chosen = pool.choose(&Prefix::default(), &[], 400, &mut random).expect("its share");
     pool.start(&chosen.name, &Prefix::default(), 400);
-    assert!(pool.choose(&Prefix::default(), &[], 500, &mut random).is_none(), "it was sent");
-    assert!(pool.choose(&Prefix::default(), &[], 600, &mut random).is_some(), "the next one");
+    assert!(
+        pool.choose(&Prefix::default(), &[], 500, &mut random).is_none(),
+        "one was sent just now"
+    );
+    assert!(
+        pool.choose(&Prefix::default(), &[], 600, &mut random).is_some(),
+        "the interval is over"
+    );
 }
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -1,4 +1,5 @@
-//! What an endpoint said of how much it takes, whatever the order in which its answers come, and who gets work then.
+//! Rate limits that endpoints signal: whichever order answers come in, and which endpoints get
+//! requests then.
 
 use std::sync::Arc;
 
@@ -17,34 +18,42 @@
 #[test]
 fn an_older_word_never_takes_the_place_of_a_later_one() {
     let (none, one, two) = (None, Some(1.0), Some(2.0));
-    // What is heard in this order, and what holds then.
+    // Signals in order of arrival, and the limit that is in effect after them.
     let cases: [(&str, Vec<Said>, Option<f64>); 10] = [
-        ("never named", vec![said(none, 0, 9)], none),
-        ("named", vec![said(none, 0, 9), said(two, 10, 20)], two),
+        ("no limit", vec![said(none, 0, 9)], none),
+        ("a limit", vec![said(none, 0, 9), said(two, 10, 20)], two),
         (
-            "named, and an answer that was made before comes late",
+            "a limit, then a late answer to a request sent before it",
             vec![said(two, 10, 20), said(none, 5, 30)],
             two,
         ),
         (
-            "the same, asked later but before it was heard",
+            "a limit, then an answer to a request sent before the limit was received",
             vec![said(two, 10, 20), said(none, 15, 30)],
             two,
         ),
-        ("named no more", vec![said(two, 10, 20), said(none, 20, 30)], none),
-        ("raised", vec![said(one, 10, 20), said(two, 20, 30)], two),
+        ("a limit, then none", vec![said(two, 10, 20), said(none, 20, 30)], none),
+        ("a higher limit", vec![said(one, 10, 20), said(two, 20, 30)], two),
         (
-            "raised, and the older limit comes late",
+            "a higher limit, then the older one late",
             vec![said(one, 0, 10), said(two, 20, 30), said(one, 15, 40)],
             two,
         ),
-        ("lowered while an answer is under way", vec![said(two, 10, 20), said(one, 15, 25)], one),
         (
-            "over, and the older limit comes late",
+            "a lower limit while an answer is in flight",
+            vec![said(two, 10, 20), said(one, 15, 25)],
+            one,
+        ),
+        (
+            "no limit any more, then the older one late",
             vec![said(one, 0, 10), said(none, 20, 30), said(one, 5, 40)],
             none,
         ),
-        ("named again", vec![said(one, 0, 10), said(none, 20, 30), said(two, 31, 40)], two),
+        (
+            "a limit, none, and a limit again",
+            vec![said(one, 0, 10), said(none, 20, 30), said(two, 31, 40)],
+            two,
+        ),
     ];
     for (what, heard, holds) in cases {
         let mut endpoint = endpoint();
@@ -56,7 +65,7 @@
 }
 
 proptest! {
-    /// Whatever overtakes whatever: once the endpoint was asked after all else was heard, what it said then holds.
+    /// In whatever order signals arrive, the answer to a request sent after all of them decides.
     #[test]
     fn the_last_word_holds_once_it_was_asked_for_after_all_others(
         words in prop::collection::vec((prop::option::of(0_u32..5), 0_u64..100, 0_u64..100), 0..20),
@@ -70,8 +79,9 @@
         prop_assert_eq!(endpoint.limit().map(Limit::as_per_s), last.map(f64::from));
     }
 
-    /// Asked at any moments, and at changing limits, no 4 s bring more than all that was allowed in them, and one and a
-    /// half times that with five more where another box takes over with nothing saved.
+    /// Whenever permits are requested, and even if the limit changes, the permits within 4 s stay
+    /// below one and a half times the limit plus five. That includes a new issuer that has saved no
+    /// permits.
     #[test]
     fn no_four_seconds_bring_more_than_a_limit_allows(
         per_s in 0_u32..8_000,
@@ -95,14 +105,15 @@
         }
     }
 
-    /// Whoever gets none comes again later than those before, and not much later than a turn is there.
+    /// Each one that gets no permit is given a later retry time than the one before, up to the
+    /// longest.
     #[test]
     fn those_who_get_none_come_again_one_by_one(per_s in 500_u32..20_000, askers in 1_usize..20) {
         let per_s = f64::from(per_s) / 1_000.0;
         let mut turns = Turns::open(0);
         let mut last = 0;
         for _ in 0..askers {
-            let Turn::After { ms } = turns.take(per_s, 1) else { panic!("none are saved") };
+            let Turn::After { ms } = turns.take(per_s, 1) else { panic!("no permits are saved") };
             prop_assert!(ms > last || ms == 5_000, "{ms} after {last}");
             last = ms;
         }
@@ -125,19 +136,19 @@
     assert_eq!(given.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
 }
 
-/// A pool of endpoints `e0` to `e2` before three boxes, in which some name limits.
+/// A pool of endpoints `e0` to `e2` in a fleet of three boxes, with these limits.
 fn pool(limits: [Option<f64>; 3]) -> Pool {
     let mut pool = Pool::new("z".into(), Weights::default());
     let names: Vec<Arc<str>> = (0..3).map(|n| format!("e{n}").into()).collect();
     pool.update(names.iter().map(|name| (name.clone(), Arc::from("z"))), 0);
     pool.set_fleet(&Fleet { me: "a".into(), others: vec!["b".into(), "c".into()] }, 0);
     for (name, limit) in names.iter().zip(limits) {
-        pool.get_mut(name).expect("it is there").hear(said(limit, 0, 0));
+        pool.get_mut(name).expect("in the pool").hear(said(limit, 0, 0));
     }
     pool
 }
 
-/// Endpoints that are chosen at a moment.
+/// Names of the endpoints that are chosen at `now`.
 fn chosen(pool: &Pool, offer: Offer, now: u64) -> Vec<Arc<str>> {
     let mut random = SmallRng::seed_from_u64(7);
     let choose = |_| pool.choose_from(offer, &Prefix::default(), &[], now, &mut random);
@@ -150,15 +161,15 @@
 #[test]
 fn an_endpoint_without_a_turn_is_passed_over_until_it_may_have_one() {
     let mut pool = pool([Some(1.0), None, Some(2.0)]);
-    assert_eq!(chosen(&pool, Offer::All, 10).len(), 3, "a turn may be had");
+    assert_eq!(chosen(&pool, Offer::All, 10).len(), 3, "a permit may be available");
     assert_eq!(chosen(&pool, Offer::Unlimited, 10), ["e1".into()]);
-    pool.get_mut("e0").expect("it is there").close(500, 10);
+    pool.get_mut("e0").expect("in the pool").close(500, 10);
     assert_eq!(chosen(&pool, Offer::All, 509), ["e1".into(), "e2".into()]);
     assert_eq!(chosen(&pool, Offer::All, 510).len(), 3);
-    // What it takes was raised meanwhile, or it names no limit any more.
+    // A higher limit, or none at all, ends the wait.
     for (limit, asked) in [(Some(3.0), 700), (None, 800)] {
-        pool.get_mut("e2").expect("it is there").close(5_000, asked);
-        pool.get_mut("e2").expect("it is there").hear(said(limit, asked, asked + 10));
+        pool.get_mut("e2").expect("in the pool").close(5_000, asked);
+        pool.get_mut("e2").expect("in the pool").hear(said(limit, asked, asked + 10));
         assert_eq!(chosen(&pool, Offer::All, asked + 11).len(), 3, "{limit:?}");
     }
 }
@@ -168,12 +179,13 @@
     let closed = |limits: [Option<f64>; 3]| {
         let mut pool = pool(limits);
         for name in ["e0", "e1", "e2"] {
-            pool.get_mut(name).expect("it is there").close(400, 60_000);
+            pool.get_mut(name).expect("in the pool").close(400, 60_000);
         }
-        let mut told = || pool.return_ms(0, 60_000).expect("endpoints");
+        let mut told = || pool.return_ms(0, 60_000).expect("an endpoint");
         (0..4).map(|_| told()).collect::<Vec<_>>()
     };
-    // Three boxes share 2 a second: one request every 1.5 s of each, up to 3 s apart.
+    // Three boxes share 2 requests per second, so each sends one every 1.5 s. Retries are at most 3
+    // s later than the first.
     assert_eq!(closed([Some(1.0), Some(0.5), Some(0.5)]), [400, 1_900, 3_400, 3_400]);
-    assert_eq!(closed([Some(1.0), None, Some(0.5)]), [0; 4], "one needs no turn");
+    assert_eq!(closed([Some(1.0), None, Some(0.5)]), [0; 4], "one needs no permit");
 }
--- a/crates/balance/tests/rest.rs
+++ b/crates/balance/tests/rest.rs
@@ -1,42 +1,43 @@
-//! Endpoints that ask boxes for rest: what each box sends, and how fleets of all sizes come back.
+//! Back-offs of endpoints: what each box sends, and how fleets of all sizes resume.
 
 use std::{collections::BTreeMap, ops::Range, sync::Arc};
 
 use balance::{Failure, Fleet, Offer, Pool, Prefix, Rest, Standing, Weights};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Time between two steps of the model, in milliseconds.
+/// Step of the simulation, in milliseconds.
 const STEP: u64 = 5;
 /// Time that an endpoint takes for a request, in milliseconds.
 const WORK: u64 = 100;
-/// Requests that an endpoint works on at once.
+/// Requests that an endpoint runs at once.
 const SLOTS: usize = 64;
-/// Time over which requests that come together are counted, in milliseconds.
+/// Window over which simultaneous arrivals are counted, in milliseconds.
 const WAVE: u64 = 50;
-/// Shortest time after which a caller comes again, in milliseconds.
+/// Shortest time after which a caller retries, in milliseconds.
 const LEAST_WAIT: u64 = 100;
-/// Length of a run, in milliseconds: all that were refused have come again.
+/// Length of a run in milliseconds, enough for all refused requests to be retried.
 const LASTS: u64 = 16_000;
-/// Parts of what the endpoints bear that come.
+/// Load as a fraction of the endpoints' capacity.
 const THIRD: f64 = 1.0 / 3.0;
 const HALF: f64 = 1.0 / 2.0;
-/// When endpoints that are tired turn all requests away, and the rest that they ask for, in milliseconds.
+/// When overloaded endpoints reject all requests, and the back-off that they ask for, in
+/// milliseconds.
 const TIRED: Range<u64> = 1_000..4_000;
 const ASKS: u64 = 3_000;
 
 #[test]
 fn a_rest_holds_whatever_else_is_heard() {
-    /// A moment, and what is asked for then.
+    /// Times at which a back-off is asked for, and its length.
     type Asked<'a> = &'a [(u64, u64)];
-    // What is asked for, and until when it holds.
+    // Requested back-offs, and when they end.
     let cases: [(&str, Asked, u64); 7] = [
-        ("none", &[(0, 0)], 0),
-        ("seconds", &[(10, 3_000)], 3_010),
-        ("a shorter one", &[(10, 3_000), (20, 1_000)], 3_010),
-        ("a longer one", &[(10, 1_000), (20, 3_000)], 3_020),
-        ("none at all after one", &[(10, 3_000), (20, 0)], 3_010),
+        ("zero", &[(0, 0)], 0),
+        ("3 s", &[(10, 3_000)], 3_010),
+        ("3 s, then 1 s", &[(10, 3_000), (20, 1_000)], 3_010),
+        ("1 s, then 3 s", &[(10, 1_000), (20, 3_000)], 3_020),
+        ("3 s, then zero", &[(10, 3_000), (20, 0)], 3_010),
         ("a day", &[(10, 86_400_000)], 86_400_010),
-        ("for ever", &[(10, u64::MAX)], u64::MAX),
+        ("no end", &[(10, u64::MAX)], u64::MAX),
     ];
     for (what, asked, until) in cases {
         let mut rest = Rest::default();
@@ -51,7 +52,8 @@
 #[test]
 fn a_box_comes_back_with_a_part_and_more_with_each_request_that_is_taken() {
     let most = |rest: &Rest, now| (0..100).take_while(|sent| rest.wait_ms(*sent, now) == 0).count();
-    // Requests there before, and how many may be there when the box is back and with each one that was taken.
+    // Unanswered requests before the back-off, and how many are allowed after it and after each
+    // accepted request.
     let cases: [(u32, &[usize]); 3] = [
         (0, &[1, 2, 2, 3, 3, 3, 100]),
         (1, &[1, 2, 2, 3, 3, 3, 100]),
@@ -61,7 +63,7 @@
         let mut rest = Rest::default();
         rest.ask(1_000, unanswered, 0);
         rest.ask(1_000, 0, 100);
-        assert_eq!(most(&rest, 1_099), 0, "it still rests");
+        assert_eq!(most(&rest, 1_099), 0, "the back-off is not over");
         rest.took(900);
         let mut grown = vec![most(&rest, 1_100)];
         for _ in 1..windows.len() {
@@ -70,7 +72,7 @@
         }
         assert_eq!(grown, windows, "{unanswered}");
         rest.ask(1_000, 0, 2_000);
-        assert_eq!(most(&rest, 3_000), 1, "it turned a request away again");
+        assert_eq!(most(&rest, 3_000), 1, "after another back-off");
     }
 }
 
@@ -88,19 +90,19 @@
 #[test]
 fn rest_a_limit_a_cold_start_and_leaving_hold_together() {
     let mut pool = pool(2, None);
-    let standing = |pool: &Pool, now| pool.standing(pool.get("e0").expect("it is there"), now);
+    let standing = |pool: &Pool, now| pool.standing(pool.get("e0").expect("in the pool"), now);
     assert_eq!(standing(&pool, 0), Standing::Open);
     pool.rest("e0", 1_000, 0);
     assert_eq!(standing(&pool, 400), Standing::Waits { ms: 600 });
     let limit = Some(balance::Limit::per_s(1.0));
-    let e0 = pool.get_mut("e0").expect("it is there");
+    let e0 = pool.get_mut("e0").expect("in the pool");
     e0.hear(balance::Said { limit, asked: 0, heard: 0 });
     e0.close(5_000, 0);
     assert_eq!(standing(&pool, 400), Standing::Waits { ms: 4_600 }, "the longer wait");
     pool.set_departures(|_| Some(balance::Departure::now(0)));
     assert_eq!(standing(&pool, 400), Standing::Waits { ms: 4_600 }, "no last resort");
     assert_eq!(standing(&pool, 1_000), Standing::Leaving);
-    assert!(pool.get("e0").expect("it is there").wants_nothing(500));
+    assert!(pool.get("e0").expect("in the pool").wants_nothing(500));
 }
 
 #[test]
@@ -109,9 +111,9 @@
     pool.rest("e0", 5_000, 0);
     pool.update([(name(1), "z".into())], 100);
     pool.update([(name(0), "z".into()), (name(1), "z".into())], 200);
-    assert!(pool.get("e0").expect("it is there").wants_nothing(300));
+    assert!(pool.get("e0").expect("in the pool").wants_nothing(300));
     pool.update([("e0 later".into(), "z".into()), (name(1), "z".into())], 400);
-    assert!(!pool.get("e0 later").expect("it is there").wants_nothing(500));
+    assert!(!pool.get("e0 later").expect("in the pool").wants_nothing(500));
 }
 
 #[test]
@@ -121,34 +123,35 @@
         pool.rest(&name(n), 2_000 + n as u64 * 500, 0);
     });
     let mut times = |rank| {
-        [0, 500, 1_000, 1_900].map(|now| now + pool.return_ms(rank, now).expect("endpoints"))
+        [0, 500, 1_000, 1_900].map(|now| now + pool.return_ms(rank, now).expect("an endpoint"))
     };
     assert_eq!(times(0), [2_000, 3_000, 4_000, 5_800]);
     assert_eq!(times(9), [2_000, 3_500, 5_000, 7_700]);
 }
 
-/// A fleet before endpoints of which some turn everything away for a time.
+/// A fleet and its endpoints, some of which reject everything for a time.
 struct Model {
     boxes: Vec<Pool>,
-    /// Endpoints that are tired, the first ones.
+    /// Number of overloaded endpoints, the first ones.
     tired: usize,
-    /// When requests end that are at an endpoint.
+    /// End times of the requests at each endpoint.
     at_work: Vec<Vec<u64>>,
-    /// Requests under way by the time at which they end: their box and their endpoint.
+    /// Box and endpoint of the requests in flight, by end time.
     under_way: BTreeMap<u64, Vec<(usize, usize)>>,
-    /// Requests that were refused, by the time at which they come again: their box and their rank.
+    /// Box and rank of refused requests, by retry time.
     coming: BTreeMap<u64, Vec<(usize, u8)>>,
     random: SmallRng,
-    /// When the first endpoint asked a box for rest, and how many of its requests came in that from half a second on.
+    /// When the first endpoint asked each box to back off, and how many requests it got from that
+    /// box more than half a second later.
     asked: Vec<Option<u64>>,
     in_rest: Vec<usize>,
-    /// Requests that reached the first endpoint once it was no longer tired.
+    /// Requests that reached the first endpoint after its overload, by window.
     waves: BTreeMap<u64, usize>,
     requests: usize,
     refused: usize,
-    /// Refused although an endpoint that takes requests had room.
+    /// Refused although an available endpoint had room.
     refused_idle: usize,
-    /// Refused when they came again.
+    /// Refused on retry.
     refused_again: usize,
 }
 
@@ -176,7 +179,7 @@
         }
     }
 
-    /// All rests begin, and end, at one moment.
+    /// Starts all back-offs at the same time.
     fn all_are_told(&mut self) {
         for pool in &mut self.boxes {
             (0..self.tired).for_each(|n| {
@@ -189,7 +192,7 @@
         endpoint < self.tired && TIRED.contains(&now)
     }
 
-    /// One request at a box, which may be sent to two endpoints; whoever is refused comes again once.
+    /// Handles a request at a box, which may try two endpoints; a refused request is retried once.
     fn request(&mut self, at: usize, rank: u8, comes_again: bool, now: u64) {
         self.requests += usize::from(!comes_again);
         let mut tried = Vec::new();
@@ -219,11 +222,11 @@
             self.refused_again += 1;
             return;
         }
-        let wait = self.boxes[at].return_ms(rank, now).expect("endpoints");
+        let wait = self.boxes[at].return_ms(rank, now).expect("an endpoint");
         self.coming.entry(now + wait.max(LEAST_WAIT)).or_default().push((at, rank));
     }
 
-    /// Whether an endpoint takes a request.
+    /// Whether an endpoint accepts a request.
     fn takes(&mut self, at: usize, endpoint: usize, now: u64) -> bool {
         let is_tired = self.is_tired(endpoint, now);
         if endpoint == 0 {
@@ -256,7 +259,7 @@
             let (pool, name) = (&mut self.boxes[at], name(endpoint));
             pool.has_read(&name, 0);
             pool.end(&name, None, now);
-            pool.get_mut(&name).expect("it is there").rest.took(now - WORK);
+            pool.get_mut(&name).expect("in the pool").rest.took(now - WORK);
         }
         self.at_work.iter_mut().for_each(|work| work.retain(|ends| *ends > now));
         let later = self.coming.split_off(&(now + 1));
@@ -276,8 +279,8 @@
     }
 }
 
-/// A day on which some endpoints turn all requests away for 3 s, and ask each box for 3 s of rest. `load` is a part of
-/// what the endpoints bear.
+/// Simulates a time in which some endpoints reject all requests for 3 s, and ask each box to back
+/// off for 3 s. `load` is a fraction of the endpoints' capacity.
 fn play(boxes: usize, load: f64, is_together: bool, tired: impl Fn(usize) -> usize) -> Model {
     let endpoints = (boxes / 2).clamp(3, 40);
     let mut model = Model::open(boxes, endpoints, tired(endpoints));
@@ -292,13 +295,13 @@
     let most_in_rest = model.in_rest.iter().max().copied().unwrap_or_default();
     let wave = model.waves.values().max().copied().unwrap_or_default();
     println!(
-        "{boxes} boxes: {most_in_rest} in a rest, wave {wave}, of {} requests refused {}, with room {}, again {}",
+        "{boxes} boxes: {most_in_rest} during a back-off, wave {wave}, of {} requests refused {}, with room {}, on retry {}",
         model.requests, model.refused, model.refused_idle, model.refused_again
     );
-    assert!(most_in_rest <= 2, "{boxes} boxes: {most_in_rest} within a rest");
-    // What it has room for when it is empty.
-    assert!(wave <= SLOTS, "{boxes} boxes: {wave} came together");
-    assert!(wave > 0, "{boxes} boxes: it gets work again");
+    assert!(most_in_rest <= 2, "{boxes} boxes: {most_in_rest} during a back-off");
+    // The capacity of an idle endpoint.
+    assert!(wave <= SLOTS, "{boxes} boxes: {wave} arrived together");
+    assert!(wave > 0, "{boxes} boxes: no requests after the overload");
     model
 }
 
@@ -306,7 +309,7 @@
 fn fleets_of_all_sizes_keep_the_rest_of_one_endpoint_and_come_back_bit_by_bit() {
     for boxes in [1, 7, 75, 300] {
         let model = play(boxes, THIRD, false, |_| 1);
-        // A hundredth of what comes in the first 9 s, the rest among them.
+        // Less than a hundredth of the requests of the first 9 s, which include the back-off.
         let came = model.requests * 9_000 / LASTS as usize;
         assert!(model.refused * 100 < came, "{boxes} boxes: {} refused", model.refused);
     }
@@ -331,8 +334,8 @@
     for (boxes, is_together) in sizes.into_iter().flat_map(|boxes| [(boxes, false), (boxes, true)])
     {
         let model = play(boxes, load, is_together, |endpoints| endpoints);
-        // Most of those who were told when to come again find room then.
+        // Most requests find room at the retry time that they were given.
         let (again, first) = (model.refused_again, model.refused - model.refused_again);
-        assert!(again * 4 < first, "{boxes} boxes: {again} of {first} refused again");
+        assert!(again * 4 < first, "{boxes} boxes: {again} of {first} refused on retry");
     }
 }
--- a/crates/balance/tests/turns.rs
+++ b/crates/balance/tests/turns.rs
@@ -1,7 +1,8 @@
-//! A limit that all boxes share, kept in four ways, counted at an endpoint over a minute.
+//! Compares four ways to share a rate limit among boxes, by the arrivals at the endpoint over a
+//! minute.
 //!
-//! Each request of a box would go to the limited endpoint; one that gets no turn goes elsewhere. Callers are spread
-//! evenly over the boxes, or all of them come to two.
+//! Each request goes to the limited endpoint if its box may send it, else elsewhere. Callers are
+//! spread evenly over the boxes, or all of them use two.
 
 use std::{collections::VecDeque, fmt};
 
@@ -9,26 +10,26 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Length of a play, in milliseconds.
+/// Length of a run, in milliseconds.
 const PLAY: u64 = 60_000;
-/// The window in which arrivals are counted, in milliseconds.
+/// Window in which arrivals are counted, in milliseconds.
 const WINDOW: u64 = 4_000;
-/// Requests a second that callers send to all boxes together.
+/// Requests per second over all boxes.
 const PER_S: f64 = 60.0;
-/// A question to another box and its answer take so long at most, in milliseconds.
+/// Longest round trip between two boxes, in milliseconds.
 const THERE_AND_BACK: u64 = 3;
-/// Time between two words of a box on its use, in milliseconds.
+/// Interval at which boxes publish their use, in milliseconds.
 const TOLD_EVERY: u64 = 1_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// Each box sends its part by the number of boxes, one request at once.
+    /// Each box has an equal share of the limit, with a burst of one.
     Part,
-    /// Each box sends its part by the use that all told last.
+    /// Each box has a share by the use that was published last.
     ByUse,
-    /// As many boxes as the limit allows requests a second, by hash, send all.
+    /// Only as many boxes send as the limit allows requests per second, chosen by hash.
     Few,
-    /// One box hands out turns.
+    /// One box issues permits.
     Turns,
 }
 
@@ -38,14 +39,14 @@
     AtTwo,
 }
 
-/// What was counted.
+/// Result of a run.
 #[derive(Clone, Copy)]
 struct Count {
-    /// Most arrivals within the window.
+    /// Maximum number of arrivals within the window.
     most: usize,
-    /// Part of the limit that was used.
+    /// Fraction of the limit that was used.
     used: f64,
-    /// Questions to other boxes a second.
+    /// Messages to other boxes per second.
     asked: f64,
 }
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// What a box may send by itself: a rate, one request at once.
+/// A box's own rate limiter with a burst of one.
 #[derive(Debug, Clone, Copy, Default)]
 struct Own {
     saved: f64,
@@ -92,7 +93,7 @@
         }
         let at = match callers {
             Callers::Even => random.random_range(0..boxes),
-            // The last ones: no way may rely on which they are.
+            // The last boxes, so that no way depends on which boxes have callers.
             Callers::AtTwo => boxes - 1 - random.random_range(0..boxes.min(2)),
         };
         use_now[at] += 1;
@@ -130,7 +131,7 @@
     Count { most, used: f64::from(sent) / (limit * seconds), asked: asked as f64 / seconds }
 }
 
-/// What a limit allows within the window, as the platform counts it.
+/// Number of requests that the limit allows within the window.
 fn allowed(limit: f64) -> usize {
     (1.5 * limit * WINDOW as f64 / 1_000.0 + 5.0) as usize
 }
@@ -148,7 +149,7 @@
                 let turns = by(Way::Turns);
                 let most = allowed(limit);
                 println!(
-                    "{limit:3} of {most:2}, {boxes:3} {callers:?}: part {part:?}, by use {by_use:?}, few {few:?}, turns {turns:?}"
+                    "{limit:3} of {most:2}, {boxes:3} {callers:?}: equal shares {part:?}, by use {by_use:?}, few {few:?}, permits {turns:?}"
                 );
                 assert!(
                     turns.most <= most,
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -1,9 +1,9 @@
-//! What a quarantine does to the guilty and to the innocent, over the life of a small fleet.
+//! Simulates a small fleet to check that a quarantine stops requests that crash engines and spares
+//! all others.
 //!
-//! Nine engines with some ten streams each, two requests that end whoever runs them and come again and again,
-//! engines that end for other reasons, and one request that many callers ask for all the time. Each end is
-//! reported with all that ran there. Counted over 40 seeds of 30 s each, with a quarantine after two, three or
-//! four ends, with and without answers speaking for a request.
+//! Two requests crash every engine that runs them and are retried again and again, engines crash
+//! for other reasons, and one innocent request is sent over and over by many callers. Runs with
+//! different numbers of crashes until quarantine, with and without clearing by answers.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,37 +13,37 @@
 
 const SEEDS: u64 = 40;
 const ENGINES: usize = 9;
-/// Length of a play and of a step, in milliseconds.
+/// Length of a run and of a step, in milliseconds.
 const PLAY: u64 = 30_000;
 const STEP: u64 = 10;
-/// Requests that come a second, and how often a broken one comes again.
+/// Requests per second, and the number of tries of a broken request.
 const PER_S: f64 = 55.0;
 const TRIES: u32 = 3;
-/// An engine is back after this long, in milliseconds.
+/// Time until a crashed engine is back, in milliseconds.
 const BACK: u64 = 3_000;
-/// Engines that end for other reasons a second, all together.
+/// Crashes per second for other reasons, over all engines.
 const ENDS_PER_S: f64 = 0.15;
-/// Time until an end is proved, and until callers who do not wait come again, in milliseconds.
+/// Time until a crash is confirmed, and until callers retry at once, in milliseconds.
 const PROOF: u64 = 30;
 const AT_ONCE: u64 = 10;
-/// Engines a second whose connections all break while they stand, in waves of so many.
+/// How often all connections to running engines break, per second, and to how many at a time.
 const RESETS_PER_S: f64 = 0.15;
 const WAVE: usize = 4;
 
-/// What ends that are not proved yet mean for a request that three of them would put in quarantine.
+/// How unconfirmed crashes count for a request that three crashes would quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// They count as if they were proved, for as long.
+    /// Like confirmed ones.
     Counts,
-    /// Nothing.
+    /// Not at all.
     Ignored,
-    /// It waits until they are proved.
+    /// The request waits until they are confirmed.
     Waits,
-    /// It is refused, and comes again.
+    /// The request is refused and retried.
     Refused,
 }
 
-/// An end that is not proved yet.
+/// A crash that is not confirmed yet.
 struct Open {
     life: Arc<str>,
     requests: Vec<Fingerprint>,
@@ -51,11 +51,11 @@
     is_end: bool,
 }
 
-/// Who sends a request.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Who {
     Guilty(u64),
-    /// Asked for all the time, always the same.
+    /// The same innocent request, sent all the time.
     Popular,
     Other(u64),
 }
@@ -75,13 +75,13 @@
 
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct Count {
-    /// Engines that ended under guilty requests.
+    /// Engines crashed by guilty requests.
     ended: u64,
     /// Innocent requests refused.
     refused: u64,
-    /// Innocent requests broken by the end of an engine.
+    /// Innocent requests broken by a crash of their engine.
     broken: u64,
-    /// Innocent requests that waited, or came again, for a proof.
+    /// Innocent requests that waited, or were retried, until a crash was confirmed.
     delayed: u64,
 }
 
@@ -89,12 +89,12 @@
     random: ChaCha8Rng,
     record: Record,
     answers_count: bool,
-    /// What an end means that is not proved; `None` where each is proved at once.
+    /// How unconfirmed crashes count; `None` if crashes are confirmed at once.
     way: Option<Way>,
     open: Vec<Open>,
-    /// Runs by life of an engine, for each engine that is up.
+    /// For each engine, when it is up, and its running requests.
     engines: Vec<(u64, Vec<Run>)>,
-    /// Requests that come again, by time.
+    /// Requests to retry, by time.
     again: BTreeMap<(u64, u64), (Who, u32)>,
     number: u64,
     count: Count,
@@ -121,7 +121,7 @@
         self.again.insert((at, n), (who, tries));
     }
 
-    /// A try of a request; one that is refused is lost for its caller, but for the guilty, who come again.
+    /// Tries a request. A refused request is lost, except for guilty ones, which are retried.
     fn send(&mut self, who: Who, tries: u32, now: u64) {
         let request = who.fingerprint();
         let open = self.open.iter().filter(|open| open.requests.contains(&request));
@@ -157,13 +157,13 @@
         }
     }
 
-    /// An engine ends with all that it has.
+    /// Crashes an engine with all its requests.
     fn end(&mut self, at: usize, now: u64) {
         self.engines[at].0 = now + BACK;
         self.break_all(at, now, true);
     }
 
-    /// All connections to an engine break, because it ended or for another reason.
+    /// Breaks all connections to an engine, because it crashed or for another reason.
     fn break_all(&mut self, at: usize, now: u64, is_end: bool) {
         let life: Arc<str> = format!("i-{at}-{now}").into();
         let runs = std::mem::take(&mut self.engines[at].1);
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Ends are proved, and a wave of resets passes over engines that stand.
+    /// Confirms crashes that are due, and at random breaks connections to running engines.
     fn prove(&mut self, now: u64) {
         let (known, open): (Vec<Open>, Vec<Open>) =
             std::mem::take(&mut self.open).into_iter().partition(|open| open.known_at <= now);
@@ -280,11 +280,11 @@
     println!("never {never:?}\ntwo {two:?}\nthree {three:?}");
     println!("three without answers {three_alone:?}\nfour {four:?}");
     let guilty = 2 * SEEDS;
-    assert!(three.ended <= 3 * guilty, "three for each guilty request: {three:?}");
+    assert!(three.ended <= 3 * guilty, "at most three crashes per guilty request: {three:?}");
     assert_eq!(three.refused, 0, "innocent requests");
     assert!(never.ended > 5 * three.ended && never.broken > 3 * three.broken, "{never:?}");
-    assert!(two.refused > 0, "chance puts requests beside two ends: {two:?}");
-    assert!(three_alone.refused > 0, "the popular one is there at three ends: {three_alone:?}");
+    assert!(two.refused > 0, "by chance, innocent requests ran at two crashes: {two:?}");
+    assert!(three_alone.refused > 0, "the popular one ran at three crashes: {three_alone:?}");
 }
 
 #[test]
@@ -295,9 +295,15 @@
     println!("counts {counts:?}\nignored {ignored:?}\nwaits {waits:?}\nrefused {refused:?}");
     let guilty = 2 * SEEDS;
     for (way, count) in [("waits", &waits), ("refused", &refused)] {
-        assert!(count.ended <= 3 * guilty, "{way}: three for each guilty request: {count:?}");
+        assert!(
+            count.ended <= 3 * guilty,
+            "{way}: at most three crashes per guilty request: {count:?}"
+        );
         assert_eq!(count.refused, 0, "{way}: innocent requests");
     }
-    assert!(counts.refused > 0, "resets look like ends: {counts:?}");
-    assert!(ignored.ended > waits.ended, "callers come again before a proof: {ignored:?}");
+    assert!(counts.refused > 0, "connection resets look like crashes: {counts:?}");
+    assert!(
+        ignored.ended > waits.ended,
+        "callers retry before the crash is confirmed: {ignored:?}"
+    );
 }
--- a/crates/quarantine/tests/record.rs
+++ b/crates/quarantine/tests/record.rs
@@ -1,4 +1,4 @@
-//! What reports mean for requests, in any order, and how many are kept.
+//! Verdicts that follow from reports in any order, and how many reports are kept.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     Report { finding: Finding::Answered, ..ended("", requests) }
 }
 
-/// A record that took these reports in this order, each with the next version of the store.
+/// Takes these reports in this order, each with the next store version.
 fn record(reports: &[Report]) -> Record {
     let mut record = Record::new(LIMITS);
     for (n, report) in reports.iter().enumerate() {
@@ -34,7 +34,7 @@
 fn what_reports_mean() {
     use Verdict::{Free, Quarantined, Suspect};
     let cases: [(&str, Vec<Report>, Verdict); 7] = [
-        ("nothing", vec![], Free),
+        ("no reports", vec![], Free),
         ("two endpoints", vec![ended("a", &[1]), ended("b", &[1])], Suspect { ended: 2 }),
         (
             "three endpoints",
@@ -46,14 +46,14 @@
             vec![ended("a", &[1]), ended("a", &[1]), ended("a", &[1])],
             Suspect { ended: 1 },
         ),
-        ("others", vec![ended("a", &[2]), ended("b", &[2]), ended("c", &[2])], Free),
+        ("other requests", vec![ended("a", &[2]), ended("b", &[2]), ended("c", &[2])], Free),
         (
-            "answered whole in the end",
+            "crashes, then a complete answer",
             vec![ended("a", &[1]), ended("b", &[1]), ended("c", &[1]), answered(&[1])],
             Free,
         ),
         (
-            "answered before, then endpoints end with it",
+            "a complete answer, then crashes",
             vec![answered(&[1]), ended("a", &[1]), ended("b", &[1]), ended("c", &[1])],
             Quarantined { for_s: 100 },
         ),
@@ -82,7 +82,7 @@
         (&["a", "b", "c"], &["d"], Verdict::Quarantined { for_s: 100 }),
     ];
     for (proved, lives, expected) in cases {
-        assert_eq!(verdict(proved, lives), expected, "{proved:?} proved, {lives:?} open");
+        assert_eq!(verdict(proved, lives), expected, "{proved:?} confirmed, {lives:?} not yet");
     }
 }
 
@@ -100,22 +100,22 @@
     assert_eq!(record.verdict(&request(1), &[], 1_200), Verdict::Free);
 }
 
-/// The load: all callers of a service poll the same thing with the same key, while many engines end at once.
+/// Many callers send the same request all the time while many engines crash at once.
 #[test]
 fn a_request_that_is_answered_all_the_time_is_cleared_at_once() {
     let mut record = Record::new(LIMITS);
-    assert!(!record.answered(&request(1), 5_000), "nothing is held against it");
+    assert!(!record.answered(&request(1), 5_000), "no report names it");
     let take = |record: &mut Record, n: usize, now_ms| {
         let report = ended(&format!("i-{n}"), &[1, 2]);
         record.take(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
     assert_eq!(take(&mut record, 1, 6_000), []);
-    assert_eq!(take(&mut record, 2, 6_001), [request(1)], "before it would be refused");
-    assert_eq!(take(&mut record, 3, 6_002), [], "an answer speaks for it once");
+    assert_eq!(take(&mut record, 2, 6_001), [request(1)], "one crash before the quarantine");
+    assert_eq!(take(&mut record, 3, 6_002), [], "an answer clears it once");
     let mut late = Record::new(LIMITS);
     late.answered(&request(1), 5_000);
     (1..3).for_each(|n| drop(take(&mut late, n, 5_000)));
-    assert_eq!(take(&mut late, 3, 65_001), [], "and not for ever");
+    assert_eq!(take(&mut late, 3, 65_001), [], "the answer is too old");
 }
 
 #[test]
@@ -132,14 +132,18 @@
     let many: Vec<u32> = (0..10_000).collect();
     let mut wide = Record::new(LIMITS);
     wide.take(&"r".into(), None, ended("a", &many), NOW, 0);
-    assert_eq!(wide.verdict(&request(9_999), &[], NOW), Verdict::Free, "too many to be of one end");
+    assert_eq!(
+        wide.verdict(&request(9_999), &[], NOW),
+        Verdict::Free,
+        "beyond the limit of one report"
+    );
 }
 
 #[test]
 fn a_report_is_read_as_it_was_written() {
     let report = ended("i-1 7", &[1, 2]);
-    let text = serde_json::to_string(&report).expect("it serializes");
-    assert_eq!(serde_json::from_str::<Report>(&text).expect("it can be read"), report);
+    let text = serde_json::to_string(&report).expect("reports always serialize");
+    assert_eq!(serde_json::from_str::<Report>(&text).expect("a valid report"), report);
     for odd in ["1@b", "zz@b", "", "no separator"] {
         let text = text.replace(&request(1).to_string(), odd);
         assert_eq!(serde_json::from_str::<Report>(&text).is_ok(), odd == "1@b", "{odd}");
@@ -153,8 +157,8 @@
 }
 
 proptest! {
-    /// Boxes that know the same reports judge alike, however often and in which order they heard them, with
-    /// or without the versions of the store at first.
+    /// Boxes that know the same reports reach the same verdicts, however often and in which order
+    /// they received them, and whether or not they knew the store versions at first.
     #[test]
     fn the_same_reports_mean_the_same(
         reports in proptest::collection::vec((0..6_u32, 0..4_u32, any::<bool>()), 1..12),
