--- a/crates/balance/src/turns.rs
+++ b/crates/balance/src/turns.rs
@@ -5,14 +5,15 @@
 //! boxes there are and whichever of them have callers. A fixed part of the limit per box would
 //! either exceed the limit or leave most of it unused.
 //!
-//! A box that gets no permit is told when to ask again, each one later than the one before. So only
-//! about twice as many boxes ask as there are permits, never all at once. A request that needs a
-//! permit waits for one round trip between boxes, and only if its endpoint names a limit.
+//! A box that gets no permit is told when to ask again; each of these times is later than the one
+//! before. So only about twice as many boxes ask as there are permits, never all at once. A request
+//! that needs a permit waits for one round trip between boxes, and only if its endpoint names a
+//! limit.
 
 /// Permits saved up while nobody asks, as seconds of the limit, beside one permit: requests come in
-/// bursts. An endpoint may get at most 2 L + 5 requests above the limit L within 4 s; this uses L /
-/// 2 + 1 of them, and as much again if another box takes over as issuer. The rest is for requests
-/// that are delayed on the way.
+/// bursts. Within 4 s an endpoint may get up to 2 L + 5 requests more than a limit of L per second
+/// allows; this uses L/2 + 1 of them, and as much again if another box takes over as issuer. The
+/// rest is for requests that are delayed on the way.
 const SAVED_S: f64 = 0.5;
 /// Interval in milliseconds at which one request is sent to an endpoint although its limit allows
 /// none: only its answers report a higher limit. Far below the five requests within 4 s that any
