--- a/crates/admit/src/gate.rs
+++ b/crates/admit/src/gate.rs
@@ -15,7 +15,7 @@
 
 /// A request at the gate.
 #[derive(Debug, Clone)]
-pub struct Ticket {
+pub struct Request {
     /// Unique number.
     pub id: u64,
     /// Kind of work.
@@ -40,13 +40,13 @@
 }
 
 struct Waiting {
-    ticket: Ticket,
+    request: Request,
     turn: f64,
 }
 
 /// Queue of one pool.
 #[derive(Default)]
-pub struct Gate {
+pub struct Queue {
     waiting: Vec<Waiting>,
     turns: HashMap<Arc<str>, f64>,
     clock: f64,
@@ -64,51 +64,51 @@
     }
 }
 
-impl Gate {
+impl Queue {
     /// Whether a class may start now.
     fn is_open(class: Class, capacity: Capacity) -> bool {
         capacity.load < (capacity.slots * share(class)).max(1.0)
     }
 
     /// A request comes.
-    pub fn offer(&mut self, ticket: Ticket, capacity: Capacity, now: u64) -> Verdict {
-        let ahead = self.waiting.iter().filter(|w| w.ticket.class == ticket.class).count();
-        if ahead == 0 && Gate::is_open(ticket.class, capacity) {
-            self.start(&ticket, now);
+    pub fn offer(&mut self, request: Request, capacity: Capacity, now: u64) -> Verdict {
+        let ahead = self.waiting.iter().filter(|w| w.request.class == request.class).count();
+        if ahead == 0 && Queue::is_open(request.class, capacity) {
+            self.start(&request, now);
             return Verdict::Run;
         }
-        let pace = self.pace.get(&ticket.class).copied().unwrap_or(0.0);
+        let pace = self.pace.get(&request.class).copied().unwrap_or(0.0);
         let expected = (pace * (ahead + 1) as f64) as u64;
-        if now + expected >= ticket.deadline {
+        if now + expected >= request.deadline {
             return Verdict::Refuse { after: expected.max(1) };
         }
-        let last = self.turns.get(&ticket.customer).copied().unwrap_or(0.0);
-        let turn = last.max(self.clock) + 1.0 / f64::from(ticket.weight.max(1));
-        self.turns.insert(ticket.customer.clone(), turn);
-        self.waiting.push(Waiting { ticket, turn });
+        let last = self.turns.get(&request.customer).copied().unwrap_or(0.0);
+        let turn = last.max(self.clock) + 1.0 / f64::from(request.weight.max(1));
+        self.turns.insert(request.customer.clone(), turn);
+        self.waiting.push(Waiting { request, turn });
         Verdict::Wait
     }
 
     /// The next request to dispatch, the most urgent class first and customers by turn.
     pub fn next(&mut self, capacity: Capacity, now: u64) -> Option<u64> {
-        let open = |waiting: &&Waiting| Gate::is_open(waiting.ticket.class, capacity);
-        let key = |waiting: &Waiting| (waiting.ticket.class, waiting.turn);
+        let open = |waiting: &&Waiting| Queue::is_open(waiting.request.class, capacity);
+        let key = |waiting: &Waiting| (waiting.request.class, waiting.turn);
         let best = self
             .waiting
             .iter()
             .filter(open)
             .min_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal));
-        let id = best?.ticket.id;
-        let at = self.waiting.iter().position(|waiting| waiting.ticket.id == id)?;
+        let id = best?.request.id;
+        let at = self.waiting.iter().position(|waiting| waiting.request.id == id)?;
         let taken = self.waiting.remove(at);
         self.clock = self.clock.max(taken.turn);
-        self.start(&taken.ticket, now);
+        self.start(&taken.request, now);
         Some(id)
     }
 
     /// A waiting request left or ran out of time.
     pub fn remove(&mut self, id: u64) {
-        self.waiting.retain(|waiting| waiting.ticket.id != id);
+        self.waiting.retain(|waiting| waiting.request.id != id);
         if self.waiting.is_empty() {
             self.turns.clear();
             self.clock = 0.0;
@@ -125,13 +125,13 @@
         self.waiting.is_empty()
     }
 
-    fn start(&mut self, ticket: &Ticket, now: u64) {
-        let before = self.started.insert(ticket.class, now);
-        let queued = self.waiting.iter().any(|w| w.ticket.class == ticket.class);
+    fn start(&mut self, request: &Request, now: u64) {
+        let before = self.started.insert(request.class, now);
+        let queued = self.waiting.iter().any(|w| w.request.class == request.class);
         // Only starts that had to wait tell how fast the queue moves.
         if let (Some(before), true) = (before, queued) {
             let gap = now.saturating_sub(before) as f64;
-            let pace = self.pace.entry(ticket.class).or_insert(gap);
+            let pace = self.pace.entry(request.class).or_insert(gap);
             *pace += (gap - *pace) * 0.2;
         }
     }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -5,8 +5,8 @@
 //! cannot start before its caller stops waiting is refused at once and told when to come back.
 //! All times are milliseconds of a monotonic clock.
 
-mod gate;
+mod queue;
 mod limit;
 
-pub use gate::{Capacity, Gate, Ticket, Verdict};
-pub use limit::{Limits, Reached};
+pub use queue::{Capacity, Queue, Request, Verdict};
+pub use limit::{Limits, Exceeded};
--- a/crates/admit/src/limit.rs
+++ b/crates/admit/src/limit.rs
@@ -4,7 +4,7 @@
 
 /// Which limit a request ran into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reached {
+pub enum Exceeded {
     /// Too many of this customer.
     Customer,
     /// Too many on this route.
@@ -24,13 +24,13 @@
         &mut self,
         (customer, most_of_customer): (&Arc<str>, u32),
         (route, most_of_route): (&Arc<str>, u32),
-    ) -> Result<(), Reached> {
+    ) -> Result<(), Exceeded> {
         let of = |counts: &HashMap<Arc<str>, u32>, name| counts.get(name).copied().unwrap_or(0);
         if of(&self.customers, customer) >= most_of_customer {
-            return Err(Reached::Customer);
+            return Err(Exceeded::Customer);
         }
         if of(&self.routes, route) >= most_of_route {
-            return Err(Reached::Route);
+            return Err(Exceeded::Route);
         }
         *self.customers.entry(customer.clone()).or_default() += 1;
         *self.routes.entry(route.clone()).or_default() += 1;
@@ -60,8 +60,8 @@
         let mut enter = |most_c, most_r| limits.enter((&customer, most_c), (&route, most_r));
         assert_eq!(enter(2, 9), Ok(()));
         assert_eq!(enter(2, 9), Ok(()));
-        assert_eq!(enter(2, 9), Err(Reached::Customer));
-        assert_eq!(enter(9, 2), Err(Reached::Route));
+        assert_eq!(enter(2, 9), Err(Exceeded::Customer));
+        assert_eq!(enter(9, 2), Err(Exceeded::Route));
         limits.leave(&customer, &route);
         assert_eq!(limits.enter((&customer, 2), (&route, 2)), Ok(()));
     }
--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -2,62 +2,62 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use admit::{Capacity, Gate, Ticket, Verdict};
+use admit::{Capacity, Queue, Request, Verdict};
 use proptest::prelude::*;
 use resource::Class;
 
 const FULL: Capacity = Capacity { load: 100.0, slots: 10.0 };
 const EMPTY: Capacity = Capacity { load: 0.0, slots: 10.0 };
 
-fn ticket(id: u64, class: Class, customer: &str, weight: u32) -> Ticket {
-    Ticket { id, class, customer: customer.into(), weight, deadline: 10_000 }
+fn request(id: u64, class: Class, customer: &str, weight: u32) -> Request {
+    Request { id, class, customer: customer.into(), weight, deadline: 10_000 }
 }
 
 #[test]
 fn long_work_leaves_room_for_the_urgent() {
-    let mut gate = Gate::default();
+    let mut queue = Queue::default();
     let busy = Capacity { load: 8.0, slots: 10.0 };
-    assert_eq!(gate.offer(ticket(1, Class::Long, "a", 1), busy, 0), Verdict::Wait);
-    assert_eq!(gate.offer(ticket(2, Class::Interactive, "a", 1), busy, 0), Verdict::Run);
-    assert_eq!(gate.offer(ticket(3, Class::Streaming, "a", 1), busy, 0), Verdict::Run);
+    assert_eq!(queue.offer(request(1, Class::Long, "a", 1), busy, 0), Verdict::Wait);
+    assert_eq!(queue.offer(request(2, Class::Interactive, "a", 1), busy, 0), Verdict::Run);
+    assert_eq!(queue.offer(request(3, Class::Streaming, "a", 1), busy, 0), Verdict::Run);
 }
 
 #[test]
 fn the_urgent_start_first() {
-    let mut gate = Gate::default();
+    let mut queue = Queue::default();
     for (id, class) in [(1, Class::Long), (2, Class::Streaming), (3, Class::Interactive)] {
-        assert_eq!(gate.offer(ticket(id, class, "a", 1), FULL, 0), Verdict::Wait);
+        assert_eq!(queue.offer(request(id, class, "a", 1), FULL, 0), Verdict::Wait);
     }
-    let order: Vec<u64> = std::iter::from_fn(|| gate.next(EMPTY, 1)).collect();
+    let order: Vec<u64> = std::iter::from_fn(|| queue.next(EMPTY, 1)).collect();
     assert_eq!(order, [3, 2, 1]);
 }
 
 #[test]
 fn what_cannot_start_in_time_is_refused_at_once() {
-    let mut gate = Gate::default();
+    let mut queue = Queue::default();
     for id in 0..4 {
-        gate.offer(ticket(id, Class::Long, "a", 1), FULL, 0);
+        queue.offer(request(id, Class::Long, "a", 1), FULL, 0);
     }
     // The queue moves once in 4 seconds.
     for now in [0, 4_000, 8_000] {
-        gate.next(EMPTY, now);
+        queue.next(EMPTY, now);
     }
-    let late = Ticket { deadline: 9_000, ..ticket(9, Class::Long, "a", 1) };
-    assert!(matches!(gate.offer(late, FULL, 8_100), Verdict::Refuse { after } if after > 1_000));
+    let late = Request { deadline: 9_000, ..request(9, Class::Long, "a", 1) };
+    assert!(matches!(queue.offer(late, FULL, 8_100), Verdict::Refuse { after } if after > 1_000));
 }
 
 proptest! {
     #[test]
     fn customers_share_by_weight(weight in 1u32..6, count in 20u64..60) {
-        let mut gate = Gate::default();
+        let mut queue = Queue::default();
         for id in 0..count {
-            gate.offer(ticket(id * 2, Class::Long, "heavy", weight), FULL, 0);
-            gate.offer(ticket(id * 2 + 1, Class::Long, "light", 1), FULL, 0);
+            queue.offer(request(id * 2, Class::Long, "heavy", weight), FULL, 0);
+            queue.offer(request(id * 2 + 1, Class::Long, "light", 1), FULL, 0);
         }
         let turns = u64::from(weight + 1) * 3;
         let mut got: HashMap<Arc<str>, u64> = HashMap::new();
         for _ in 0..turns.min(count) {
-            let id = gate.next(EMPTY, 1).unwrap();
+            let id = queue.next(EMPTY, 1).unwrap();
             *got.entry(if id % 2 == 0 { "heavy".into() } else { "light".into() }).or_default() += 1;
         }
         let light = got.get("light").copied().unwrap_or(0);
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -6,10 +6,10 @@
 
 use crate::{
     cold::Cold,
-    limit::{Limit, Said},
+    limit::{Limit, LimitSignal},
     pace::Pace,
-    rest::Rest,
-    standing::Departure,
+    back_off::BackOff,
+    availability::Departure,
 };
 
 /// Number of remembered samples of this box's own request count, one per [`SAMPLE_MS`].
@@ -97,11 +97,11 @@
     /// Time that it takes between two events of a stream.
     pub pace: Pace,
     /// Newest rate limit that it signaled; `None` if it never named one.
-    said: Option<Said>,
+    limit_signal: Option<LimitSignal>,
     /// While it names a limit, this box asks for no permit before this time.
     closed_until: u64,
     /// Back-off that it asked this box for.
-    pub rest: Rest,
+    pub back_off: BackOff,
     /// Set once it signaled that it leaves.
     pub departure: Option<Departure>,
 }
@@ -144,30 +144,30 @@
             cold: Cold::default(),
             doubt: Cold::default(),
             pace: Pace::default(),
-            said: None,
+            limit_signal: None,
             closed_until: 0,
-            rest: Rest::default(),
+            back_off: BackOff::default(),
             departure: None,
         }
     }
 
     /// Its newest limit signal, if it ever named a limit.
-    pub fn said(&self) -> Option<Said> {
-        self.said
+    pub fn limit_signal(&self) -> Option<LimitSignal> {
+        self.limit_signal
     }
 
     /// Rate limit over all boxes together, if it names one.
     pub fn limit(&self) -> Option<Limit> {
-        self.said?.limit
+        self.limit_signal?.limit
     }
 
     /// Takes over a limit signal; returns whether the limit changed.
-    pub fn hear(&mut self, said: Said) -> bool {
+    pub fn update_limit(&mut self, limit_signal: LimitSignal) -> bool {
         let before = self.limit();
-        match &self.said {
-            None if said.limit.is_none() => return false,
-            Some(known) if !said.replaces(known) => return false,
-            _ => self.said = Some(said),
+        match &self.limit_signal {
+            None if limit_signal.limit.is_none() => return false,
+            Some(known) if !limit_signal.replaces(known) => return false,
+            _ => self.limit_signal = Some(limit_signal),
         }
         let is_new = self.limit() != before;
         if is_new {
@@ -177,7 +177,7 @@
     }
 
     /// Asks for no permit there for `ms` milliseconds.
-    pub fn close(&mut self, ms: u64, now: u64) {
+    pub fn defer_permits(&mut self, ms: u64, now: u64) {
         self.closed_until = now + ms;
     }
 
@@ -192,13 +192,13 @@
     }
 
     /// Whether it gets no request now, not even one that was already assigned to it.
-    pub fn wants_nothing(&self, now: u64) -> bool {
-        self.has_left(now) || self.rest.left_ms(now) > 0
+    pub fn refuses_requests(&self, now: u64) -> bool {
+        self.has_left(now) || self.back_off.left_ms(now) > 0
     }
 
     /// Milliseconds until its back-off lets this box send a request.
     pub fn rest_wait_ms(&self, now: u64) -> u64 {
-        self.rest.wait_ms(self.unanswered, now)
+        self.back_off.wait_ms(self.unanswered, now)
     }
 
     /// Records a request that was sent to it.
@@ -210,21 +210,21 @@
     }
 
     /// Records a prompt that was sent to it, `size` of which is to be prefilled.
-    pub fn read(&mut self, size: u64) {
+    pub fn start_prefill(&mut self, size: u64) {
         self.unanswered += 1;
         self.unread += size;
     }
 
     /// Ends the prefill of a prompt, because its answer began or its request ended without one.
-    pub fn has_read(&mut self, size: u64) {
+    pub fn finish_prefill(&mut self, size: u64) {
         self.unanswered = self.unanswered.saturating_sub(1);
         self.unread = self.unread.saturating_sub(size);
     }
 
     /// Records a prompt that another box published, or the end of its prefill.
-    pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |told: &Told| told.by == *by && told.number == prompt.number;
-        self.prompts.retain(|told| !same(told) && told.at + PROMPT_MOST_MS > now);
+    pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
+        let same = |receive_prompt: &Told| receive_prompt.by == *by && receive_prompt.number == prompt.number;
+        self.prompts.retain(|receive_prompt| !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now);
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
             self.prompts.push(Told { by, number, size, at: now });
@@ -241,10 +241,10 @@
             let age = now.saturating_sub(report.at) as f64;
             waiting * (-age / BACKLOG_MS).exp()
         });
-        let told = self.prompts.iter().filter(|told| told.at + PROMPT_MOST_MS > now);
-        let told: u64 = told.map(|told| told.size).sum();
+        let receive_prompt = self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
+        let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
         // Published prompts may be the ones in the reported queue, so they are not added up.
-        self.unread as f64 + (waiting * typical).max(told as f64)
+        self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
     }
 
     /// Records the end of a request.
@@ -313,8 +313,8 @@
 
     /// Estimated number of requests at the endpoint now, over all boxes.
     pub fn load(&self, now: u64) -> f64 {
-        let told: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
-        let known = f64::from(self.in_flight) + f64::from(told);
+        let receive_prompt: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
+        let known = f64::from(self.in_flight) + f64::from(receive_prompt);
         let fresh = self.report.filter(|report| report.at + REPORT_MOST_MS > now);
         let Some(report) = fresh else { return known };
         let reported = f64::from(report.running + report.waiting);
--- a/crates/balance/src/limit.rs
+++ b/crates/balance/src/limit.rs
@@ -37,23 +37,23 @@
 
 /// A limit that an endpoint signaled, with times of one box's clock in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Said {
+pub struct LimitSignal {
     /// Rate limit; `None` if the endpoint named none.
     pub limit: Option<Limit>,
     /// When the request was sent whose answer carried the signal.
-    pub asked: u64,
+    pub sent_at: u64,
     /// When that answer came.
-    pub heard: u64,
+    pub answered_at: u64,
 }
 
-impl Said {
+impl LimitSignal {
     /// Whether this replaces the signal that is known.
-    pub fn replaces(&self, known: &Said) -> bool {
+    pub fn replaces(&self, known: &LimitSignal) -> bool {
         let is_stricter = match (self.limit, known.limit) {
             (Some(limit), Some(known)) => limit < known,
             (limit, None) => limit.is_some(),
             (None, Some(_)) => false,
         };
-        self.asked >= known.heard || (is_stricter && self.asked >= known.asked)
+        self.sent_at >= known.answered_at || (is_stricter && self.sent_at >= known.sent_at)
     }
 }
--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Pool;
-use crate::{Endpoint, Prefix, Standing};
+use crate::{Endpoint, Prefix, Availability};
 
 /// Weights of the cost by which endpoints are compared.
 #[derive(Debug, Clone, Copy)]
@@ -16,34 +16,34 @@
     pub size_per_request: f64,
     /// Weight of the prefill of the new prompt, relative to prompts that are to be prefilled before
     /// it: it also delays all other requests and evicts cached prompts.
-    pub reading: f64,
+    pub prefill: f64,
     /// Weight of a request in flight, relative to prompts that are to be prefilled.
-    pub under_way: f64,
+    pub in_flight: f64,
     /// Cost of another availability zone, in requests in flight.
     pub other_zone: f64,
     /// Multiple of the pool's mean load above which a cached prompt no longer counts.
     pub bounded_load: f64,
     /// Number of endpoints that are drawn at random for comparison.
-    pub draws: usize,
+    pub random_candidates: usize,
     /// Number of endpoints that are compared because the shared part of the prompt maps to them by
     /// hash on every box. The first of them, the owner, counts as holding the shared part if no
     /// holder is known: other boxes sent it there as well.
-    pub homes: usize,
+    pub prefix_owners: usize,
     /// Minimum size of a shared part whose owners must not be slow endpoints.
-    pub large: u64,
+    pub large_prefix: u64,
 }
 
 impl Default for Weights {
     fn default() -> Weights {
         Weights {
             size_per_request: 1_024.0,
-            reading: 1.0,
-            under_way: 1.0,
+            prefill: 1.0,
+            in_flight: 1.0,
             other_zone: 1.0,
             bounded_load: 1.5,
-            draws: 2,
-            homes: 0,
-            large: u64::MAX,
+            random_candidates: 2,
+            prefix_owners: 0,
+            large_prefix: u64::MAX,
         }
     }
 }
@@ -60,7 +60,7 @@
 
 /// Which endpoints are considered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum Candidates {
     /// All that take work.
     All,
     /// Only those that name no limit, and so need no permit.
@@ -70,7 +70,7 @@
 impl Pool {
     /// Chooses an endpoint for a prompt, skipping those in `tried`.
     ///
-    /// Only endpoints that [`Pool::standing`] reports as available are considered. One that was
+    /// Only endpoints that [`Pool::availability`] reports as available are considered. One that was
     /// silent is treated as cold, unless at least half of the pool was silent. One that was ejected
     /// is chosen only for its probe, or if at least half of the pool is ejected: then the failures
     /// are more likely the box's own.
@@ -81,13 +81,13 @@
         now: u64,
         random: &mut impl Rng,
     ) -> Option<Choice> {
-        self.choose_from(Offer::All, prefix, tried, now, random)
+        self.choose_from(Candidates::All, prefix, tried, now, random)
     }
 
     /// Like [`Pool::choose`], among all endpoints or some of them.
     pub fn choose_from(
         &self,
-        offer: Offer,
+        offer: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
         now: u64,
@@ -100,7 +100,7 @@
         let aside = |e: &&&Endpoint| e.is_ejected(now) || e.is_probed(now);
         let most_aside = offered.iter().filter(aside).count() * 2 >= offered.len().max(1);
         let usable = offered.iter().filter(|e| most_aside || !aside(e)).copied();
-        let mut candidates = usable.clone().choose_multiple(random, self.weights.draws);
+        let mut candidates = usable.clone().choose_multiple(random, self.weights.random_candidates);
         // The draw keeps the order of the pool, which would decide every tie.
         candidates.shuffle(random);
         let mean = usable.clone().map(|e| e.load(now)).sum::<f64>() / usable.clone().count() as f64;
@@ -108,10 +108,10 @@
         for name in self.prefixes.best(prefix, 2) {
             candidates.extend(usable.clone().find(|e| e.name == name && e.load(now) <= bound));
         }
-        let homes = self.homes(usable, prefix);
-        candidates.extend(homes.iter().filter(|e| e.load(now) <= bound));
+        let prefix_owners = self.prefix_owners(usable, prefix);
+        candidates.extend(prefix_owners.iter().filter(|e| e.load(now) <= bound));
         let judged = candidates.into_iter().map(|endpoint| {
-            let home = homes.first().is_some_and(|home| home.name == endpoint.name);
+            let home = prefix_owners.first().is_some_and(|home| home.name == endpoint.name);
             let unknown = |(hash, _): &(u64, u64)| home && !self.prefixes.is_known(*hash);
             let shared = prefix.shared().filter(unknown).map_or(0, |(_, size)| size);
             self.judge(endpoint, prefix, shared, now)
@@ -121,42 +121,42 @@
 
     /// Endpoints that may get a request of this box now, without those in `tried`. If there are
     /// none, those that signaled recently that they leave.
-    fn offered(&self, tried: &[Arc<str>], offer: Offer, now: u64) -> Vec<&Endpoint> {
+    fn offered(&self, tried: &[Arc<str>], offer: Candidates, now: u64) -> Vec<&Endpoint> {
         let staying = self.staying().count();
         let doubted = self.staying().filter(|e| e.doubt.holds(now)).count();
         let spares = self.allowance.is_some() && doubted * 2 < staying.max(1);
-        let takes = |wanted: Standing| {
+        let takes = |wanted: Availability| {
             let fits = move |e: &&Endpoint| {
                 let may_be_cold = spares && e.doubt.wait_ms(now) > 0;
-                let is_limited = offer == Offer::Unlimited && e.limit().is_some();
-                !may_be_cold && !is_limited && self.standing(e, now) == wanted
+                let is_limited = offer == Candidates::Unlimited && e.limit().is_some();
+                !may_be_cold && !is_limited && self.availability(e, now) == wanted
             };
             self.endpoints.iter().filter(fits).filter(|e| !tried.contains(&e.name)).collect()
         };
-        let open: Vec<&Endpoint> = takes(Standing::Open);
+        let open: Vec<&Endpoint> = takes(Availability::Open);
         match open.is_empty() {
-            true => takes(Standing::LastResort),
+            true => takes(Availability::LastResort),
             false => open,
         }
     }
 
     /// Endpoints that the shared part of a prompt maps to by hash, the owner first. For large
     /// shared parts, slow endpoints come last.
-    fn homes<'a>(
+    fn prefix_owners<'a>(
         &self,
         usable: impl Iterator<Item = &'a Endpoint>,
         prefix: &Prefix,
     ) -> Vec<&'a Endpoint> {
-        let Some((hash, size)) = prefix.shared().filter(|_| self.weights.homes > 0) else {
+        let Some((hash, size)) = prefix.shared().filter(|_| self.weights.prefix_owners > 0) else {
             return Vec::new();
         };
-        let large = size >= self.weights.large;
+        let large_prefix = size >= self.weights.large_prefix;
         let rank = |e: &Endpoint| {
-            (large && self.speed.is_slow(e), Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)))
+            (large_prefix && self.speed.is_slow(e), Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)))
         };
-        let mut homes: Vec<_> = usable.map(|e| (rank(e), e)).collect();
-        homes.sort_unstable_by_key(|(rank, _)| *rank);
-        homes.into_iter().take(self.weights.homes).map(|(_, endpoint)| endpoint).collect()
+        let mut prefix_owners: Vec<_> = usable.map(|e| (rank(e), e)).collect();
+        prefix_owners.sort_unstable_by_key(|(rank, _)| *rank);
+        prefix_owners.into_iter().take(self.weights.prefix_owners).map(|(_, endpoint)| endpoint).collect()
     }
 
     /// Cost of sending a prompt to an endpoint that is assumed to hold at least `assumed` of it.
@@ -166,8 +166,8 @@
         let missing = prefix.size().saturating_sub(held);
         let away = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
         let backlog = endpoint.backlog(self.typical, now);
-        let cost = (load + 1.0) * self.weights.under_way * endpoint.slow_start(now)
-            + (missing as f64 * self.weights.reading + backlog) / self.weights.size_per_request
+        let cost = (load + 1.0) * self.weights.in_flight * endpoint.slow_start(now)
+            + (missing as f64 * self.weights.prefill + backlog) / self.weights.size_per_request
             + away;
         (cost, Choice { name: endpoint.name.clone(), held, load })
     }
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -4,12 +4,12 @@
 mod choose;
 mod wait;
 
-pub use choose::{Choice, Offer, Weights};
+pub use choose::{Choice, Candidates, Weights};
 
 use std::{collections::HashMap, sync::Arc};
 
 use crate::{
-    Allowance, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report, Rest,
+    Allowance, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report, BackOff,
     Snapshot, speed::Speed,
 };
 
@@ -31,7 +31,7 @@
     last_told: u64,
     /// Back-offs of endpoints that are not listed now: an entry that expired may come back within
     /// seconds.
-    rests: HashMap<Arc<str>, Rest>,
+    rests: HashMap<Arc<str>, BackOff>,
 }
 
 /// Smoothing factor of the average prompt size; about the last twenty prompts count.
@@ -71,17 +71,17 @@
             let endpoint = match at {
                 Some(at) => known.swap_remove(at),
                 None => {
-                    let rest = self.rests.remove(&name).unwrap_or_default();
+                    let back_off = self.rests.remove(&name).unwrap_or_default();
                     let mut endpoint = Endpoint::new(name, zone, now, warm);
-                    endpoint.rest = rest;
+                    endpoint.back_off = back_off;
                     endpoint
                 }
             };
             self.endpoints.push(endpoint);
         }
-        self.rests.retain(|_, rest| rest.left_ms(now) > 0);
-        let resting = known.into_iter().filter(|endpoint| endpoint.rest.left_ms(now) > 0);
-        self.rests.extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.rest)));
+        self.rests.retain(|_, back_off| back_off.left_ms(now) > 0);
+        let resting = known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
+        self.rests.extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
         if self.rests.len() > MOST_RESTS {
             self.rests.clear();
         }
@@ -146,7 +146,7 @@
     }
 
     /// Marks an endpoint cold for `lasts_ms`, or for the default time if it did not report one.
-    pub fn chill(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
+    pub fn mark_cold(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
         let lasts_ms =
             lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
         let every = every_ms(self.allowance, &self.fleet, name);
@@ -165,10 +165,10 @@
     }
 
     /// Starts or extends an endpoint's back-off; returns whether it ends later than before.
-    pub fn rest(&mut self, name: &str, ms: u64, now: u64) -> bool {
+    pub fn back_off(&mut self, name: &str, ms: u64, now: u64) -> bool {
         let Some(endpoint) = self.get_mut(name) else { return false };
         let unanswered = endpoint.unanswered();
-        endpoint.rest.ask(ms, unanswered, now)
+        endpoint.back_off.ask(ms, unanswered, now)
     }
 
     /// Number of cold endpoints.
@@ -191,28 +191,28 @@
 
     /// Records the prefill of a prompt of which the endpoint holds `held`; returns the size to
     /// prefill.
-    pub fn read(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
+    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
         let missing = prefix.size().saturating_sub(held);
         self.typical += (missing as f64 - self.typical) * TYPICAL_GAIN;
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.read(missing);
+            endpoint.start_prefill(missing);
         }
         missing
     }
 
     /// Records a prompt that another box published, or the end of its prefill.
-    pub fn told(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
+    pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
         let Some(endpoint) = self.get_mut(&prompt.endpoint) else { return };
-        endpoint.told(by, prompt, now);
+        endpoint.receive_prompt(by, prompt, now);
         for block in prompt.blocks.iter() {
             self.prefixes.add(*block, &prompt.endpoint);
         }
     }
 
     /// Ends the prefill of a prompt, because its answer began or its request ended without one.
-    pub fn has_read(&mut self, name: &str, missing: u64) {
+    pub fn finish_prefill(&mut self, name: &str, missing: u64) {
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.has_read(missing);
+            endpoint.finish_prefill(missing);
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Records the gap between two events of an endpoint's stream.
-    pub fn paced(&mut self, name: &str, gap_ms: f64) {
+    pub fn record_gap(&mut self, name: &str, gap_ms: f64) {
         if gap_ms < SHORTEST_MS {
             return;
         }
@@ -245,9 +245,9 @@
     }
 
     /// Takes over the requests that a peer has in flight.
-    pub fn peer(&mut self, peer: &Arc<str>, told: &[Snapshot], now: u64) {
+    pub fn peer(&mut self, peer: &Arc<str>, receive_prompt: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
-            let count = told.iter().find(|snapshot| snapshot.name == endpoint.name);
+            let count = receive_prompt.iter().find(|snapshot| snapshot.name == endpoint.name);
             endpoint.peer(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
         }
     }
--- a/crates/balance/src/pool/wait.rs
+++ b/crates/balance/src/pool/wait.rs
@@ -1,7 +1,7 @@
 //! Availability of endpoints, and when a request that no endpoint took should be retried.
 
 use super::Pool;
-use crate::{Endpoint, Limit, Standing};
+use crate::{Endpoint, Limit, Availability};
 
 /// Longest delay in milliseconds that is added to space retries: callers wait a few times as long
 /// for a model's answer.
@@ -20,11 +20,11 @@
     /// Milliseconds until the first endpoint becomes available, 0 if one is now; `None` if there is
     /// none that stays.
     pub fn next_offer_ms(&self, now: u64) -> Option<u64> {
-        let offered = self.staying().map(|endpoint| self.standing(endpoint, now));
-        let waits = offered.filter_map(|standing| match standing {
-            Standing::Open => Some(0),
-            Standing::Waits { ms } => Some(ms),
-            Standing::LastResort | Standing::Leaving => None,
+        let offered = self.staying().map(|endpoint| self.availability(endpoint, now));
+        let waits = offered.filter_map(|availability| match availability {
+            Availability::Open => Some(0),
+            Availability::Waits { ms } => Some(ms),
+            Availability::LastResort | Availability::Leaving => None,
         });
         waits.min()
     }
@@ -35,13 +35,13 @@
     }
 
     /// Whether an endpoint may get a request of this box now.
-    pub fn standing(&self, endpoint: &Endpoint, now: u64) -> Standing {
+    pub fn availability(&self, endpoint: &Endpoint, now: u64) -> Availability {
         let cold = self.allowance.map_or(0, |_| endpoint.cold.wait_ms(now));
         match cold.max(endpoint.turn_wait_ms(now)).max(endpoint.rest_wait_ms(now)) {
-            _ if endpoint.has_left(now) => Standing::Leaving,
-            0 if endpoint.departure.is_some() => Standing::LastResort,
-            0 => Standing::Open,
-            ms => Standing::Waits { ms },
+            _ if endpoint.has_left(now) => Availability::Leaving,
+            0 if endpoint.departure.is_some() => Availability::LastResort,
+            0 => Availability::Open,
+            ms => Availability::Waits { ms },
         }
     }
 
@@ -52,9 +52,9 @@
     /// that callers do not return together. During back-offs, retries are spread over at least
     /// twice the time over which the requests arrived, so that there is room for new ones too, and
     /// urgent requests come first.
-    pub fn return_ms(&mut self, rank: u8, now: u64) -> Option<u64> {
+    pub fn retry_after_ms(&mut self, rank: u8, now: u64) -> Option<u64> {
         let wait = self.next_offer_ms(now)?;
-        let kept_back = self.staying().filter_map(|endpoint| endpoint.rest.keeps_back_since(now));
+        let kept_back = self.staying().filter_map(|endpoint| endpoint.back_off.keeps_back_since(now));
         if let Some(since) = kept_back.max().filter(|_| wait > 0) {
             let place = SOONEST + f64::from(rank.min(RANKS)) / f64::from(RANKS);
             let later = now.saturating_sub(since) as f64 * place;
@@ -70,8 +70,8 @@
     }
 
     /// Whether an endpoint other than this one takes a request of this box now.
-    pub fn has_other(&self, name: &str, now: u64) -> bool {
+    pub fn has_alternative(&self, name: &str, now: u64) -> bool {
         let mut others = self.staying().filter(|endpoint| &*endpoint.name != name);
-        others.any(|endpoint| self.standing(endpoint, now) == Standing::Open)
+        others.any(|endpoint| self.availability(endpoint, now) == Availability::Open)
     }
 }
--- a/crates/balance/src/rest.rs
+++ b/crates/balance/src/rest.rs
@@ -20,7 +20,7 @@
 
 /// Back-off of one endpoint towards one box, in milliseconds of the box's clock.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Rest {
+pub struct BackOff {
     /// Start of the back-off.
     since: u64,
     /// End of the back-off.
@@ -33,7 +33,7 @@
     taken: u32,
 }
 
-impl Rest {
+impl BackOff {
     /// Starts or extends the back-off by `ms` from now, with `unanswered` requests of this box at
     /// the endpoint. Returns whether it ends later than before.
     pub fn ask(&mut self, ms: u64, unanswered: u32, now: u64) -> bool {
@@ -44,7 +44,7 @@
         // Consecutive rejections belong to one back-off.
         let goes_on = now < self.until;
         let before = if goes_on { self.before.max(unanswered) } else { unanswered };
-        *self = Rest {
+        *self = BackOff {
             since: if goes_on { self.since } else { now },
             until,
             before,
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Grows the window for an accepted request that was sent at `asked`.
-    pub fn took(&mut self, asked: u64) {
-        let Some(window) = self.window.filter(|_| asked >= self.until) else { return };
+    /// Grows the window for an accepted request that was sent at `sent_at`.
+    pub fn request_accepted(&mut self, sent_at: u64) {
+        let Some(window) = self.window.filter(|_| sent_at >= self.until) else { return };
         self.taken += 1;
         if window < self.before * FAST || self.taken >= window {
             self.taken = 0;
--- a/crates/balance/src/standing.rs
+++ b/crates/balance/src/standing.rs
@@ -22,14 +22,14 @@
     }
 
     /// The endpoint signaled it some time ago, so it gets no requests any more.
-    pub fn before(now: u64) -> Departure {
+    pub fn elapsed(now: u64) -> Departure {
         Departure { since: now, until: now }
     }
 }
 
 /// Availability of an endpoint to this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// It may get requests now.
     Open,
     /// It may get requests after `ms` milliseconds: it is cold, it asked for a back-off, or this
--- a/crates/balance/src/turns.rs
+++ b/crates/balance/src/turns.rs
@@ -27,7 +27,7 @@
 
 /// Issuer's state for one endpoint, in milliseconds of the issuer's clock.
 #[derive(Debug, Clone)]
-pub struct Turns {
+pub struct Permits {
     saved: f64,
     /// When `saved` was updated last.
     at: u64,
@@ -39,28 +39,28 @@
 
 /// Answer to a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum Permit {
     /// A request may be sent at once.
     Given,
     /// None is left; ask again after `ms` milliseconds.
     After { ms: u64 },
 }
 
-impl Turns {
+impl Permits {
     /// No permits are saved up at first, because another box may have issued some a moment ago.
-    pub fn open(now: u64) -> Turns {
-        Turns { saved: 0.0, at: now, given: now, last_told: now }
+    pub fn open(now: u64) -> Permits {
+        Permits { saved: 0.0, at: now, given: now, last_told: now }
     }
 
     /// Asks for a permit at an endpoint with a limit of `per_s` requests per second.
-    pub fn take(&mut self, per_s: f64, now: u64) -> Turn {
+    pub fn take(&mut self, per_s: f64, now: u64) -> Permit {
         let passed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
         self.saved = (self.saved + passed_s * per_s).min(1.0 + SAVED_S * per_s);
         self.at = now;
         if self.saved >= 1.0 || now >= self.given + ASK_AGAIN {
             self.saved = (self.saved - 1.0).max(0.0);
             self.given = now;
-            return Turn::Given;
+            return Permit::Given;
         }
         // When the next permit is saved up, or the endpoint is due for a request in any case. With
         // a limit of zero, nothing is ever saved up.
@@ -68,6 +68,6 @@
         let next = (now + saved_up).min(self.given + ASK_AGAIN);
         let apart = (APART * 1_000.0 / per_s).min(MOST_AFTER as f64) as u64;
         self.last_told = (self.last_told + apart).clamp(next, now + MOST_AFTER);
-        Turn::After { ms: self.last_told - now }
+        Permit::After { ms: self.last_told - now }
     }
 }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -105,14 +105,14 @@
 #[test]
 fn an_engine_with_a_long_prompt_to_read_is_avoided() {
     let weights =
-        Weights { size_per_request: 2_000.0, under_way: 0.05, draws: 9, ..Weights::default() };
+        Weights { size_per_request: 2_000.0, in_flight: 0.05, random_candidates: 9, ..Weights::default() };
     let mut pool = Pool::new("z1".into(), weights);
     pool.update(["e1", "e2"].map(|name| (name.into(), "z1".into())), 0);
     let long = Prefix::of_parts([(1, 30_000)]);
     let short = Prefix::of_parts([(2, 500)]);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     pool.start(&"e1".into(), &long, 0);
-    let unread = pool.read("e1", &long, 0);
+    let unread = pool.start_prefill("e1", &long, 0);
     // Many answers in flight cost less than one long prompt.
     for _ in 0..8 {
         pool.start(&"e2".into(), &Prefix::default(), 0);
@@ -120,7 +120,7 @@
     let mut choose =
         |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("an endpoint").name;
     assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to prefill");
-    pool.has_read("e1", unread);
+    pool.finish_prefill("e1", unread);
     assert!(
         (0..20).all(|_| &*choose(&pool) == "e1"),
         "the prefill is done, and fewer requests are in flight there"
@@ -134,32 +134,32 @@
 #[test]
 fn a_shared_part_has_the_same_home_on_every_box() {
     let weights =
-        Weights { size_per_request: 2_000.0, under_way: 0.05, homes: 1, ..Weights::default() };
+        Weights { size_per_request: 2_000.0, in_flight: 0.05, prefix_owners: 1, ..Weights::default() };
     let names: Vec<String> = (0..9).map(|n| format!("e{n}")).collect();
     let pools = [1, 2].map(|seed| {
         let mut pool = Pool::new("z1".into(), weights);
         pool.update(names.iter().map(|name| ((&**name).into(), "z1".into())), 0);
         (pool, ChaCha8Rng::seed_from_u64(seed))
     });
-    let mut homes = std::collections::HashSet::new();
+    let mut prefix_owners = std::collections::HashSet::new();
     let [(one, mut first), (two, mut second)] = pools;
     for part in 0..40 {
         let of = |own| Prefix::of_parts([(7, 2_000), (100 + part, 4_000), (own, 900)]);
         let here = one.choose(&of(1), &[], 0, &mut first).expect("an endpoint").name;
         let there = two.choose(&of(2), &[], 0, &mut second).expect("an endpoint").name;
         assert_eq!(here, there, "part {part}");
-        homes.insert(here);
+        prefix_owners.insert(here);
     }
-    assert!(homes.len() >= 7, "the shared parts are spread: {homes:?}");
+    assert!(prefix_owners.len() >= 7, "the shared parts are spread: {prefix_owners:?}");
 }
 
 /// A pool of two idle engines.
 fn engines() -> Pool {
     let weights = Weights {
         size_per_request: 2_000.0,
-        under_way: 0.05,
-        reading: 2.0,
-        draws: 9,
+        in_flight: 0.05,
+        prefill: 2.0,
+        random_candidates: 9,
         ..Weights::default()
     };
     let mut pool = Pool::new("z1".into(), weights);
@@ -182,7 +182,7 @@
     };
     assert_eq!(chosen(&pool, 10), 2, "both are equal");
     let e1 = |pool: &mut Pool, prompt, now| {
-        pool.get_mut("e1").expect("in the pool").told(&by, &prompt, now);
+        pool.get_mut("e1").expect("in the pool").receive_prompt(&by, &prompt, now);
     };
     e1(&mut pool, prompt(1, 30_000), 10);
     assert_eq!(chosen(&pool, 10), 1, "e1 has a long prompt of another box to prefill");
@@ -207,7 +207,7 @@
     assert_eq!(&*chosen(&pool), "e1", "it caches the shared part");
     let waits = |pool: &mut Pool, size| {
         let prompt = Prompt { endpoint: "e1".into(), number: 1, size, blocks: Arc::default() };
-        pool.get_mut("e1").expect("in the pool").told(&"box-2".into(), &prompt, 0);
+        pool.get_mut("e1").expect("in the pool").receive_prompt(&"box-2".into(), &prompt, 0);
     };
     waits(&mut pool, 9_000);
     assert_eq!(&*chosen(&pool), "e1", "waiting is cheaper than another prefill of 6,000");
@@ -216,16 +216,16 @@
 }
 
 /// A pool of engines, some of which take `slow_ms` instead of 20 ms between events.
-fn paced(slow: &[&str], slow_ms: f64) -> Pool {
-    let weights = Weights { homes: 1, large: 2_000, draws: 4, ..Weights::default() };
+fn record_gap(slow: &[&str], slow_ms: f64) -> Pool {
+    let weights = Weights { prefix_owners: 1, large_prefix: 2_000, random_candidates: 4, ..Weights::default() };
     let mut pool = Pool::new("z1".into(), weights);
     let names: Vec<Arc<str>> = (0..9).map(|i| format!("e{i}").into()).collect();
     pool.update(names.iter().map(|name| (name.clone(), Arc::from("z1"))), 0);
     for _ in 0..100 {
         for name in &names {
-            pool.paced(name, if slow.contains(&&**name) { slow_ms } else { 20.0 });
+            pool.record_gap(name, if slow.contains(&&**name) { slow_ms } else { 20.0 });
             // Events delivered together are ignored.
-            pool.paced(name, 0.1);
+            pool.record_gap(name, 0.1);
         }
     }
     pool
@@ -235,7 +235,7 @@
 fn large_shared_parts_are_at_home_at_engines_that_are_not_slow() {
     let cases = [(6_000, 27.0, 0), (6_000, 22.0, 1), (200, 27.0, 1)];
     for (shared, slow_ms, least) in cases {
-        let pool = paced(&["e1", "e4", "e7"], slow_ms);
+        let pool = record_gap(&["e1", "e4", "e7"], slow_ms);
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
             let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
@@ -248,16 +248,16 @@
 
 #[test]
 fn a_prompt_goes_to_the_engine_where_another_box_sent_its_shared_part() {
-    let mut pool = paced(&[], 20.0);
+    let mut pool = record_gap(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
     let home = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
     assert_eq!(home.held, 6_000, "nothing is known: its owner counts as holding it");
     let other: Arc<str> = if &*home.name == "e0" { "e1".into() } else { "e0".into() };
     let mut prompt =
         Prompt { endpoint: other.clone(), number: 1, size: 6_100, blocks: prefix.hashes() };
-    pool.told(&"box-2".into(), &prompt, 0);
+    pool.receive_prompt(&"box-2".into(), &prompt, 0);
     (prompt.size, prompt.blocks) = (0, Arc::default());
-    pool.told(&"box-2".into(), &prompt, 200);
+    pool.receive_prompt(&"box-2".into(), &prompt, 200);
     let again = Prefix::of_parts([(1, 6_000), (3, 100)]);
     let choice = pool.choose(&again, &[], 300, &mut random()).expect("an endpoint");
     assert_eq!((choice.name, choice.held), (other, 6_000));
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -16,7 +16,7 @@
 const TOO_MANY: usize = 17;
 
 fn weights() -> Weights {
-    Weights { draws: 4, homes: 2, under_way: 0.05, size_per_request: 2_000.0, ..Weights::default() }
+    Weights { random_candidates: 4, prefix_owners: 2, in_flight: 0.05, size_per_request: 2_000.0, ..Weights::default() }
 }
 
 fn name(n: usize) -> Arc<str> {
@@ -60,9 +60,9 @@
 ) -> (BTreeMap<Arc<str>, Vec<u64>>, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let (mut arrived, mut refused) = (BTreeMap::<Arc<str>, Vec<u64>>::new(), 0);
-    let mut under_way: Vec<(u64, usize, Arc<str>)> = Vec::new();
+    let mut in_flight: Vec<(u64, usize, Arc<str>)> = Vec::new();
     for now in 1_000..1_000 + ms {
-        under_way.retain(|(until, at, name)| {
+        in_flight.retain(|(until, at, name)| {
             if *until <= now {
                 pools[*at].end(name, None, now);
             }
@@ -78,7 +78,7 @@
                 continue;
             };
             pools[at].start(&choice.name, &prefix, now);
-            under_way.push((now + 300, at, choice.name.clone()));
+            in_flight.push((now + 300, at, choice.name.clone()));
             // Usually up to a millisecond, longer if the link is busy.
             let arrives = now + random.random_range(0..30);
             if cold(&choice.name) {
@@ -97,7 +97,7 @@
         let zone = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
         for pool in &mut pools {
             for n in (0..engines).filter(|n| n % 4 == 1) {
-                pool.chill(&format!("i-{n}"), Some(3_000), 1_000);
+                pool.mark_cold(&format!("i-{n}"), Some(3_000), 1_000);
             }
         }
         let (arrived, refused) = play(&mut pools, per_s, 2_900, zone);
@@ -118,7 +118,7 @@
             if n % 4 != 1 {
                 let busy = Prefix::of_parts([(9_999, 20_000)]);
                 pool.start(&name, &busy, 0);
-                pool.read(&name, &busy, 0);
+                pool.start_prefill(&name, &busy, 0);
             }
         }
     }
@@ -132,7 +132,7 @@
 fn where_all_are_cold_boxes_refuse_what_they_do_not_bear() {
     let mut pools = pools(75, 8);
     for pool in &mut pools {
-        (0..8).for_each(|n| pool.chill(&format!("i-{n}"), Some(3_000), 1_000));
+        (0..8).for_each(|n| pool.mark_cold(&format!("i-{n}"), Some(3_000), 1_000));
     }
     let (arrived, refused) = play(&mut pools, 565, 2_900, |_| true);
     assert!(most_in_a_second(&arrived) < TOO_MANY);
@@ -177,7 +177,7 @@
     let mut pool = Pool::new("z0".into(), weights());
     pool.update([("i-0".into(), "z0".into())], 0);
     pool.set_allowance(Some(ALLOWANCE), 0);
-    pool.chill("i-0", Some(500), 100);
+    pool.mark_cold("i-0", Some(500), 100);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     assert!(pool.choose(&Prefix::default(), &[], 200, &mut random).is_none());
     assert!(pool.choose(&Prefix::default(), &[], 600, &mut random).is_some(), "it is warm");
@@ -202,7 +202,7 @@
 fn what_is_known_of_an_endpoint_before_the_operator_says_what_it_bears_holds() {
     let mut pool = Pool::new("z0".into(), weights());
     pool.update([("i-0".into(), "z0".into())], 0);
-    pool.chill("i-0", Some(3_000), 100);
+    pool.mark_cold("i-0", Some(3_000), 100);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     assert!(pool.choose(&Prefix::default(), &[], 200, &mut random).is_some(), "no rate is known");
     pool.set_allowance(Some(ALLOWANCE), 300);
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -3,12 +3,12 @@
 
 use std::sync::Arc;
 
-use balance::{Endpoint, Fleet, Limit, Offer, Pool, Prefix, Said, Turn, Turns, Weights};
+use balance::{Endpoint, Fleet, Limit, Candidates, Pool, Prefix, LimitSignal, Permit, Permits, Weights};
 use proptest::prelude::*;
 use rand::{SeedableRng, rngs::SmallRng};
 
-fn said(per_s: Option<f64>, asked: u64, heard: u64) -> Said {
-    Said { limit: per_s.map(Limit::per_s), asked, heard }
+fn limit_signal(per_s: Option<f64>, sent_at: u64, answered_at: u64) -> LimitSignal {
+    LimitSignal { limit: per_s.map(Limit::per_s), sent_at, answered_at }
 }
 
 fn endpoint() -> Endpoint {
@@ -19,46 +19,46 @@
 fn an_older_word_never_takes_the_place_of_a_later_one() {
     let (none, one, two) = (None, Some(1.0), Some(2.0));
     // Signals in order of arrival, and the limit that is in effect after them.
-    let cases: [(&str, Vec<Said>, Option<f64>); 10] = [
-        ("no limit", vec![said(none, 0, 9)], none),
-        ("a limit", vec![said(none, 0, 9), said(two, 10, 20)], two),
+    let cases: [(&str, Vec<LimitSignal>, Option<f64>); 10] = [
+        ("no limit", vec![limit_signal(none, 0, 9)], none),
+        ("a limit", vec![limit_signal(none, 0, 9), limit_signal(two, 10, 20)], two),
         (
             "a limit, then a late answer to a request sent before it",
-            vec![said(two, 10, 20), said(none, 5, 30)],
+            vec![limit_signal(two, 10, 20), limit_signal(none, 5, 30)],
             two,
         ),
         (
             "a limit, then an answer to a request sent before the limit was received",
-            vec![said(two, 10, 20), said(none, 15, 30)],
+            vec![limit_signal(two, 10, 20), limit_signal(none, 15, 30)],
             two,
         ),
-        ("a limit, then none", vec![said(two, 10, 20), said(none, 20, 30)], none),
-        ("a higher limit", vec![said(one, 10, 20), said(two, 20, 30)], two),
+        ("a limit, then none", vec![limit_signal(two, 10, 20), limit_signal(none, 20, 30)], none),
+        ("a higher limit", vec![limit_signal(one, 10, 20), limit_signal(two, 20, 30)], two),
         (
             "a higher limit, then the older one late",
-            vec![said(one, 0, 10), said(two, 20, 30), said(one, 15, 40)],
+            vec![limit_signal(one, 0, 10), limit_signal(two, 20, 30), limit_signal(one, 15, 40)],
             two,
         ),
         (
             "a lower limit while an answer is in flight",
-            vec![said(two, 10, 20), said(one, 15, 25)],
+            vec![limit_signal(two, 10, 20), limit_signal(one, 15, 25)],
             one,
         ),
         (
             "no limit any more, then the older one late",
-            vec![said(one, 0, 10), said(none, 20, 30), said(one, 5, 40)],
+            vec![limit_signal(one, 0, 10), limit_signal(none, 20, 30), limit_signal(one, 5, 40)],
             none,
         ),
         (
             "a limit, none, and a limit again",
-            vec![said(one, 0, 10), said(none, 20, 30), said(two, 31, 40)],
+            vec![limit_signal(one, 0, 10), limit_signal(none, 20, 30), limit_signal(two, 31, 40)],
             two,
         ),
     ];
-    for (what, heard, holds) in cases {
+    for (what, answered_at, holds) in cases {
         let mut endpoint = endpoint();
-        for word in heard {
-            endpoint.hear(word);
+        for word in answered_at {
+            endpoint.update_limit(word);
         }
         assert_eq!(endpoint.limit().map(Limit::as_per_s), holds, "{what}");
     }
@@ -73,9 +73,9 @@
     ) {
         let mut endpoint = endpoint();
         for (per_s, a, b) in words {
-            endpoint.hear(said(per_s.map(f64::from), a.min(b), a.max(b)));
+            endpoint.update_limit(limit_signal(per_s.map(f64::from), a.min(b), a.max(b)));
         }
-        endpoint.hear(said(last.map(f64::from), 100, 110));
+        endpoint.update_limit(limit_signal(last.map(f64::from), 100, 110));
         prop_assert_eq!(endpoint.limit().map(Limit::as_per_s), last.map(f64::from));
     }
 
@@ -85,17 +85,17 @@
     #[test]
     fn no_four_seconds_bring_more_than_a_limit_allows(
         per_s in 0_u32..8_000,
-        asked in prop::collection::vec(1_u64..1_500, 1..300),
+        sent_at in prop::collection::vec(1_u64..1_500, 1..300),
         changes_at in 0_usize..300,
     ) {
         let per_s = f64::from(per_s) / 1_000.0;
-        let (mut turns, mut now, mut given) = (Turns::open(0), 0, Vec::new());
-        for (n, pause) in asked.into_iter().enumerate() {
+        let (mut turns, mut now, mut given) = (Permits::open(0), 0, Vec::new());
+        for (n, pause) in sent_at.into_iter().enumerate() {
             now += pause;
             if n == changes_at {
-                turns = Turns::open(now);
+                turns = Permits::open(now);
             }
-            if turns.take(per_s, now) == Turn::Given {
+            if turns.take(per_s, now) == Permit::Given {
                 given.push(now);
             }
         }
@@ -110,10 +110,10 @@
     #[test]
     fn those_who_get_none_come_again_one_by_one(per_s in 500_u32..20_000, askers in 1_usize..20) {
         let per_s = f64::from(per_s) / 1_000.0;
-        let mut turns = Turns::open(0);
+        let mut turns = Permits::open(0);
         let mut last = 0;
         for _ in 0..askers {
-            let Turn::After { ms } = turns.take(per_s, 1) else { panic!("no permits are saved") };
+            let Permit::After { ms } = turns.take(per_s, 1) else { panic!("no permits are saved") };
             prop_assert!(ms > last || ms == 5_000, "{ms} after {last}");
             last = ms;
         }
@@ -123,16 +123,16 @@
 #[test]
 fn turns_do_not_pile_up_in_a_calm_minute_or_while_a_box_is_suspended() {
     for (per_s, most) in [(0.2, 1), (1.5, 1), (4.0, 3), (20.0, 11)] {
-        let mut turns = Turns::open(0);
-        let at_once = (0..100).filter(|_| turns.take(per_s, 60_000) == Turn::Given).count();
+        let mut turns = Permits::open(0);
+        let at_once = (0..100).filter(|_| turns.take(per_s, 60_000) == Permit::Given).count();
         assert_eq!(at_once, most, "at {per_s} a second");
     }
 }
 
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_again_every_five_seconds() {
-    let mut turns = Turns::open(0);
-    let given = (0..20_000).filter(|now| turns.take(0.0, *now) == Turn::Given);
+    let mut turns = Permits::open(0);
+    let given = (0..20_000).filter(|now| turns.take(0.0, *now) == Permit::Given);
     assert_eq!(given.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
 }
 
@@ -143,13 +143,13 @@
     pool.update(names.iter().map(|name| (name.clone(), Arc::from("z"))), 0);
     pool.set_fleet(&Fleet { me: "a".into(), others: vec!["b".into(), "c".into()] }, 0);
     for (name, limit) in names.iter().zip(limits) {
-        pool.get_mut(name).expect("in the pool").hear(said(limit, 0, 0));
+        pool.get_mut(name).expect("in the pool").update_limit(limit_signal(limit, 0, 0));
     }
     pool
 }
 
 /// Names of the endpoints that are chosen at `now`.
-fn chosen(pool: &Pool, offer: Offer, now: u64) -> Vec<Arc<str>> {
+fn chosen(pool: &Pool, offer: Candidates, now: u64) -> Vec<Arc<str>> {
     let mut random = SmallRng::seed_from_u64(7);
     let choose = |_| pool.choose_from(offer, &Prefix::default(), &[], now, &mut random);
     let mut names: Vec<Arc<str>> = (0..200).filter_map(choose).map(|choice| choice.name).collect();
@@ -161,16 +161,16 @@
 #[test]
 fn an_endpoint_without_a_turn_is_passed_over_until_it_may_have_one() {
     let mut pool = pool([Some(1.0), None, Some(2.0)]);
-    assert_eq!(chosen(&pool, Offer::All, 10).len(), 3, "a permit may be available");
-    assert_eq!(chosen(&pool, Offer::Unlimited, 10), ["e1".into()]);
-    pool.get_mut("e0").expect("in the pool").close(500, 10);
-    assert_eq!(chosen(&pool, Offer::All, 509), ["e1".into(), "e2".into()]);
-    assert_eq!(chosen(&pool, Offer::All, 510).len(), 3);
+    assert_eq!(chosen(&pool, Candidates::All, 10).len(), 3, "a permit may be available");
+    assert_eq!(chosen(&pool, Candidates::Unlimited, 10), ["e1".into()]);
+    pool.get_mut("e0").expect("in the pool").defer_permits(500, 10);
+    assert_eq!(chosen(&pool, Candidates::All, 509), ["e1".into(), "e2".into()]);
+    assert_eq!(chosen(&pool, Candidates::All, 510).len(), 3);
     // A higher limit, or none at all, ends the wait.
-    for (limit, asked) in [(Some(3.0), 700), (None, 800)] {
-        pool.get_mut("e2").expect("in the pool").close(5_000, asked);
-        pool.get_mut("e2").expect("in the pool").hear(said(limit, asked, asked + 10));
-        assert_eq!(chosen(&pool, Offer::All, asked + 11).len(), 3, "{limit:?}");
+    for (limit, sent_at) in [(Some(3.0), 700), (None, 800)] {
+        pool.get_mut("e2").expect("in the pool").defer_permits(5_000, sent_at);
+        pool.get_mut("e2").expect("in the pool").update_limit(limit_signal(limit, sent_at, sent_at + 10));
+        assert_eq!(chosen(&pool, Candidates::All, sent_at + 11).len(), 3, "{limit:?}");
     }
 }
 
@@ -179,9 +179,9 @@
     let closed = |limits: [Option<f64>; 3]| {
         let mut pool = pool(limits);
         for name in ["e0", "e1", "e2"] {
-            pool.get_mut(name).expect("in the pool").close(400, 60_000);
+            pool.get_mut(name).expect("in the pool").defer_permits(400, 60_000);
         }
-        let mut told = || pool.return_ms(0, 60_000).expect("an endpoint");
+        let mut told = || pool.retry_after_ms(0, 60_000).expect("an endpoint");
         (0..4).map(|_| told()).collect::<Vec<_>>()
     };
     // Three boxes share 2 requests per second, so each sends one every 1.5 s. Retries are at most 3
--- a/crates/balance/tests/rest.rs
+++ b/crates/balance/tests/rest.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, ops::Range, sync::Arc};
 
-use balance::{Failure, Fleet, Offer, Pool, Prefix, Rest, Standing, Weights};
+use balance::{Failure, Fleet, Candidates, Pool, Prefix, BackOff, Availability, Weights};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Step of the simulation, in milliseconds.
@@ -40,18 +40,18 @@
         ("no end", &[(10, u64::MAX)], u64::MAX),
     ];
     for (what, asked, until) in cases {
-        let mut rest = Rest::default();
+        let mut back_off = BackOff::default();
         for (now, ms) in asked {
-            rest.ask(*ms, 0, *now);
-            rest.took(*now);
+            back_off.ask(*ms, 0, *now);
+            back_off.request_accepted(*now);
         }
-        assert_eq!(rest.left_ms(100), until.saturating_sub(100), "{what}");
+        assert_eq!(back_off.left_ms(100), until.saturating_sub(100), "{what}");
     }
 }
 
 #[test]
 fn a_box_comes_back_with_a_part_and_more_with_each_request_that_is_taken() {
-    let most = |rest: &Rest, now| (0..100).take_while(|sent| rest.wait_ms(*sent, now) == 0).count();
+    let most = |back_off: &BackOff, now| (0..100).take_while(|sent| back_off.wait_ms(*sent, now) == 0).count();
     // Unanswered requests before the back-off, and how many are allowed after it and after each
     // accepted request.
     let cases: [(u32, &[usize]); 3] = [
@@ -60,19 +60,19 @@
         (2, &[1, 2, 3, 4, 4, 4, 4, 5, 5, 5, 5, 5, 6]),
     ];
     for (unanswered, windows) in cases {
-        let mut rest = Rest::default();
-        rest.ask(1_000, unanswered, 0);
-        rest.ask(1_000, 0, 100);
-        assert_eq!(most(&rest, 1_099), 0, "the back-off is not over");
-        rest.took(900);
-        let mut grown = vec![most(&rest, 1_100)];
+        let mut back_off = BackOff::default();
+        back_off.ask(1_000, unanswered, 0);
+        back_off.ask(1_000, 0, 100);
+        assert_eq!(most(&back_off, 1_099), 0, "the back-off is not over");
+        back_off.request_accepted(900);
+        let mut grown = vec![most(&back_off, 1_100)];
         for _ in 1..windows.len() {
-            rest.took(1_100);
-            grown.push(most(&rest, 1_200));
+            back_off.request_accepted(1_100);
+            grown.push(most(&back_off, 1_200));
         }
         assert_eq!(grown, windows, "{unanswered}");
-        rest.ask(1_000, 0, 2_000);
-        assert_eq!(most(&rest, 3_000), 1, "after another back-off");
+        back_off.ask(1_000, 0, 2_000);
+        assert_eq!(most(&back_off, 3_000), 1, "after another back-off");
     }
 }
 
@@ -90,40 +90,40 @@
 #[test]
 fn rest_a_limit_a_cold_start_and_leaving_hold_together() {
     let mut pool = pool(2, None);
-    let standing = |pool: &Pool, now| pool.standing(pool.get("e0").expect("in the pool"), now);
-    assert_eq!(standing(&pool, 0), Standing::Open);
-    pool.rest("e0", 1_000, 0);
-    assert_eq!(standing(&pool, 400), Standing::Waits { ms: 600 });
+    let availability = |pool: &Pool, now| pool.availability(pool.get("e0").expect("in the pool"), now);
+    assert_eq!(availability(&pool, 0), Availability::Open);
+    pool.back_off("e0", 1_000, 0);
+    assert_eq!(availability(&pool, 400), Availability::Waits { ms: 600 });
     let limit = Some(balance::Limit::per_s(1.0));
     let e0 = pool.get_mut("e0").expect("in the pool");
-    e0.hear(balance::Said { limit, asked: 0, heard: 0 });
-    e0.close(5_000, 0);
-    assert_eq!(standing(&pool, 400), Standing::Waits { ms: 4_600 }, "the longer wait");
+    e0.update_limit(balance::LimitSignal { limit, asked: 0, heard: 0 });
+    e0.defer_permits(5_000, 0);
+    assert_eq!(availability(&pool, 400), Availability::Waits { ms: 4_600 }, "the longer wait");
     pool.set_departures(|_| Some(balance::Departure::now(0)));
-    assert_eq!(standing(&pool, 400), Standing::Waits { ms: 4_600 }, "no last resort");
-    assert_eq!(standing(&pool, 1_000), Standing::Leaving);
-    assert!(pool.get("e0").expect("in the pool").wants_nothing(500));
+    assert_eq!(availability(&pool, 400), Availability::Waits { ms: 4_600 }, "no last resort");
+    assert_eq!(availability(&pool, 1_000), Availability::Leaving);
+    assert!(pool.get("e0").expect("in the pool").refuses_requests(500));
 }
 
 #[test]
 fn an_entry_that_lapses_ends_no_rest_and_another_life_starts_without() {
     let mut pool = pool(2, None);
-    pool.rest("e0", 5_000, 0);
+    pool.back_off("e0", 5_000, 0);
     pool.update([(name(1), "z".into())], 100);
     pool.update([(name(0), "z".into()), (name(1), "z".into())], 200);
-    assert!(pool.get("e0").expect("in the pool").wants_nothing(300));
+    assert!(pool.get("e0").expect("in the pool").refuses_requests(300));
     pool.update([("e0 later".into(), "z".into()), (name(1), "z".into())], 400);
-    assert!(!pool.get("e0 later").expect("in the pool").wants_nothing(500));
+    assert!(!pool.get("e0 later").expect("in the pool").refuses_requests(500));
 }
 
 #[test]
 fn where_all_rest_requests_come_again_half_as_fast_as_they_came_the_urgent_ones_first() {
     let mut pool = pool(3, None);
     (0..3).for_each(|n| {
-        pool.rest(&name(n), 2_000 + n as u64 * 500, 0);
+        pool.back_off(&name(n), 2_000 + n as u64 * 500, 0);
     });
     let mut times = |rank| {
-        [0, 500, 1_000, 1_900].map(|now| now + pool.return_ms(rank, now).expect("an endpoint"))
+        [0, 500, 1_000, 1_900].map(|now| now + pool.retry_after_ms(rank, now).expect("an endpoint"))
     };
     assert_eq!(times(0), [2_000, 3_000, 4_000, 5_800]);
     assert_eq!(times(9), [2_000, 3_500, 5_000, 7_700]);
@@ -137,7 +137,7 @@
     /// End times of the requests at each endpoint.
     at_work: Vec<Vec<u64>>,
     /// Box and endpoint of the requests in flight, by end time.
-    under_way: BTreeMap<u64, Vec<(usize, usize)>>,
+    in_flight: BTreeMap<u64, Vec<(usize, usize)>>,
     /// Box and rank of refused requests, by retry time.
     coming: BTreeMap<u64, Vec<(usize, u8)>>,
     random: SmallRng,
@@ -166,7 +166,7 @@
             boxes: names.iter().map(|me| pool(endpoints, Some(fleet(me)))).collect(),
             tired,
             at_work: vec![Vec::new(); endpoints],
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             coming: BTreeMap::new(),
             random: SmallRng::seed_from_u64(9),
             asked: vec![None; boxes],
@@ -183,7 +183,7 @@
     fn all_are_told(&mut self) {
         for pool in &mut self.boxes {
             (0..self.tired).for_each(|n| {
-                pool.rest(&name(n), ASKS, TIRED.start);
+                pool.back_off(&name(n), ASKS, TIRED.start);
             });
         }
     }
@@ -199,19 +199,19 @@
         for _ in 0..2 {
             let prefix = Prefix::of_parts([]);
             let pool = &mut self.boxes[at];
-            let choice = pool.choose_from(Offer::All, &prefix, &tried, now, &mut self.random);
+            let choice = pool.choose_from(Candidates::All, &prefix, &tried, now, &mut self.random);
             let Some(choice) = choice else { break };
             let endpoint: usize = choice.name[1..].parse().expect("a number");
             pool.start(&choice.name, &prefix, now);
-            pool.read(&choice.name, &prefix, 0);
+            pool.start_prefill(&choice.name, &prefix, 0);
             if self.takes(at, endpoint, now) {
                 return;
             }
             let pool = &mut self.boxes[at];
-            pool.has_read(&choice.name, 0);
+            pool.finish_prefill(&choice.name, 0);
             pool.end(&choice.name, Some(Failure::Refused), now);
             if endpoint < self.tired {
-                pool.rest(&choice.name, ASKS, now);
+                pool.back_off(&choice.name, ASKS, now);
             }
             tried.push(choice.name);
         }
@@ -222,7 +222,7 @@
             self.refused_again += 1;
             return;
         }
-        let wait = self.boxes[at].return_ms(rank, now).expect("an endpoint");
+        let wait = self.boxes[at].retry_after_ms(rank, now).expect("an endpoint");
         self.coming.entry(now + wait.max(LEAST_WAIT)).or_default().push((at, rank));
     }
 
@@ -236,7 +236,7 @@
             return false;
         }
         self.at_work[endpoint].push(now + WORK);
-        self.under_way.entry(now + WORK).or_default().push((at, endpoint));
+        self.in_flight.entry(now + WORK).or_default().push((at, endpoint));
         true
     }
 
@@ -253,13 +253,13 @@
     }
 
     fn step(&mut self, now: u64, per_s: f64) {
-        let later = self.under_way.split_off(&(now + 1));
-        let ended = std::mem::replace(&mut self.under_way, later);
+        let later = self.in_flight.split_off(&(now + 1));
+        let ended = std::mem::replace(&mut self.in_flight, later);
         for (at, endpoint) in ended.into_values().flatten() {
             let (pool, name) = (&mut self.boxes[at], name(endpoint));
-            pool.has_read(&name, 0);
+            pool.finish_prefill(&name, 0);
             pool.end(&name, None, now);
-            pool.get_mut(&name).expect("in the pool").rest.took(now - WORK);
+            pool.get_mut(&name).expect("in the pool").back_off.request_accepted(now - WORK);
         }
         self.at_work.iter_mut().for_each(|work| work.retain(|ends| *ends > now));
         let later = self.coming.split_off(&(now + 1));
--- a/crates/balance/tests/turns.rs
+++ b/crates/balance/tests/turns.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::VecDeque, fmt};
 
-use balance::{Turn, Turns};
+use balance::{Permit, Permits};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -30,7 +30,7 @@
     /// Only as many boxes send as the limit allows requests per second, chosen by hash.
     Few,
     /// One box issues permits.
-    Turns,
+    Permits,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     let mut closed = vec![0; boxes];
     let mut use_now = vec![0_u32; boxes];
     let mut use_told = vec![1_u32; boxes];
-    let mut turns = Turns::open(0);
+    let mut turns = Permits::open(0);
     let senders = (limit.floor() as usize).clamp(1, boxes);
     let mut arrivals: VecDeque<u64> = VecDeque::new();
     let (mut sent, mut most, mut asked) = (0, 0, 0);
@@ -105,13 +105,13 @@
                 own[at].take(limit * f64::from(use_told[at]) / f64::from(all), now)
             }
             Way::Few => at < senders && own[at].take(limit / senders as f64, now),
-            Way::Turns if closed[at] > now => false,
-            Way::Turns => {
+            Way::Permits if closed[at] > now => false,
+            Way::Permits => {
                 asked += usize::from(boxes > 1);
                 delay = random.random_range(0..=THERE_AND_BACK);
                 match turns.take(limit, now) {
-                    Turn::Given => true,
-                    Turn::After { ms } => {
+                    Permit::Given => true,
+                    Permit::After { ms } => {
                         closed[at] = now + ms;
                         false
                     }
@@ -146,7 +146,7 @@
             for boxes in SIZES {
                 let by = |way| play(way, limit, boxes, callers);
                 let (part, by_use, few) = (by(Way::Part), by(Way::ByUse), by(Way::Few));
-                let turns = by(Way::Turns);
+                let turns = by(Way::Permits);
                 let most = allowed(limit);
                 println!(
                     "{limit:3} of {most:2}, {boxes:3} {callers:?}: equal shares {part:?}, by use {by_use:?}, few {few:?}, permits {turns:?}"
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest answer recorded with a claim, in bytes.
-pub const MAX_ANSWER: usize = 16 << 10;
+pub const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// A recorded answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -182,16 +182,16 @@
     let point = |n: usize| {
         let busy =
             |i: usize| balance::Snapshot { name: format!("engine-{i:04}").into(), in_flight: 3 };
-        let told = wire::Told {
+        let told = wire::Status {
             in_flight: vec![("models".into(), (0..n).map(busy).collect())],
             newest: 1,
             versions: 1,
             platform: true,
         };
         let from = Incarnation::new("box-17", 17);
-        let frame = wire::Frame::Tell(told);
+        let frame = wire::Frame::Status(told);
         let message = wire::Message { from, stamp: Stamp::default(), frame };
-        let bytes = wire::encode(&message, wire::NEWEST).map_or(0, |bytes| bytes.len());
+        let bytes = wire::encode(&message, wire::NEWEST_FORMAT).map_or(0, |bytes| bytes.len());
         (n as f64, bytes as f64)
     };
     Series::of("bytes by busy endpoint", [0, 50, 500].map(point).to_vec())
--- a/crates/flintstall/src/audit.rs
+++ b/crates/flintstall/src/audit.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ledger::{BILLS, BOOK, Bill, Book, Finding, Held, Page};
+use ledger::{BILLS, BOOK, Bill, Book, Finding, OpenClaim, Page};
 use objects::Store;
 use platform::store::Client;
 use serde::Serialize;
@@ -81,7 +81,7 @@
         println!("{}", paint(Tone::Bad, &text));
     }
     for claim in &audit.claims {
-        let Held { holder, witness, tokens } = claim;
+        let OpenClaim { holder, witness, tokens } = claim;
         println!("{tokens} tokens of {holder} wait for the word of {witness}");
     }
     if !zones.is_empty() {
--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -9,7 +9,7 @@
 use http_body::Frame;
 use hyper::body::Incoming;
 
-use crate::{Fault, links::Lease};
+use crate::{Fault, connections::Lease};
 
 /// Body of an answer. Read to its end, it frees its connection; dropped before, it closes it.
 #[derive(Debug)]
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints and the bytes on them; nothing here decides where a request goes.
 //!
-//! [`Links::send`] puts one request on a connection that carries nothing else meanwhile, and says
+//! [`Connections::send`] puts one request on a connection that carries nothing else meanwhile, and says
 //! of every failure whether the request can have been received: [`Fault::Unsent`] or
 //! [`Fault::Unknown`]. A connection is used again only after a whole answer to a wholly sent
 //! request; in all other cases it is closed, so nothing left over reaches another request.
@@ -10,9 +10,9 @@
 
 mod body;
 mod fault;
-mod link;
-mod links;
+mod connection;
+mod connections;
 
 pub use body::Body;
 pub use fault::Fault;
-pub use links::{Answer, Links, Options, Ready, Request};
+pub use connections::{Answer, Connections, Options, Ready, Request};
--- a/crates/forward/src/link.rs
+++ b/crates/forward/src/link.rs
@@ -14,20 +14,20 @@
 
 /// A connection that is not in use, or whose answer is being read.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// When the endpoint may close it for having rested.
     pub rests_until: Instant,
 }
 
-impl Link {
+impl Connection {
     /// Connects; nothing is sent yet.
     pub async fn open(
         address: SocketAddr,
         connect: Duration,
-        silent: Duration,
-    ) -> Result<Link, Fault> {
+        ack_timeout: Duration,
+    ) -> Result<Connection, Fault> {
         let unsent = |reason: String| Fault::Unsent { reason };
         let stream = tokio::time::timeout(connect, TcpStream::connect(address))
             .await
@@ -35,14 +35,14 @@
             .map_err(|error| unsent(error.to_string()))?;
         stream.set_nodelay(true).map_err(|error| unsent(error.to_string()))?;
         SockRef::from(&stream)
-            .set_tcp_user_timeout(Some(silent))
+            .set_tcp_user_timeout(Some(ack_timeout))
             .map_err(|error| unsent(error.to_string()))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| unsent(error.to_string()))?;
         // Its result also reaches whoever waits for the answer, so nothing is lost here.
         let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
-        Ok(Link { sender, task, rests_until: Instant::now() })
+        Ok(Connection { sender, task, rests_until: Instant::now() })
     }
 
     /// Whether a request can be sent now: no earlier one is still being sent.
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     /// Closes the connection at once, so that the endpoint stops working on what it carries.
     fn drop(&mut self) {
         self.task.abort();
--- a/crates/forward/src/links.rs
+++ b/crates/forward/src/links.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::{Body, Fault, link::Link};
+use crate::{Body, Fault, connection::Connection};
 
 /// Bounds on connections.
 #[derive(Debug, Clone)]
@@ -17,11 +17,11 @@
     /// Time for a connection to come up.
     pub connect: Duration,
     /// A connection on which sent bytes stay unacknowledged for this long is given up.
-    pub silent: Duration,
+    pub ack_timeout: Duration,
     /// Rest of a connection where the endpoint does not say how long it keeps one.
     pub rest: Duration,
     /// A connection is not used again this long before the endpoint may close it.
-    pub margin: Duration,
+    pub idle_margin: Duration,
 }
 
 /// A request to be sent.
@@ -50,22 +50,22 @@
 
 /// All connections of this box to endpoints.
 #[derive(Debug, Clone)]
-pub struct Links {
+pub struct Connections {
     options: Arc<Options>,
     peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
-    resting: Vec<Link>,
+    resting: Vec<Connection>,
     open: usize,
     opened: u64,
 }
 
-impl Links {
+impl Connections {
     /// No connections yet.
-    pub fn new(options: Options) -> Links {
-        Links { options: Arc::new(options), peers: Arc::default() }
+    pub fn new(options: Options) -> Connections {
+        Connections { options: Arc::new(options), peers: Arc::default() }
     }
 
     /// Sends a request on a connection of its own, at most `most` of them to this address.
@@ -83,11 +83,11 @@
     /// Finds a resting connection to an address or opens one, at most `most` of them; nothing is sent yet.
     pub async fn connect(&self, address: SocketAddr, most: usize) -> Result<Ready, Fault> {
         let mut place = self.place(address, most)?;
-        let reused = place.link.is_some();
+        let reused = place.connection.is_some();
         if !reused {
-            let opened = Link::open(address, self.options.connect, self.options.silent).await?;
+            let opened = Connection::open(address, self.options.connect, self.options.ack_timeout).await?;
             self.peers.lock().entry(address).or_default().opened += 1;
-            place.link = Some(opened);
+            place.connection = Some(opened);
         }
         Ok(Ready { place, reused, options: self.options.clone() })
     }
@@ -98,16 +98,16 @@
         let peer = peers.entry(address).or_default();
         let now = Instant::now();
         let before = peer.resting.len();
-        peer.resting.retain(|link| !link.is_closed() && link.rests_until > now);
+        peer.resting.retain(|connection| !connection.is_closed() && connection.rests_until > now);
         peer.open -= before - peer.resting.len();
-        let ready = peer.resting.iter().rposition(Link::is_ready);
-        let link = ready.map(|at| peer.resting.remove(at));
-        match link {
+        let ready = peer.resting.iter().rposition(Connection::is_ready);
+        let connection = ready.map(|at| peer.resting.remove(at));
+        match connection {
             Some(_) => {}
             None if peer.open >= most => return Err(Fault::Full { most }),
             None => peer.open += 1,
         }
-        Ok(Place { address, link, peers: self.peers.clone() })
+        Ok(Place { address, connection, peers: self.peers.clone() })
     }
 
     /// Closes the resting connections to an address that is of no more use.
@@ -121,7 +121,7 @@
     }
 
     /// Closes all resting connections: they may be dead without a sign of it.
-    pub fn close_resting(&self) {
+    pub fn close_idle(&self) {
         let mut peers = self.peers.lock();
         for peer in peers.values_mut() {
             peer.open -= peer.resting.len();
@@ -151,8 +151,8 @@
 impl Ready {
     /// Sends a request. Dropping the future closes the connection.
     pub async fn send(mut self, request: Request) -> Result<Answer, Fault> {
-        let link = self.place.link.as_mut().expect("it is there until it is given up");
-        let response = link.send(outgoing(request)).await?;
+        let connection = self.place.connection.as_mut().expect("it is there until it is given up");
+        let response = connection.send(outgoing(request)).await?;
         let rest = rest(&response, &self.options);
         let lease = Lease { place: self.place, rest, options: self.options };
         let (head, body) = response.into_parts();
@@ -161,9 +161,9 @@
 
     /// Gives the connection back unused.
     pub fn release(self) {
-        let link = self.place.link.as_ref().map(|link| link.rests_until);
-        let until = link.filter(|_| self.reused);
-        let fresh = Instant::now() + self.options.rest.saturating_sub(self.options.margin);
+        let connection = self.place.connection.as_ref().map(|connection| connection.rests_until);
+        let until = connection.filter(|_| self.reused);
+        let fresh = Instant::now() + self.options.rest.saturating_sub(self.options.idle_margin);
         self.place.keep(until.unwrap_or(fresh));
     }
 }
@@ -176,27 +176,27 @@
         .iter()
         .any(|value| value.as_bytes().to_ascii_lowercase().windows(5).any(|w| w == b"close"));
     let rest = kept_for(headers).unwrap_or(options.rest);
-    (!ends).then(|| rest.saturating_sub(options.margin))
+    (!ends).then(|| rest.saturating_sub(options.idle_margin))
 }
 
 /// One of the connections that may be open to an address, counted while this lives.
 #[derive(Debug)]
 struct Place {
     address: SocketAddr,
-    link: Option<Link>,
+    connection: Option<Connection>,
     peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
 }
 
 impl Place {
     /// Keeps the connection for the next request.
     fn keep(mut self, until: Instant) {
-        let Some(mut link) = self.link.take() else { return };
-        link.rests_until = until;
+        let Some(mut connection) = self.connection.take() else { return };
+        connection.rests_until = until;
         let mut peers = self.peers.lock();
         let peer = peers.entry(self.address).or_default();
         // What `drop` counts down when this ends stays counted for the resting connection.
         peer.open += 1;
-        peer.resting.push(link);
+        peer.resting.push(connection);
     }
 }
 
@@ -220,7 +220,7 @@
 impl Lease {
     /// The answer was read to its end.
     pub fn end(self) {
-        debug_assert!(self.options.margin <= self.options.rest);
+        debug_assert!(self.options.idle_margin <= self.options.rest);
         if let Some(rest) = self.rest {
             self.place.keep(Instant::now() + rest);
         }
--- a/crates/forward/tests/links.rs
+++ b/crates/forward/tests/links.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use forward::{Answer, Fault, Links, Options, Request};
+use forward::{Answer, Fault, Connections, Options, Request};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use http_body_util::BodyExt;
 use standin::{Reply, Scripted};
@@ -12,12 +12,12 @@
 /// Longest that anything here waits; reached only when a test fails.
 const BOUND: Duration = Duration::from_secs(20);
 
-fn links() -> Links {
-    Links::new(Options {
+fn connections() -> Connections {
+    Connections::new(Options {
         connect: Duration::from_secs(2),
-        silent: Duration::from_secs(5),
+        ack_timeout: Duration::from_secs(5),
         rest: Duration::from_secs(60),
-        margin: Duration::from_secs(1),
+        idle_margin: Duration::from_secs(1),
     })
 }
 
@@ -49,17 +49,17 @@
         false => whole(),
     };
     let endpoint = Scripted::spawn(script).await;
-    let links = links();
+    let connections = connections();
     let mut one = request();
     one.target = "/first".parse().expect("a path");
-    let came = match links.send(endpoint.address(), 4, one).await {
+    let came = match connections.send(endpoint.address(), 4, one).await {
         Ok(answer) => text(answer).await,
         Err(fault) => Err(fault),
     };
     // Bytes that follow an answer arrive a moment after it.
     tokio::time::sleep(Duration::from_millis(30)).await;
     let answer =
-        links.send(endpoint.address(), 4, request()).await.expect("the second is answered");
+        connections.send(endpoint.address(), 4, request()).await.expect("the second is answered");
     assert_eq!(text(answer).await.as_deref(), Ok("done"), "the second answer is its own");
     (came, endpoint.connections())
 }
@@ -116,15 +116,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let fault = links().send(address, 4, request()).await.expect_err("nobody listens");
+    let fault = connections().send(address, 4, request()).await.expect_err("nobody listens");
     assert!(fault.is_unsent(), "{fault}");
 }
 
 #[tokio::test]
 async fn a_request_that_is_given_up_closes_its_connection() {
     let endpoint = Scripted::spawn(|_| Reply::Silent).await;
-    let links = links();
-    let sending = links.send(endpoint.address(), 4, request());
+    let connections = connections();
+    let sending = connections.send(endpoint.address(), 4, request());
     let given_up = tokio::time::timeout(Duration::from_millis(100), sending).await;
     assert!(given_up.is_err(), "the endpoint never answers");
     let closed = async {
@@ -133,7 +133,7 @@
         }
     };
     tokio::time::timeout(BOUND, closed).await.expect("the endpoint sees the close");
-    assert_eq!(links.open(endpoint.address()), 0);
+    assert_eq!(connections.open(endpoint.address()), 0);
 }
 
 #[tokio::test]
@@ -141,8 +141,8 @@
     let events: Vec<String> = (0..1_000).map(|n| format!("data: {n}\n\n")).collect();
     let reply = Reply::Events(HeaderMap::new(), events, Duration::from_millis(20));
     let endpoint = Scripted::spawn(move |_| reply.clone()).await;
-    let links = links();
-    let mut answer = links.send(endpoint.address(), 4, request()).await.expect("a head");
+    let connections = connections();
+    let mut answer = connections.send(endpoint.address(), 4, request()).await.expect("a head");
     answer.body.frame().await.expect("an event").expect("a whole one");
     drop(answer);
     let closed = async {
@@ -156,18 +156,18 @@
 #[tokio::test]
 async fn no_more_connections_than_allowed() {
     let endpoint = Scripted::spawn(|_| Reply::Silent).await;
-    let links = links();
+    let connections = connections();
     let address = endpoint.address();
     let busy: Vec<_> = (0..2)
         .map(|_| {
-            let links = links.clone();
-            tokio::spawn(async move { links.send(address, 2, request()).await.is_ok() })
+            let connections = connections.clone();
+            tokio::spawn(async move { connections.send(address, 2, request()).await.is_ok() })
         })
         .collect();
     while endpoint.arrived().len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let fault = links.send(address, 2, request()).await.expect_err("both are in use");
+    let fault = connections.send(address, 2, request()).await.expect_err("both are in use");
     assert_eq!(fault, Fault::Full { most: 2 });
     busy.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,7 +4,7 @@
 //! endpoint or another box relies on goes by the time that passed for them: how long a request has, how old
 //! news is, for how long something counts. Those ages are taken from here.
 //!
-//! [`Pulse`] notices that the box did not run for a while, suspended or held up in another way. What it knows
+//! [`Watchdog`] notices that the box did not run for a while, suspended or held up in another way. What it knows
 //! is old then, and connections may be dead without a sign of it, so that everything is read anew; requests
 //! wait for that, a moment at most.
 
@@ -51,7 +51,7 @@
     }
 
     /// A box that is suspended only when [`Clock::suspend`] says so.
-    pub fn by_hand() -> Clock {
+    pub fn manual() -> Clock {
         Clock(Source::ByHand(Arc::default()))
     }
 
@@ -113,7 +113,7 @@
 
 /// A part of what a box knows that must not be old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Dataset {
     /// The configuration.
     Config,
     /// Which endpoints take work.
@@ -122,7 +122,7 @@
 
 /// Notices that the box did not run for a while.
 #[derive(Debug, Clone)]
-pub struct Pulse(Arc<Shared>);
+pub struct Watchdog(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
@@ -144,7 +144,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Times that the box was held up.
-    times: u64,
+    suspensions: u64,
     /// Which of them each part was read anew after.
     config: u64,
     endpoints: u64,
@@ -154,16 +154,16 @@
 
 impl State {
     fn is_fresh(&self) -> bool {
-        self.config == self.times && self.endpoints == self.times
+        self.config == self.suspensions && self.endpoints == self.suspensions
     }
 }
 
-impl Pulse {
+impl Watchdog {
     /// The box runs. `forget` closes connections that may be dead once it was held up.
-    pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Pulse {
+    pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
         let last = Mutex::new(clock.now());
         let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
-        Pulse(Arc::new(Shared { clock, last, state, forget }))
+        Watchdog(Arc::new(Shared { clock, last, state, forget }))
     }
 
     /// Looks for as long as the box runs.
@@ -185,38 +185,38 @@
         tracing::warn!(event = "held_up", gap_ms, suspended_ms);
         (self.0.forget.0)();
         self.0.state.send_modify(|state| {
-            state.times += 1;
+            state.suspensions += 1;
             state.until = Some(Instant::now() + FRESH_WITHIN);
         });
     }
 
     /// How often the box was held up so far: what was asked for before the last time may be old.
-    pub fn times(&self) -> u64 {
+    pub fn suspensions(&self) -> u64 {
         self.beat();
-        self.0.state.borrow().times
+        self.0.state.borrow().suspensions
     }
 
-    /// Waits until the box was held up once more than `times`.
-    pub async fn held_up(&self, times: u64) {
+    /// Waits until the box was held up once more than `suspensions`.
+    pub async fn next_suspension(&self, suspensions: u64) {
         // The sender lives as long as `self`.
-        let _ = self.0.state.subscribe().wait_for(|state| state.times > times).await;
+        let _ = self.0.state.subscribe().wait_for(|state| state.suspensions > suspensions).await;
     }
 
     /// A part was read, by a call that began when the box had been held up so often.
-    pub fn read(&self, part: Part, times: u64) {
+    pub fn read(&self, part: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
             let of = match part {
-                Part::Config => &mut state.config,
-                Part::Endpoints => &mut state.endpoints,
+                Dataset::Config => &mut state.config,
+                Dataset::Endpoints => &mut state.endpoints,
             };
-            let is_news = *of < times;
-            *of = times.max(*of);
+            let is_news = *of < suspensions;
+            *of = suspensions.max(*of);
             is_news
         });
     }
 
     /// Waits until what is known was read since the box was held up last, for a moment at most.
-    pub async fn fresh(&self) {
+    pub async fn wait_until_fresh(&self) {
         self.beat();
         let mut state = self.0.state.subscribe();
         let until = state.borrow().until;
--- a/crates/gateway/src/door/desk.rs
+++ b/crates/gateway/src/door/desk.rs
@@ -7,15 +7,15 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{Incarnation, Told};
+use ledger::{Incarnation, Demand};
 use tokio::{sync::watch, time::Instant};
 use wire::{Draw, Drawn, Frame, Message};
 
 use crate::{
-    fleet::{peers::Peers, records::Taken},
-    money::{bills::Bills, funds::Funds, lending::Lending},
-    news::view::View,
-    way::{endpoints::Endpoints, turns::Turns},
+    fleet::{peers::Peers, promises::Acceptance},
+    tokens::{bills::Bills, funds::Funds, borrower::Borrower},
+    updates::view::View,
+    proxy::{endpoints::Endpoints, permits::Permits},
 };
 
 /// Longest wait of a box that asks for tokens, while this one frees some that it promised to keep:
@@ -26,27 +26,27 @@
 const FROM_STORE: Duration = Duration::from_millis(100);
 
 /// Answers other boxes.
-pub struct Desk {
+pub struct PeerService {
     /// This life of the box.
     pub me: Incarnation,
     pub funds: Funds,
     pub peers: Peers,
-    pub lending: Lending,
+    pub borrower: Borrower,
     pub endpoints: Arc<Endpoints>,
     pub bills: Bills,
     pub view: View,
-    pub turns: Turns,
+    pub permits: Permits,
     /// Whether this box is about to stop.
     pub stopping: watch::Receiver<bool>,
 }
 
-impl Desk {
+impl PeerService {
     /// Takes over what another box tells, and passes on what it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
             return Frame::Refused { reason: "another life of this box is meant".into() };
         }
-        let believed = self.funds.hear(from, &draw.items);
+        let believed = self.funds.receive_report(from, &draw.items);
         if !believed {
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
@@ -57,18 +57,18 @@
                 self.pass_on(from, told, until).await;
             }
         }
-        let (items, cut) = (self.funds.given(from, &draw.items), self.funds.is_cut());
+        let (items, cut) = (self.funds.given(from, &draw.items), self.funds.is_store_unreachable());
         Frame::Drawn(Drawn { items, cut, leaves })
     }
 
-    async fn pass_on(&self, to: &Incarnation, told: &Told, until: Instant) {
+    async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) {
         let from_store = until.min(Instant::now() + FROM_STORE);
-        if self.funds.give(to, told, from_store).await {
+        if self.funds.pass_on(to, told, from_store).await {
             return;
         }
-        let give = || self.funds.try_give(to, told).then_some(());
+        let pass_on = || self.funds.try_pass_on(to, told).then_some(());
         let customer = &told.customer;
-        let borrowed = self.lending.borrow_until(customer, told.least, until, give).await;
+        let borrowed = self.borrower.borrow_until(customer, told.least, until, pass_on).await;
         if borrowed.is_none() {
             tracing::info!(
                 event = "tokens_not_passed_on",
@@ -81,7 +81,7 @@
     }
 
     async fn lend(&self, to: &Incarnation, customer: &Arc<str>, wanted: u64) -> Frame {
-        self.funds.free_kept(customer, wanted, Instant::now() + WITHIN).await;
+        self.funds.wait_for_release(customer, wanted, Instant::now() + WITHIN).await;
         let transfer = self.funds.lend(customer, wanted, &self.me, to);
         tracing::info!(
             event = "tokens_passed_on",
@@ -100,7 +100,7 @@
         if from == holder || !(is_later || self.peers.knows(from)) {
             return Frame::Refused { reason: "this box may not ask of that life".into() };
         }
-        let tokens = self.peers.records.seal(holder, term);
+        let tokens = self.peers.promises.seal(holder, term);
         tracing::info!(
             event = "promise_sealed",
             holder = holder.as_str(),
@@ -112,7 +112,7 @@
 }
 
 #[async_trait::async_trait]
-impl wire::Answer for Desk {
+impl wire::Answer for PeerService {
     async fn answer(&self, question: Message) -> Message {
         self.peers.note_heard();
         let frame = match question.frame {
@@ -121,7 +121,7 @@
             | Frame::Prompt(_)
             | Frame::Bills { .. }
             | Frame::Crash { .. }
-            | Frame::Turn(_)
+            | Frame::PermitRequest(_)
             | Frame::Limit { .. }
             | Frame::Departure { .. }
                 if !self.peers.knows(&question.from) =>
@@ -132,12 +132,12 @@
             Frame::Lend { budget, tokens } => self.lend(&question.from, &budget, tokens).await,
             Frame::Promise(promise) => {
                 let number = promise.number;
-                match self.peers.records.take(&question.from, promise) {
-                    Taken::Newest => Frame::Promised { number },
-                    Taken::Not => {
+                match self.peers.promises.take(&question.from, promise) {
+                    Acceptance::Accepted => Frame::Promised { number },
+                    Acceptance::Rejected => {
                         Frame::Refused { reason: "a newer promise or a seal is known".into() }
                     }
-                    Taken::Closed => Frame::Sealed { tokens: None },
+                    Acceptance::Closed => Frame::Sealed { tokens: None },
                 }
             }
             Frame::Prompt(prompt) => {
@@ -145,22 +145,22 @@
                 Frame::Done
             }
             Frame::Crash { name, report } => {
-                self.view.hear_crash(&name, report);
+                self.view.receive_crash(&name, report);
                 Frame::Done
             }
-            Frame::Turn(turn) => {
-                Frame::Turned(self.turns.answer(turn, question.from.as_str()).await)
+            Frame::PermitRequest(permit) => {
+                Frame::PermitReply(self.permits.answer(permit, question.from.as_str()).await)
             }
             Frame::Limit { endpoint, limit } => {
-                self.view.hear_limit(&endpoint, limit);
+                self.view.receive_limit(&endpoint, limit);
                 Frame::Done
             }
             Frame::Greet { to, sender } if to == self.me => {
-                self.view.hear_greeting(&question.from, sender);
+                self.view.receive_greeting(&question.from, sender);
                 Frame::Done
             }
             Frame::Departure { endpoint, address } => {
-                self.view.hear_departure(&endpoint, address);
+                self.view.receive_departure(&endpoint, address);
                 Frame::Done
             }
             Frame::Bills { .. } | Frame::HandOver { .. } if *self.stopping.borrow() => {
@@ -175,17 +175,17 @@
                     of = question.from.as_str(),
                     pages = pages.len()
                 );
-                self.bills.carry(pages);
+                self.bills.take_over(pages);
                 Frame::Done
             }
-            Frame::Listen(_) if *self.stopping.borrow() => {
+            Frame::Subscribe(_) if *self.stopping.borrow() => {
                 Frame::Refused { reason: "this box is about to stop itself".into() }
             }
-            Frame::Listen(listen) if listen.teller != self.me => {
+            Frame::Subscribe(listen) if listen.watcher != self.me => {
                 Frame::Refused { reason: "another life of this box is meant".into() }
             }
-            Frame::Listen(listen) => match self.view.news(&listen).await {
-                Some(news) => Frame::News(news),
+            Frame::Subscribe(listen) => match self.view.updates(&listen).await {
+                Some(updates) => Frame::Update(updates),
                 None => Frame::Refused { reason: "this box does not look at the store yet".into() },
             },
             Frame::Draw(draw) => self.draw(&question.from, draw).await,
--- a/crates/gateway/src/door/handle.rs
+++ b/crates/gateway/src/door/handle.rs
@@ -9,13 +9,13 @@
 use hyper::body::Incoming;
 use platform::{answer, request::Head};
 
-use crate::way::{
+use crate::proxy::{
     admit,
-    gate::Gate,
+    context::Context,
     link::Link,
     refusal::Refusal,
-    relay::{Flight, Relay},
-    trip::{End, Trip},
+    relay::{InFlight, Relay},
+    exchange::{Outcome, Exchange},
 };
 
 /// How long a request without a deadline of its own may take.
@@ -24,22 +24,22 @@
 /// Body of an answer to a caller.
 pub type Body = Either<Full<Bytes>, Relay>;
 
-impl Gate {
+impl Context {
     /// Serves one request.
-    pub async fn handle(self: Arc<Gate>, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle(self: Arc<Context>, request: Request<Incoming>) -> Response<Body> {
         let since = self.clock.now();
         let head = Head::read(request.headers());
         let until = since.at() + head.deadline.unwrap_or(LONGEST);
-        let mut trip = Trip::begin(&head, since, until, self.metrics.clone(), self.bills.clone());
-        let mut response = match self.answer(request, head, &mut trip).await {
-            Ok((answer, flight)) => relayed(*answer, flight, trip, self.link.clone()),
+        let mut exchange = Exchange::begin(&head, since, until, self.metrics.clone(), self.bills.clone());
+        let mut response = match self.answer(request, head, &mut exchange).await {
+            Ok((answer, in_flight)) => relayed(*answer, in_flight, exchange, self.link.clone()),
             Err(refusal) => {
-                let response = refusal.response(trip.id.as_deref());
-                trip.end(End::Refused(refusal), 0);
+                let response = refusal.response(exchange.id.as_deref());
+                exchange.end(Outcome::Refused(refusal), 0);
                 response.map(|text| Either::Left(Full::new(Bytes::from(text))))
             }
         };
-        if self.ends_connections() {
+        if self.closes_connections() {
             let close = header::HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -50,20 +50,20 @@
         &self,
         request: Request<Incoming>,
         head: Head,
-        trip: &mut Trip,
-    ) -> Result<(Box<Answer>, Flight), Refusal> {
-        admit::check(&request)?;
-        self.pulse.fresh().await;
-        let call = self.admit(request, head, trip).await?;
-        self.hold(&call, trip).await?;
-        self.dispatch(&call, trip).await
+        exchange: &mut Exchange,
+    ) -> Result<(Box<Answer>, InFlight), Refusal> {
+        admit::check_head(&request)?;
+        self.watchdog.wait_until_fresh().await;
+        let call = self.admit(request, head, exchange).await?;
+        self.hold(&call, exchange).await?;
+        self.dispatch(&call, exchange).await
     }
 }
 
-fn relayed(answer: Answer, flight: Flight, trip: Trip, link: Arc<Link>) -> Response<Body> {
+fn relayed(answer: Answer, in_flight: InFlight, exchange: Exchange, link: Arc<Link>) -> Response<Body> {
     let headers = answer::towards_caller(&answer.head.headers);
     let status = answer.head.status;
-    let relay = Relay::new(answer.body, status.as_u16(), flight, trip, link);
+    let relay = Relay::new(answer.body, status.as_u16(), in_flight, exchange, link);
     let mut response = Response::new(Either::Right(relay));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/gateway/src/door/pages.rs
+++ b/crates/gateway/src/door/pages.rs
@@ -9,9 +9,9 @@
 use objects::Calls;
 
 use crate::{
-    metrics::{Budget, Flow, Header, Named, Purpose},
-    news::view::View,
-    way::gate::Gate,
+    metrics::{Budget, Flow, Header, Endpoint, StoreCall},
+    sync::view::View,
+    way::context::Context,
 };
 
 type Page = Response<Full<Bytes>>;
@@ -25,10 +25,10 @@
 /// Whether the box takes connections: it has a configuration, room on its link, and is not being
 /// stopped.
 pub fn answer_ready(
-    gate: Arc<Gate>,
+    context: Arc<Context>,
 ) -> impl Fn(Request<Incoming>) -> std::future::Ready<Page> + Clone + Send + 'static {
     move |_| {
-        std::future::ready(match gate.is_ready() {
+        std::future::ready(match context.is_ready() {
             true => page(StatusCode::OK, "ready\n"),
             false => page(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         })
@@ -37,49 +37,49 @@
 
 /// The metrics as text.
 pub fn answer_metrics(
-    gate: Arc<Gate>,
+    context: Arc<Context>,
     view: View,
     calls: Calls,
 ) -> impl Fn(Request<Incoming>) -> std::future::Ready<Page> + Clone + Send + 'static {
     move |_| {
-        let metrics = &gate.metrics;
+        let metrics = &context.metrics;
         for ((operation, kind), count) in calls.snapshot() {
-            let purpose = Purpose { operation: format!("{operation:?}"), kind: kind.to_string() };
+            let purpose = StoreCall { operation: format!("{operation:?}"), kind: kind.to_string() };
             metrics.calls.get_or_create(&purpose).set(count.calls as i64);
         }
-        for balance in gate.funds.balances() {
+        for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
             metrics.free.get_or_create(&budget).set(balance.free as i64);
             metrics.kept.get_or_create(&budget).set(balance.kept as i64);
             metrics.unspent.get_or_create(&budget).set(balance.unspent as i64);
         }
-        for ((topic, is_near), size) in gate.peers.traffic.snapshot() {
+        for ((topic, is_near), size) in context.peers.traffic.snapshot() {
             let zone = if is_near { "own" } else { "other" };
-            for (way, bytes) in [("sent", size.sent), ("heard", size.heard)] {
+            for (way, bytes) in [("sent", size.sent), ("heard", size.received)] {
                 metrics.peer_bytes.get_or_create(&Flow { topic, zone, way }).set(bytes as i64);
             }
         }
-        let dropped = gate.dropped_lines.lock().as_ref().map_or(0, |count| count());
+        let dropped = context.dropped_lines.lock().as_ref().map_or(0, |count| count());
         metrics.dropped_lines.set(dropped as i64);
-        let standing = view.standing();
-        metrics.evacuated.set(gate.endpoints.evacuated() as i64);
-        metrics.cold.set(gate.endpoints.count_cold() as i64);
-        metrics.leaving.set(gate.endpoints.count_leaving() as i64);
-        metrics.resting.set(gate.endpoints.count_resting() as i64);
-        for (name, count) in gate.endpoints.unread() {
+        let status = view.status();
+        metrics.evacuated.set(context.endpoints.evacuated() as i64);
+        metrics.cold.set(context.endpoints.count_cold() as i64);
+        metrics.leaving.set(context.endpoints.count_leaving() as i64);
+        metrics.backing_off.set(context.endpoints.count_backing_off() as i64);
+        for (name, count) in context.endpoints.unread() {
             metrics.unread.get_or_create(&Header { name: name.to_string() }).set(count as i64);
         }
         metrics.limits.clear();
-        for (endpoint, per_s) in gate.endpoints.limits() {
-            let named = Named { endpoint: endpoint.to_string() };
+        for (endpoint, per_s) in context.endpoints.limits() {
+            let named = Endpoint { endpoint: endpoint.to_string() };
             metrics.limits.get_or_create(&named).set(per_s);
         }
-        let (reports, quarantined) = gate.crashes.counts();
+        let (reports, quarantined) = context.crashes.counts();
         metrics.crashes.set(reports as i64);
         metrics.quarantined.set(quarantined as i64);
-        metrics.looks.set(i64::from(standing.looks));
-        metrics.news_age.set(standing.age.map_or(-1, |age| age.as_millis() as i64));
-        metrics.connections.set(gate.links.opened() as i64);
+        metrics.watches.set(i64::from(status.watches));
+        metrics.news_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
+        metrics.connections.set(context.connections.opened() as i64);
         std::future::ready(page(StatusCode::OK, metrics.text()))
     }
 }
--- a/crates/gateway/src/door/serve.rs
+++ b/crates/gateway/src/door/serve.rs
@@ -14,7 +14,7 @@
 };
 use tokio_util::task::TaskTracker;
 
-use crate::{metrics::Metrics, way::bounds::Bounds};
+use crate::{metrics::Metrics, proxy::bounds::Bounds};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -105,7 +105,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.idle)
+        .header_read_timeout(bounds.head_timeout)
         .max_buf_size(bounds.head_bytes.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
--- a/crates/gateway/src/fleet/entry.rs
+++ b/crates/gateway/src/fleet/entry.rs
@@ -7,7 +7,7 @@
 use platform::store::Client;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::order::Place;
+use crate::fleet::keepers::Profile;
 
 /// Kind of the objects, named by box.
 pub const BOXES: &str = "boxes";
@@ -27,9 +27,9 @@
 
 impl Entry {
     /// What the choice of keepers needs.
-    pub fn place(&self) -> Place {
+    pub fn profile(&self) -> Profile {
         let Entry { incarnation, zone, strength, .. } = self;
-        Place { name: incarnation.clone(), zone: zone.clone(), strength: *strength }
+        Profile { name: incarnation.clone(), zone: zone.clone(), strength: *strength }
     }
 }
 
--- a/crates/gateway/src/fleet/order.rs
+++ b/crates/gateway/src/fleet/order.rs
@@ -28,7 +28,7 @@
 
 /// A box, as far as the choice needs to know it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Profile {
     /// This life of it.
     pub name: Incarnation,
     /// Its availability zone.
@@ -38,11 +38,11 @@
 }
 
 /// Boxes to ask for tokens, the best first; `me` stands where it is its own best choice.
-pub fn order(me: &Place, others: &[Place]) -> Vec<Incarnation> {
+pub fn keepers(me: &Profile, others: &[Profile]) -> Vec<Incarnation> {
     let of_zone = |zone: &Arc<str>, most: usize| {
-        let all = others.iter().chain([me]).filter(|place| place.zone == *zone);
-        let mut places: Vec<&Place> = all.collect();
-        places.sort_by_key(|place| (Reverse(rank(place)), &place.name));
+        let all = others.iter().chain([me]).filter(|profile| profile.zone == *zone);
+        let mut places: Vec<&Profile> = all.collect();
+        places.sort_by_key(|profile| (Reverse(rank(profile)), &profile.name));
         places.truncate(most);
         places
     };
@@ -52,23 +52,23 @@
     let elsewhere = zones.into_iter().filter(|zone| **zone != me.zone);
     let elsewhere = elsewhere.flat_map(|zone| of_zone(zone, OTHER_ZONE));
     let own = of_zone(&me.zone, OWN_ZONE).into_iter();
-    let places: Vec<&Place> = match is_kept {
+    let places: Vec<&Profile> = match is_kept {
         true => own.chain(elsewhere).collect(),
         false => elsewhere.chain(own).collect(),
     };
-    places.into_iter().map(|place| place.name.clone()).collect()
+    places.into_iter().map(|profile| profile.name.clone()).collect()
 }
 
 /// Zones in which a box keeps tokens.
-fn kept_zones<'a>(me: &'a Place, others: &'a [Place]) -> Vec<&'a Arc<str>> {
+fn kept_zones<'a>(me: &'a Profile, others: &'a [Profile]) -> Vec<&'a Arc<str>> {
     let count = (others.len() + 1).div_ceil(SERVED).max(ZONES);
-    let mut zones: Vec<&Arc<str>> = others.iter().chain([me]).map(|place| &place.zone).collect();
+    let mut zones: Vec<&Arc<str>> = others.iter().chain([me]).map(|profile| &profile.zone).collect();
     zones.sort_by_key(|zone| Reverse((member::weight(KEEPERS, zone), *zone)));
     zones.dedup();
     zones.truncate(count);
     zones
 }
 
-fn rank(place: &Place) -> (u64, u64) {
-    (place.strength, member::weight(&place.zone, place.name.box_name()))
+fn rank(profile: &Profile) -> (u64, u64) {
+    (profile.strength, member::weight(&profile.zone, profile.name.box_name()))
 }
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -7,7 +7,7 @@
 use ledger::Incarnation;
 use wire::{Frame, Greeting};
 
-use super::{Peers, questions::TOLD_WITHIN};
+use super::{Peers, requests::TOLD_WITHIN};
 use crate::fleet::entry::Entry;
 
 /// Boxes that one greets: any one that stands is enough for a box to know whom to ask, and three may be starting anew.
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -6,11 +6,11 @@
 //! tokens passed on, a lost answer strands some in a grant and never doubles them.
 
 mod greetings;
-mod questions;
-mod turns;
+mod requests;
+mod permits;
 
-pub use questions::{Reading, Told, Word};
-pub use turns::MOST_HOPS;
+pub use requests::{PromptNotice, Delivery, WitnessReply};
+pub use permits::MAX_HOPS;
 
 use std::{
     collections::HashMap,
@@ -30,9 +30,9 @@
 
 use crate::fleet::{
     entry::Entry,
-    homes::{Homes, homes},
-    order::{Place, order},
-    records::Records,
+    watchers::{Watchers, watchers},
+    keepers::{Profile, keepers},
+    promises::Promises,
     traffic::Traffic,
 };
 
@@ -51,7 +51,7 @@
     source: IpAddr,
     state: Arc<Mutex<State>>,
     /// What others promised this box.
-    pub records: Records,
+    pub promises: Promises,
     /// Number of the next prompt that others are told of.
     prompts: Arc<AtomicU64>,
     /// Something shows that the list of boxes is old.
@@ -68,7 +68,7 @@
 
 struct State {
     address: Option<SocketAddr>,
-    place: Place,
+    profile: Profile,
     known: HashMap<Incarnation, Known>,
     random: SmallRng,
     /// When another box was heard last, and when one that was asked was silent.
@@ -85,24 +85,24 @@
 }
 
 impl Known {
-    fn is_awake(&self, now: Instant) -> bool {
+    fn is_reachable(&self, now: Instant) -> bool {
         self.rests_until.is_none_or(|end| end <= now)
     }
 }
 
 impl Peers {
     /// No others yet; questions leave from the address at which this box answers.
-    pub fn open(me: Place, address: Option<SocketAddr>, seed: u64) -> Peers {
+    pub fn open(me: Profile, address: Option<SocketAddr>, seed: u64) -> Peers {
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
         let name = me.name.clone();
         let (address, heard, silent) = Default::default();
-        let state = State { address, place: me, known: HashMap::new(), random, heard, silent };
+        let state = State { address, profile: me, known: HashMap::new(), random, heard, silent };
         Peers {
             me: name,
             source,
             state: Arc::new(Mutex::new(state)),
-            records: Records::default(),
+            promises: Promises::default(),
             prompts: Arc::default(),
             unknown: Arc::default(),
             traffic: Traffic::default(),
@@ -127,7 +127,7 @@
         };
         let mut state = self.state.lock();
         state.known.retain(|name, known| known.version > at || is_listed(name));
-        self.records.retain(|name| state.known.contains_key(name) || is_listed(name));
+        self.promises.retain(|name| state.known.contains_key(name) || is_listed(name));
         for (entry, version) in entries {
             let name = entry.incarnation.clone();
             let is_same = |known: &Incarnation| known.box_name() == name.box_name();
@@ -157,27 +157,27 @@
     pub fn keepers(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let state = self.state.lock();
-        let others: Vec<Place> = state.known.values().map(|known| known.entry.place()).collect();
-        let mut keepers = order(&state.place, &others);
-        keepers.retain(|name| state.known.get(name).is_none_or(|known| known.is_awake(now)));
+        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        let mut keepers = keepers(&state.profile, &others);
+        keepers.retain(|name| state.known.get(name).is_none_or(|known| known.is_reachable(now)));
         keepers
     }
 
     /// Whom this box listens to.
-    pub fn homes(&self) -> Homes {
+    pub fn watchers(&self) -> Watchers {
         let state = self.state.lock();
-        let others: Vec<Place> = state.known.values().map(|known| known.entry.place()).collect();
-        homes(&state.place, &others)
+        let others: Vec<Profile> = state.known.values().map(|known| known.entry.profile()).collect();
+        watchers(&state.profile, &others)
     }
 
     /// Whether a box that is known did not fail to answer lately.
-    pub fn is_awake(&self, name: &Incarnation) -> bool {
+    pub fn is_reachable(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
-        state.known.get(name).is_some_and(|known| known.is_awake(Instant::now()))
+        state.known.get(name).is_some_and(|known| known.is_reachable(Instant::now()))
     }
 
     /// Whether this box keeps tokens for its availability zone.
-    pub fn am_keeper(&self) -> bool {
+    pub fn is_keeper(&self) -> bool {
         self.keepers().first() == Some(&self.me)
     }
 
@@ -230,14 +230,14 @@
     }
 
     /// A box that is known and did not fail to answer lately, other than `not`.
-    pub fn any_in_reach(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
+    pub fn any_reachable(&self, not: Option<&Incarnation>) -> Option<Incarnation> {
         let others = self.in_reach().into_iter().map(|(name, _)| name);
         others.into_iter().find(|name| Some(name) != not)
     }
 
     /// This box is about to stop: it is nobody's witness any more.
     pub fn forget_promises(&self) {
-        self.records.close();
+        self.promises.close();
     }
 
     /// Another life of a box, if one is known: it answers that the one which was meant is gone.
@@ -251,7 +251,7 @@
     /// Whether a box is in the own availability zone.
     fn is_near(&self, name: &Incarnation) -> bool {
         let state = self.state.lock();
-        state.known.get(name).is_some_and(|known| known.entry.zone == state.place.zone)
+        state.known.get(name).is_some_and(|known| known.entry.zone == state.profile.zone)
     }
 
     /// Where a box is asked, if it is known.
@@ -277,7 +277,7 @@
 
     /// Boxes to tell of a prompt: those in reach of the own availability zone first. What goes to another zone
     /// has its price, and a box is told by as many others either way.
-    pub fn told_of_prompts(&self) -> Vec<Incarnation> {
+    pub fn prompt_recipients(&self) -> Vec<Incarnation> {
         let mut peers = self.awake();
         peers.sort_by_key(|(.., is_near)| !is_near);
         peers.truncate(MOST_ASKED);
@@ -288,10 +288,10 @@
     fn awake(&self) -> Vec<(Incarnation, Peer, bool)> {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let State { known, random, place, .. } = &mut *state;
-        let awake = known.iter().filter(|(_, known)| known.is_awake(now));
+        let State { known, random, profile, .. } = &mut *state;
+        let awake = known.iter().filter(|(_, known)| known.is_reachable(now));
         let told = |(name, known): (&Incarnation, &Known)| {
-            (name.clone(), known.peer.clone(), known.entry.zone == place.zone)
+            (name.clone(), known.peer.clone(), known.entry.zone == profile.zone)
         };
         let mut peers: Vec<(Incarnation, Peer, bool)> = awake.map(told).collect();
         peers.sort_by(|a, b| a.0.cmp(&b.0));
--- a/crates/gateway/src/fleet/peers/questions.rs
+++ b/crates/gateway/src/fleet/peers/questions.rs
@@ -11,7 +11,7 @@
 use quarantine::Report;
 use timeline::Stamp;
 use tokio::time::Instant;
-use wire::{Draw, Drawn, Frame, Listen, Message, News, Peer, Sheet};
+use wire::{Draw, Drawn, Frame, Subscribe, Message, Update, Peer, BillPage};
 
 use super::{LEAVES, Peers, REST};
 
@@ -33,42 +33,42 @@
 
 /// What a witness says of a life that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Word {
+pub enum WitnessReply {
     /// What that one certainly left untouched, by customer.
     Untouched(BTreeMap<Arc<str>, u64>),
     /// It was promised nothing, or died itself: nobody knows.
     Nothing,
     /// It did not answer.
-    Unheard,
+    NoAnswer,
 }
 
-impl Word {
+impl WitnessReply {
     /// Name for log lines.
     pub fn as_str(&self) -> &'static str {
         match self {
-            Word::Untouched(_) => "untouched",
-            Word::Nothing => "nothing",
-            Word::Unheard => "unheard",
+            WitnessReply::Untouched(_) => "untouched",
+            WitnessReply::Nothing => "nothing",
+            WitnessReply::NoAnswer => "unheard",
         }
     }
 
     /// What was left untouched, if the witness knows.
     pub fn untouched(&self) -> Option<&BTreeMap<Arc<str>, u64>> {
         match self {
-            Word::Untouched(tokens) => Some(tokens),
-            Word::Nothing | Word::Unheard => None,
+            WitnessReply::Untouched(tokens) => Some(tokens),
+            WitnessReply::Nothing | WitnessReply::NoAnswer => None,
         }
     }
 }
 
 /// A prompt that other boxes were told of, until it was read.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PromptNotice {
     peers: Peers,
     prompt: Prompt,
 }
 
-impl Drop for Reading {
+impl Drop for PromptNotice {
     fn drop(&mut self) {
         self.prompt.size = 0;
         self.prompt.blocks = Arc::default();
@@ -78,7 +78,7 @@
 
 /// Whether a box knows what it was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Delivery {
     /// It does.
     Taken,
     /// It certainly does not; what it was told before, it knows.
@@ -102,11 +102,11 @@
 
 impl Peers {
     /// Listens to a home once; `None` if it does not answer in time, or does not look at the store.
-    pub async fn listen(&self, listen: Listen, within: Duration) -> Option<News> {
-        let home = listen.teller.clone();
+    pub async fn listen(&self, listen: Subscribe, within: Duration) -> Option<Update> {
+        let home = listen.watcher.clone();
         let peer = self.peer(&home)?;
-        match self.ask(&home, &peer, Frame::Listen(listen), within).await {
-            Heard::Frame(Frame::News(news)) => Some(news),
+        match self.ask(&home, &peer, Frame::Subscribe(listen), within).await {
+            Heard::Frame(Frame::Update(news)) => Some(news),
             Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
         }
     }
@@ -127,18 +127,18 @@
 
     /// Tells other boxes of a large prompt that this one sent to an endpoint; those that do not
     /// answer do not matter. When what is returned is dropped, they are told that it was read.
-    pub fn tell_prompt(&self, endpoint: &Arc<str>, prefix: &Prefix, size: u64) -> Reading {
+    pub fn publish_prompt(&self, endpoint: &Arc<str>, prefix: &Prefix, size: u64) -> PromptNotice {
         let number = self.prompts.fetch_add(1, Ordering::Relaxed);
         let (endpoint, blocks) = (endpoint.clone(), prefix.hashes());
         let prompt = Prompt { endpoint, number, size, blocks };
         self.tell(&prompt);
-        Reading { peers: self.clone(), prompt }
+        PromptNotice { peers: self.clone(), prompt }
     }
 
     fn tell(&self, prompt: &Prompt) {
         // There is none while the process ends.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else { return };
-        for name in self.told_of_prompts() {
+        for name in self.prompt_recipients() {
             let Some(peer) = self.peer(&name) else { continue };
             let (peers, frame) = (self.clone(), Frame::Prompt(prompt.clone()));
             runtime.spawn(async move { peers.ask(&name, &peer, frame, TOLD_WITHIN).await });
@@ -146,20 +146,20 @@
     }
 
     /// Tells a box what this one keeps untouched from now on.
-    pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Told {
+    pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Delivery {
         let number = promise.number;
-        let Some(peer) = self.peer(witness) else { return Told::Not };
+        let Some(peer) = self.peer(witness) else { return Delivery::Not };
         match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_WITHIN).await {
-            Heard::Frame(Frame::Promised { number: taken }) if taken == number => Told::Taken,
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => Told::Gone,
-            Heard::Frame(Frame::Refused { .. }) => Told::Not,
-            Heard::Frame(_) | Heard::Nothing => Told::Unknown,
+            Heard::Frame(Frame::Promised { number: taken }) if taken == number => Delivery::Taken,
+            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => Delivery::Gone,
+            Heard::Frame(Frame::Refused { .. }) => Delivery::Not,
+            Heard::Frame(_) | Heard::Nothing => Delivery::Unknown,
         }
     }
 
     /// Gives pages of bills to boxes that write them; says which took them. One of those may be killed before it reaches
     /// the store, so that two of them have each page; it is there once, whoever writes it first.
-    pub async fn hand_bills(&self, pages: &[Sheet]) -> Vec<Incarnation> {
+    pub async fn hand_over_bills(&self, pages: &[BillPage]) -> Vec<Incarnation> {
         let mut took = Vec::new();
         for (name, peer) in self.in_reach() {
             let frame = Frame::HandOver { to: name.clone(), pages: pages.to_vec() };
@@ -174,16 +174,16 @@
     }
 
     /// Asks the witness of a life that ended what that one had kept, and to take no more promises from it.
-    pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> Word {
+    pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> WitnessReply {
         let Claim { witness: Witness { by, term }, at } = claim;
         let told_where = || at.map(|address| Peer::new(address, self.source));
         let peer = self.peer(by).or_else(|| self.peer_of_box(by)).or_else(told_where);
-        let Some(peer) = peer else { return Word::Unheard };
+        let Some(peer) = peer else { return WitnessReply::NoAnswer };
         let frame = Frame::Seal { holder: holder.clone(), term: *term };
         match self.ask(by, &peer, frame, SEAL_WITHIN).await {
-            Heard::Frame(Frame::Sealed { tokens: Some(tokens) }) => Word::Untouched(tokens),
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => Word::Nothing,
-            Heard::Frame(_) | Heard::Nothing => Word::Unheard,
+            Heard::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
+            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => WitnessReply::Nothing,
+            Heard::Frame(_) | Heard::Nothing => WitnessReply::NoAnswer,
         }
     }
 
@@ -205,9 +205,9 @@
     }
 
     /// Tells the homes of news of a report; what they miss, the store tells.
-    pub fn tell_crash(&self, name: &Arc<str>, report: &Report) {
-        let homes = self.homes();
-        for home in homes.all().filter(|home| **home != self.me) {
+    pub fn publish_crash(&self, name: &Arc<str>, report: &Report) {
+        let watchers = self.watchers();
+        for home in watchers.all().filter(|home| **home != self.me) {
             let Some(peer) = self.peer(home) else { continue };
             let frame = Frame::Crash { name: name.clone(), report: report.clone() };
             let (peers, home) = (self.clone(), home.clone());
--- a/crates/gateway/src/fleet/records.rs
+++ b/crates/gateway/src/fleet/records.rs
@@ -10,11 +10,11 @@
 
 /// What other boxes promised this one.
 #[derive(Debug, Clone, Default)]
-pub struct Records(Arc<Mutex<Kept>>);
+pub struct Promises(Arc<Mutex<Kept>>);
 
 #[derive(Debug, Default)]
 struct Kept {
-    records: HashMap<Incarnation, Record>,
+    promises: HashMap<Incarnation, Record>,
     /// Nothing is taken any more.
     closed: bool,
 }
@@ -28,20 +28,20 @@
 
 /// What became of a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acceptance {
     /// It counts now.
-    Newest,
+    Accepted,
     /// A newer one counts, or the box that promised counts as dead.
-    Not,
+    Rejected,
     /// This box is no witness any more: no promise counts.
     Closed,
 }
 
-impl Records {
+impl Promises {
     /// Takes a promise.
-    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Taken {
+    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
         let mut kept = self.0.lock();
-        let known = kept.records.get(holder);
+        let known = kept.promises.get(holder);
         let is_sealed = known.is_some_and(|known| known.sealed);
         let is_newer = known.is_none_or(|known| {
             let (old, new) = (&known.promise, &promise);
@@ -50,13 +50,13 @@
         match is_newer && !is_sealed {
             // Whoever is told so is bound by nothing that it promised here.
             _ if kept.closed && !is_sealed => {
-                kept.records.remove(holder);
-                Taken::Closed
+                kept.promises.remove(holder);
+                Acceptance::Closed
             }
-            false => Taken::Not,
+            false => Acceptance::Rejected,
             true => {
-                kept.records.insert(holder.clone(), Record { promise, sealed: false });
-                Taken::Newest
+                kept.promises.insert(holder.clone(), Record { promise, sealed: false });
+                Acceptance::Accepted
             }
         }
     }
@@ -64,14 +64,14 @@
     /// What a box that died had promised last under a naming. Nothing newer is taken from then on.
     pub fn seal(&self, holder: &Incarnation, term: u64) -> Option<BTreeMap<Arc<str>, u64>> {
         let mut kept = self.0.lock();
-        let record = kept.records.get_mut(holder)?;
+        let record = kept.promises.get_mut(holder)?;
         record.sealed = true;
         (record.promise.term == term).then(|| record.promise.tokens.clone())
     }
 
     /// Forgets lives of boxes that are not listed any more.
     pub fn retain(&self, stands: impl Fn(&Incarnation) -> bool) {
-        self.0.lock().records.retain(|name, _| stands(name));
+        self.0.lock().promises.retain(|name, _| stands(name));
     }
 
     /// Takes no promise any more; what was promised before can still be told of boxes that died.
--- a/crates/gateway/src/fleet/traffic.rs
+++ b/crates/gateway/src/fleet/traffic.rs
@@ -19,7 +19,7 @@
         let mut flows = self.0.lock();
         let flow = flows.entry((topic, is_near)).or_default();
         flow.sent += size.sent;
-        flow.heard += size.heard;
+        flow.received += size.received;
     }
 
     /// What was counted so far.
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -7,7 +7,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use forward::Links;
+use forward::Connections;
 use ledger::Incarnation;
 use objects::Calls;
 use parking_lot::Mutex;
@@ -22,35 +22,35 @@
 use tokio_util::task::TaskTracker;
 
 use crate::{
-    clock::{Clock, Pulse},
-    door::{desk::Desk, pages, serve},
-    fleet::{entry::Entry, order::Place, peers::Peers},
+    clock::{Clock, Watchdog},
+    inbound::{peer_service::PeerService, admin, serve},
+    fleet::{entry::Entry, keepers::Profile, peers::Peers},
     metrics::Metrics,
-    money::{
+    tokens::{
         bills::Bills,
-        draws::Draws,
+        acquirer::Acquirer,
         funds::{Balance, Funds},
-        lending::Lending,
+        borrower::Borrower,
         settle::{Settler, Setup},
-        witness::{Keeper, Naming},
+        witness::{Promiser, Selector},
     },
-    news::{
-        listen::Listener,
-        look,
+    sync::{
+        listen::Subscriber,
+        watcher,
         reporter::Reporter,
-        roster::Roster,
-        view::{Uses, View},
-        words,
+        discovery::Discovery,
+        view::{Consumers, View},
+        signals,
     },
-    outage::Contact,
+    outage::Recovery,
     settings::Settings,
-    way::{
-        crashes::{Crashes, by_connecting},
+    proxy::{
+        crashes::{Crashes, connect_prober},
         endpoints::Endpoints,
-        gate::Gate,
+        context::Context,
         link::Link,
-        teller::Teller,
-        turns::{self, Turns},
+        announcer::Announcer,
+        permits::{self, Permits},
     },
 };
 
@@ -61,7 +61,7 @@
 
 /// A running box.
 pub struct Gateway {
-    gate: Arc<Gate>,
+    context: Arc<Context>,
     callers: SocketAddr,
     ready: SocketAddr,
     operators: SocketAddr,
@@ -95,76 +95,76 @@
         let store = Client::open(settings.store());
         let calls = store.calls();
         let metrics = Metrics::open();
-        let contact = Contact::open();
+        let recovery = Recovery::open();
         let (in_force, table) = watch::channel(None);
         let (stopping, stops) = watch::channel(false);
         let (closing, closes) = watch::channel(false);
-        let links = Links::new(settings.links());
-        let (to_store, to_endpoints) = (store.clone(), links.clone());
-        let pulse = Pulse::open(clock.clone(), move || {
+        let connections = Connections::new(settings.connections());
+        let (to_store, to_endpoints) = (store.clone(), connections.clone());
+        let watchdog = Watchdog::open(clock.clone(), move || {
             to_store.forget_connections();
-            to_endpoints.close_resting();
+            to_endpoints.close_idle();
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
         let endpoints = Arc::new(Endpoints::new(zone, settings.cold, &clock, seed));
-        let prove = by_connecting(settings.links().connect);
+        let prove = connect_prober(settings.connections().connect_timeout);
         let (crashes, reports) =
             Crashes::open(incarnation.clone(), settings.quarantine(), prove, &clock);
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
-        let place = Place {
+        let profile = Profile {
             name: incarnation.clone(),
             zone: settings.zone.clone(),
             strength: settings.machine.strength(),
         };
-        let peers = Peers::open(place, settings.listen.peers, random.random());
+        let peers = Peers::open(profile, settings.listen.peers, random.random());
         let (in_force_settings, read_settings) = watch::channel(Arc::new(settings.clone()));
-        let lending = Lending::new(funds.clone(), peers.clone());
-        let draws =
-            Draws::new(funds.clone(), peers.clone(), lending.clone(), read_settings.clone());
-        let view = View::open(Uses {
+        let borrower = Borrower::new(funds.clone(), peers.clone());
+        let acquirer =
+            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), read_settings.clone());
+        let view = View::open(Consumers {
             in_force,
             funds: funds.clone(),
             endpoints: endpoints.clone(),
-            links: links.clone(),
+            connections: connections.clone(),
             peers: peers.clone(),
             crashes: crashes.clone(),
-            contact: contact.clone(),
-            pulse: pulse.clone(),
+            recovery: recovery.clone(),
+            watchdog: watchdog.clone(),
             started: clock.now(),
         });
-        let (teller, told) = Teller::open();
-        let turns = Turns::open(turns::Setup {
+        let (announcer, told) = Announcer::open();
+        let permits = Permits::open(permits::Setup {
             endpoints: endpoints.clone(),
             peers: peers.clone(),
             metrics: metrics.clone(),
             stopping: stops.clone(),
             started: clock.now(),
-            teller: teller.clone(),
+            announcer: announcer.clone(),
         });
-        let desk = Desk {
+        let peer_service = PeerService {
             me: incarnation.clone(),
             funds: funds.clone(),
             peers: peers.clone(),
-            lending,
+            borrower,
             endpoints: endpoints.clone(),
             bills: bills.clone(),
             view: view.clone(),
-            turns: turns.clone(),
+            permits: permits.clone(),
             stopping: stops.clone(),
         };
-        let lender = bind_lender(settings.listen.peers, desk, &peers).await?;
-        let gate = Arc::new(Gate {
+        let lender = bind_lender(settings.listen.peers, peer_service, &peers).await?;
+        let context = Arc::new(Context {
             table,
             endpoints: endpoints.clone(),
             crashes,
-            turns,
-            teller,
-            links: links.clone(),
+            permits,
+            announcer,
+            connections: connections.clone(),
             funds: funds.clone(),
             bills: bills.clone(),
             peers: peers.clone(),
-            draws: draws.clone(),
+            acquirer: acquirer.clone(),
             link: Arc::new(Link::new(settings.machine.link_mbps)),
             retries: Mutex::default(),
             metrics: metrics.clone(),
@@ -172,7 +172,7 @@
             stopping: stops,
             started: clock.now(),
             clock,
-            pulse: pulse.clone(),
+            watchdog: watchdog.clone(),
             dropped_lines: Mutex::default(),
             settings: in_force_settings,
         });
@@ -180,50 +180,50 @@
         let [callers, ready, operators] = sockets.addresses();
         let tasks = TaskTracker::new();
         let (leaving, leaves) = watch::channel(None);
-        let roster = peers.address().map(|peer| {
+        let discovery = peers.address().map(|peer| {
             let me = Entry {
                 incarnation: incarnation.clone(),
                 zone: settings.zone.clone(),
                 peer,
                 strength: settings.machine.strength(),
             };
-            Roster::new(store.clone(), me, peers.clone(), view.clone(), contact.clone())
+            Discovery::new(store.clone(), me, peers.clone(), view.clone(), recovery.clone())
         });
         let registered =
-            roster.as_ref().map_or_else(|| watch::channel(None).1, |roster| roster.written());
-        let naming = Naming::open();
-        let keeper = Keeper { funds: funds.clone(), peers: peers.clone(), naming: naming.clone() };
+            discovery.as_ref().map_or_else(|| watch::channel(None).1, |discovery| discovery.written());
+        let selector = Selector::open();
+        let promiser = Promiser { funds: funds.clone(), peers: peers.clone(), selector: selector.clone() };
         let setup = Setup {
             store: store.clone(),
             funds: funds.clone(),
             peers,
-            naming,
-            draws: draws.clone(),
+            selector,
+            acquirer: acquirer.clone(),
             metrics: metrics.clone(),
             registered: registered.clone(),
             bills,
             holder: incarnation.clone(),
             settings: read_settings,
         };
-        let settler = Settler::new(setup, contact.clone());
+        let settler = Settler::new(setup, recovery.clone());
         let lapse = Duration::from_millis(settings.limits.lapse_ms);
         let name = settings.box_name.clone();
         let reporter = Reporter {
             store: store.clone(),
-            peers: gate.peers.clone(),
+            peers: context.peers.clone(),
             view: view.clone(),
-            contact: contact.clone(),
+            recovery: recovery.clone(),
         };
-        let looks = look::Setup {
+        let looks = watcher::Setup {
             store: store.clone(),
             view: view.clone(),
-            contact,
-            pulse: pulse.clone(),
+            recovery,
+            watchdog: watchdog.clone(),
             name,
             lapse,
         };
-        let listener = Listener::new(gate.peers.clone(), looks, registered, random.random());
-        let (serving, bounding) = (gate.clone(), gate.clone());
+        let subscriber = Subscriber::new(context.peers.clone(), looks, registered, random.random());
+        let (serving, bounding) = (context.clone(), context.clone());
         let accepting = tokio::spawn(serve::accept(
             sockets.callers,
             settings.limits.connections,
@@ -240,7 +240,7 @@
             TaskTracker::new(),
             closes.clone(),
             metrics.clone(),
-            pages::answer_ready(gate.clone()),
+            admin::answer_ready(context.clone()),
         );
         let for_operators = serve::accept(
             sockets.operators,
@@ -249,19 +249,19 @@
             TaskTracker::new(),
             closes,
             metrics,
-            pages::answer_metrics(gate.clone(), view.clone(), calls.clone()),
+            admin::answer_metrics(context.clone(), view.clone(), calls.clone()),
         );
         let mut loops = vec![
-            tokio::spawn(listener.run()),
+            tokio::spawn(subscriber.run()),
             tokio::spawn(reporter.run(reports)),
-            tokio::spawn(words::tell(view.clone(), gate.peers.clone(), endpoints.clone(), told)),
-            tokio::spawn(pulse.run()),
-            tokio::spawn(keeper.run()),
-            tokio::spawn(draws.run()),
+            tokio::spawn(signals::publish(view.clone(), context.peers.clone(), endpoints.clone(), told)),
+            tokio::spawn(watchdog.run()),
+            tokio::spawn(promiser.run()),
+            tokio::spawn(acquirer.run()),
             tokio::spawn(for_balancer),
             tokio::spawn(for_operators),
         ];
-        loops.extend(roster.map(|roster| tokio::spawn(roster.run())));
+        loops.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
         let settler = Some(tokio::spawn(settle(settler, leaves)));
         tracing::info!(
             event = "started",
@@ -271,7 +271,7 @@
             store = %settings.store.address,
         );
         Ok(Gateway {
-            gate,
+            context,
             callers,
             ready,
             operators,
@@ -320,62 +320,62 @@
 
     /// What this box holds of a customer's budget.
     pub fn balance(&self, customer: &str) -> Balance {
-        self.gate.funds.balance(customer)
+        self.context.funds.balance(customer)
     }
 
     /// Bills that are not written yet, with pages that other boxes handed over.
     pub fn bills_waiting(&self) -> usize {
-        self.gate.bills.waiting()
+        self.context.bills.waiting()
     }
 
     /// Number of other boxes that this one can ask for tokens.
-    pub fn knows_peers(&self) -> usize {
-        self.gate.peers.len()
+    pub fn peer_count(&self) -> usize {
+        self.context.peers.len()
     }
 
     /// Limits that endpoints name, by their lives, in requests a second.
     pub fn limits(&self) -> Vec<(Arc<str>, f64)> {
-        self.gate.endpoints.limits()
+        self.context.endpoints.limits()
     }
 
     /// Endpoints that said that they leave and are still listed.
     pub fn leaving(&self) -> usize {
-        self.gate.endpoints.count_leaving()
+        self.context.endpoints.count_leaving()
     }
 
     /// Endpoints that want nothing from this box for now.
-    pub fn resting(&self) -> usize {
-        self.gate.endpoints.count_resting()
+    pub fn backing_off(&self) -> usize {
+        self.context.endpoints.count_backing_off()
     }
 
     /// The metrics as text.
     pub fn metrics(&self) -> String {
-        self.gate.metrics.text()
+        self.context.metrics.text()
     }
 
     /// Tells the metrics how many log lines were dropped so far.
     pub fn count_dropped_lines(&self, count: impl Fn() -> usize + Send + Sync + 'static) {
-        *self.gate.dropped_lines.lock() = Some(Box::new(count));
+        *self.context.dropped_lines.lock() = Some(Box::new(count));
     }
 
     /// Takes over settings that were read again: sizes of grants, repeats, and the times of a
     /// planned stop are in force at once; the rest is at the next start of the process.
     pub fn reload(&self, settings: Settings) {
-        let later = self.gate.settings().read_at_start(&settings);
-        let changed = *self.gate.settings() != settings;
+        let later = self.context.settings().read_at_start(&settings);
+        let changed = *self.context.settings() != settings;
         tracing::info!(event = "settings_read_again", changed, at_next_start = later.join(","));
-        self.gate.settings.send_replace(Arc::new(settings));
+        self.context.settings.send_replace(Arc::new(settings));
     }
 
     /// The planned stop: not ready first, then every request to its end, then all tokens returned.
     pub async fn stop(mut self) {
-        let began = self.gate.clock.now();
-        let settings = self.gate.settings();
+        let began = self.context.clock.now();
+        let settings = self.context.settings();
         let limits = &settings.limits;
         let limit = Duration::from_millis(limits.stop_ms);
         tracing::info!(event = "stopping", limit_ms = limits.stop_ms);
         self.stopping.send_replace(true);
-        self.gate.peers.forget_promises();
+        self.context.peers.forget_promises();
         self.tasks.close();
         let notice = Duration::from_millis(limits.notice_ms);
         // The balancer sends connections until it has noticed; they are all served.
--- a/crates/gateway/src/gateway/sockets.rs
+++ b/crates/gateway/src/gateway/sockets.rs
@@ -6,10 +6,10 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    door::{desk::Desk, serve},
+    inbound::{peer_service::PeerService, serve},
     fleet::peers::Peers,
     settings::Listen,
-    way::bounds::Bounds,
+    proxy::bounds::Bounds,
 };
 
 /// Why a box did not start.
@@ -48,11 +48,11 @@
 /// Answers other boxes, if they may ask.
 pub async fn bind_lender(
     address: Option<SocketAddr>,
-    desk: Desk,
+    peer_service: PeerService,
     peers: &Peers,
 ) -> Result<Option<wire::Server>, Error> {
     let Some(address) = address else { return Ok(None) };
-    let server = wire::Server::bind(address, Arc::new(desk)).await;
+    let server = wire::Server::bind(address, Arc::new(peer_service)).await;
     let server = server.context(BindSnafu { address })?;
     peers.listens_at(server.address());
     Ok(Some(server))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,55 +4,55 @@
 //!
 //! The rooms of the crate, each of which needs only those after it:
 //!
-//! - `door`: callers, the balancer, operators and other boxes come in here;
-//! - `news`: the configuration, the endpoints and the other boxes, as the platform's store holds them;
-//! - `way`: a request on its way to an endpoint and back;
-//! - `money`: what this box may spend of each budget, and how it comes by more;
+//! - `inbound`: callers, the balancer, operators and other boxes come in here;
+//! - `sync`: the configuration, the endpoints and the other boxes, as the platform's store holds them;
+//! - `proxy`: a request on its way to an endpoint and back;
+//! - `tokens`: what this box may spend of each budget, and how it comes by more;
 //! - `fleet`: the other boxes, and asking them.
 //!
 //! A request comes in at the door, goes its way, and takes its tokens from the money.
 
 mod clock;
-mod door;
+mod inbound;
 mod fleet;
 mod gateway;
 mod metrics;
-mod money;
-mod news;
+mod tokens;
+mod sync;
 mod outage;
 pub mod settings;
 mod table;
-mod way;
+mod proxy;
 
-pub use clock::{Clock, Part, Pulse};
+pub use clock::{Clock, Dataset, Watchdog};
 pub use fleet::{
     entry::Entry,
-    homes::{Homes, homes},
-    order::{Place, order},
+    watchers::{Watchers, watchers},
+    keepers::{Profile, keepers},
     peers::Peers,
-    records::{Records, Taken},
+    promises::{Promises, Acceptance},
 };
 pub use gateway::{Error, Gateway};
-pub use money::{
+pub use tokens::{
     bills::Bills,
-    ends::Ends,
-    funds::{Balance, Funds, Hold, Lack},
-    outlook::Outlook,
-    spacing::times_apart,
+    participation::Participation,
+    funds::{Balance, Funds, Hold, Shortage},
+    forecast::Forecast,
+    spacing::interval_factor,
 };
-pub use news::{
+pub use sync::{
     directory::Directory,
     evacuations::{Evacuations, Zones},
-    shelf::Shelf,
+    change_log::ChangeLog,
 };
-pub use outage::{Contact, Outage, Probe};
+pub use outage::{Recovery, Outage, Probe};
 pub use settings::Settings;
 pub use table::Table;
-pub use way::{
-    crashes::{Crashes, Found, Prove},
-    endpoints::{Chosen, Endpoints, Heard},
+pub use proxy::{
+    crashes::{Crashes, Liveness, Prober},
+    endpoints::{Chosen, Endpoints, Changes},
     link::Link,
-    meter::Meter,
+    event_counter::EventCounter,
     refusal::{Reason, Refusal},
     retries::Retries,
 };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -20,7 +20,7 @@
 
 /// Labels of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Purpose {
+pub struct StoreCall {
     /// What the call does.
     pub operation: String,
     /// Kind of object.
@@ -47,7 +47,7 @@
 
 /// Labels of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Named {
+pub struct Endpoint {
     /// This life of it.
     pub endpoint: String,
 }
@@ -68,7 +68,7 @@
 
 /// Labels of questions for turns at endpoints that name a limit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Asked {
+pub struct PermitOutcome {
     /// `given`, `none` or `free`: the endpoint names no limit any more.
     pub outcome: &'static str,
 }
@@ -80,7 +80,7 @@
     /// Requests by how they ended.
     pub requests: Family<Finished, Counter>,
     /// Requests under way.
-    pub under_way: Gauge,
+    pub in_flight: Gauge,
     /// Tokens charged.
     pub tokens: Counter,
     /// Seconds to the first byte of an endpoint's answer.
@@ -92,7 +92,7 @@
     /// Connections of callers.
     pub callers: Gauge,
     /// Calls to the store by purpose.
-    pub calls: Family<Purpose, Gauge>,
+    pub calls: Family<StoreCall, Gauge>,
     /// Bytes of questions to other boxes and their answers.
     pub peer_bytes: Family<Flow, Gauge>,
     /// Tokens free in this box, by customer.
@@ -112,23 +112,23 @@
     /// Endpoints that said in an answer that they leave.
     pub leaving: Gauge,
     /// Endpoints that want nothing from this box for now.
-    pub resting: Gauge,
+    pub backing_off: Gauge,
     /// Headers of endpoints that are not known, or whose values cannot be read.
     pub unread: Family<Header, Gauge>,
     /// Requests a second that endpoints in need take from all boxes together.
-    pub limits: Family<Named, Gauge<f64, AtomicU64>>,
+    pub limits: Family<Endpoint, Gauge<f64, AtomicU64>>,
     /// Requests that this box sent to endpoints while they named a limit, by service; lines name the endpoint.
-    pub limited: Family<Service, Counter>,
+    pub limited_sends: Family<Service, Counter>,
     /// Questions of this box for turns at endpoints that name a limit.
-    pub turns: Family<Asked, Counter>,
+    pub permits: Family<PermitOutcome, Counter>,
     /// Turns that this box handed out, to itself and to others.
-    pub turns_given: Counter,
+    pub permits_issued: Counter,
     /// Reports of endpoints that ended, and of requests that were answered after all.
     pub crashes: Gauge,
     /// Requests that are not run any more.
     pub quarantined: Gauge,
     /// 1 while this box looks at the store itself.
-    pub looks: Gauge,
+    pub watches: Gauge,
     /// Milliseconds since the store, or a home that reaches it, was heard; -1 before that.
     pub news_age: Gauge,
 }
@@ -142,7 +142,7 @@
         let metrics = Metrics {
             registry: Arc::new(Mutex::new(Registry::with_prefix("flintstall"))),
             requests: Family::default(),
-            under_way: Gauge::default(),
+            in_flight: Gauge::default(),
             tokens: Counter::default(),
             first_byte: Histogram::new(FIRST_BYTE),
             repeats: Counter::default(),
@@ -158,15 +158,15 @@
             claims: Gauge::default(),
             cold: Gauge::default(),
             leaving: Gauge::default(),
-            resting: Gauge::default(),
+            backing_off: Gauge::default(),
             unread: Family::default(),
             limits: Family::default(),
-            limited: Family::default(),
-            turns: Family::default(),
-            turns_given: Counter::default(),
+            limited_sends: Family::default(),
+            permits: Family::default(),
+            permits_issued: Counter::default(),
             crashes: Gauge::default(),
             quarantined: Gauge::default(),
-            looks: Gauge::default(),
+            watches: Gauge::default(),
             news_age: Gauge::default(),
         };
         metrics.register();
@@ -176,7 +176,7 @@
     fn register(&self) {
         let mut registry = self.registry.lock();
         registry.register("requests", "Requests by how they ended", self.requests.clone());
-        registry.register("requests_under_way", "Requests under way", self.under_way.clone());
+        registry.register("requests_under_way", "Requests under way", self.in_flight.clone());
         registry.register("tokens_charged", "Tokens charged", self.tokens.clone());
         registry.register(
             "first_byte_seconds",
@@ -230,7 +230,7 @@
         registry.register(
             "resting_endpoints",
             "Endpoints that want nothing from this box for now",
-            self.resting.clone(),
+            self.backing_off.clone(),
         );
         registry.register(
             "unread_headers",
@@ -245,17 +245,17 @@
         registry.register(
             "limited_sends",
             "Requests that this box sent to endpoints of a service while they named a limit",
-            self.limited.clone(),
+            self.limited_sends.clone(),
         );
         registry.register(
             "turns",
             "Questions of this box for turns at endpoints that name a limit, by what came of them",
-            self.turns.clone(),
+            self.permits.clone(),
         );
         registry.register(
             "turns_given",
             "Turns at endpoints that name a limit which this box handed out",
-            self.turns_given.clone(),
+            self.permits_issued.clone(),
         );
         registry.register(
             "crash_reports",
@@ -270,7 +270,7 @@
         registry.register(
             "news_from_store",
             "1 while this box looks at the store itself, 0 while it listens to another box",
-            self.looks.clone(),
+            self.watches.clone(),
         );
         registry.register(
             "news_age_milliseconds",
--- a/crates/gateway/src/money/bills.rs
+++ b/crates/gateway/src/money/bills.rs
@@ -13,7 +13,7 @@
 use parking_lot::Mutex;
 use platform::store::{Client, Put};
 use tokio::time::Instant;
-use wire::Sheet;
+use wire::BillPage;
 
 /// Time between two pages of a box, so that few bills are lost with it and few calls made.
 const PAGE_EVERY: Duration = Duration::from_secs(10);
@@ -35,12 +35,12 @@
     sent: Option<usize>,
     written: Instant,
     /// Pages of other boxes that this one writes.
-    carried: Vec<Sheet>,
+    carried: Vec<BillPage>,
 }
 
 impl State {
     /// The next page and the bills on it.
-    fn next(&mut self) -> Option<(Sheet, usize)> {
+    fn next(&mut self) -> Option<(BillPage, usize)> {
         let count = self.sent.unwrap_or(self.open.len().min(PAGE_BILLS));
         if count == 0 {
             return None;
@@ -91,12 +91,12 @@
     }
 
     /// Takes over pages of a box that ends.
-    pub fn carry(&self, pages: Vec<Sheet>) {
+    pub fn take_over(&self, pages: Vec<BillPage>) {
         self.0.lock().carried.extend(pages);
     }
 
     /// Takes out all that is not written, as pages for another box to write.
-    pub fn hand_over(&self) -> Vec<Sheet> {
+    pub fn hand_over(&self) -> Vec<BillPage> {
         let mut state = self.0.lock();
         let mut pages = std::mem::take(&mut state.carried);
         while let Some((page, count)) = state.next() {
@@ -106,7 +106,7 @@
         pages
     }
 
-    fn next(&self, all: bool) -> Option<(Sheet, usize)> {
+    fn next(&self, all: bool) -> Option<(BillPage, usize)> {
         let mut state = self.0.lock();
         let due = all || state.written.elapsed() >= PAGE_EVERY || state.open.len() >= PAGE_BILLS;
         due.then(|| state.next()).flatten()
@@ -115,7 +115,7 @@
     /// Writes pages of other boxes; stops at the first that fails.
     async fn write_carried(&self, store: &Client) {
         loop {
-            let Some(Sheet { name, text }) = self.0.lock().carried.last().cloned() else { return };
+            let Some(BillPage { name, text }) = self.0.lock().carried.last().cloned() else { return };
             match store.replace(BILLS, &name, &text, Expect::Absent).await {
                 Put::Landed(_) | Put::Refused(_) => {
                     self.0.lock().carried.retain(|page| page.name != name);
@@ -134,7 +134,7 @@
     /// Only one task may do this: what is written goes by position.
     pub async fn write(&self, store: &Client, all: bool) {
         self.write_carried(store).await;
-        while let Some((Sheet { name, text }, count)) = self.next(all) {
+        while let Some((BillPage { name, text }, count)) = self.next(all) {
             let put = store.replace(BILLS, &name, &text, Expect::Absent).await;
             match put {
                 // A page that is there already was written by an earlier call of this box.
@@ -152,7 +152,7 @@
     }
 }
 
-fn sheet(by: &Incarnation, page: u64, bills: Vec<Bill>) -> Sheet {
+fn sheet(by: &Incarnation, page: u64, bills: Vec<Bill>) -> BillPage {
     let text = serde_json::to_string(&Page { bills }).expect("bills always serialize");
-    Sheet { name: format!("{by}.{page:06}"), text }
+    BillPage { name: format!("{by}.{page:06}"), text }
 }
--- a/crates/gateway/src/money/claims.rs
+++ b/crates/gateway/src/money/claims.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use ledger::{Claim, Incarnation, Untouched};
 
-use crate::fleet::peers::{Peers, Word};
+use crate::fleet::peers::{Peers, WitnessReply};
 
 /// What the witnesses say; claims whose witness does not answer are left out.
 pub async fn ask(peers: &Peers, open: Vec<(Incarnation, Claim)>) -> Vec<Untouched> {
@@ -15,7 +15,7 @@
     told.filter_map(|((holder, claim), word)| untouched(holder, claim, word)).collect()
 }
 
-fn untouched(holder: Incarnation, claim: Claim, word: Word) -> Option<Untouched> {
+fn untouched(holder: Incarnation, claim: Claim, word: WitnessReply) -> Option<Untouched> {
     let witness = claim.witness;
     tracing::info!(
         event = "witness_asked",
@@ -25,9 +25,9 @@
         untouched = word.untouched().map(|tokens| tokens.values().sum::<u64>()),
     );
     let tokens = match word {
-        Word::Untouched(tokens) => tokens,
-        Word::Nothing => BTreeMap::new(),
-        Word::Unheard => return None,
+        WitnessReply::Untouched(tokens) => tokens,
+        WitnessReply::Nothing => BTreeMap::new(),
+        WitnessReply::NoAnswer => return None,
     };
     Some(Untouched { holder, witness, tokens })
 }
--- a/crates/gateway/src/money/draws.rs
+++ b/crates/gateway/src/money/draws.rs
@@ -10,7 +10,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{Incarnation, Told};
+use ledger::{Incarnation, Demand};
 use tokio::{sync::watch, time::Instant};
 use wire::{Draw, Drawn};
 
@@ -18,7 +18,7 @@
     fleet::peers::Peers,
     money::{
         funds::{Funds, Hold},
-        lending::Lending,
+        borrower::Borrower,
         report,
     },
     settings::Settings,
@@ -46,23 +46,23 @@
 
 /// Gets tokens for requests.
 #[derive(Debug, Clone)]
-pub struct Draws {
+pub struct Acquirer {
     funds: Funds,
     peers: Peers,
-    lending: Lending,
+    borrower: Borrower,
     /// The settings in force.
     settings: watch::Receiver<Arc<Settings>>,
 }
 
-impl Draws {
+impl Acquirer {
     /// For this box's accounts.
     pub fn new(
         funds: Funds,
         peers: Peers,
-        lending: Lending,
+        borrower: Borrower,
         settings: watch::Receiver<Arc<Settings>>,
-    ) -> Draws {
-        Draws { funds, peers, lending, settings }
+    ) -> Acquirer {
+        Acquirer { funds, peers, borrower, settings }
     }
 
     /// Longest time that a keeper may look for tokens.
@@ -116,7 +116,7 @@
         let from_store = (Instant::now() + from_store).min(until);
         match self.funds.hold(customer, worst, from_store).await {
             Some(hold) => Some(hold),
-            None => self.lending.hold(customer, worst, until).await,
+            None => self.borrower.hold(customer, worst, until).await,
         }
     }
 
@@ -140,7 +140,7 @@
             if self.funds.are_others_dry(customer, worst) {
                 return Drew::TooLittle;
             }
-            let told = self.funds.tell(keeper, Some((customer, worst)));
+            let told = self.funds.demands(keeper, Some((customer, worst)));
             let within = self.keeper_within().min(until.saturating_duration_since(Instant::now()));
             let Some(drawn) = self.draw(keeper, told, within, false).await else {
                 return Drew::Nothing;
@@ -172,7 +172,7 @@
     async fn draw(
         &self,
         keeper: &Incarnation,
-        items: Vec<Told>,
+        items: Vec<Demand>,
         within: Duration,
         leaves: bool,
     ) -> Option<Drawn> {
@@ -198,7 +198,7 @@
                 if !self.peers.knows(&keeper) {
                     continue;
                 }
-                let told = self.funds.tell(&keeper, None);
+                let told = self.funds.demands(&keeper, None);
                 let drawn = self.draw(&keeper, told, Duration::ZERO, false).await;
                 if drawn.is_some_and(|drawn| drawn.leaves) {
                     self.return_all(&keeper, false).await;
--- a/crates/gateway/src/money/ends.rs
+++ b/crates/gateway/src/money/ends.rs
@@ -2,11 +2,11 @@
 
 /// Whether a box goes on drawing from the book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ends {
+pub enum Participation {
     /// It does.
-    Not,
+    Active,
     /// It gives back what it can: another box keeps tokens now.
-    Retires,
+    Retiring,
     /// It ends by plan.
-    Leaves,
+    Leaving,
 }
--- a/crates/gateway/src/money/funds/mod.rs
+++ b/crates/gateway/src/money/funds/mod.rs
@@ -5,9 +5,9 @@
 //! charged and what is lacking, and [`Funds::landed`] takes over what the book granted.
 //! [`Funds::promise`] says what this box keeps untouched, for its witness.
 
-mod passing;
-mod promising;
-mod settling;
+mod transfers;
+mod promises;
+mod settlements;
 
 use std::{cmp::Reverse, collections::HashMap, fmt, sync::Arc, time::Duration};
 
@@ -19,17 +19,17 @@
 };
 
 use crate::{
-    money::purse::{Parts, Purse},
+    tokens::wallet::{Parts, Wallet},
     table::Table,
 };
 
 /// Why tokens could not be held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum Shortage {
     /// What remains of the budget cannot hold the request.
     Exhausted,
     /// The budget may have tokens, but this box did not get them in time.
-    Short {
+    Local {
         /// Free in this box.
         free: u64,
         /// Part of them that a promise keeps.
@@ -41,15 +41,15 @@
     },
 }
 
-impl fmt::Display for Lack {
+impl fmt::Display for Shortage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Lack::Exhausted => f.write_str("the budget is used up"),
-            Lack::Short { free, kept, left, age: Some(age) } => {
+            Shortage::Exhausted => f.write_str("the budget is used up"),
+            Shortage::Local { free, kept, left, age: Some(age) } => {
                 let ago = age.as_millis();
                 write!(f, "{free} free here, {kept} of them kept, {left} left {ago} ms ago")
             }
-            Lack::Short { free, age: None, .. } => write!(f, "{free} free here, none settled yet"),
+            Shortage::Local { free, age: None, .. } => write!(f, "{free} free here, none settled yet"),
         }
     }
 }
@@ -82,12 +82,12 @@
     /// A new promise is due.
     promise_due: Notify,
     /// Promises that the witness took.
-    promised: watch::Sender<u64>,
+    promise_accepted: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    purses: HashMap<Arc<str>, Purse>,
+    wallets: HashMap<Arc<str>, Wallet>,
     /// The store does not answer: no settlement brings anything.
     cut: bool,
     /// When tokens were last passed on to another box, or wanted of the book.
@@ -122,8 +122,8 @@
     fn end(&mut self, charged: u64) -> u64 {
         let Some(reservation) = self.reservation.take() else { return 0 };
         let mut state = self.funds.0.state.lock();
-        let Some(purse) = state.purses.get_mut(&self.customer) else { return 0 };
-        purse.settle(reservation, charged)
+        let Some(wallet) = state.wallets.get_mut(&self.customer) else { return 0 };
+        wallet.settle(reservation, charged)
     }
 }
 
@@ -142,7 +142,7 @@
             wanted: Notify::new(),
             settled: watch::channel(0).0,
             promise_due: Notify::new(),
-            promised: watch::channel(0).0,
+            promise_accepted: watch::channel(0).0,
         }))
     }
 
@@ -150,20 +150,20 @@
     pub fn configure(&self, table: &Table) {
         let mut state = self.0.state.lock();
         for customer in table.config().customers.iter().flatten() {
-            let purse = state.purses.entry(customer.name.clone()).or_default();
-            purse.configure(customer.paid, table.version());
+            let wallet = state.wallets.entry(customer.name.clone()).or_default();
+            wallet.configure(customer.paid, table.version());
         }
         drop(state);
         self.0.wanted.notify_one();
     }
 
     /// Whether the store answers settlements.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_store_unreachable(&self, cut: bool) {
         self.0.state.lock().cut = cut;
     }
 
     /// Whether the store does not answer.
-    pub fn is_cut(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.0.state.lock().cut
     }
 
@@ -184,12 +184,12 @@
         if let Some(found) = attempt() {
             return Some(found);
         }
-        if self.free_kept(customer, tokens, until).await
+        if self.wait_for_release(customer, tokens, until).await
             && let Some(found) = attempt()
         {
             return Some(found);
         }
-        if self.is_cut() || self.is_dry(customer, tokens) {
+        if self.is_store_unreachable() || self.is_dry(customer, tokens) {
             return None;
         }
         let _waiting = Waiting::join(self, customer, tokens);
@@ -213,9 +213,9 @@
     pub fn try_hold(&self, customer: &Arc<str>, worst: u64) -> Option<Hold> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let purse = state.purses.entry(customer.clone()).or_default();
-        let reservation = purse.reserve(worst, now)?;
-        let due = purse.is_promise_due(now);
+        let wallet = state.wallets.entry(customer.clone()).or_default();
+        let reservation = wallet.reserve(worst, now)?;
+        let due = wallet.is_promise_due(now);
         drop(state);
         if due {
             self.0.promise_due.notify_one();
@@ -230,21 +230,21 @@
     /// Whether the book had too little left for such a request at the last settlement.
     fn is_dry(&self, customer: &str, worst: u64) -> bool {
         let state = self.0.state.lock();
-        state.purses.get(customer).is_some_and(|purse| purse.is_dry(worst))
+        state.wallets.get(customer).is_some_and(|wallet| wallet.is_dry(worst))
     }
 
     /// Why a request of this size cannot be paid for now.
-    pub fn lack(&self, customer: &str, worst: u64) -> Lack {
+    pub fn shortage(&self, customer: &str, worst: u64) -> Shortage {
         let state = self.0.state.lock();
-        match state.purses.get(customer) {
-            Some(purse) if purse.is_exhausted(worst) => Lack::Exhausted,
-            Some(purse) => Lack::Short {
-                free: purse.free(),
-                kept: purse.kept(),
-                left: purse.granted.left,
+        match state.wallets.get(customer) {
+            Some(wallet) if wallet.is_exhausted(worst) => Shortage::Exhausted,
+            Some(wallet) => Shortage::Local {
+                free: wallet.free(),
+                kept: wallet.kept(),
+                left: wallet.granted.left,
                 age: state.landed.map(|at| at.elapsed()),
             },
-            None => Lack::Short { free: 0, kept: 0, left: 0, age: None },
+            None => Shortage::Local { free: 0, kept: 0, left: 0, age: None },
         }
     }
 
@@ -262,22 +262,22 @@
     /// What this box holds of each budget, for metrics.
     pub fn balances(&self) -> Vec<Balance> {
         let state = self.0.state.lock();
-        let purses = state.purses.iter();
-        let balance = |(customer, purse): (&Arc<str>, &Purse)| Balance {
+        let wallets = state.wallets.iter();
+        let balance = |(customer, wallet): (&Arc<str>, &Wallet)| Balance {
             customer: customer.clone(),
-            free: purse.free(),
-            passed: purse.outstanding(),
-            kept: purse.kept(),
-            unspent: purse.granted.unspent,
+            free: wallet.free(),
+            passed: wallet.outstanding(),
+            kept: wallet.kept(),
+            unspent: wallet.granted.unspent,
         };
-        purses.map(balance).collect()
+        wallets.map(balance).collect()
     }
 
     /// The customers of whom most tokens are here, by what those are for.
     pub fn parts(&self, most: usize) -> Vec<(Arc<str>, Parts)> {
         let state = self.0.state.lock();
-        let purses = state.purses.iter();
-        let mut parts: Vec<_> = purses.map(|(name, purse)| (name.clone(), purse.parts())).collect();
+        let wallets = state.wallets.iter();
+        let mut parts: Vec<_> = wallets.map(|(name, wallet)| (name.clone(), wallet.parts())).collect();
         drop(state);
         parts.retain(|(_, parts)| parts.total() > 0);
         parts.sort_by_key(|(_, parts)| Reverse(parts.total()));
@@ -296,7 +296,7 @@
 impl<'a> Waiting<'a> {
     fn join(funds: &'a Funds, customer: &Arc<str>, worst: u64) -> Waiting<'a> {
         let mut state = funds.0.state.lock();
-        state.purses.entry(customer.clone()).or_default().waiting += worst;
+        state.wallets.entry(customer.clone()).or_default().waiting += worst;
         state.drew = Some(Instant::now());
         drop(state);
         funds.0.wanted.notify_one();
@@ -307,8 +307,8 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         let mut state = self.funds.0.state.lock();
-        if let Some(purse) = state.purses.get_mut(&self.customer) {
-            purse.waiting = purse.waiting.saturating_sub(self.worst);
+        if let Some(wallet) = state.wallets.get_mut(&self.customer) {
+            wallet.waiting = wallet.waiting.saturating_sub(self.worst);
         }
     }
 }
--- a/crates/gateway/src/money/funds/passing.rs
+++ b/crates/gateway/src/money/funds/passing.rs
@@ -2,40 +2,40 @@
 
 use std::sync::Arc;
 
-use ledger::{Given, Incarnation, Told, Transfer};
+use ledger::{Supply, Incarnation, Demand, Transfer};
 use tokio::time::Instant;
 
 use super::Funds;
-use crate::money::purse::Purse;
+use crate::tokens::wallet::Wallet;
 
 impl Funds {
     /// What a keeper is told, and what is wanted of it for a request that waits, if there is
     /// anything to say.
-    pub fn tell(&self, keeper: &Incarnation, asked: Option<(&Arc<str>, u64)>) -> Vec<Told> {
+    pub fn demands(&self, keeper: &Incarnation, asked: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let all = state.purses.iter_mut().filter_map(|(customer, purse)| {
+        let all = state.wallets.iter_mut().filter_map(|(customer, wallet)| {
             let worst = asked.filter(|(name, _)| *name == customer).map(|(_, worst)| worst);
-            purse.tell(customer, keeper, worst, now)
+            wallet.demands(customer, keeper, worst, now)
         });
         all.collect()
     }
 
     /// A keeper answered what it was told.
-    pub fn drawn(&self, keeper: &Incarnation, told: &[Told], given: &[Given]) {
+    pub fn drawn(&self, keeper: &Incarnation, told: &[Demand], given: &[Supply]) {
         let mut state = self.0.state.lock();
         for (told, given) in told.iter().zip(given) {
-            let purse = state.purses.get_mut(&told.customer);
-            let purse = purse.filter(|_| told.customer == given.customer);
-            if let Some(purse) = purse {
-                purse.drawn(keeper, told.share, given);
+            let wallet = state.wallets.get_mut(&told.customer);
+            let wallet = wallet.filter(|_| told.customer == given.customer);
+            if let Some(wallet) = wallet {
+                wallet.drawn(keeper, told.share, given);
             }
         }
     }
 
     /// Counts a request that waits for tokens of a keeper, while what is returned lives.
     pub fn lacking(&self, customer: &Arc<str>, worst: u64) -> Lacking<'_> {
-        self.0.state.lock().purses.entry(customer.clone()).or_default().lacking += worst;
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().lacking += worst;
         Lacking { funds: self, customer: customer.clone(), worst }
     }
 
@@ -44,9 +44,9 @@
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let mut keepers = Vec::new();
-        for purse in state.purses.values_mut() {
-            for keeper in purse.keepers().cloned().collect::<Vec<_>>() {
-                if !keepers.contains(&keeper) && purse.has_news(&keeper, now) {
+        for wallet in state.wallets.values_mut() {
+            for keeper in wallet.keepers().cloned().collect::<Vec<_>>() {
+                if !keepers.contains(&keeper) && wallet.has_news(&keeper, now) {
                     keepers.push(keeper);
                 }
             }
@@ -57,45 +57,45 @@
     /// Keepers that passed something on.
     pub fn keepers(&self) -> Vec<Incarnation> {
         let state = self.0.state.lock();
-        let mut keepers: Vec<_> = state.purses.values().flat_map(Purse::keepers).cloned().collect();
+        let mut keepers: Vec<_> = state.wallets.values().flat_map(Wallet::keepers).cloned().collect();
         keepers.sort();
         keepers.dedup();
         keepers
     }
 
     /// Gives everything back to a keeper that is not held for a request; what to tell it then.
-    pub fn return_all(&self, keeper: &Incarnation) -> Vec<Told> {
+    pub fn return_all(&self, keeper: &Incarnation) -> Vec<Demand> {
         let mut state = self.0.state.lock();
-        let purses = state.purses.iter_mut();
-        purses.filter_map(|(customer, purse)| purse.return_all(customer, keeper)).collect()
+        let wallets = state.wallets.iter_mut();
+        wallets.filter_map(|(customer, wallet)| wallet.return_all(customer, keeper)).collect()
     }
 
     /// As a keeper: takes over what another box tells. Says whether all of it was believed.
-    pub fn hear(&self, from: &Incarnation, told: &[Told]) -> bool {
+    pub fn receive_report(&self, from: &Incarnation, told: &[Demand]) -> bool {
         let mut state = self.0.state.lock();
-        state.purses.values_mut().for_each(|purse| purse.close_earlier(from));
+        state.wallets.values_mut().for_each(|wallet| wallet.close_earlier(from));
         let mut believed = true;
         for told in told {
-            let purse = state.purses.entry(told.customer.clone()).or_default();
-            believed &= purse.hear(from, told.share);
+            let wallet = state.wallets.entry(told.customer.clone()).or_default();
+            believed &= wallet.receive_report(from, told.share);
         }
         believed
     }
 
     /// As a keeper: passes on what another box needs, waiting until `until` for a settlement that
     /// brings it. Says whether it was there.
-    pub async fn give(&self, to: &Incarnation, told: &Told, until: Instant) -> bool {
-        let give = || self.try_give(to, told).then_some(());
-        self.obtain(&told.customer, told.least, until, give).await.is_some()
+    pub async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) -> bool {
+        let pass_on = || self.try_pass_on(to, told).then_some(());
+        self.obtain(&told.customer, told.least, until, pass_on).await.is_some()
     }
 
     /// As a keeper: passes on what another box needs if it is here.
-    pub fn try_give(&self, to: &Incarnation, told: &Told) -> bool {
+    pub fn try_pass_on(&self, to: &Incarnation, told: &Demand) -> bool {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let purse = state.purses.entry(told.customer.clone()).or_default();
-        let given = purse.give(to, told, now);
-        let due = purse.is_promise_due(now);
+        let wallet = state.wallets.entry(told.customer.clone()).or_default();
+        let given = wallet.pass_on(to, told, now);
+        let due = wallet.is_promise_due(now);
         state.drew = Some(now);
         drop(state);
         if due {
@@ -105,12 +105,12 @@
     }
 
     /// As a keeper: what another box is answered.
-    pub fn given(&self, to: &Incarnation, told: &[Told]) -> Vec<Given> {
+    pub fn given(&self, to: &Incarnation, told: &[Demand]) -> Vec<Supply> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let given = told.iter().map(|told| {
-            let purse = state.purses.entry(told.customer.clone()).or_default();
-            purse.given(&told.customer, to, told.least, now)
+            let wallet = state.wallets.entry(told.customer.clone()).or_default();
+            wallet.given(&told.customer, to, told.least, now)
         });
         given.collect()
     }
@@ -124,27 +124,27 @@
         to: &Incarnation,
     ) -> Option<Transfer> {
         let mut state = self.0.state.lock();
-        state.purses.get_mut(customer)?.lend(wanted, from, to, Instant::now())
+        state.wallets.get_mut(customer)?.lend(wanted, from, to, Instant::now())
     }
 
     /// Takes over tokens that another box passed on.
     pub fn receive(&self, customer: &Arc<str>, transfer: Transfer) {
-        self.0.state.lock().purses.entry(customer.clone()).or_default().receive(transfer);
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().receive(transfer);
     }
 
     /// Whether other boxes had too little for a request of this size a moment ago.
     pub fn are_others_dry(&self, customer: &str, worst: u64) -> bool {
         let now = Instant::now();
         let state = self.0.state.lock();
-        let purse = state.purses.get(customer);
-        purse.is_some_and(|purse| purse.are_others_dry(worst, now))
+        let wallet = state.wallets.get(customer);
+        wallet.is_some_and(|wallet| wallet.are_others_dry(worst, now))
     }
 
     /// Other boxes had too little for a request of this size.
     pub fn note_others_dry(&self, customer: &str, worst: u64) {
         let mut state = self.0.state.lock();
-        if let Some(purse) = state.purses.get_mut(customer) {
-            purse.note_others_dry(worst, Instant::now());
+        if let Some(wallet) = state.wallets.get_mut(customer) {
+            wallet.note_others_dry(worst, Instant::now());
         }
     }
 
@@ -152,12 +152,12 @@
     pub fn missing(&self, customer: &str, worst: u64) -> u64 {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        state.purses.get_mut(customer).map_or(worst, |purse| purse.missing(worst, now))
+        state.wallets.get_mut(customer).map_or(worst, |wallet| wallet.missing(worst, now))
     }
 
     /// The lock under which one request at a time asks other boxes for a customer's tokens.
     pub fn asking(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
-        self.0.state.lock().purses.entry(customer.clone()).or_default().asking.clone()
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().asking.clone()
     }
 }
 
@@ -171,8 +171,8 @@
 impl Drop for Lacking<'_> {
     fn drop(&mut self) {
         let mut state = self.funds.0.state.lock();
-        if let Some(purse) = state.purses.get_mut(&self.customer) {
-            purse.lacking = purse.lacking.saturating_sub(self.worst);
+        if let Some(wallet) = state.wallets.get_mut(&self.customer) {
+            wallet.lacking = wallet.lacking.saturating_sub(self.worst);
         }
     }
 }
--- a/crates/gateway/src/money/funds/promising.rs
+++ b/crates/gateway/src/money/funds/promising.rs
@@ -13,22 +13,22 @@
 impl Funds {
     /// Waits for the witness to free tokens that a promise keeps from a request of this size;
     /// says whether it was worth waiting.
-    pub async fn free_kept(&self, customer: &str, worst: u64, until: Instant) -> bool {
-        let Some(mut promised) = self.want_kept(customer, worst) else { return false };
+    pub async fn wait_for_release(&self, customer: &str, worst: u64, until: Instant) -> bool {
+        let Some(mut promise_accepted) = self.request_release(customer, worst) else { return false };
         let until = until.min(Instant::now() + FREED_WITHIN);
-        tokio::time::timeout_at(until, promised.changed()).await.is_ok()
+        tokio::time::timeout_at(until, promise_accepted.changed()).await.is_ok()
     }
 
     /// Asks for tokens that a promise keeps, if it keeps any from a request of this size; promises
     /// taken from then on show in what is returned.
-    pub fn want_kept(&self, customer: &str, worst: u64) -> Option<watch::Receiver<u64>> {
+    pub fn request_release(&self, customer: &str, worst: u64) -> Option<watch::Receiver<u64>> {
         let mut state = self.0.state.lock();
-        let purse = state.purses.get_mut(customer).filter(|purse| purse.is_kept_from(worst))?;
-        purse.want(worst);
-        let promised = self.0.promised.subscribe();
+        let wallet = state.wallets.get_mut(customer).filter(|wallet| wallet.is_kept_from(worst))?;
+        wallet.want(worst);
+        let promise_accepted = self.0.promise_accepted.subscribe();
         drop(state);
         self.0.promise_due.notify_one();
-        Some(promised)
+        Some(promise_accepted)
     }
 
     /// Waits until a new promise may be due.
@@ -44,12 +44,12 @@
         if state.promised_all {
             return None;
         }
-        let limited = state.purses.iter_mut().filter(|(_, purse)| purse.paid.is_some());
-        let mut purses: Vec<_> = limited.collect();
-        if !purses.iter_mut().any(|(_, purse)| purse.is_promise_due(now)) {
+        let limited = state.wallets.iter_mut().filter(|(_, wallet)| wallet.paid.is_some());
+        let mut wallets: Vec<_> = limited.collect();
+        if !wallets.iter_mut().any(|(_, wallet)| wallet.is_promise_due(now)) {
             return None;
         }
-        let tokens = purses.into_iter().map(|(name, purse)| (name.clone(), purse.promise(now)));
+        let tokens = wallets.into_iter().map(|(name, wallet)| (name.clone(), wallet.promise(now)));
         Some(tokens.filter(|(_, tokens)| *tokens > 0).collect())
     }
 
@@ -57,26 +57,26 @@
     pub fn promise_all(&self) -> BTreeMap<Arc<str>, u64> {
         let mut state = self.0.state.lock();
         state.promised_all = true;
-        let limited = state.purses.iter_mut().filter(|(_, purse)| purse.paid.is_some());
-        limited.map(|(customer, purse)| (customer.clone(), purse.promise_all())).collect()
+        let limited = state.wallets.iter_mut().filter(|(_, wallet)| wallet.paid.is_some());
+        limited.map(|(customer, wallet)| (customer.clone(), wallet.promise_all())).collect()
     }
 
     /// The witness took a promise: only this one counts now.
-    pub fn promised(&self, tokens: &BTreeMap<Arc<str>, u64>) {
+    pub fn promise_accepted(&self, tokens: &BTreeMap<Arc<str>, u64>) {
         let mut state = self.0.state.lock();
         if state.promised_all {
             return;
         }
-        for (customer, purse) in &mut state.purses {
-            purse.keep(tokens.get(customer).copied().unwrap_or_default());
+        for (customer, wallet) in &mut state.wallets {
+            wallet.keep(tokens.get(customer).copied().unwrap_or_default());
         }
         drop(state);
-        self.0.promised.send_modify(|count| *count += 1);
+        self.0.promise_accepted.send_modify(|count| *count += 1);
     }
 
     /// The book names another witness or none: no promise counts any more.
-    pub fn release(&self) {
-        self.promised(&BTreeMap::new());
+    pub fn clear_promise(&self) {
+        self.promise_accepted(&BTreeMap::new());
         self.0.promise_due.notify_one();
     }
 }
--- a/crates/gateway/src/money/lending.rs
+++ b/crates/gateway/src/money/lending.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::peers::Peers,
-    money::funds::{Funds, Hold},
+    tokens::funds::{Funds, Hold},
 };
 
 /// Time after which the next boxes are asked: many times the way there and back between
@@ -18,15 +18,15 @@
 
 /// Borrows for the accounts of this box.
 #[derive(Debug, Clone)]
-pub struct Lending {
+pub struct Borrower {
     funds: Funds,
     peers: Peers,
 }
 
-impl Lending {
+impl Borrower {
     /// For this box's accounts.
-    pub fn new(funds: Funds, peers: Peers) -> Lending {
-        Lending { funds, peers }
+    pub fn new(funds: Funds, peers: Peers) -> Borrower {
+        Borrower { funds, peers }
     }
 
     /// Holds the worst case of a request with tokens of other boxes, until `until`.
--- a/crates/gateway/src/money/outlook.rs
+++ b/crates/gateway/src/money/outlook.rs
@@ -18,7 +18,7 @@
 
 /// What a box saw of the store.
 #[derive(Debug)]
-pub struct Outlook {
+pub struct Forecast {
     /// Since when the store has answered.
     in_touch_since: Instant,
     /// Since when it has not, if it does not.
@@ -38,10 +38,10 @@
     landed: u64,
 }
 
-impl Outlook {
+impl Forecast {
     /// Nothing was seen yet.
-    pub fn open(now: Instant) -> Outlook {
-        Outlook { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
+    pub fn open(now: Instant) -> Forecast {
+        Forecast { in_touch_since: now, lost: None, seen: None, known: None, landed: 0 }
     }
 
     /// A call failed.
@@ -56,7 +56,7 @@
     }
 
     /// Tells the book of the outage that this settlement ends, if it ends one.
-    pub fn tell(&self, book: &mut Book, now: Instant) {
+    pub fn report_outage(&self, book: &mut Book, now: Instant) {
         if let (Some(lost), Some(_)) = (self.lost, self.away(now)) {
             book.note_outage(lost.landed);
         }
@@ -86,6 +86,6 @@
             Some(_) => Duration::ZERO,
             None => now.saturating_duration_since(self.in_touch_since),
         };
-        policy.in_touch_for(in_touch.as_secs())
+        policy.reachable_for(in_touch.as_secs())
     }
 }
--- a/crates/gateway/src/money/purse/mod.rs
+++ b/crates/gateway/src/money/purse/mod.rs
@@ -7,16 +7,16 @@
 //! on keepers' tokens first. Only a box's own tokens, those of the book, are kept, lent, passed on
 //! or given back to the book.
 
-mod passing;
-mod promising;
-mod settling;
+mod transfers;
+mod promises;
+mod settlements;
 
 use std::{sync::Arc, time::Duration};
 
 use ledger::{Account, Granted, Part, Reservation, Transfer};
 use tokio::time::Instant;
 
-use crate::money::{
+use crate::tokens::{
     rate::Rate,
     shares::{Loans, Passed},
 };
@@ -55,7 +55,7 @@
 
 /// One customer's tokens in this box.
 #[derive(Debug, Default)]
-pub struct Purse {
+pub struct Wallet {
     account: Account,
     /// What the operator says is paid, with the version of the configuration.
     pub paid: Option<(u64, u64)>,
@@ -102,7 +102,7 @@
     pub asking: Arc<tokio::sync::Mutex<()>>,
 }
 
-impl Purse {
+impl Wallet {
     /// The operator's word on what is paid.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
@@ -118,7 +118,7 @@
 
     /// Free tokens that the book granted to this box.
     fn own(&self) -> u64 {
-        self.free().saturating_sub(self.loans.rest())
+        self.free().saturating_sub(self.loans.outstanding())
     }
 
     /// Own tokens that may be lent or given back to the book.
--- a/crates/gateway/src/money/purse/passing.rs
+++ b/crates/gateway/src/money/purse/passing.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use ledger::{Given, Incarnation, Part, Share, Told, Transfer};
+use ledger::{Supply, Incarnation, Part, Share, Demand, Transfer};
 use tokio::time::Instant;
 
-use super::{Purse, RESERVE_S};
+use super::{Wallet, RESERVE_S};
 
 /// Seconds of use that a box gets from its keeper beyond what a request lacks, and keeps: enough
 /// for most requests to find their tokens here, and little to be lost with the box.
 const AHEAD_S: f64 = 1.5;
 
-impl Purse {
+impl Wallet {
     /// Passes up to `wanted` tokens on.
     ///
     /// Only tokens that the book knows to be here and that no promise keeps are passed on: whoever
@@ -37,20 +37,20 @@
 
     /// Takes over tokens that another box passed on.
     pub fn receive(&mut self, transfer: Transfer) {
-        self.account.give(Part::Offline, transfer.tokens);
+        self.account.pass_on(Part::Offline, transfer.tokens);
         self.received += transfer.tokens;
         self.transfers.push(transfer);
     }
 
     /// What a keeper is told of this customer, and what is wanted of it for a request that waits;
     /// `None` where there is nothing to say. What is given back is out of the account then.
-    pub fn tell(
+    pub fn demands(
         &mut self,
         customer: &Arc<str>,
         keeper: &Incarnation,
         worst: Option<u64>,
         now: Instant,
-    ) -> Option<Told> {
+    ) -> Option<Demand> {
         let ahead = self.rate.over(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
@@ -62,7 +62,7 @@
         }
         let says = need > 0 || self.loans.has_news(keeper);
         let share = self.loans.share(keeper);
-        says.then(|| Told { customer: customer.clone(), share, need, least, ahead })
+        says.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
     }
 
     /// Gives tokens back to a keeper beyond twice what is kept of them: otherwise what requests
@@ -77,23 +77,23 @@
     }
 
     /// Gives everything back to a keeper that is not held for a request.
-    pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Told> {
+    pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Demand> {
         self.give_back(keeper, 0);
         let share = self.loans.share(keeper);
         let says = self.loans.has_news(keeper);
-        says.then(|| Told { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
+        says.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
     /// Whether a keeper is to be told something.
     pub fn has_news(&mut self, keeper: &Incarnation, now: Instant) -> bool {
         let idle = self.open() > 2 * self.rate.over(AHEAD_S, now);
-        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).rest() > 0)
+        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).outstanding() > 0)
     }
 
     /// A keeper answered what it was told.
-    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Given) {
+    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Supply) {
         let new = self.loans.receive(keeper, given.given);
-        self.account.give(Part::Offline, new);
+        self.account.pass_on(Part::Offline, new);
         self.loans.heard(keeper, told);
         self.used_told = self.used_told.max(Some(given.used));
     }
@@ -109,17 +109,17 @@
     }
 
     /// As a keeper: another box tells what became of its tokens. Says whether it was believed.
-    pub fn hear(&mut self, from: &Incarnation, told: Share) -> bool {
-        let Some(news) = self.passed.hear(from, told) else { return false };
+    pub fn receive_report(&mut self, from: &Incarnation, told: Share) -> bool {
+        let Some(news) = self.passed.receive_report(from, told) else { return false };
         self.charged += news.used;
         self.requests += news.requests;
-        self.account.give(Part::Offline, news.returned);
+        self.account.pass_on(Part::Offline, news.returned);
         true
     }
 
     /// As a keeper: passes tokens on if there are enough for one request, up to what all need that
     /// wait, and some for those after them.
-    pub fn give(&mut self, to: &Incarnation, told: &Told, now: Instant) -> bool {
+    pub fn pass_on(&mut self, to: &Incarnation, told: &Demand, now: Instant) -> bool {
         let under_way = self.passed.total(to).saturating_sub(told.share.given);
         let least = told.least.saturating_sub(under_way);
         // Tokens that were lent to this box are passed on, too: the book counts them with the
@@ -131,7 +131,7 @@
         let need = told.need.saturating_sub(under_way).min(spare);
         let ahead = if need > 0 { self.ahead(told.ahead, spare - need, now) } else { 0 };
         let tokens = self.account.take(Part::Offline, need + ahead);
-        self.passed.give(to, tokens);
+        self.passed.pass_on(to, tokens);
         self.rate.add(tokens, now);
         self.peak = self.peak.max(least);
         true
@@ -151,10 +151,10 @@
     }
 
     /// As a keeper: what a box that asked is answered.
-    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Given {
+    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
         let dry = self.is_dry(need) && self.are_others_dry(need, now);
         let used = self.granted.used + self.charged;
-        Given { customer: customer.clone(), given: self.passed.total(to), used, dry }
+        Supply { customer: customer.clone(), given: self.passed.total(to), used, dry }
     }
 
     /// Tokens passed on as a keeper and not known to be used or given back.
--- a/crates/gateway/src/money/purse/promising.rs
+++ b/crates/gateway/src/money/purse/promising.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::Purse;
+use super::Wallet;
 
 /// Seconds of use that a box leaves out of a promise, so that most requests need not wait for a
 /// new one: it is lost with the box, and 3% of a budget is what may be lost.
@@ -12,7 +12,7 @@
 /// A new promise is due once less than this many seconds of use are not kept.
 const OPEN_LOW_S: f64 = 0.5;
 
-impl Purse {
+impl Wallet {
     /// Tokens are wanted out of those kept.
     pub fn want(&mut self, tokens: u64) {
         self.wanted += tokens;
--- a/crates/gateway/src/money/purse/settling.rs
+++ b/crates/gateway/src/money/purse/settling.rs
@@ -5,8 +5,8 @@
 use ledger::{Granted, Incarnation, Item, Observed, Part};
 use tokio::time::Instant;
 
-use super::Purse;
-use crate::money::ends::Ends;
+use super::Wallet;
+use crate::tokens::participation::Participation;
 
 /// A box asks for more once it holds less than this share of its target.
 const LOW: f64 = 0.6;
@@ -19,7 +19,7 @@
 /// one of them for all boxes that draw.
 const GUESS: u64 = 64;
 
-impl Purse {
+impl Wallet {
     /// Whether a settlement would change much: tokens run low, or too many are held.
     pub fn is_due(&self) -> bool {
         let (free, target) = (self.own() as f64, self.granted.target as f64);
@@ -38,11 +38,11 @@
 
     /// What the next settlement says of this customer. What it reports and returns is out of the
     /// account once planned.
-    pub fn item(&mut self, customer: &Arc<str>, ends: Ends, now: Instant) -> Item {
-        if ends == Ends::Leaves {
+    pub fn item(&mut self, customer: &Arc<str>, participation: Participation, now: Instant) -> Item {
+        if participation == Participation::Leaving {
             self.give_up();
         }
-        let returned = self.surplus(ends);
+        let returned = self.surplus(participation);
         let returned = self.account.take(Part::Offline, returned);
         let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid)) / GUESS;
         Item {
@@ -65,12 +65,12 @@
     }
 
     /// Free tokens to give back now; those that a promise keeps follow once they are not.
-    fn surplus(&self, ends: Ends) -> u64 {
-        match ends {
-            Ends::Leaves => self.own(),
-            Ends::Retires => self.disposable(),
-            Ends::Not if !self.known || !self.exceeds() => 0,
-            Ends::Not => self.disposable().min(self.own() - self.granted.target),
+    fn surplus(&self, participation: Participation) -> u64 {
+        match participation {
+            Participation::Leaving => self.own(),
+            Participation::Retiring => self.disposable(),
+            Participation::Active if !self.known || !self.exceeds() => 0,
+            Participation::Active => self.disposable().min(self.own() - self.granted.target),
         }
     }
 
@@ -80,7 +80,7 @@
         self.received -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
         self.topped_up &= item.paid != self.paid;
         if let Some(granted) = brought {
-            self.account.give(Part::Offline, granted.tokens);
+            self.account.add(Part::Offline, granted.tokens);
             self.granted = granted.clone();
             self.known = true;
         }
--- a/crates/gateway/src/money/report.rs
+++ b/crates/gateway/src/money/report.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     fleet::peers::Peers,
-    money::{funds::Funds, purse::Parts},
+    tokens::{funds::Funds, wallet::Parts},
 };
 
 /// Customers in one log line on what is held.
