--- a/crates/gateway/src/money/settle.rs
+++ b/crates/gateway/src/money/settle.rs
@@ -15,11 +15,11 @@
     fleet::{entry, peers::Peers},
     metrics::Metrics,
     money::{
-        bills::Bills, claims, draws::Draws, ends::Ends, funds::Funds, outlook::Outlook, report,
-        spacing, witness::Naming,
+        bills::Bills, claims, acquirer::Acquirer, participation::Participation, funds::Funds, forecast::Forecast, report,
+        spacing, witness::Selector,
     },
-    outage::{Contact, Outage, Probe},
-    settings::{GATHER_MS, Settings},
+    outage::{Recovery, Outage, Probe},
+    settings::{SETTLEMENT_BATCH_MS, Settings},
 };
 
 /// Time between two log lines on the calls of the store.
@@ -61,8 +61,8 @@
     pub store: Client,
     pub funds: Funds,
     pub peers: Peers,
-    pub naming: Naming,
-    pub draws: Draws,
+    pub selector: Selector,
+    pub acquirer: Acquirer,
     pub metrics: Metrics,
     /// Version of the box's entry in the store, once it is written.
     pub registered: watch::Receiver<Option<u64>>,
@@ -77,7 +77,7 @@
 pub struct Settler {
     setup: Setup,
     outage: Outage,
-    contact: Contact,
+    recovery: Recovery,
     /// An outage ended: the next settlement comes without the usual time before it. The one that ended it was
     /// planned before, and only by its answer does the box know how little to hold now. The next one tells what
     /// was used meanwhile and gives back what is too much, before something else fails.
@@ -86,7 +86,7 @@
     known: Option<(Book, u64)>,
     /// Whether a book was ever seen: it is not made anew then.
     seen: bool,
-    outlook: Outlook,
+    forecast: Forecast,
     write: u64,
     /// The settlement under way: it must land, also when this task was interrupted.
     pending: Option<Settlement>,
@@ -102,15 +102,15 @@
 
 impl Settler {
     /// Nothing is read yet.
-    pub fn new(setup: Setup, contact: Contact) -> Settler {
+    pub fn new(setup: Setup, recovery: Recovery) -> Settler {
         Settler {
             setup,
-            outage: Outage::new("book", Probe::Later, contact.clone()),
-            contact,
+            outage: Outage::new("book", Probe::Lazy, recovery.clone()),
+            recovery,
             at_once: false,
             known: None,
             seen: false,
-            outlook: Outlook::open(Instant::now()),
+            forecast: Forecast::open(Instant::now()),
             write: 0,
             pending: None,
             last: None,
@@ -127,7 +127,7 @@
         self.wait(REGISTER).await;
         loop {
             if self.is_of_book() {
-                self.settle(self.ends()).await;
+                self.settle(self.participation()).await;
             }
             self.setup.bills.write(&self.setup.store, false).await;
             if told.elapsed() >= TELL {
@@ -139,7 +139,7 @@
             let spacing = Duration::from_millis(settings.money.spacing_ms);
             let settle = Duration::from_millis(settings.money.settle_ms);
             let began = Instant::now();
-            tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SETTLEMENT_BATCH_MS)).await;
             if std::mem::take(&mut self.at_once) {
                 continue;
             }
@@ -155,7 +155,7 @@
     /// Asks the witnesses of lives that ended, if claims on those are open: a box for its own earlier lives,
     /// keepers for all. Says whether anything came of it.
     async fn collect(&mut self) -> bool {
-        let is_keeper = self.setup.peers.am_keeper();
+        let is_keeper = self.setup.peers.is_keeper();
         let Some((book, _)) = &self.known else { return false };
         let mine = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
         let due = self.asked.is_none_or(|at| at.elapsed() >= COLLECT_EVERY);
@@ -179,23 +179,23 @@
         self.stands
             || self.pending.is_some()
             || collected
-            || peers.am_keeper()
+            || peers.is_keeper()
             || funds.is_of_book()
     }
 
     /// Whether another box keeps the tokens now.
-    fn ends(&self) -> Ends {
+    fn participation(&self) -> Participation {
         let Setup { peers, funds, .. } = &self.setup;
         let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
-        let retires = self.stands && !drew && !peers.am_keeper();
+        let retires = self.stands && !drew && !peers.is_keeper();
         funds.retire(retires);
-        if retires { Ends::Retires } else { Ends::Not }
+        if retires { Participation::Retiring } else { Participation::Active }
     }
 
     /// Time of the next settlement that no request waits for, after the last one.
     fn pause(&self, spacing: Duration, settle: Duration) -> Duration {
-        match self.setup.funds.is_due() || self.setup.naming.is_due(&self.setup.peers) {
-            true => spacing * spacing::times_apart(self.writers()),
+        match self.setup.funds.is_due() || self.setup.selector.is_due(&self.setup.peers) {
+            true => spacing * spacing::interval_factor(self.writers()),
             false => settle,
         }
     }
@@ -222,23 +222,23 @@
             return;
         }
         self.collected = claims::ask(&self.setup.peers, book.earlier(&self.setup.holder)).await;
-        self.settle(Ends::Not).await;
+        self.settle(Participation::Active).await;
     }
 
     fn writer(&mut self) -> Writer {
         self.write += 1;
-        let Setup { peers, naming, .. } = &self.setup;
-        let witness = naming.choose(peers, self.write);
+        let Setup { peers, selector, .. } = &self.setup;
+        let witness = selector.choose(peers, self.write);
         let witness_at = witness.as_ref().and_then(|witness| peers.address_of(&witness.by));
         Writer { write: self.write, peer: peers.address(), witness, witness_at }
     }
 
     async fn failed(&mut self, fault: &Fault, pause: &mut Duration) {
         self.outage.failed(fault);
-        self.outlook.failed(Instant::now());
-        self.setup.funds.set_cut(true);
+        self.forecast.failed(Instant::now());
+        self.setup.funds.set_store_unreachable(true);
         // Whichever task of this box finds the store first ends the pause.
-        let _ = tokio::time::timeout(*pause, self.contact.regained()).await;
+        let _ = tokio::time::timeout(*pause, self.recovery.recovered()).await;
         *pause = (*pause * 2).min(PAUSE_MOST);
     }
 
@@ -249,13 +249,13 @@
     }
 
     /// Writes one settlement until it has landed. May be interrupted: the next call goes on.
-    async fn settle(&mut self, ends: Ends) {
+    async fn settle(&mut self, participation: Participation) {
         let settlement = match self.pending.take() {
             Some(pending) => pending,
             None => {
                 let writer = self.writer();
                 let earlier = std::mem::take(&mut self.collected);
-                let plan = self.setup.funds.plan(&self.setup.holder, writer, ends);
+                let plan = self.setup.funds.plan(&self.setup.holder, writer, participation);
                 Settlement { earlier, ..plan }
             }
         };
@@ -270,7 +270,7 @@
             }
         };
         self.pending = None;
-        self.setup.funds.set_cut(false);
+        self.setup.funds.set_store_unreachable(false);
         tracing::info!(
             event = "settlement_landed",
             write = settlement.writer.write,
@@ -280,13 +280,13 @@
         );
         self.outage.answered();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.at_once = book.is_some_and(|book| self.outlook.landed(book, Instant::now()));
+        self.at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
         self.stands = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
         report::settled(&settlement, &granted);
         self.setup.funds.landed(&settlement, granted);
-        self.setup.naming.landed(&settlement.writer.witness, &self.setup.funds);
+        self.setup.selector.landed(&settlement.writer.witness, &self.setup.funds);
     }
 
     /// One call; `None` where the book had changed meanwhile.
@@ -300,7 +300,7 @@
             return Ok(Some(self.last.take().unwrap_or_default()));
         }
         let mut next = book.clone();
-        self.outlook.tell(&mut next, Instant::now());
+        self.forecast.report_outage(&mut next, Instant::now());
         let policy = self.policy();
         let granted = next.settle(settlement, policy);
         self.last = Some(granted.clone());
@@ -329,10 +329,10 @@
     /// Sizing of grants now.
     fn policy(&self) -> Policy {
         let policy = self.setup.settings.borrow().policy();
-        let policy = self.outlook.policy(policy, Instant::now());
-        match self.setup.peers.am_keeper() {
+        let policy = self.forecast.policy(policy, Instant::now());
+        match self.setup.peers.is_keeper() {
             true => policy,
-            false => policy.stand_in(),
+            false => policy.on_demand(),
         }
     }
 
@@ -361,9 +361,9 @@
     /// more is used, and pages of bills are written by another box.
     pub async fn leave(&mut self, until: Instant) {
         let began = Instant::now();
-        let Setup { naming, funds, peers, draws, .. } = &self.setup;
-        draws.leave().await;
-        naming.promise_all(funds, peers).await;
+        let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
+        acquirer.leave().await;
+        selector.promise_all(funds, peers).await;
         let soon = until.min(Instant::now() + HAND_OVER);
         let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
         if !done {
@@ -382,10 +382,10 @@
     async fn leave_book(&mut self) {
         self.setup.bills.write(&self.setup.store, true).await;
         if self.pending.is_some() {
-            self.settle(Ends::Not).await;
+            self.settle(Participation::Active).await;
         }
         if self.is_of_book() {
-            self.settle(Ends::Leaves).await;
+            self.settle(Participation::Leaving).await;
         }
         let mut pause = PAUSE;
         while self.setup.bills.waiting() > 0 {
@@ -405,10 +405,10 @@
             return;
         }
         let count = pages.len();
-        let took = self.setup.peers.hand_bills(&pages).await;
+        let took = self.setup.peers.hand_over_bills(&pages).await;
         if took.is_empty() {
             tracing::warn!(event = "bills_not_handed_over", count);
-            self.setup.bills.carry(pages);
+            self.setup.bills.take_over(pages);
             return;
         }
         let to: Vec<&str> = took.iter().map(Incarnation::as_str).collect();
--- a/crates/gateway/src/money/shares.rs
+++ b/crates/gateway/src/money/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ledger::{Incarnation, News, Share};
+use ledger::{Incarnation, Delta, Share};
 
 /// What keepers passed to this box.
 #[derive(Debug, Default)]
@@ -21,8 +21,8 @@
 
 impl Loans {
     /// Tokens of keepers that are neither used nor given back.
-    pub fn rest(&self) -> u64 {
-        self.by.iter().map(|loan| loan.share.rest()).sum()
+    pub fn outstanding(&self) -> u64 {
+        self.by.iter().map(|loan| loan.share.outstanding()).sum()
     }
 
     /// Used tokens of which their keepers have not heard.
@@ -50,7 +50,7 @@
     /// Marks up to `tokens` of a keeper's as given back; returns how many were.
     pub fn give_back(&mut self, keeper: &Incarnation, tokens: u64) -> u64 {
         let Some(loan) = self.by.iter_mut().find(|loan| loan.keeper == *keeper) else { return 0 };
-        let returned = tokens.min(loan.share.rest());
+        let returned = tokens.min(loan.share.outstanding());
         loan.share.returned += returned;
         returned
     }
@@ -108,11 +108,11 @@
     /// Tokens passed on and not known to be used or given back.
     pub fn outstanding(&self) -> u64 {
         let open = self.by.values().filter(|given| !given.closed);
-        open.map(|given| given.share.rest()).sum()
+        open.map(|given| given.share.outstanding()).sum()
     }
 
     /// Passes more on.
-    pub fn give(&mut self, to: &Incarnation, tokens: u64) {
+    pub fn pass_on(&mut self, to: &Incarnation, tokens: u64) {
         let given = self.by.entry(to.clone()).or_default();
         debug_assert!(!given.closed);
         given.share.given += tokens;
@@ -129,11 +129,11 @@
     }
 
     /// A box tells its totals; `None` if they are no word of this pair.
-    pub fn hear(&mut self, from: &Incarnation, told: Share) -> Option<News> {
+    pub fn receive_report(&mut self, from: &Incarnation, told: Share) -> Option<Delta> {
         match self.by.get_mut(from) {
             Some(given) if given.closed => None,
-            Some(given) => given.share.hear(told),
-            None => Share::default().hear(told),
+            Some(given) => given.share.receive_report(told),
+            None => Share::default().receive_report(told),
         }
     }
 
@@ -146,7 +146,7 @@
         let mut lost = 0;
         for (_, given) in earlier {
             given.closed = true;
-            lost += given.share.rest();
+            lost += given.share.outstanding();
         }
         lost
     }
--- a/crates/gateway/src/money/spacing.rs
+++ b/crates/gateway/src/money/spacing.rs
@@ -11,6 +11,6 @@
 const MOST: u32 = 2;
 
 /// How many times as long as its settings say a box waits between settlements that no request waits for.
-pub fn times_apart(writers: usize) -> u32 {
+pub fn interval_factor(writers: usize) -> u32 {
     u32::try_from(writers / FEW).unwrap_or(MOST).clamp(1, MOST)
 }
--- a/crates/gateway/src/money/witness.rs
+++ b/crates/gateway/src/money/witness.rs
@@ -1,7 +1,7 @@
 //! What boxes promise each other to keep untouched, so that little is lost with one that dies.
 //!
-//! The witness's side is in `records`. [`Naming`] is the choice of this box's own witness, which
-//! counts once the book says so, and [`Keeper`] tells that one what this box keeps. While neither
+//! The witness's side is in `records`. [`Selector`] is the choice of this box's own witness, which
+//! counts once the book says so, and [`Promiser`] tells that one what this box keeps. While neither
 //! the store nor the witness answers, what was promised last stays untouched.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 
 use crate::{
-    fleet::peers::{Peers, Told},
-    money::funds::Funds,
+    fleet::peers::{Peers, Delivery},
+    tokens::funds::Funds,
 };
 
 /// Pause after a promise that the witness did not take, so that a box that is down is not asked
@@ -24,17 +24,17 @@
 
 /// The choice of this box's witness.
 #[derive(Debug, Clone)]
-pub struct Naming {
+pub struct Selector {
     /// The one that the book names, as far as this box knows.
     named: Arc<watch::Sender<Option<Witness>>>,
     /// It did not answer, or is none any more.
     lost: Arc<Mutex<bool>>,
 }
 
-impl Naming {
+impl Selector {
     /// None yet.
-    pub fn open() -> Naming {
-        Naming { named: Arc::new(watch::channel(None).0), lost: Arc::default() }
+    pub fn open() -> Selector {
+        Selector { named: Arc::new(watch::channel(None).0), lost: Arc::default() }
     }
 
     /// Whom a settlement with this number names: the same as before, unless it is gone or lost.
@@ -45,7 +45,7 @@
         if let Some(witness) = named.as_ref().filter(|witness| stays(witness)) {
             return Some(witness.clone());
         }
-        let other = peers.any_in_reach(named.as_ref().map(|witness| &witness.by));
+        let other = peers.any_reachable(named.as_ref().map(|witness| &witness.by));
         other.map(|by| Witness { by, term: number })
     }
 
@@ -56,7 +56,7 @@
         }
         *self.lost.lock() = false;
         self.named.send_replace(witness.clone());
-        funds.release();
+        funds.clear_promise();
         tracing::info!(
             event = "witness_named",
             witness = witness.as_ref().map(|witness| witness.by.as_str()),
@@ -89,13 +89,13 @@
 }
 
 /// Tells the witness what this box keeps.
-pub struct Keeper {
+pub struct Promiser {
     pub funds: Funds,
     pub peers: Peers,
-    pub naming: Naming,
+    pub selector: Selector,
 }
 
-impl Keeper {
+impl Promiser {
     /// Tells it for as long as the box runs.
     pub async fn run(self) {
         let mut number = 0;
@@ -103,7 +103,7 @@
         let mut believed: (u64, BTreeMap<Arc<str>, u64>) = (0, BTreeMap::new());
         loop {
             self.funds.promise_due().await;
-            let Some(witness) = self.naming.named.borrow().clone() else { continue };
+            let Some(witness) = self.selector.named.borrow().clone() else { continue };
             let Some(tokens) = self.funds.promise() else { continue };
             if believed.0 != witness.term {
                 believed = (witness.term, BTreeMap::new());
@@ -120,19 +120,19 @@
                 outcome = ?told,
             );
             match told {
-                Told::Taken => {
-                    self.funds.promised(&tokens);
+                Delivery::Taken => {
+                    self.funds.promise_accepted(&tokens);
                     believed.1 = tokens;
                     continue;
                 }
-                Told::Not => self.funds.promised(&believed.1),
-                Told::Gone => {
-                    self.naming.note_lost(&witness);
-                    self.funds.release();
+                Delivery::Not => self.funds.promise_accepted(&believed.1),
+                Delivery::Gone => {
+                    self.selector.note_lost(&witness);
+                    self.funds.clear_promise();
                     believed.1.clear();
                 }
-                Told::Unknown => {
-                    self.naming.note_lost(&witness);
+                Delivery::Unknown => {
+                    self.selector.note_lost(&witness);
                     for (customer, tokens) in tokens {
                         let most = believed.1.entry(customer).or_default();
                         *most = tokens.max(*most);
--- a/crates/gateway/src/news/directory.rs
+++ b/crates/gateway/src/news/directory.rs
@@ -68,7 +68,7 @@
     /// The store is reachable again after an outage since `lost_since`: missing entries may come
     /// back until `until`. Has no effect if a list was read since then: that list already showed
     /// the end of the outage, and a task that notices it later must not prolong the grace period.
-    pub fn returned(&mut self, lost_since: u64, until: u64) {
+    pub fn store_returned(&mut self, lost_since: u64, until: u64) {
         if self.listed.is_none_or(|listed| listed < lost_since) {
             self.lenient_until = until;
         }
@@ -160,7 +160,7 @@
     }
 
     /// Store version at which an entry was known to be removed.
-    pub fn gone_at(&self, id: &str) -> Option<u64> {
+    pub fn removed_at(&self, id: &str) -> Option<u64> {
         self.gone.get(id).map(|gone| gone.at)
     }
 
@@ -175,7 +175,7 @@
 
     /// Time until missing entries count as removed; `None` if none is missing.
     pub fn lenient_for(&self, now: u64) -> Option<u64> {
-        self.keeps_missing().then(|| self.lenient_until.saturating_sub(now))
+        self.has_missing().then(|| self.lenient_until.saturating_sub(now))
     }
 
     /// Removes missing entries if the grace period is over; returns whether there were any.
@@ -191,7 +191,7 @@
     }
 
     /// Whether there are missing entries that are being kept.
-    pub fn keeps_missing(&self) -> bool {
+    pub fn has_missing(&self) -> bool {
         self.known.values().any(|known| known.missing)
     }
 
--- a/crates/gateway/src/news/listen.rs
+++ b/crates/gateway/src/news/listen.rs
@@ -14,12 +14,12 @@
     sync::watch,
     time::{Instant, sleep, timeout},
 };
-use wire::{Listen, News};
+use wire::{Subscribe, Update};
 
 use crate::{
-    clock::Part,
-    fleet::{entry::BOXES, homes::Homes, peers::Peers},
-    news::look::{Looking, Setup},
+    clock::Dataset,
+    fleet::{entry::BOXES, watchers::Watchers, peers::Peers},
+    updates::look::{Looking, Setup},
     outage::Probe,
 };
 
@@ -56,7 +56,7 @@
 const KNOWN: Duration = Duration::from_secs(3);
 
 /// Receives the updates of this box.
-pub struct Listener {
+pub struct Subscriber {
     peers: Peers,
     setup: Setup,
     /// Set once this box has read the list of boxes.
@@ -72,21 +72,21 @@
     away: bool,
 }
 
-impl Listener {
+impl Subscriber {
     pub fn new(
         peers: Peers,
         setup: Setup,
         listed: watch::Receiver<Option<u64>>,
         seed: u64,
-    ) -> Listener {
-        Listener { peers, setup, listed, random: SmallRng::seed_from_u64(seed) }
+    ) -> Subscriber {
+        Subscriber { peers, setup, listed, random: SmallRng::seed_from_u64(seed) }
     }
 
     /// Receives updates for as long as the box runs.
     pub async fn run(mut self) {
         self.wait_for_others().await;
         loop {
-            if self.peers.is_empty() || self.peers.homes().has(self.peers.me()) {
+            if self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me()) {
                 self.look("home", None).await;
             } else if self.was_asked() {
                 self.look("asked", None).await;
@@ -116,14 +116,14 @@
     /// Watches the store for as long as this box is a watcher or was asked recently, or for `time`.
     async fn look(&self, why: &str, time: Option<Duration>) {
         tracing::info!(event = "news_from_store", why);
-        let probe = if why == "home" { Probe::First } else { Probe::Later };
+        let probe = if why == "home" { Probe::Eager } else { Probe::Lazy };
         let looking = Looking::spawn(&self.setup, probe);
         let began = Instant::now();
         loop {
             sleep(ROLE).await;
-            let is_home = self.peers.is_empty() || self.peers.homes().has(self.peers.me());
+            let is_home = self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me());
             let goes_on = match time {
-                _ if is_home && probe == Probe::Later => false,
+                _ if is_home && probe == Probe::Lazy => false,
                 Some(time) => began.elapsed() < time || self.was_asked(),
                 None => is_home || self.was_asked(),
             };
@@ -144,14 +144,14 @@
         // Whether this box probed the store itself during the outage and did not reach it either.
         let mut in_vain = false;
         loop {
-            let homes = self.peers.homes();
-            if homes.has(self.peers.me()) || self.was_asked() || self.peers.is_empty() {
+            let watchers = self.peers.watchers();
+            if watchers.is_active(self.peers.me()) || self.was_asked() || self.peers.is_empty() {
                 return true;
             }
-            let stays = heard.filter(|heard| homes.all().any(|home| *home == heard.home));
+            let stays = heard.filter(|heard| watchers.all().any(|home| *home == heard.home));
             heard = match stays {
                 Some(known) => self.listen_on(known).await,
-                None => self.find(&homes).await,
+                None => self.find(&watchers).await,
             };
             match &heard {
                 Some(known) if known.away && next_look <= Instant::now() => {
@@ -189,9 +189,9 @@
     /// reach it too, and continues the subscription if it does.
     async fn after_return(&self, heard: &Heard) -> Option<Heard> {
         sleep(RETURN).await;
-        let news = self.ask(&heard.home, Some(heard.last), true, Duration::ZERO).await?;
-        let now = Heard { last: news.last, away: news.away_ms.is_some(), ..heard.clone() };
-        self.setup.view.hear(news);
+        let updates = self.ask(&heard.home, Some(heard.last), true, Duration::ZERO).await?;
+        let now = Heard { last: updates.last, away: updates.away_ms.is_some(), ..heard.clone() };
+        self.setup.view.hear(updates);
         (!now.away).then_some(now)
     }
 
@@ -211,18 +211,18 @@
 
     /// Waits for the next updates of a watcher; `None` if it is silent.
     async fn listen_on(&self, heard: Heard) -> Option<Heard> {
-        let times = self.setup.pulse.times();
+        let suspensions = self.setup.watchdog.suspensions();
         let listened = self.ask(&heard.home, Some(heard.last), heard.away, SIGN);
-        let news = tokio::select! {
-            news = listened => news?,
+        let updates = tokio::select! {
+            updates = listened => updates?,
             // Another box asks this one to watch the store.
             () = self.setup.view.wanted() => return Some(heard),
             // After a suspension the watcher may be gone and the connection dead.
-            () = self.setup.pulse.held_up(times) => return None,
+            () = self.setup.watchdog.next_suspension(suspensions) => return None,
         };
-        let now = Heard { last: news.last, away: news.away_ms.is_some(), ..heard.clone() };
+        let now = Heard { last: updates.last, away: updates.away_ms.is_some(), ..heard.clone() };
         let lost_store = now.away && !heard.away;
-        self.setup.view.hear(news);
+        self.setup.view.hear(updates);
         match lost_store {
             true => self.in_touch(&heard.home).await.or(Some(now)),
             false => Some(now),
@@ -231,10 +231,10 @@
 
     /// Subscribes to another watcher, one that reaches the store.
     async fn in_touch(&self, not: &Incarnation) -> Option<Heard> {
-        let homes = self.peers.homes();
-        for home in homes.first.iter().filter(|home| *home != not && self.peers.is_awake(home)) {
+        let watchers = self.peers.watchers();
+        for home in watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home)) {
             match self.ask(home, None, true, Duration::ZERO).await {
-                Some(news) if news.away_ms.is_none() => return self.whole(home).await,
+                Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
                 _ => {}
             }
         }
@@ -243,12 +243,12 @@
 
     /// Subscribes to the first watcher that answers and reaches the store; if none does, to one
     /// that answers; as a last resort to a standby watcher.
-    async fn find(&self, homes: &Homes) -> Option<Heard> {
-        let awake = |home: &&Incarnation| self.peers.is_awake(home);
+    async fn find(&self, watchers: &Watchers) -> Option<Heard> {
+        let awake = |home: &&Incarnation| self.peers.is_reachable(home);
         let mut away = None;
-        for home in homes.first.iter().filter(awake) {
+        for home in watchers.first.iter().filter(awake) {
             match self.ask(home, None, true, Duration::ZERO).await {
-                Some(news) if news.away_ms.is_none() => return self.whole(home).await,
+                Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
                 Some(_) => away = away.or(Some(home)),
                 None => {}
             }
@@ -256,7 +256,7 @@
         if let Some(home) = away {
             return self.whole(home).await;
         }
-        for home in homes.standby.iter().filter(awake) {
+        for home in watchers.standby.iter().filter(awake) {
             match self.whole(home).await {
                 None => {}
                 heard => return heard,
@@ -267,26 +267,26 @@
 
     /// Receives a full snapshot from a watcher.
     async fn whole(&self, home: &Incarnation) -> Option<Heard> {
-        let times = self.setup.pulse.times();
-        let news = self.ask(home, Some(0), false, Duration::ZERO).await?;
-        let heard = self.take(home, news);
+        let suspensions = self.setup.watchdog.suspensions();
+        let updates = self.ask(home, Some(0), false, Duration::ZERO).await?;
+        let heard = self.take(home, updates);
         if !heard.away {
-            self.setup.pulse.read(Part::Config, times);
-            self.setup.pulse.read(Part::Endpoints, times);
+            self.setup.watchdog.read(Dataset::Config, suspensions);
+            self.setup.watchdog.read(Dataset::Endpoints, suspensions);
         }
         Some(heard)
     }
 
-    fn take(&self, home: &Incarnation, news: News) -> Heard {
+    fn take(&self, home: &Incarnation, updates: Update) -> Heard {
         tracing::info!(
             event = "news_from_home",
             home = home.as_str(),
-            changes = news.changes.len(),
-            whole = news.whole,
-            away_ms = news.away_ms,
+            changes = updates.changes.len(),
+            whole = updates.whole,
+            away_ms = updates.away_ms,
         );
-        let heard = Heard { home: home.clone(), last: news.last, away: news.away_ms.is_some() };
-        self.setup.view.hear(news);
+        let heard = Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
+        self.setup.view.hear(updates);
         heard
     }
 
@@ -296,10 +296,10 @@
         since: Option<u64>,
         away: bool,
         wait: Duration,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let wait_ms = wait.as_millis() as u64;
         let config = self.setup.view.config_at();
-        let listen = Listen { teller: home.clone(), since, config, away, wait_ms };
+        let listen = Subscribe { watcher: home.clone(), since, config, away, wait_ms };
         let late = if since == Some(0) { LATE_WHOLE } else { LATE };
         self.peers.listen(listen, wait + late).await
     }
--- a/crates/gateway/src/news/look.rs
+++ b/crates/gateway/src/news/look.rs
@@ -8,10 +8,10 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    clock::Pulse,
+    clock::Watchdog,
     fleet::entry::{BOXES, Entry},
-    news::view::{self, View},
-    outage::{Contact, Outage, Probe},
+    sync::view::{self, View},
+    outage::{Recovery, Outage, Probe},
 };
 
 /// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
@@ -38,9 +38,9 @@
 pub struct Setup {
     pub store: Client,
     pub view: View,
-    pub contact: Contact,
+    pub recovery: Recovery,
     /// Reports suspensions of this box, after which watches may be dead.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     pub name: Arc<str>,
     /// How long missing entries are kept after an outage of the store.
     pub lapse: Duration,
@@ -66,7 +66,7 @@
 
 /// The state of a store connection; an outage that this box already knows of goes on.
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
-    let mut outage = Outage::new(what, probe, setup.contact.clone());
+    let mut outage = Outage::new(what, probe, setup.recovery.clone());
     if let Some(since) = setup.view.away_since() {
         outage.lost_since(since);
     }
@@ -103,7 +103,7 @@
 async fn look_at_config(setup: Setup) {
     let view = setup.view.clone();
     let seen = |seen| match seen {
-        Seen::All(list, times) => view.config_read(&list.objects, times),
+        Seen::All(list, suspensions) => view.config_read(&list.objects, suspensions),
         Seen::Changes(changes) => {
             changes.into_iter().filter_map(written).for_each(|object| view.config(&object));
         }
@@ -141,10 +141,10 @@
 
 /// Follows all objects of a kind, by a list and then watches.
 async fn follow(setup: &Setup, what: &'static str, kind: &str, seen: impl Fn(Seen)) {
-    let Setup { store, contact, pulse, .. } = setup;
-    let mut outage = outage(setup, what, Probe::Later);
+    let Setup { store, recovery, watchdog, .. } = setup;
+    let mut outage = outage(setup, what, Probe::Lazy);
     loop {
-        let times = pulse.times();
+        let suspensions = watchdog.suspensions();
         let list = match store.all(kind).await {
             Ok(list) => list,
             Err(error) => {
@@ -155,12 +155,12 @@
         };
         outage.answered();
         let mut from = list.version;
-        seen(Seen::All(list, times));
+        seen(Seen::All(list, suspensions));
         loop {
             let watched = tokio::select! {
                 watched = store.changes(kind, from) => watched,
-                _ = contact.regained() => break,
-                () = pulse.held_up(times) => break,
+                _ = recovery.recovered() => break,
+                () = watchdog.next_suspension(suspensions) => break,
             };
             match watched {
                 Ok(watch) if watch.gap => {
@@ -188,16 +188,16 @@
 
 /// Follows the entries of endpoints.
 async fn look_at_endpoints(setup: Setup) {
-    let mut outage = outage(&setup, "endpoints", Probe::Later);
+    let mut outage = outage(&setup, "endpoints", Probe::Lazy);
     loop {
-        let times = setup.pulse.times();
+        let suspensions = setup.watchdog.suspensions();
         match setup.store.all(platform::ENDPOINTS).await {
             Ok(list) => {
                 heard(&setup, &mut outage);
-                setup.view.endpoints_read(&list.objects, list.version, times);
+                setup.view.endpoints_read(&list.objects, list.version, suspensions);
                 tokio::select! {
                     () = watch_endpoints(&setup, &mut outage, list.version) => {}
-                    () = setup.pulse.held_up(times) => {}
+                    () = setup.watchdog.next_suspension(suspensions) => {}
                 }
             }
             Err(error) => {
@@ -213,7 +213,7 @@
     let since = outage.since();
     outage.answered();
     if let Some(since) = since.filter(|since| since.elapsed() > LAPSES_AFTER) {
-        setup.view.returned(since, setup.lapse);
+        setup.view.store_returned(since, setup.lapse);
     }
 }
 
@@ -242,9 +242,9 @@
 async fn watch_once(setup: &Setup, outage: &mut Outage, from: u64) -> Result<Option<u64>, Error> {
     let watch = tokio::select! {
         watch = setup.store.changes(platform::ENDPOINTS, from) => watch?,
-        lost_since = setup.contact.regained() => {
+        lost_since = setup.recovery.recovered() => {
             // Another task noticed an outage and its end: this watch may be dead.
-            setup.view.returned(lost_since, setup.lapse);
+            setup.view.store_returned(lost_since, setup.lapse);
             return Ok(None);
         }
     };
@@ -259,7 +259,7 @@
 
 /// Reads the entries of the other boxes at intervals.
 async fn look_at_boxes(setup: Setup) {
-    let mut outage = outage(&setup, "boxes", Probe::Later);
+    let mut outage = outage(&setup, "boxes", Probe::Lazy);
     loop {
         match setup.store.all_maybe_old(BOXES).await {
             Ok(list) => {
--- a/crates/gateway/src/news/mod.rs
+++ b/crates/gateway/src/news/mod.rs
@@ -5,23 +5,23 @@
 //! watcher also has to notice quickly when the store is unreachable. A subscriber sends one
 //! long-poll request at a time to a watcher, answered when there are updates, or after a moment as
 //! a heartbeat. Both apply what they learn to the [`View`](view::View), which puts it in force on
-//! this box and keeps it for subscribers in a [`Shelf`](shelf::Shelf).
+//! this box and keeps it for subscribers in a [`ChangeLog`](shelf::Shelf).
 //!
 //! The source of an update does not matter: each object carries the version that the store gave it,
 //! and a view never goes back to an older one. So a box may switch to another source at any time,
 //! use two at once, or receive outdated updates from a box that was suspended.
 //!
 //! What boxes find out themselves is passed on the same way: crash reports by `reporter`, signals
-//! of endpoints by `words`.
+//! of endpoints by `signals`.
 //!
 //! If every box watched the store itself, these would be most of all calls to the store.
 
 pub mod directory;
 pub mod evacuations;
-pub mod listen;
-pub mod look;
+pub mod subscriber;
+pub mod watcher;
 pub mod reporter;
-pub mod roster;
-pub mod shelf;
+pub mod discovery;
+pub mod change_log;
 pub mod view;
-pub mod words;
+pub mod signals;
--- a/crates/gateway/src/news/reporter.rs
+++ b/crates/gateway/src/news/reporter.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     fleet::peers::Peers,
-    news::view::View,
-    outage::{Contact, Outage, Probe},
-    way::crashes::Named,
+    sync::view::View,
+    outage::{Recovery, Outage, Probe},
+    proxy::crashes::NamedReport,
 };
 
 /// Maximum number of reports that wait for the store to become reachable.
@@ -27,14 +27,14 @@
     pub store: Client,
     pub peers: Peers,
     pub view: View,
-    pub contact: Contact,
+    pub recovery: Recovery,
 }
 
 impl Reporter {
     /// Publishes reports for as long as the box runs.
-    pub async fn run(self, mut reports: mpsc::Receiver<Named>) {
+    pub async fn run(self, mut reports: mpsc::Receiver<NamedReport>) {
         let (to_write, waiting) = mpsc::channel(WAITING);
-        let outage = Outage::new("crash reports", Probe::Later, self.contact.clone());
+        let outage = Outage::new("crash reports", Probe::Lazy, self.recovery.clone());
         let writing = write_all(self.store.clone(), outage, waiting);
         let telling = async {
             while let Some((name, report)) = reports.recv().await {
@@ -50,12 +50,12 @@
     fn tell(&self, name: &Arc<str>, report: &Report) {
         let requests = report.requests.len();
         tracing::info!(event = "crash_reported", name = &**name, finding = ?report.finding, requests);
-        self.view.hear_crash(name, report.clone());
-        self.peers.tell_crash(name, report);
+        self.view.receive_crash(name, report.clone());
+        self.peers.publish_crash(name, report);
     }
 }
 
-async fn write_all(store: Client, mut outage: Outage, mut waiting: mpsc::Receiver<Named>) {
+async fn write_all(store: Client, mut outage: Outage, mut waiting: mpsc::Receiver<NamedReport>) {
     while let Some((name, report)) = waiting.recv().await {
         let text = serde_json::to_string(&report).expect("reports always serialize");
         loop {
--- a/crates/gateway/src/news/roster.rs
+++ b/crates/gateway/src/news/roster.rs
@@ -16,8 +16,8 @@
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    news::{look, view::View},
-    outage::{Contact, Outage, Probe},
+    sync::{watcher, view::View},
+    outage::{Recovery, Outage, Probe},
 };
 
 /// Time over which requests for a new list are collected into one read.
@@ -29,25 +29,25 @@
 const READS: usize = 8;
 
 /// Registers this box and reads the entries of the others.
-pub struct Roster {
+pub struct Discovery {
     store: Client,
     me: Entry,
     peers: Peers,
     view: View,
     outage: Outage,
     /// Version of the own entry, set once it is written and the others were read.
-    written: watch::Sender<Option<u64>>,
+    registered: watch::Sender<Option<u64>>,
 }
 
-impl Roster {
-    pub fn new(store: Client, me: Entry, peers: Peers, view: View, contact: Contact) -> Roster {
-        let outage = Outage::new("boxes", Probe::Later, contact);
-        Roster { store, me, peers, view, outage, written: watch::channel(None).0 }
+impl Discovery {
+    pub fn new(store: Client, me: Entry, peers: Peers, view: View, recovery: Recovery) -> Discovery {
+        let outage = Outage::new("boxes", Probe::Lazy, recovery);
+        Discovery { store, me, peers, view, outage, registered: watch::channel(None).0 }
     }
 
     /// The version of the own entry, which is needed to remove it.
-    pub fn written(&self) -> watch::Receiver<Option<u64>> {
-        self.written.subscribe()
+    pub fn registered(&self) -> watch::Receiver<Option<u64>> {
+        self.registered.subscribe()
     }
 
     /// Registers this box, then reads the list again whenever something shows that it is out of
@@ -65,7 +65,7 @@
             }
             tokio::time::sleep(TOGETHER).await;
         }
-        self.written.send_replace(Some(version));
+        self.registered.send_replace(Some(version));
         loop {
             self.peers.unknown().await;
             // One read serves all requests made in the meantime.
@@ -105,7 +105,7 @@
         match self.store.all_maybe_old(BOXES).await {
             Ok(list) => {
                 self.outage.answered();
-                self.view.boxes_read(look::entries(&list.objects), list.version);
+                self.view.boxes_read(watcher::entries(&list.objects), list.version);
                 Some(list.version)
             }
             Err(error) => {
--- a/crates/gateway/src/news/shelf.rs
+++ b/crates/gateway/src/news/shelf.rs
@@ -20,7 +20,7 @@
 
 /// Objects by kind and name, each with the number of its last change.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct ChangeLog {
     last: u64,
     objects: HashMap<Id, Kept>,
     order: BTreeMap<u64, Id>,
@@ -37,7 +37,7 @@
     value: Option<Arc<str>>,
 }
 
-impl Shelf {
+impl ChangeLog {
     /// Number of the newest change.
     pub fn last(&self) -> u64 {
         self.last
--- a/crates/gateway/src/news/view/boxes.rs
+++ b/crates/gateway/src/news/view/boxes.rs
@@ -29,7 +29,7 @@
 
     /// Takes over the address of a box that registered after this one, which this one may not have
     /// read: it may be cut off from the store since.
-    pub fn hear_greeting(&self, from: &Incarnation, sender: Greeting) {
+    pub fn receive_greeting(&self, from: &Incarnation, sender: Greeting) {
         let Greeting { zone, peer, strength, version } = sender;
         let name: Arc<str> = from.box_name().into();
         let entry = Entry { incarnation: from.clone(), zone, peer, strength };
@@ -59,14 +59,14 @@
 
 impl State {
     fn shelve_boxes(&mut self) {
-        for (name, version) in self.shelf.names(BOXES) {
+        for (name, version) in self.change_log.names(BOXES) {
             if !self.boxes.contains_key(&name) {
-                self.shelf.put(BOXES, &name, version, None);
+                self.change_log.put(BOXES, &name, version, None);
             }
         }
         for (name, (entry, version)) in &self.boxes {
             let text = serde_json::to_string(entry).expect("entries always serialize");
-            self.shelf.put(BOXES, name, *version, Some(&text));
+            self.change_log.put(BOXES, name, *version, Some(&text));
         }
     }
 
--- a/crates/gateway/src/news/view/crashes.rs
+++ b/crates/gateway/src/news/view/crashes.rs
@@ -14,7 +14,7 @@
     /// Takes over the reports read from the store.
     pub fn crashes_read(&self, objects: &[Object]) {
         let mut state = self.0.state.lock();
-        state.looks.crashes = true;
+        state.watches.crashes = true;
         for Object { name, version, value, .. } in objects {
             self.take_crash(&mut state, name, *version, Some(value));
         }
@@ -33,10 +33,10 @@
     }
 
     /// Takes over a report made by this box or received from another one.
-    pub fn hear_crash(&self, name: &Arc<str>, report: Report) {
+    pub fn receive_crash(&self, name: &Arc<str>, report: Report) {
         let text = serde_json::to_string(&report).expect("reports always serialize");
-        self.0.uses.crashes.take(name, None, report);
-        self.0.state.lock().shelf.put(CRASHES, name, NOT_STORED, Some(&text));
+        self.0.uses.crashes.receive_report(name, None, report);
+        self.0.state.lock().change_log.put(CRASHES, name, NOT_STORED, Some(&text));
         self.tell();
     }
 
@@ -51,13 +51,13 @@
         let crashes = &self.0.uses.crashes;
         match text.map(serde_json::from_str::<Report>) {
             Some(Ok(report)) => {
-                crashes.take(name, (version != NOT_STORED).then_some(version), report);
-                state.shelf.put(CRASHES, name, version, text);
+                crashes.receive_report(name, (version != NOT_STORED).then_some(version), report);
+                state.change_log.put(CRASHES, name, version, text);
             }
             Some(Err(error)) => note_unreadable(CRASHES, name, &error),
             None => {
                 crashes.forget(name);
-                state.shelf.put(CRASHES, name, version, None);
+                state.change_log.put(CRASHES, name, version, None);
             }
         }
     }
@@ -65,9 +65,9 @@
     /// Expired reports in the store, with their versions; empty unless this box watches the store.
     pub fn old_crashes(&self) -> Vec<(Arc<str>, u64)> {
         let state = self.0.state.lock();
-        let is_old = |name: &str| !self.0.uses.crashes.holds(name);
-        let mut names = match state.looks.is_whole() {
-            true => state.shelf.names(CRASHES),
+        let is_old = |name: &str| !self.0.uses.crashes.contains(name);
+        let mut names = match state.watches.is_whole() {
+            true => state.change_log.names(CRASHES),
             false => Vec::new(),
         };
         names.retain(|(name, version)| *version != NOT_STORED && is_old(name));
--- a/crates/gateway/src/news/view/departures.rs
+++ b/crates/gateway/src/news/view/departures.rs
@@ -13,7 +13,7 @@
 impl View {
     /// Takes over that an endpoint signaled a moment ago, to this box or another one, that it
     /// leaves.
-    pub fn hear_departure(&self, life: &Arc<str>, address: SocketAddr) {
+    pub fn receive_departure(&self, life: &Arc<str>, address: SocketAddr) {
         let text = serde_json::to_string(&address).expect("addresses always serialize");
         self.take_departure(&mut self.0.state.lock(), life, &text, true);
         self.tell();
@@ -30,8 +30,8 @@
     ) {
         match serde_json::from_str::<SocketAddr>(text) {
             Ok(address) => {
-                self.0.uses.endpoints.hear_departure(life, address, is_new);
-                state.shelf.put(DEPARTURES, life, NOT_STORED, Some(text));
+                self.0.uses.endpoints.receive_departure(life, address, is_new);
+                state.change_log.put(DEPARTURES, life, NOT_STORED, Some(text));
             }
             Err(error) => note_unreadable(DEPARTURES, life, &error),
         }
@@ -41,9 +41,9 @@
 impl State {
     /// Removes forgotten departures from the change log.
     pub(super) fn unshelve_departures(&mut self, is_remembered: impl Fn(&str) -> bool) {
-        for (life, _) in self.shelf.names(DEPARTURES) {
+        for (life, _) in self.change_log.names(DEPARTURES) {
             if !is_remembered(&life) {
-                self.shelf.put(DEPARTURES, &life, NOT_STORED, None);
+                self.change_log.put(DEPARTURES, &life, NOT_STORED, None);
             }
         }
     }
--- a/crates/gateway/src/news/view/endpoints.rs
+++ b/crates/gateway/src/news/view/endpoints.rs
@@ -6,13 +6,13 @@
 use platform::endpoint::Entry as Endpoint;
 use tokio::time::Instant;
 
-use super::{State, Uses, View, note_unreadable};
-use crate::clock::Part;
+use super::{State, Consumers, View, note_unreadable};
+use crate::clock::Dataset;
 
 impl View {
-    /// Takes over all entries of endpoints as read from the store at version `at`. `times` is the
+    /// Takes over all entries of endpoints as read from the store at version `at`. `suspensions` is the
     /// number of suspensions of the box before the call began.
-    pub fn endpoints_read(&self, objects: &[Object], at: u64, times: u64) {
+    pub fn endpoints_read(&self, objects: &[Object], at: u64, suspensions: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
         let mut entries = Vec::with_capacity(objects.len());
@@ -26,9 +26,9 @@
         for object in objects {
             state.shelve_endpoint(&object.name, object.version, &object.value);
         }
-        state.looks.endpoints = true;
+        state.watches.endpoints = true;
         self.publish(&mut state, "list", at);
-        self.0.uses.pulse.read(Part::Endpoints, times);
+        self.0.uses.watchdog.read(Dataset::Endpoints, suspensions);
     }
 
     /// Takes over changed entries of endpoints, complete up to store version `at`.
@@ -54,10 +54,10 @@
 
     /// The store is reachable again: entries that expired since `lost_since` may come back for
     /// `lapse`.
-    pub fn returned(&self, lost_since: Instant, lapse: Duration) {
+    pub fn store_returned(&self, lost_since: Instant, lapse: Duration) {
         let until = self.now() + lapse.as_millis() as u64;
         let lost_since = self.ms(lost_since);
-        self.0.state.lock().directory.returned(lost_since, until);
+        self.0.state.lock().directory.store_returned(lost_since, until);
     }
 
     /// Time until missing entries count as removed; `None` if none is missing.
@@ -79,10 +79,10 @@
     /// Puts the known endpoints in force.
     pub(super) fn publish(&self, state: &mut State, by: &str, version: u64) {
         state.unshelve_endpoints();
-        let Uses { endpoints, links, .. } = &self.0.uses;
+        let Consumers { endpoints, connections, .. } = &self.0.uses;
         let unused = endpoints.update(state.directory.ready());
-        unused.iter().for_each(|address| links.forget(*address));
-        state.unshelve_limits(|life| endpoints.has(life));
+        unused.iter().for_each(|address| connections.forget(*address));
+        state.unshelve_limits(|life| endpoints.is_listed(life));
         state.unshelve_departures(|life| endpoints.remembers_departure(life));
         let (known, ready) = (state.directory.len(), state.directory.ready().count());
         let gone = unused.len();
@@ -95,16 +95,16 @@
     /// Adds an entry to the change log, if it is the current one.
     fn shelve_endpoint(&mut self, id: &str, version: u64, text: &str) {
         if self.directory.version(id) == Some(version) {
-            self.shelf.put(platform::ENDPOINTS, id, version, Some(text));
+            self.change_log.put(platform::ENDPOINTS, id, version, Some(text));
         }
     }
 
     /// Records the removal of endpoints in the change log.
     fn unshelve_endpoints(&mut self) {
-        for (id, version) in self.shelf.names(platform::ENDPOINTS) {
+        for (id, version) in self.change_log.names(platform::ENDPOINTS) {
             if self.directory.version(&id).is_none() {
-                let gone_at = self.directory.gone_at(&id).unwrap_or(version);
-                self.shelf.put(platform::ENDPOINTS, &id, gone_at, None);
+                let removed_at = self.directory.removed_at(&id).unwrap_or(version);
+                self.change_log.put(platform::ENDPOINTS, &id, removed_at, None);
             }
         }
     }
--- a/crates/gateway/src/news/view/evacuations.rs
+++ b/crates/gateway/src/news/view/evacuations.rs
@@ -3,14 +3,14 @@
 use objects::{Change, Object};
 
 use super::{State, View};
-use crate::news::evacuations::Zones;
+use crate::sync::evacuations::Zones;
 
 impl View {
     /// Takes over the evacuated zones as read from the store at a version.
     pub fn evacuations_read(&self, objects: &[Object], at: u64) {
         let zones = objects.iter().map(|object| object.name.clone()).collect();
         let mut state = self.0.state.lock();
-        state.looks.evacuations = true;
+        state.watches.evacuations = true;
         if state.evacuations.replace(zones, at) {
             self.publish_evacuations(&mut state);
         }
@@ -50,6 +50,6 @@
             tracing::info!(event = "evacuations_in_force", zones = text, version);
         }
         // All zones share one name, because they are published together.
-        state.shelf.put(platform::EVACUATIONS, "all", version, Some(&text));
+        state.change_log.put(platform::EVACUATIONS, "all", version, Some(&text));
     }
 }
--- a/crates/gateway/src/news/view/limits.rs
+++ b/crates/gateway/src/news/view/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use balance::Limit;
-use wire::Limited;
+use wire::LimitNotice;
 
 use super::{State, View, note_unreadable};
 
@@ -16,12 +16,12 @@
     /// Takes over a limit from this box or another one, `None` if the endpoint named none; returns
     /// whether it is to be published. Small changes are not, because a limit may change with each
     /// answer.
-    pub fn hear_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
+    pub fn receive_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
         let text =
             limit.map(|limit| serde_json::to_string(&limit).expect("limits always serialize"));
         let mut state = self.0.state.lock();
         let told =
-            state.shelf.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
+            state.change_log.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
         let is_news = match (limit, told) {
             (Some(limit), Some(Ok(told))) => !limit.is_close(told),
             (None, None) => false,
@@ -42,12 +42,12 @@
             Ok(limit) => limit,
             Err(error) => return note_unreadable(LIMITS, endpoint, &error),
         };
-        if state.shelf.put(LIMITS, endpoint, NOT_STORED, text) {
+        if state.change_log.put(LIMITS, endpoint, NOT_STORED, text) {
             // Counts as signaled just now, so that it takes effect at once; any answer to a later
             // request replaces it.
             let endpoint = endpoint.clone();
-            let said = Limited { endpoint, limit, asked_ms: 0, heard_ms: 0 };
-            self.0.uses.endpoints.hear_said(&said, "news");
+            let said = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
+            self.0.uses.endpoints.receive_limit(&said, "news");
         }
     }
 }
@@ -55,9 +55,9 @@
 impl State {
     /// Removes limits of unknown endpoints from the change log.
     pub(super) fn unshelve_limits(&mut self, is_known: impl Fn(&str) -> bool) {
-        for (endpoint, _) in self.shelf.names(LIMITS) {
+        for (endpoint, _) in self.change_log.names(LIMITS) {
             if !is_known(&endpoint) {
-                self.shelf.put(LIMITS, &endpoint, NOT_STORED, None);
+                self.change_log.put(LIMITS, &endpoint, NOT_STORED, None);
             }
         }
     }
--- a/crates/gateway/src/news/view/listeners.rs
+++ b/crates/gateway/src/news/view/listeners.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout_at};
-use wire::{Listen, News};
+use wire::{Subscribe, Update};
 
 use super::View;
 
@@ -12,11 +12,11 @@
 const WAIT_MOST_MS: u64 = 5_000;
 
 /// Whether an answer contains anything new for a subscriber.
-fn is_new(news: &News, listen: &Listen) -> bool {
-    news.whole
+fn is_new(updates: &Update, listen: &Subscribe) -> bool {
+    updates.whole
         || listen.since.is_none()
-        || !news.changes.is_empty()
-        || news.away_ms.is_some() != listen.away
+        || !updates.changes.is_empty()
+        || updates.away_ms.is_some() != listen.away
 }
 
 impl View {
@@ -32,9 +32,9 @@
 
     /// Updates for a subscriber: at once if there are any that it does not know, else when there
     /// are, or after its waiting time. `None` while this box does not watch the store itself.
-    pub async fn news(&self, listen: &Listen) -> Option<News> {
+    pub async fn updates(&self, listen: &Subscribe) -> Option<Update> {
         let until = Instant::now() + Duration::from_millis(listen.wait_ms.min(WAIT_MOST_MS));
-        let mut heard = self.0.news.subscribe();
+        let mut heard = self.0.updates.subscribe();
         self.0.state.lock().asked = Some(Instant::now());
         loop {
             heard.borrow_and_update();
@@ -44,7 +44,7 @@
                     self.0.wanted.notify_one();
                     return None;
                 }
-                Some(news) if is_new(&news, listen) => return Some(news),
+                Some(updates) if is_new(&updates, listen) => return Some(updates),
                 Some(_) => {}
             }
             if timeout_at(until, heard.changed()).await.is_err() {
@@ -53,17 +53,17 @@
         }
     }
 
-    fn news_now(&self, listen: &Listen) -> Option<News> {
+    fn news_now(&self, listen: &Subscribe) -> Option<Update> {
         let state = self.0.state.lock();
-        if !state.looks.is_whole() {
+        if !state.watches.is_whole() {
             return None;
         }
-        let told = listen.since.map(|since| state.shelf.since(since));
+        let told = listen.since.map(|since| state.change_log.since(since));
         let (mut changes, whole) = told.unwrap_or_default();
         changes
             .retain(|change| &*change.kind != platform::CONFIG.0 || change.version > listen.config);
-        Some(News {
-            last: state.shelf.last(),
+        Some(Update {
+            last: state.change_log.last(),
             whole,
             changes,
             endpoints_at: state.directory.at(),
--- a/crates/gateway/src/news/view/mod.rs
+++ b/crates/gateway/src/news/view/mod.rs
@@ -9,7 +9,7 @@
 mod endpoints;
 mod evacuations;
 mod limits;
-mod listeners;
+mod subscribers;
 
 pub use boxes::read_box;
 use departures::DEPARTURES;
@@ -25,36 +25,36 @@
     sync::{Notify, watch},
     time::Instant,
 };
-use wire::News;
+use wire::Update;
 
 use crate::{
-    clock::{Moment, Part, Pulse},
+    clock::{Moment, Dataset, Watchdog},
     fleet::{
         entry::{BOXES, Entry},
         peers::Peers,
     },
-    money::funds::Funds,
-    news::{directory::Directory, evacuations::Evacuations, shelf::Shelf},
-    outage::Contact,
+    tokens::funds::Funds,
+    updates::{directory::Directory, evacuations::Evacuations, change_log::ChangeLog},
+    outage::Recovery,
     table::Table,
-    way::{crashes::Crashes, endpoints::Endpoints},
+    proxy::{crashes::Crashes, endpoints::Endpoints},
 };
 
 /// The configuration in force; `None` until one was read.
 pub type InForce = watch::Sender<Option<Arc<Table>>>;
 
 /// Where updates are applied.
-pub struct Uses {
+pub struct Consumers {
     pub in_force: InForce,
     pub funds: Funds,
     pub endpoints: Arc<Endpoints>,
-    pub links: forward::Links,
+    pub connections: forward::Connections,
     pub peers: Peers,
     pub crashes: Crashes,
     /// Announces to all tasks of the box that the store answers again.
-    pub contact: Contact,
+    pub recovery: Recovery,
     /// Reports suspensions of this box.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     /// Start of this box.
     pub started: Moment,
 }
@@ -64,10 +64,10 @@
 pub struct View(Arc<Shared>);
 
 struct Shared {
-    uses: Uses,
+    uses: Consumers,
     state: Mutex<State>,
     /// Incremented with each update.
-    news: watch::Sender<u64>,
+    updates: watch::Sender<u64>,
     /// Notified when another box subscribes while this one does not watch the store.
     wanted: Notify,
 }
@@ -75,7 +75,7 @@
 #[derive(Default)]
 struct State {
     directory: Directory,
-    shelf: Shelf,
+    change_log: ChangeLog,
     /// Entries of boxes by name, with their versions.
     boxes: BTreeMap<Arc<str>, (Entry, u64)>,
     evacuations: Evacuations,
@@ -84,7 +84,7 @@
     /// Since when the store has not answered the source of this box's updates.
     away_since: Option<Instant>,
     /// What this box has read from the store since it began to watch it.
-    looks: Looks,
+    watches: Looks,
     /// When another box asked for updates last.
     asked: Option<Instant>,
     /// When this box last heard from the store, or from a watcher that reaches it.
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
     /// Whether this box watches the store itself.
-    pub looks: bool,
+    pub watches: bool,
     /// Time since this box last heard from the store, or from a watcher that reaches it.
     pub age: Option<Duration>,
 }
@@ -117,9 +117,9 @@
 }
 
 impl View {
-    pub fn open(uses: Uses) -> View {
-        let (state, news) = (Mutex::default(), watch::channel(0).0);
-        View(Arc::new(Shared { uses, state, news, wanted: Notify::new() }))
+    pub fn open(uses: Consumers) -> View {
+        let (state, updates) = (Mutex::default(), watch::channel(0).0);
+        View(Arc::new(Shared { uses, state, updates, wanted: Notify::new() }))
     }
 
     fn now(&self) -> u64 {
@@ -132,14 +132,14 @@
     }
 
     fn tell(&self) {
-        self.0.news.send_modify(|count| *count += 1);
+        self.0.updates.send_modify(|count| *count += 1);
     }
 
     /// Takes over the configuration as read from the store.
-    pub fn config_read(&self, objects: &[Object], times: u64) {
-        self.0.state.lock().looks.config = true;
+    pub fn config_read(&self, objects: &[Object], suspensions: u64) {
+        self.0.state.lock().watches.config = true;
         objects.iter().for_each(|object| self.config(object));
-        self.0.uses.pulse.read(Part::Config, times);
+        self.0.uses.watchdog.read(Dataset::Config, suspensions);
         self.tell();
     }
 
@@ -167,7 +167,7 @@
         let (kind, name) = platform::CONFIG;
         let mut state = self.0.state.lock();
         state.config_at = object.version;
-        state.shelf.put(kind, name, object.version, Some(&object.value));
+        state.change_log.put(kind, name, object.version, Some(&object.value));
         drop(state);
         self.tell();
         tracing::info!(event = "config_in_force", version, routes, object = object.version);
@@ -202,25 +202,25 @@
     }
 
     /// State of this box's updates.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> Standing {
         let state = self.0.state.lock();
         let age = state.heard.map(|at| at.elapsed());
-        Standing { looks: state.looks.is_whole(), age }
+        Standing { watches: state.watches.is_whole(), age }
     }
 
     /// Called when this box begins or ends to watch the store.
     pub fn start_over(&self) {
-        self.0.state.lock().looks = Looks::default();
+        self.0.state.lock().watches = Looks::default();
     }
 
     /// Takes over updates from a watcher.
-    pub fn hear(&self, news: News) {
+    pub fn hear(&self, updates: Update) {
         let mut state = self.0.state.lock();
         let mut endpoints = Vec::new();
         let mut boxes = Vec::new();
         let mut words = Vec::new();
         let mut config = None;
-        for change in news.changes {
+        for change in updates.changes {
             match &*change.kind {
                 platform::ENDPOINTS => endpoints.push(change),
                 BOXES => boxes.push(change),
@@ -234,22 +234,22 @@
                 kind => tracing::warn!(event = "news_not_understood", kind),
             }
         }
-        if news.whole || !endpoints.is_empty() {
-            state.hear_endpoints(endpoints, news.whole, news.endpoints_at);
-            self.publish(&mut state, "home", news.endpoints_at);
+        if updates.whole || !endpoints.is_empty() {
+            state.hear_endpoints(endpoints, updates.whole, updates.endpoints_at);
+            self.publish(&mut state, "home", updates.endpoints_at);
         }
         // Applied after the endpoints, because signals of unknown endpoints are ignored.
         for wire::Change { kind, name, value, .. } in words {
             match value.as_deref() {
                 value if &*kind == LIMITS => self.take_limit(&mut state, &name, value),
-                Some(text) => self.take_departure(&mut state, &name, text, !news.whole),
+                Some(text) => self.take_departure(&mut state, &name, text, !updates.whole),
                 // The watcher dropped it; this box does so by its own rules.
                 None => {}
             }
         }
-        if news.whole || !boxes.is_empty() {
-            state.hear_boxes(boxes, news.whole, news.boxes_at);
-            self.publish_boxes(&mut state, news.boxes_at);
+        if updates.whole || !boxes.is_empty() {
+            state.hear_boxes(boxes, updates.whole, updates.boxes_at);
+            self.publish_boxes(&mut state, updates.boxes_at);
         }
         drop(state);
         if let Some(wire::Change { kind, name, version, value: Some(value) }) = config {
@@ -257,11 +257,11 @@
         }
         let now = Instant::now();
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-        let away = news.away_ms.map(ago);
+        let away = updates.away_ms.map(ago);
         let before = self.away_since();
         self.set_away(away);
         if let (Some(lost_since), None) = (before, away) {
-            self.0.uses.contact.tell(lost_since);
+            self.0.uses.recovery.tell(lost_since);
         }
     }
 }
--- a/crates/gateway/src/news/words.rs
+++ b/crates/gateway/src/news/words.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     fleet::peers::Peers,
-    news::view::View,
-    way::{endpoints::Endpoints, teller::Word},
+    sync::view::View,
+    proxy::{endpoints::Endpoints, announcer::Announcement},
 };
 
 /// Interval at which a box repeats that an endpoint leaves, until the endpoint's entry shows it: a
@@ -20,42 +20,42 @@
 const TELL_EVERY: Duration = Duration::from_millis(1_000);
 
 /// Publishes signals for as long as the box runs.
-pub async fn tell(
+pub async fn publish(
     view: View,
     peers: Peers,
     endpoints: Arc<Endpoints>,
-    mut told: mpsc::Receiver<Word>,
+    mut told: mpsc::Receiver<Announcement>,
 ) {
     loop {
         let own = endpoints.own_departures();
         let word = tokio::select! {
             word = told.recv() => word,
             () = sleep(TELL_EVERY), if !own.is_empty() => {
-                own.iter().for_each(|(life, address)| peers.tell_departure(life, *address));
+                own.iter().for_each(|(instance, address)| peers.publish_departure(instance, *address));
                 continue;
             }
         };
         let Some(word) = word else { return };
         match word {
-            Word::LimitChanged { life } => tell_limit(&view, &peers, &endpoints, &life, false),
-            Word::LimitStays { life } => tell_limit(&view, &peers, &endpoints, &life, true),
-            Word::Leaves { life, address } => {
-                view.hear_departure(&life, address);
-                peers.tell_departure(&life, address);
+            Announcement::LimitChanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, false),
+            Announcement::LimitUnchanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, true),
+            Announcement::Leaves { instance, address } => {
+                view.receive_departure(&instance, address);
+                peers.publish_departure(&instance, address);
             }
         }
     }
 }
 
-fn tell_limit(
+fn publish_limit(
     view: &View,
     peers: &Peers,
     endpoints: &Endpoints,
-    life: &Arc<str>,
+    instance: &Arc<str>,
     is_repeated: bool,
 ) {
-    let Some(said) = endpoints.said(life) else { return };
-    if view.hear_limit(life, said.limit) || is_repeated {
-        peers.tell_limit(life, said.limit);
+    let Some(said) = endpoints.said(instance) else { return };
+    if view.receive_limit(instance, said.limit) || is_repeated {
+        peers.publish_limit(instance, said.limit);
     }
 }
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,7 +1,7 @@
 //! Whether a dependency answers, with one log line for each change.
 //!
 //! A call that waits for news cannot tell a quiet store from a dead connection. So whichever task
-//! first finds the store answering again says so to the others through [`Contact`], and they read
+//! first finds the store answering again says so to the others through [`Recovery`], and they read
 //! anew at once.
 
 use std::{fmt::Display, sync::Arc, time::Duration};
@@ -22,24 +22,24 @@
     /// It finds the store for all tasks of the box, and for boxes that listen to it. What happened since
     /// the store's return cannot be told from what happened before: with 1.2 s between two calls, an endpoint that left 0.5 s
     /// after the return was taken for one whose entry had lapsed, and got work for 0.7 s too long.
-    First,
+    Eager,
     /// It waits for the first, and looks itself now and then.
-    Later,
+    Lazy,
 }
 
 impl Probe {
     /// Longest pause between two calls while the store does not answer. Each call is paid for.
     fn pause_most(self) -> Duration {
         match self {
-            Probe::First => Duration::from_millis(300),
-            Probe::Later => Duration::from_millis(1_200),
+            Probe::Eager => Duration::from_millis(300),
+            Probe::Lazy => Duration::from_millis(1_200),
         }
     }
 }
 
 /// Tells all tasks of a box when one of them finds the store answering again.
 #[derive(Debug, Clone)]
-pub struct Contact(Arc<Found>);
+pub struct Recovery(Arc<Found>);
 
 #[derive(Debug)]
 struct Found {
@@ -48,16 +48,16 @@
     at: Mutex<Option<Instant>>,
 }
 
-impl Contact {
+impl Recovery {
     /// Nothing was lost yet.
-    pub fn open() -> Contact {
-        Contact(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
+    pub fn open() -> Recovery {
+        Recovery(Arc::new(Found { lost_since: watch::channel(None).0, at: Mutex::default() }))
     }
 
     /// Waits until some task finds the store answering again; returns since when that one had not.
     /// A task that looks seldom finds the end of an outage long after the others: what began before
     /// they read anew is no news to them.
-    pub async fn regained(&self) -> Instant {
+    pub async fn recovered(&self) -> Instant {
         let mut lost_since = self.0.lost_since.subscribe();
         lost_since.mark_unchanged();
         // The sender lives as long as `self`.
@@ -67,7 +67,7 @@
     }
 
     /// The store answers again, which it had not since `lost_since`.
-    pub fn tell(&self, lost_since: Instant) {
+    pub fn announce(&self, lost_since: Instant) {
         let now = Instant::now();
         let before = self.0.at.lock().replace(now);
         if before.is_none_or(|before| now.saturating_duration_since(before) > FOUND) {
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Outage {
     what: &'static str,
-    contact: Contact,
+    recovery: Recovery,
     since: Option<Instant>,
     failures: u64,
     pause: Duration,
@@ -89,8 +89,8 @@
 
 impl Outage {
     /// A dependency that is taken to answer.
-    pub fn new(what: &'static str, probe: Probe, contact: Contact) -> Outage {
-        Outage { what, contact, since: None, failures: 0, pause: PAUSE, probe }
+    pub fn new(what: &'static str, probe: Probe, recovery: Recovery) -> Outage {
+        Outage { what, recovery, since: None, failures: 0, pause: PAUSE, probe }
     }
 
     /// The dependency has not answered since then, as somebody else found.
@@ -114,7 +114,7 @@
 
     /// Waits after a call that failed, until some other task finds the store at the longest.
     pub async fn pause(&mut self) {
-        let _ = tokio::time::timeout(self.pause, self.contact.regained()).await;
+        let _ = tokio::time::timeout(self.pause, self.recovery.recovered()).await;
         self.pause = (self.pause * 2).min(self.probe.pause_most());
     }
 
@@ -124,7 +124,7 @@
         let since = self.since.take()?;
         let lost = since.elapsed().as_millis() as u64;
         let failures = std::mem::take(&mut self.failures);
-        self.contact.tell(since);
+        self.recovery.announce(since);
         tracing::info!(event = "dependency_back", what = self.what, lost_ms = lost, failures);
         Some(lost)
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -120,7 +120,7 @@
 
 /// Time between two settlements that requests wait for, in milliseconds: those that come meanwhile
 /// share the next one. A tenth of what the shortest requests may take.
-pub const GATHER_MS: u64 = 40;
+pub const SETTLEMENT_BATCH_MS: u64 = 40;
 
 /// Part of what is paid, in thousandths, below which the share that boxes may hold shrinks with what is
 /// unspent, before an outage was seen.
@@ -141,7 +141,7 @@
     /// Longest time that a request waits for tokens, in milliseconds.
     pub wait_ms: u64,
     /// Time that a request waits for a settlement before other boxes are asked, in milliseconds:
-    /// [`GATHER_MS`] since the one before it, and a few calls of the store.
+    /// [`SETTLEMENT_BATCH_MS`] since the one before it, and a few calls of the store.
     pub store_ms: u64,
     /// Longest time that a keeper looks for tokens before it answers, in milliseconds: a settlement
     /// that waits for the one before it, and a question to other keepers.
@@ -280,7 +280,7 @@
             ("money.horizon_s", money.horizon_s, 0, 86_400),
             ("money.settle_ms", money.settle_ms, 100, 3_600_000),
             ("money.spacing_ms", money.spacing_ms, 10, 3_600_000),
-            ("money.store_ms", money.store_ms, 2 * GATHER_MS, 60_000),
+            ("money.store_ms", money.store_ms, 2 * SETTLEMENT_BATCH_MS, 60_000),
             ("money.keeper_ms", money.keeper_ms, 10, 60_000),
             ("money.wait_ms", money.wait_ms, 0, 60_000),
             ("retries.window_s", self.retries.window_s, 1, 3_600),
@@ -349,13 +349,13 @@
     }
 
     /// Connections to endpoints.
-    pub fn links(&self) -> forward::Options {
+    pub fn connections(&self) -> forward::Options {
         let ms = Duration::from_millis;
         forward::Options {
-            connect: ms(self.limits.connect_ms),
-            silent: ms(self.limits.silent_ms),
-            rest: ms(self.limits.rest_ms),
-            margin: ms(1_000),
+            connect_timeout: ms(self.limits.connect_ms),
+            ack_timeout: ms(self.limits.silent_ms),
+            idle_timeout: ms(self.limits.rest_ms),
+            idle_margin: ms(1_000),
         }
     }
 
@@ -375,7 +375,7 @@
             online_horizon: 0,
             offline_horizon: self.money.horizon_s,
             boxes: 1,
-            plenty: PLENTY,
+            scarcity_permille: PLENTY,
         }
     }
 }
--- a/crates/gateway/src/way/admit.rs
+++ b/crates/gateway/src/way/admit.rs
@@ -15,11 +15,11 @@
 use tokio::{sync::OwnedSemaphorePermit, time::Instant};
 
 use crate::{
-    money::funds::Lack,
-    way::{
-        gate::Gate,
+    money::funds::Shortage,
+    proxy::{
+        context::Context,
         refusal::{Reason, Refusal, SOON},
-        trip::Trip,
+        exchange::Exchange,
     },
 };
 
@@ -56,26 +56,26 @@
     pub urgency: u8,
 }
 
-impl Gate {
+impl Context {
     /// Finds where a request goes and reads its body.
     pub async fn admit(
         &self,
         request: Request<Incoming>,
         head: Head,
-        trip: &mut Trip,
+        exchange: &mut Exchange,
     ) -> Result<Call, Refusal> {
         let table = self.table.borrow().clone();
         let table =
             table.ok_or_else(|| Reason::NoConfig.after(LATER, "no configuration was read yet"))?;
-        trip.version = table.version();
+        exchange.version = table.version();
         let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
         let route = table
             .route(host.unwrap_or_default(), request.uri().path())
             .ok_or_else(|| Reason::NoRoute.with("no route for this host and path"))?
             .clone();
-        trip.route = Some(route.name.clone());
+        exchange.route = Some(route.name.clone());
         if let Some(timeout) = route.timeout {
-            trip.until = trip.until.min(trip.came + timeout);
+            exchange.until = exchange.until.min(exchange.came + timeout);
         }
         let customer = match table.needs_keys() && !route.public {
             false => None,
@@ -85,18 +85,18 @@
                 Some(customer.ok_or_else(unknown)?)
             }
         };
-        trip.customer = customer.map(|customer| customer.name.clone());
+        exchange.customer = customer.map(|customer| customer.name.clone());
         let paid = customer.is_some_and(|customer| customer.paid.is_some());
-        trip.tokens = head.tokens.filter(|_| paid);
+        exchange.tokens = head.tokens.filter(|_| paid);
         let id = head.id.as_deref().unwrap_or_default();
         let service = table
             .target(&route, id)
             .ok_or_else(|| Reason::NoEndpoint.after(LATER, "the route has no service"))?
             .clone();
-        trip.service = Some(service.clone());
+        exchange.service = Some(service.clone());
         let of = table.service(&service);
         let engine = of.and_then(|service| service.engine.as_ref());
-        trip.event_tokens = engine.map_or(1, |engine| engine.event_tokens);
+        exchange.event_tokens = engine.map_or(1, |engine| engine.event_tokens);
         let all = of.and_then(|service| service.connections).map_or(CONNECTIONS, u64::from);
         let connections = (all / self.peers.boxes()).max(LEAST_CONNECTIONS.min(all)) as usize;
         let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
@@ -104,13 +104,13 @@
         let limit = table.config().limits.body_bytes;
         let (parts, body) = request.into_parts();
         let room = self.room(&body, limit)?;
-        let body = self.read_body(body, limit, trip.until).await?;
+        let body = self.read_body(body, limit, exchange.until).await?;
         self.link.request(body.len());
         let prefix = Prefix::of_parts(head.parts.iter().map(|part| (part.id, part.tokens)));
         let (method, target, headers) = (parts.method, parts.uri, parts.headers);
-        let fingerprint = fingerprint(trip.customer.as_ref(), &route, &method, &target, &body);
-        trip.fingerprint = Some(fingerprint.clone());
-        self.check_quarantine(&fingerprint, trip.until).await?;
+        let fingerprint = fingerprint(exchange.customer.as_ref(), &route, &method, &target, &body);
+        exchange.fingerprint = Some(fingerprint.clone());
+        self.check_quarantine(&fingerprint, exchange.until).await?;
         Ok(Call {
             method,
             target,
@@ -136,12 +136,12 @@
         until: Instant,
     ) -> Result<(), Refusal> {
         match self.crashes.verdict(fingerprint, until).await {
-            Verdict::Free | Verdict::Suspect { .. } => Ok(()),
-            Verdict::Unproved { .. } => {
+            Verdict::Allowed | Verdict::Suspect { .. } => Ok(()),
+            Verdict::Unconfirmed { .. } => {
                 let known = Duration::from_millis(self.settings().limits.connect_ms);
                 let detail = "connections to endpoints broke while they ran it, and whether the \
                               endpoints ended is not known yet";
-                Err(Reason::Unproved.after(known, detail))
+                Err(Reason::Unconfirmed.after(known, detail))
             }
             Verdict::Quarantined { for_s } => Err(Reason::Quarantined
                 .after(Duration::from_secs(for_s), "endpoints ended each time they ran it")),
@@ -177,8 +177,8 @@
     }
 
     /// Holds the worst case of a request that costs tokens.
-    pub async fn hold(&self, call: &Call, trip: &mut Trip) -> Result<(), Refusal> {
-        let (Some(tokens), Some(customer)) = (trip.tokens, trip.customer.clone()) else {
+    pub async fn hold(&self, call: &Call, exchange: &mut Exchange) -> Result<(), Refusal> {
+        let (Some(tokens), Some(customer)) = (exchange.tokens, exchange.customer.clone()) else {
             return Ok(());
         };
         let worst = tokens.prompt + tokens.most_output;
@@ -187,19 +187,19 @@
         let patience = Duration::from_millis(money.wait_ms);
         let patience = call.route.target.map_or(patience, |target| patience.min(target / 2));
         let now = Instant::now();
-        let until = (now + patience).min(trip.until);
+        let until = (now + patience).min(exchange.until);
         let from_store = Duration::from_millis(money.store_ms);
-        if let Some(hold) = self.draws.hold(&customer, worst, from_store, until).await {
-            trip.pay_with(hold);
+        if let Some(hold) = self.acquirer.hold(&customer, worst, from_store, until).await {
+            exchange.pay_with(hold);
             return Ok(());
         }
-        Err(match self.funds.lack(&customer, worst) {
-            Lack::Exhausted => {
+        Err(match self.funds.shortage(&customer, worst) {
+            Shortage::Exhausted => {
                 let detail = format!("what remains of the budget cannot hold {worst} tokens");
                 Reason::BudgetExhausted.with(detail)
             }
-            lack @ Lack::Short { .. } => {
-                let detail = format!("this box lacks tokens for {worst}: {lack}");
+            shortage @ Shortage::Local { .. } => {
+                let detail = format!("this box lacks tokens for {worst}: {shortage}");
                 Reason::TokensShort.after(LATER, detail)
             }
         })
@@ -220,7 +220,7 @@
 }
 
 /// Refuses heads that two readers could understand in two ways.
-pub fn check(request: &Request<Incoming>) -> Result<(), Refusal> {
+pub fn check_head(request: &Request<Incoming>) -> Result<(), Refusal> {
     let headers = request.headers();
     let several = |name: &header::HeaderName| headers.get_all(name).iter().count() > 1;
     let twice = headers.keys().find(|name| several(name) && request::is_single(name));
--- a/crates/gateway/src/way/bounds.rs
+++ b/crates/gateway/src/way/bounds.rs
@@ -10,12 +10,12 @@
     /// Bytes of a head.
     pub head_bytes: usize,
     /// Time in which a head must arrive, which includes the rest before it.
-    pub idle: Duration,
+    pub head_timeout: Duration,
 }
 
 impl Bounds {
     /// What the operator allows.
     pub fn of(limits: &Limits) -> Bounds {
-        Bounds { head_bytes: limits.head_bytes, idle: Duration::from_millis(limits.idle_ms) }
+        Bounds { head_bytes: limits.head_bytes, head_timeout: Duration::from_millis(limits.idle_ms) }
     }
 }
--- a/crates/gateway/src/way/crashes.rs
+++ b/crates/gateway/src/way/crashes.rs
@@ -24,7 +24,7 @@
 use futures_util::future::BoxFuture;
 use ledger::Incarnation;
 use parking_lot::Mutex;
-use quarantine::{Finding, Fingerprint, Limits, Record, Report, Verdict};
+use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
 use tokio::{
     net::TcpStream,
     sync::{mpsc, watch},
@@ -49,45 +49,45 @@
 
 /// What a connection to an endpoint shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum Liveness {
     /// Its port is closed.
     Ended,
     /// It takes connections.
-    Stands,
+    Running,
     /// Nothing answers.
-    OutOfReach,
+    Unreachable,
 }
 
-impl Found {
+impl Liveness {
     /// Name for log lines.
     fn as_str(self) -> &'static str {
         match self {
-            Found::Ended => "ended",
-            Found::Stands => "stands",
-            Found::OutOfReach => "out_of_reach",
+            Liveness::Ended => "ended",
+            Liveness::Running => "stands",
+            Liveness::Unreachable => "out_of_reach",
         }
     }
 }
 
 /// Finds out whether an endpoint ended.
-pub type Prove = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Found> + Send + Sync>;
+pub type Prober = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Liveness> + Send + Sync>;
 
 /// Finds it out by a connection, which may take so long to come up.
-pub fn by_connecting(within: Duration) -> Prove {
+pub fn connect_prober(within: Duration) -> Prober {
     Box::new(move |address| {
         Box::pin(async move {
             sleep(GATHER).await;
             match timeout(within, TcpStream::connect(address)).await {
-                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Found::Ended,
-                Ok(Err(_)) | Err(_) => Found::OutOfReach,
-                Ok(Ok(_)) => Found::Stands,
+                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
+                Ok(Err(_)) | Err(_) => Liveness::Unreachable,
+                Ok(Ok(_)) => Liveness::Running,
             }
         })
     })
 }
 
 /// A report of this box with its name.
-pub type Named = (Arc<str>, Report);
+pub type NamedReport = (Arc<str>, Report);
 
 /// What this box knows of requests that end endpoints.
 #[derive(Debug, Clone)]
@@ -95,10 +95,10 @@
 
 struct Shared {
     me: Incarnation,
-    prove: Prove,
+    prove: Prober,
     started: Moment,
     state: Mutex<State>,
-    reports: mpsc::Sender<Named>,
+    reports: mpsc::Sender<NamedReport>,
     /// Raised with each end of which it is known whether it is one.
     proofs: watch::Sender<u64>,
 }
@@ -111,7 +111,7 @@
 
 #[derive(Debug)]
 struct State {
-    record: Record,
+    record: Registry,
     /// Requests whose connections to this life of an endpoint broke, until it is known whether it ended.
     unproved: HashMap<Arc<str>, Vec<Fingerprint>>,
     /// Requests given up at a life of an endpoint, by the millisecond.
@@ -122,11 +122,11 @@
 
 impl State {
     /// Takes out what was given up lately at a life of an endpoint that ended.
-    fn take_given_up(&mut self, life: &str, now_ms: u64) -> Vec<Fingerprint> {
+    fn take_given_up(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
         let since = now_ms.saturating_sub(GIVEN_UP);
         self.given_up.retain(|(at, ..)| *at >= since);
         let (there, elsewhere): (VecDeque<_>, VecDeque<_>) =
-            self.given_up.drain(..).partition(|(_, at, _)| **at == *life);
+            self.given_up.drain(..).partition(|(_, at, _)| **at == *instance);
         self.given_up = elsewhere;
         there.into_iter().map(|(.., request)| request).collect()
     }
@@ -137,12 +137,12 @@
     pub fn open(
         me: Incarnation,
         limits: Limits,
-        prove: Prove,
+        prove: Prober,
         clock: &Clock,
-    ) -> (Crashes, mpsc::Receiver<Named>) {
+    ) -> (Crashes, mpsc::Receiver<NamedReport>) {
         let (reports, named) = mpsc::channel(WAITING);
         let (unproved, given_up) = Default::default();
-        let state = State { record: Record::new(limits), unproved, given_up, next: 0 };
+        let state = State { record: Registry::new(limits), unproved, given_up, next: 0 };
         let (started, state) = (clock.now(), Mutex::new(state));
         let proofs = watch::channel(0).0;
         (Crashes(Arc::new(Shared { me, prove, started, state, reports, proofs })), named)
@@ -173,10 +173,10 @@
     }
 
     /// Drops reports that are too old, and says whether this one counts.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         let mut state = self.0.state.lock();
         state.record.expire(unix_s());
-        state.record.holds(name)
+        state.record.contains(name)
     }
 
     /// Whether a request may be run; waits a moment where that hangs on ends that are still to be proved.
@@ -186,7 +186,7 @@
         loop {
             proofs.borrow_and_update();
             let verdict = self.verdict_now(request);
-            let is_open = matches!(verdict, Verdict::Unproved { .. });
+            let is_open = matches!(verdict, Verdict::Unconfirmed { .. });
             if !is_open || timeout_at(until, proofs.changed()).await.is_err() {
                 return verdict;
             }
@@ -196,7 +196,7 @@
     fn verdict_now(&self, request: &Fingerprint) -> Verdict {
         let state = self.0.state.lock();
         let broken = state.unproved.iter().filter(|(_, requests)| requests.contains(request));
-        let lives: Vec<Arc<str>> = broken.map(|(life, _)| life.clone()).collect();
+        let lives: Vec<Arc<str>> = broken.map(|(instance, _)| instance.clone()).collect();
         state.record.verdict(request, &lives, unix_s())
     }
 
@@ -207,10 +207,10 @@
     }
 
     /// A request goes to an endpoint.
-    pub fn watch(&self, life: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
+    pub fn watch(&self, instance: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
         Watch {
             crashes: self.clone(),
-            life: life.clone(),
+            instance: instance.clone(),
             address,
             request: request.clone(),
             is_over: false,
@@ -237,18 +237,18 @@
     }
 
     /// Finds out whether an endpoint ended, and reports so.
-    async fn prove(self, life: Arc<str>, address: SocketAddr) {
+    async fn prove(self, instance: Arc<str>, address: SocketAddr) {
         let found = (self.0.prove)(address).await;
-        let requests = self.0.state.lock().unproved.remove(&life).unwrap_or_default();
+        let requests = self.0.state.lock().unproved.remove(&instance).unwrap_or_default();
         let (count, shows) = (requests.len(), found.as_str());
         tracing::info!(
             event = "connections_broke",
-            endpoint = &*life,
+            endpoint = &*instance,
             found = shows,
             requests = count
         );
-        if found == Found::Ended {
-            self.report(Finding::Ended { endpoint: life }, requests);
+        if found == Liveness::Ended {
+            self.report(Finding::Ended { endpoint: instance }, requests);
         }
         self.0.proofs.send_modify(|count| *count += 1);
     }
@@ -258,7 +258,7 @@
 #[derive(Debug)]
 pub struct Watch {
     crashes: Crashes,
-    life: Arc<str>,
+    instance: Arc<str>,
     address: SocketAddr,
     request: Fingerprint,
     /// It is known what became of it there.
@@ -277,7 +277,7 @@
     pub fn broke(&mut self) {
         self.is_over = true;
         let mut state = self.crashes.0.state.lock();
-        let requests = state.unproved.entry(self.life.clone()).or_default();
+        let requests = state.unproved.entry(self.instance.clone()).or_default();
         let is_first = requests.is_empty();
         if !requests.contains(&self.request) {
             requests.push(self.request.clone());
@@ -285,7 +285,7 @@
         drop(state);
         // There is no runtime while the process ends.
         if let (true, Ok(runtime)) = (is_first, tokio::runtime::Handle::try_current()) {
-            runtime.spawn(self.crashes.clone().prove(self.life.clone(), self.address));
+            runtime.spawn(self.crashes.clone().prove(self.instance.clone(), self.address));
         }
     }
 
@@ -316,7 +316,7 @@
         }
         let now_ms = self.crashes.now_ms();
         let mut state = self.crashes.0.state.lock();
-        state.given_up.push_back((now_ms, self.life.clone(), self.request.clone()));
+        state.given_up.push_back((now_ms, self.instance.clone(), self.request.clone()));
         if state.given_up.len() > MOST_GIVEN_UP {
             state.given_up.pop_front();
         }
--- a/crates/gateway/src/way/dispatch.rs
+++ b/crates/gateway/src/way/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Failure, Limit, Offer};
+use balance::{Failure, Limit, Candidates};
 use forward::{Answer, Fault};
 use http::{HeaderMap, StatusCode, header};
 use platform::{
@@ -14,14 +14,14 @@
 use crate::{
     clock::Moment,
     metrics::Service,
-    way::{
+    proxy::{
         admit::Call,
         endpoints::Chosen,
-        gate::Gate,
+        context::Context,
         refusal::{Reason, Refusal, SOON},
-        relay::Flight,
-        teller::Word,
-        trip::Trip,
+        relay::InFlight,
+        announcer::Announcement,
+        exchange::Exchange,
     },
 };
 
@@ -36,7 +36,7 @@
 /// What one try at an endpoint came to.
 enum Try {
     /// An answer for the caller.
-    Answer(Box<Answer>, Box<Flight>),
+    Answer(Box<Answer>, Box<InFlight>),
     /// The endpoint did not run it.
     NotRun(String),
     /// Another incarnation answers at the address: the endpoint that was meant is gone.
@@ -47,48 +47,48 @@
     Unknown(Refusal),
 }
 
-impl Gate {
+impl Context {
     /// Sends a request to endpoints until one of them answers or no more may be tried.
     pub async fn dispatch(
         &self,
         call: &Call,
-        trip: &mut Trip,
-    ) -> Result<(Box<Answer>, Flight), Refusal> {
+        exchange: &mut Exchange,
+    ) -> Result<(Box<Answer>, InFlight), Refusal> {
         let now_s = self.started.elapsed().as_secs();
         self.retries.lock().request(&call.service, now_s, &self.settings().retries);
         let mut tried: Vec<Arc<str>> = Vec::new();
         let (mut arrived, mut asked) = (0, 0);
         let mut last = None;
         while tried.len() < MOST_TRIED {
-            if trip.left().is_zero() {
+            if exchange.left().is_zero() {
                 return Err(Reason::TooLate.with("its time was over before it was sent"));
             }
             // Endpoints may have ended with it since it came.
-            if let Err(refusal) = self.check_quarantine(&call.fingerprint, trip.until).await {
+            if let Err(refusal) = self.check_quarantine(&call.fingerprint, exchange.until).await {
                 last = Some(refusal);
                 break;
             }
-            let offer = if asked < MOST_ASKED { Offer::All } else { Offer::Unlimited };
+            let offer = if asked < MOST_ASKED { Candidates::All } else { Candidates::Unlimited };
             let chosen = self.endpoints.choose(&call.service, offer, &call.prefix, &tried);
             let Some(chosen) = chosen else { break };
-            if trip.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call)) {
+            if exchange.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call)) {
                 break;
             }
             if chosen.limit.is_some() {
                 asked += 1;
-                if !self.turns.take(&call.service, &chosen).await {
+                if !self.permits.take(&call.service, &chosen).await {
                     continue;
                 }
             }
             if arrived > 0 && !self.may_repeat(call) {
                 break;
             }
-            tried.push(chosen.life.clone());
-            let outcome = self.attempt(call, &chosen, trip).await;
-            note_not_taken(&outcome, trip, &chosen);
+            tried.push(chosen.instance.clone());
+            let outcome = self.attempt(call, &chosen, exchange).await;
+            note_not_taken(&outcome, exchange, &chosen);
             arrived += u32::from(!matches!(outcome, Try::Unsent(_)));
             match outcome {
-                Try::Answer(answer, flight) => return Ok((answer, *flight)),
+                Try::Answer(answer, in_flight) => return Ok((answer, *in_flight)),
                 Try::Unsent(reason) => last = Some(Reason::NoEndpoint.after(SOON, reason)),
                 Try::NotRun(reason) | Try::Gone(reason) => {
                     last = Some(Reason::NoEndpoint.after(SOON, reason));
@@ -102,7 +102,7 @@
             Some(last) => last,
             None => self.no_offer(call),
         };
-        match trip.may_have_run && last.reason.is_not_run() {
+        match exchange.may_have_run && last.reason.is_not_run() {
             true => Err(Reason::Lost.with(last.detail)),
             false => Err(last),
         }
@@ -111,7 +111,7 @@
     /// Why no endpoint is offered a request: there is none, or this box has sent the cold ones its part and gets no turn
     /// at those that name a limit.
     fn no_offer(&self, call: &Call) -> Refusal {
-        match self.endpoints.comes_again(&call.service, call.urgency) {
+        match self.endpoints.retry_delay(&call.service, call.urgency) {
             Some(wait) if wait > SOON => Reason::NoEndpoint.after(
                 wait,
                 "all endpoints of the service that take work are cold, rest or name a limit",
@@ -133,12 +133,12 @@
     }
 
     /// One try at one endpoint.
-    async fn attempt(&self, call: &Call, chosen: &Chosen, trip: &mut Trip) -> Try {
-        trip.endpoint = Some(chosen.id.clone());
-        let left = trip.left();
+    async fn attempt(&self, call: &Call, chosen: &Chosen, exchange: &mut Exchange) -> Try {
+        exchange.endpoint = Some(chosen.id.clone());
+        let left = exchange.left();
         let order = Order {
             instance: &chosen.id,
-            customer: trip.customer.as_deref(),
+            customer: exchange.customer.as_deref(),
             left: Some(left),
             rank: call.rank,
             resume_after: call.head.resumed_after,
@@ -155,7 +155,7 @@
         };
         tracing::info!(
             event = "dispatched",
-            id = trip.id.as_deref(),
+            id = exchange.id.as_deref(),
             endpoint = &*chosen.id,
             service = &*call.service,
             fingerprint = %call.fingerprint,
@@ -165,36 +165,36 @@
             leaves_ms = chosen.leaves.map(|ago| ago.as_millis() as u64),
             rest_ms = chosen.rest.map(|rest| rest.as_millis() as u64),
             prompt = call.prefix.size(),
-            config = trip.version,
+            config = exchange.version,
             left_ms = left.as_millis() as u64,
-            sent_before = trip.sent,
+            sent_before = exchange.sent,
         );
         if chosen.limit.is_some() {
             let service = Service { service: call.service.to_string() };
-            self.metrics.limited.get_or_create(&service).inc();
+            self.metrics.limited_sends.get_or_create(&service).inc();
         }
         let endpoints = self.endpoints.clone();
         let service = call.service.clone();
-        let watch = self.crashes.watch(&chosen.life, chosen.address, &call.fingerprint);
-        let mut flight =
-            Flight::start(endpoints, service, chosen, &call.prefix, &self.peers, watch);
-        let link = match self.connect(call, chosen, trip, &mut flight).await {
+        let watch = self.crashes.watch(&chosen.instance, chosen.address, &call.fingerprint);
+        let mut in_flight =
+            InFlight::start(endpoints, service, chosen, &call.prefix, &self.peers, watch);
+        let link = match self.connect(call, chosen, exchange, &mut in_flight).await {
             Ok(link) => link,
             Err(unsent) => return unsent,
         };
         // From here on the endpoint may have it, also when this future is dropped.
-        let (had_run, had_sent) = (trip.may_have_run, trip.sent);
-        (trip.may_have_run, trip.sent) = (true, trip.sent + 1);
+        let (had_run, had_sent) = (exchange.may_have_run, exchange.sent);
+        (exchange.may_have_run, exchange.sent) = (true, exchange.sent + 1);
         let sent_at = self.clock.now();
-        let outcome = match tokio::time::timeout_at(trip.until, link.send(request)).await {
+        let outcome = match tokio::time::timeout_at(exchange.until, link.send(request)).await {
             Err(_) => Try::Unknown(Reason::Silent.with("the endpoint did not answer in time")),
-            Ok(Err(fault)) => lost(fault, &mut flight),
-            Ok(Ok(answer)) => self.judge(call, chosen, trip, &sent_at, answer, flight),
+            Ok(Err(fault)) => lost(fault, &mut in_flight),
+            Ok(Ok(answer)) => self.judge(call, chosen, exchange, &sent_at, answer, in_flight),
         };
         match outcome {
             // An endpoint that is gone is none that the route's bound counts.
-            Try::Unsent(_) | Try::Gone(_) => (trip.may_have_run, trip.sent) = (had_run, had_sent),
-            Try::NotRun(_) => trip.may_have_run = had_run,
+            Try::Unsent(_) | Try::Gone(_) => (exchange.may_have_run, exchange.sent) = (had_run, had_sent),
+            Try::NotRun(_) => exchange.may_have_run = had_run,
             _ => {}
         }
         outcome
@@ -205,21 +205,21 @@
         &self,
         call: &Call,
         chosen: &Chosen,
-        trip: &Trip,
-        flight: &mut Flight,
+        exchange: &Exchange,
+        in_flight: &mut InFlight,
     ) -> Result<forward::Ready, Try> {
-        let opening = self.links.connect(chosen.address, call.connections);
-        let link = match tokio::time::timeout_at(trip.until, opening).await {
+        let opening = self.connections.connect(chosen.address, call.connections);
+        let link = match tokio::time::timeout_at(exchange.until, opening).await {
             Err(_) => {
-                flight.fail(Failure::Silent);
+                in_flight.fail(Failure::Silent);
                 return Err(Try::Unsent("no connection came up in the time of the request".into()));
             }
-            Ok(Err(fault)) => return Err(lost(fault, flight)),
+            Ok(Err(fault)) => return Err(lost(fault, in_flight)),
             Ok(Ok(link)) => link,
         };
-        if self.endpoints.wants_nothing(&call.service, chosen) {
+        if self.endpoints.refuses_requests(&call.service, chosen) {
             link.release();
-            flight.ended();
+            in_flight.ended();
             return Err(Try::Unsent("the endpoint wants no more requests".into()));
         }
         Ok(link)
@@ -230,53 +230,53 @@
         &self,
         call: &Call,
         chosen: &Chosen,
-        trip: &mut Trip,
+        exchange: &mut Exchange,
         sent_at: &Moment,
         answer: Answer,
-        mut flight: Flight,
+        mut in_flight: InFlight,
     ) -> Try {
         let status = answer.head.status;
         let head = answer::Head::read(status, &answer.head.headers);
         let foreign = head.id.is_some() && head.id != call.head.id;
         if foreign {
-            flight.fail(Failure::Broken);
+            in_flight.fail(Failure::Broken);
             return Try::Unknown(Reason::Lost.with("the connection carried another answer"));
         }
         // Another endpoint that answers at the address says nothing of the one that was meant.
         if status != StatusCode::MISDIRECTED_REQUEST {
-            let heard = self.endpoints.hear(&call.service, chosen, &head, sent_at.elapsed());
+            let heard = self.endpoints.receive_signals(&call.service, chosen, &head, sent_at.elapsed());
             if heard.limit {
-                self.teller.tell(Word::LimitChanged { life: chosen.life.clone() });
+                self.announcer.announce(Announcement::LimitChanged { instance: chosen.instance.clone() });
             }
             if heard.leaves {
-                let (life, address) = (chosen.life.clone(), chosen.address);
-                self.teller.tell(Word::Leaves { life, address });
+                let (instance, address) = (chosen.instance.clone(), chosen.address);
+                self.announcer.announce(Announcement::Leaves { instance, address });
             }
         }
         if head.not_run {
             let reason = format!("the endpoint declined with {status}");
             if status == StatusCode::MISDIRECTED_REQUEST {
-                flight.fail(Failure::Silent);
+                in_flight.fail(Failure::Silent);
                 return Try::Gone(reason);
             }
-            flight.fail(Failure::Refused);
+            in_flight.fail(Failure::Refused);
             return Try::NotRun(reason);
         }
         let again = is_repeatable(&call.route)
             && status.is_server_error()
-            && trip.sent < call.route.attempts
-            && self.endpoints.has_other(&call.service, &chosen.life)
+            && exchange.sent < call.route.attempts
+            && self.endpoints.has_alternative(&call.service, &chosen.instance)
             && self.may_repeat_later(call);
         if again {
-            flight.ended();
+            in_flight.ended();
             return Try::Unknown(Reason::Lost.with(format!("the endpoint failed with {status}")));
         }
-        trip.first_byte = Some(trip.came.elapsed());
+        exchange.first_byte = Some(exchange.came.elapsed());
         if !is_framed(&answer.head.headers) {
-            flight.unframed();
+            in_flight.unframed();
         }
-        flight.begin();
-        Try::Answer(Box::new(answer), Box::new(flight))
+        in_flight.begin();
+        Try::Answer(Box::new(answer), Box::new(in_flight))
     }
 
     /// Whether a repeat is left, without taking it.
@@ -286,24 +286,24 @@
     }
 }
 
-fn note_not_taken(outcome: &Try, trip: &Trip, chosen: &Chosen) {
+fn note_not_taken(outcome: &Try, exchange: &Exchange, chosen: &Chosen) {
     let (Try::Unsent(reason) | Try::NotRun(reason) | Try::Gone(reason)) = outcome else { return };
-    let (id, endpoint) = (trip.id.as_deref(), &*chosen.id);
+    let (id, endpoint) = (exchange.id.as_deref(), &*chosen.id);
     tracing::info!(event = "not_taken", id, endpoint, reason);
 }
 
-fn lost(fault: Fault, flight: &mut Flight) -> Try {
+fn lost(fault: Fault, in_flight: &mut InFlight) -> Try {
     match fault {
         Fault::Full { .. } => {
-            flight.ended();
+            in_flight.ended();
             Try::Unsent(fault.to_string())
         }
         Fault::Unsent { reason } => {
-            flight.fail(Failure::Silent);
+            in_flight.fail(Failure::Silent);
             Try::Unsent(reason)
         }
         Fault::Unknown { reason } => {
-            flight.broke();
+            in_flight.broke();
             Try::Unknown(Reason::Lost.with(reason))
         }
     }
--- a/crates/gateway/src/way/endpoints/departures.rs
+++ b/crates/gateway/src/way/endpoints/departures.rs
@@ -34,33 +34,33 @@
 
 impl Left {
     /// What this life of an endpoint, at this address, said.
-    pub fn get(&self, life: &str, address: SocketAddr) -> Option<Departure> {
-        self.0.get(life).filter(|known| known.address == address).map(|known| known.departure)
+    pub fn get(&self, instance: &str, address: SocketAddr) -> Option<Departure> {
+        self.0.get(instance).filter(|known| known.address == address).map(|known| known.departure)
     }
 
     /// It says so; returns whether that is new. Where too many did, the one is forgotten that was not listed for longest.
     fn note(
         &mut self,
-        life: &Arc<str>,
+        instance: &Arc<str>,
         known: Known,
         is_listed: impl Fn(&Arc<str>) -> bool,
     ) -> bool {
-        if self.get(life, known.address).is_some() {
+        if self.get(instance, known.address).is_some() {
             return false;
         }
         if self.0.len() >= MOST_LEFT {
-            let oldest = self.0.iter().min_by_key(|(life, known)| (is_listed(life), known.listed));
-            let oldest = oldest.map(|(life, _)| life.clone());
-            oldest.map(|life| self.0.remove(&life));
+            let oldest = self.0.iter().min_by_key(|(instance, known)| (is_listed(instance), known.listed));
+            let oldest = oldest.map(|(instance, _)| instance.clone());
+            oldest.map(|instance| self.0.remove(&instance));
         }
-        self.0.insert(life.clone(), known);
+        self.0.insert(instance.clone(), known);
         true
     }
 
     /// These lives are listed now; what was not for long is forgotten.
     pub fn keep(&mut self, is_listed: impl Fn(&Arc<str>) -> bool, now: u64) {
-        self.0.retain(|life, known| {
-            if is_listed(life) {
+        self.0.retain(|instance, known| {
+            if is_listed(instance) {
                 known.listed = now;
             }
             now < known.listed + FORGET_MS
@@ -70,23 +70,23 @@
 
 impl Endpoints {
     /// A life of an endpoint said to another box that it leaves, now or some time ago.
-    pub fn hear_departure(&self, life: &Arc<str>, address: SocketAddr, is_new: bool) {
+    pub fn receive_departure(&self, instance: &Arc<str>, address: SocketAddr, is_new: bool) {
         let now = self.now();
-        let departure = if is_new { Departure::now(now) } else { Departure::before(now) };
-        self.state.lock().leave(life, address, departure, false);
+        let departure = if is_new { Departure::now(now) } else { Departure::elapsed(now) };
+        self.state.lock().leave(instance, address, departure, false);
     }
 
     /// Listed lives of endpoints, with their addresses, that said to this box that they leave.
     pub fn own_departures(&self) -> Vec<(Arc<str>, SocketAddr)> {
         let state = self.state.lock();
         let own = state.left.0.iter().filter(|(_, known)| known.in_answer);
-        let listed = own.filter(|(life, _)| state.found.contains_key(*life));
-        listed.map(|(life, known)| (life.clone(), known.address)).collect()
+        let listed = own.filter(|(instance, _)| state.found.contains_key(*instance));
+        listed.map(|(instance, known)| (instance.clone(), known.address)).collect()
     }
 
     /// Whether a life of an endpoint is remembered to have said that it leaves.
-    pub fn remembers_departure(&self, life: &str) -> bool {
-        self.state.lock().left.0.contains_key(life)
+    pub fn remembers_departure(&self, instance: &str) -> bool {
+        self.state.lock().left.0.contains_key(instance)
     }
 }
 
@@ -94,17 +94,17 @@
     /// An endpoint says that it leaves; returns whether that is new.
     pub(super) fn leave(
         &mut self,
-        life: &Arc<str>,
+        instance: &Arc<str>,
         address: SocketAddr,
         departure: Departure,
         in_answer: bool,
     ) -> bool {
-        let is_listed = |life: &Arc<str>| self.found.contains_key(life);
+        let is_listed = |instance: &Arc<str>| self.found.contains_key(instance);
         let known = Known { address, departure, in_answer, listed: departure.since };
-        let is_new = self.left.note(life, known, is_listed);
+        let is_new = self.left.note(instance, known, is_listed);
         if is_new {
             let by = if in_answer { "answer" } else { "news" };
-            tracing::info!(event = "endpoint_leaves", endpoint = &**life, by);
+            tracing::info!(event = "endpoint_leaves", endpoint = &**instance, by);
             self.mark_leaving(departure.since);
         }
         is_new
--- a/crates/gateway/src/way/endpoints/limits.rs
+++ b/crates/gateway/src/way/endpoints/limits.rs
@@ -2,40 +2,40 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Limit, Pool, Said};
+use balance::{Limit, Pool, LimitSignal};
 
 use super::Endpoints;
 
 impl Endpoints {
     /// What this box knows of how much an endpoint takes; `None` if it never heard of a limit, or of the endpoint.
-    pub fn said(&self, life: &Arc<str>) -> Option<wire::Limited> {
+    pub fn said(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
         let now = self.now();
         let state = self.state.lock();
-        let said = state.services.values().find_map(|pool| pool.get(life))?.said()?;
-        let (asked_ms, heard_ms) = (now.saturating_sub(said.asked), now.saturating_sub(said.heard));
-        Some(wire::Limited { endpoint: life.clone(), limit: said.limit, asked_ms, heard_ms })
+        let said = state.services.values().find_map(|pool| pool.get(instance))?.said()?;
+        let (sent_ms, answered_ms) = (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
+        Some(wire::LimitNotice { endpoint: instance.clone(), limit: said.limit, sent_ms, answered_ms })
     }
 
     /// Another box says what it knows of how much an endpoint takes.
-    pub fn hear_said(&self, said: &wire::Limited, by: &str) {
+    pub fn receive_limit(&self, said: &wire::LimitNotice, by: &str) {
         let now = self.now();
-        let (asked, heard) = (said.asked_ms, said.heard_ms);
-        let (asked, heard) = (now.saturating_sub(asked), now.saturating_sub(heard));
+        let (sent_at, answered_at) = (said.sent_ms, said.answered_ms);
+        let (sent_at, answered_at) = (now.saturating_sub(sent_at), now.saturating_sub(answered_at));
         let mut state = self.state.lock();
         let mut pools = state.services.values_mut();
         let known = pools.find_map(|pool| pool.get_mut(&said.endpoint));
-        if known.is_some_and(|known| known.hear(Said { limit: said.limit, asked, heard })) {
+        if known.is_some_and(|known| known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })) {
             log_limit(&said.endpoint, said.limit, by);
         }
     }
 
     /// This box gets no turn at an endpoint for a time.
-    pub fn close(&self, service: &str, life: &str, time: Duration) {
+    pub fn defer_permits(&self, service: &str, instance: &str, time: Duration) {
         let now = self.now();
         let mut state = self.state.lock();
         let pool = state.services.get_mut(service);
-        if let Some(endpoint) = pool.and_then(|pool| pool.get_mut(life)) {
-            endpoint.close(time.as_millis() as u64, now);
+        if let Some(endpoint) = pool.and_then(|pool| pool.get_mut(instance)) {
+            endpoint.defer_permits(time.as_millis() as u64, now);
         }
     }
 
@@ -45,8 +45,8 @@
     }
 
     /// Whether a life of an endpoint is one of those that take work.
-    pub fn has(&self, life: &str) -> bool {
-        self.state.lock().found.contains_key(life)
+    pub fn is_listed(&self, instance: &str) -> bool {
+        self.state.lock().found.contains_key(instance)
     }
 
     /// Limits that endpoints name, in requests a second.
@@ -58,7 +58,7 @@
     }
 }
 
-pub(super) fn log_limit(life: &str, limit: Option<Limit>, by: &str) {
+pub(super) fn log_limit(instance: &str, limit: Option<Limit>, by: &str) {
     let per_s = limit.map(Limit::as_per_s);
-    tracing::info!(event = "endpoint_limit", endpoint = life, per_s, by);
+    tracing::info!(event = "endpoint_limit", endpoint = instance, per_s, by);
 }
--- a/crates/gateway/src/way/endpoints/mod.rs
+++ b/crates/gateway/src/way/endpoints/mod.rs
@@ -2,9 +2,9 @@
 
 mod departures;
 mod limits;
-mod words;
+mod signals;
 
-pub use words::Heard;
+pub use signals::Changes;
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-use balance::{Allowance, Choice, Failure, Fleet, Limit, Offer, Pool, Prefix, Prompt, Weights};
+use balance::{Allowance, Choice, Failure, Fleet, Limit, Candidates, Pool, Prefix, Prompt, Weights};
 use parking_lot::Mutex;
 use platform::{config::Service, endpoint::Entry};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub struct Chosen {
     /// Name of this life of it, on all boxes.
-    pub life: Arc<str>,
+    pub instance: Arc<str>,
     /// Id of the endpoint.
     pub id: Arc<str>,
     /// Where it listens.
@@ -86,8 +86,8 @@
 
 /// Name of a life of an endpoint: what was learned of an earlier one is not known of it.
 fn life_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
-    match entry.life {
-        Some(life) => format!("{id} {life}").into(),
+    match entry.instance {
+        Some(instance) => format!("{id} {life}").into(),
         None => id.clone(),
     }
 }
@@ -99,7 +99,7 @@
     cold: settings::Cold,
     started: Moment,
     state: Mutex<State>,
-    unread: Mutex<words::Unread>,
+    unread: Mutex<signals::Unread>,
 }
 
 #[derive(Debug)]
@@ -124,8 +124,8 @@
     fn mark_leaving(&mut self, now: u64) {
         for pool in self.services.values_mut() {
             let back = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
-            back.iter().for_each(|life| pool.chill(life, None, now));
-            pool.set_departures(|life| self.left.get(life, self.found.get(life)?.address));
+            back.iter().for_each(|instance| pool.mark_cold(instance, None, now));
+            pool.set_departures(|instance| self.left.get(instance, self.found.get(instance)?.address));
         }
     }
 
@@ -140,10 +140,10 @@
     }
 
     /// An endpoint says how long it is cold. Told again of the same heartbeat, nothing is new.
-    fn chill(&mut self, life: &Arc<str>, entry: &Entry, now: u64) {
-        let known = self.found.get(life).is_some_and(|found| found.beat == entry.beat);
+    fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
+        let known = self.found.get(instance).is_some_and(|found| found.beat == entry.beat);
         if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !known) {
-            pool.chill(life, Some(entry.cold.as_millis() as u64), now);
+            pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
         }
     }
 }
@@ -180,14 +180,14 @@
         let mut found: HashMap<Arc<str>, Found> = HashMap::new();
         let mut cold: Vec<(Arc<str>, &Entry)> = Vec::new();
         for (id, entry) in ready {
-            let life = life_name(id, entry);
+            let instance = life_name(id, entry);
             let of = listed.entry(entry.service.clone()).or_default();
-            of.push((life.clone(), entry.zone.clone()));
+            of.push((instance.clone(), entry.zone.clone()));
             if entry.cold > Duration::ZERO {
-                cold.push((life.clone(), entry));
+                cold.push((instance.clone(), entry));
             }
             let (id, address, beat) = (id.clone(), entry.address, entry.beat);
-            found.insert(life, Found { id, address, beat });
+            found.insert(instance, Found { id, address, beat });
             if entry.engine {
                 engines.insert(entry.service.clone());
             }
@@ -205,17 +205,17 @@
             state.services.entry(service).or_insert_with(fresh).update(list, now);
         }
         state.share(now);
-        for (life, entry) in cold {
-            state.chill(&life, entry, now);
+        for (instance, entry) in cold {
+            state.mark_cold(&instance, entry, now);
         }
         let before = std::mem::replace(&mut state.found, found);
         let State { left, found, .. } = &mut *state;
-        left.keep(|life| found.contains_key(life), now);
+        left.keep(|instance| found.contains_key(instance), now);
         state.mark_leaving(now);
-        let stays = |life: &Arc<str>, at: &Found| {
-            state.found.get(life).is_some_and(|found| found.address == at.address)
+        let stays = |instance: &Arc<str>, at: &Found| {
+            state.found.get(instance).is_some_and(|found| found.address == at.address)
         };
-        let gone = before.into_iter().filter(|(life, at)| !stays(life, at));
+        let gone = before.into_iter().filter(|(instance, at)| !stays(instance, at));
         gone.map(|(_, found)| found.address).collect()
     }
 
@@ -248,11 +248,11 @@
 
     /// Time after which a request of this rank that no endpoint of a service took is to come again; `None` if there is no
     /// endpoint that stays.
-    pub fn comes_again(&self, service: &str, rank: u8) -> Option<Duration> {
+    pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
         let now = self.now();
         let state = &mut *self.state.lock();
         let pool = state.services.get_mut(service)?;
-        pool.return_ms(rank, now).map(Duration::from_millis)
+        pool.retry_after_ms(rank, now).map(Duration::from_millis)
     }
 
     /// Sends nothing more to these zones, and to all others again; says whether that is new.
@@ -273,7 +273,7 @@
     pub fn choose(
         &self,
         service: &str,
-        offer: Offer,
+        offer: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
     ) -> Option<Chosen> {
@@ -282,14 +282,14 @@
         let pool = state.services.get_mut(service)?;
         let choice = pool.choose_from(offer, prefix, tried, now, &mut state.random)?;
         let Found { id, address, .. } = state.found.get(&choice.name)?.clone();
-        let Choice { name: life, held, load } = choice;
-        let endpoint = pool.get(&life)?;
+        let Choice { name: instance, held, load } = choice;
+        let endpoint = pool.get(&instance)?;
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
         let rest = Some(endpoint.rest.left_ms(now)).filter(|ms| *ms > 0);
         let rest = rest.map(Duration::from_millis);
-        Some(Chosen { life, id, address, held, load, limit, leaves, rest })
+        Some(Chosen { instance, id, address, held, load, limit, leaves, rest })
     }
 
     /// A request goes to an endpoint; returns how much of its prompt is to be read there.
@@ -297,31 +297,31 @@
         let now = self.now();
         let mut state = self.state.lock();
         let Some(pool) = state.services.get_mut(service) else { return 0 };
-        pool.start(&chosen.life, prefix, now);
-        pool.read(&chosen.life, prefix, chosen.held)
+        pool.start(&chosen.instance, prefix, now);
+        pool.start_prefill(&chosen.instance, prefix, chosen.held)
     }
 
     /// Another box told of a prompt.
-    pub fn told(&self, by: &Arc<str>, prompt: &Prompt) {
+    pub fn receive_prompt(&self, by: &Arc<str>, prompt: &Prompt) {
         let now = self.now();
         let services = &mut self.state.lock().services;
         let mut pools = services.values_mut();
         if let Some(pool) = pools.find(|pool| pool.get(&prompt.endpoint).is_some()) {
-            pool.told(by, prompt, now);
+            pool.receive_prompt(by, prompt, now);
         }
     }
 
     /// The answer of a request began, or it ended without one.
-    pub fn has_read(&self, service: &str, id: &str, missing: u64) {
+    pub fn finish_prefill(&self, service: &str, id: &str, missing: u64) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.has_read(id, missing);
+            pool.finish_prefill(id, missing);
         }
     }
 
     /// A stream of an endpoint brought an event so long after the one before.
-    pub fn paced(&self, service: &str, id: &str, gap: Duration) {
+    pub fn record_gap(&self, service: &str, id: &str, gap: Duration) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.paced(id, gap.as_secs_f64() * 1_000.0);
+            pool.record_gap(id, gap.as_secs_f64() * 1_000.0);
         }
     }
 
@@ -334,10 +334,10 @@
     }
 
     /// Whether another endpoint of a service than this one takes a request now.
-    pub fn has_other(&self, service: &str, life: &str) -> bool {
+    pub fn has_alternative(&self, service: &str, instance: &str) -> bool {
         let now = self.now();
         let state = self.state.lock();
-        state.services.get(service).is_some_and(|pool| pool.has_other(life, now))
+        state.services.get(service).is_some_and(|pool| pool.has_alternative(instance, now))
     }
 }
 
@@ -347,13 +347,13 @@
         false => Weights::default(),
         true => Weights {
             size_per_request: TOKENS_PER_REQUEST,
-            reading: READING,
-            under_way: UNDER_WAY,
+            prefill: READING,
+            in_flight: UNDER_WAY,
             other_zone: OTHER_ZONE,
             bounded_load: BOUNDED_LOAD,
-            draws: DRAWS,
-            homes: HOMES,
-            large: LARGE,
+            random_candidates: DRAWS,
+            prefix_owners: HOMES,
+            large_prefix: LARGE,
         },
     }
 }
--- a/crates/gateway/src/way/endpoints/words.rs
+++ b/crates/gateway/src/way/endpoints/words.rs
@@ -18,7 +18,7 @@
 const REST_UNKNOWN: Duration = Duration::from_millis(1_000);
 /// What is new to this box, so that other boxes should hear of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct Changes {
     /// Its limit changed.
     pub limit: bool,
     /// It leaves.
@@ -47,48 +47,48 @@
 
 impl Endpoints {
     /// The head of an answer, to a request that was sent so long ago, says this of its endpoint.
-    pub fn hear(&self, service: &str, chosen: &Chosen, head: &Head, ago: Duration) -> Heard {
+    pub fn hear(&self, service: &str, chosen: &Chosen, head: &Head, ago: Duration) -> Changes {
         let said = &head.said;
         let now = self.now();
-        let asked = now.saturating_sub(ago.as_millis() as u64);
-        let life = &chosen.life;
+        let sent_at = now.saturating_sub(ago.as_millis() as u64);
+        let instance = &chosen.instance;
         for (name, value) in said.unread() {
-            self.unread.lock().note(name, value, life);
+            self.unread.lock().note(name, value, instance);
         }
         let mut state = self.state.lock();
         let leaves = said.leaves == Some(Word::Read(true))
-            && state.leave(life, chosen.address, Departure::now(now), true);
+            && state.leave(instance, chosen.address, Departure::now(now), true);
         let Some(pool) = state.services.get_mut(service) else {
-            return Heard { leaves, limit: false };
+            return Changes { leaves, limit: false };
         };
         if let Some(rest) = &said.rest {
-            rests(pool, life, rest, now);
+            rests(pool, instance, rest, now);
         }
-        let Some(endpoint) = pool.get_mut(life) else {
-            return Heard { leaves, limit: false };
+        let Some(endpoint) = pool.get_mut(instance) else {
+            return Changes { leaves, limit: false };
         };
         if !head.not_run {
-            endpoint.rest.took(asked);
+            endpoint.rest.request_accepted(sent_at);
         }
         if let Some(Word::Read(load)) = &said.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
         let limit = said.limit.as_ref().map(|word| limit(endpoint, word));
-        let limit = endpoint.hear(balance::Said { limit, asked, heard: now });
+        let limit = endpoint.hear(balance::LimitSignal { limit, sent_at, heard: now });
         if limit {
-            super::limits::log_limit(life, endpoint.limit(), "answer");
+            super::limits::log_limit(instance, endpoint.limit(), "answer");
         }
-        Heard { limit, leaves }
+        Changes { limit, leaves }
     }
 
     /// Whether an endpoint went, or said that it wants no request, since it was chosen for one.
-    pub fn wants_nothing(&self, service: &str, chosen: &Chosen) -> bool {
+    pub fn refuses_requests(&self, service: &str, chosen: &Chosen) -> bool {
         let now = self.now();
         let state = self.state.lock();
         let pool = state.services.get(service);
-        let known = pool.and_then(|pool| pool.get(&chosen.life));
-        known.is_none_or(|endpoint| endpoint.wants_nothing(now))
+        let known = pool.and_then(|pool| pool.get(&chosen.instance));
+        known.is_none_or(|endpoint| endpoint.refuses_requests(now))
     }
 
     /// Endpoints that said that they leave and are still listed.
@@ -99,7 +99,7 @@
     }
 
     /// Endpoints that want nothing from this box for now.
-    pub fn count_resting(&self) -> usize {
+    pub fn count_backing_off(&self) -> usize {
         let now = self.now();
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(|pool| pool.endpoints());
@@ -120,13 +120,13 @@
     }
 }
 
-fn rests(pool: &mut Pool, life: &str, word: &Word<Duration>, now: u64) {
+fn rests(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
     let rest = match word {
         Word::Read(rest) => *rest,
         Word::Unreadable(_) => REST_UNKNOWN,
     };
     let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
-    if pool.rest(life, rest_ms, now) {
-        tracing::info!(event = "endpoint_rests", endpoint = life, rest_ms);
+    if pool.rest(instance, rest_ms, now) {
+        tracing::info!(event = "endpoint_rests", endpoint = instance, rest_ms);
     }
 }
--- a/crates/gateway/src/way/gate.rs
+++ b/crates/gateway/src/way/gate.rs
@@ -2,26 +2,26 @@
 
 use std::sync::Arc;
 
-use forward::Links;
+use forward::Connections;
 use parking_lot::Mutex;
 use platform::config::Limits;
 use tokio::sync::{Semaphore, watch};
 
 use crate::{
-    clock::{Clock, Moment, Pulse},
+    clock::{Clock, Moment, Watchdog},
     fleet::peers::Peers,
     metrics::Metrics,
-    money::{bills::Bills, draws::Draws, funds::Funds},
+    tokens::{bills::Bills, acquirer::Acquirer, funds::Funds},
     settings::Settings,
     table::Table,
-    way::{
+    proxy::{
         bounds::Bounds, crashes::Crashes, endpoints::Endpoints, link::Link, retries::Retries,
-        teller::Teller, turns::Turns,
+        announcer::Announcer, permits::Permits,
     },
 };
 
 /// All that the way of a request needs.
-pub struct Gate {
+pub struct Context {
     /// The settings in force.
     pub settings: watch::Sender<Arc<Settings>>,
     pub table: watch::Receiver<Option<Arc<Table>>>,
@@ -29,13 +29,13 @@
     /// Which requests endpoints ended with.
     pub crashes: Crashes,
     /// Turns at endpoints that name a limit.
-    pub turns: Turns,
+    pub permits: Permits,
     /// Tells other boxes what endpoints say.
-    pub teller: Teller,
-    pub links: Links,
+    pub announcer: Announcer,
+    pub connections: Connections,
     pub funds: Funds,
     pub peers: Peers,
-    pub draws: Draws,
+    pub acquirer: Acquirer,
     /// Use of the box's own link.
     pub link: Arc<Link>,
     pub bills: Bills,
@@ -46,13 +46,13 @@
     pub stopping: watch::Receiver<bool>,
     pub clock: Clock,
     /// Whether what this box knows may be old.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     pub started: Moment,
     /// Counts the log lines that were dropped.
     pub dropped_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
 }
 
-impl Gate {
+impl Context {
     /// Bounds on a connection of a caller that comes now: the operator's, as far as one is known.
     pub fn bounds(&self) -> Bounds {
         let table = self.table.borrow();
@@ -68,7 +68,7 @@
     }
 
     /// Whether a caller's connection is to end after the answer under way.
-    pub fn ends_connections(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         *self.stopping.borrow() || self.link.sheds()
     }
 
--- a/crates/gateway/src/way/link.rs
+++ b/crates/gateway/src/way/link.rs
@@ -49,7 +49,7 @@
     }
 
     /// A piece of an answer came in, and goes out to the caller.
-    pub fn piece(&self, bytes: usize) {
+    pub fn chunk(&self, bytes: usize) {
         self.pass(bytes + FRAME);
     }
 
--- a/crates/gateway/src/way/meter.rs
+++ b/crates/gateway/src/way/meter.rs
@@ -2,7 +2,7 @@
 
 /// Counts ends of events: an empty line after a line with content.
 #[derive(Debug, Default, Clone)]
-pub struct Meter {
+pub struct EventCounter {
     events: u64,
     /// Whether the current event has a line with content.
     filled: bool,
@@ -10,9 +10,9 @@
     in_line: bool,
 }
 
-impl Meter {
+impl EventCounter {
     /// Takes in the next bytes.
-    pub fn pass(&mut self, bytes: &[u8]) {
+    pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
                 b'\r' => {}
@@ -33,7 +33,7 @@
     }
 
     /// Whether an event has begun and not ended.
-    pub fn is_inside(&self) -> bool {
+    pub fn is_in_event(&self) -> bool {
         self.filled
     }
 }
--- a/crates/gateway/src/way/refusal.rs
+++ b/crates/gateway/src/way/refusal.rs
@@ -37,7 +37,7 @@
     /// Endpoints ended each time they ran it.
     Quarantined,
     /// Endpoints may have ended when they ran it, which is being found out.
-    Unproved,
+    Unconfirmed,
     /// An endpoint has it and did not answer in time.
     Silent,
     /// An endpoint has it, and its answer was lost or not its own.
@@ -71,7 +71,7 @@
             Reason::NoEndpoint => "no_endpoint",
             Reason::TooLate => "too_late",
             Reason::Quarantined => "quarantined",
-            Reason::Unproved => "unproved",
+            Reason::Unconfirmed => "unproved",
             Reason::Silent => "endpoint_silent",
             Reason::Lost => "answer_lost",
         }
@@ -92,7 +92,7 @@
             | Reason::NoEndpoint
             | Reason::TooLate
             | Reason::Quarantined
-            | Reason::Unproved => StatusCode::SERVICE_UNAVAILABLE,
+            | Reason::Unconfirmed => StatusCode::SERVICE_UNAVAILABLE,
             Reason::Silent => StatusCode::GATEWAY_TIMEOUT,
             Reason::Lost => StatusCode::BAD_GATEWAY,
         }
--- a/crates/gateway/src/way/relay.rs
+++ b/crates/gateway/src/way/relay.rs
@@ -14,13 +14,13 @@
 use tokio::time::{Instant, Sleep};
 
 use crate::{
-    fleet::peers::{Peers, Reading},
-    way::{
+    fleet::peers::{Peers, PromptNotice},
+    proxy::{
         crashes::Watch,
         endpoints::{Chosen, Endpoints},
         link::Link,
-        meter::Meter,
-        trip::{End, Trip},
+        event_counter::EventCounter,
+        exchange::{Outcome, Exchange},
     },
 };
 
@@ -42,14 +42,14 @@
 
 /// A request that an endpoint has: counted there while this lives.
 #[derive(Debug)]
-pub struct Flight {
+pub struct InFlight {
     endpoints: Arc<Endpoints>,
     service: Arc<str>,
     endpoint: Arc<str>,
     /// What of its prompt the endpoint has to read, until the answer begins.
     unread: Option<u64>,
     /// Other boxes were told of its prompt.
-    told: Option<Reading>,
+    told: Option<PromptNotice>,
     /// When its last event came.
     paced: Option<Instant>,
     failure: Option<Failure>,
@@ -57,7 +57,7 @@
     watch: Watch,
 }
 
-impl Flight {
+impl InFlight {
     /// Counts a request at an endpoint, and tells other boxes if its prompt is large.
     pub fn start(
         endpoints: Arc<Endpoints>,
@@ -66,18 +66,18 @@
         prefix: &balance::Prefix,
         peers: &Peers,
         watch: Watch,
-    ) -> Flight {
+    ) -> InFlight {
         let unread = endpoints.start(&service, chosen, prefix);
-        let told = (unread >= TOLD_FROM).then(|| peers.tell_prompt(&chosen.life, prefix, unread));
-        let endpoint = chosen.life.clone();
+        let told = (unread >= TOLD_FROM).then(|| peers.publish_prompt(&chosen.instance, prefix, unread));
+        let endpoint = chosen.instance.clone();
         let unread = Some(unread);
-        Flight { endpoints, service, endpoint, unread, told, paced: None, failure: None, watch }
+        InFlight { endpoints, service, endpoint, unread, told, paced: None, failure: None, watch }
     }
 
     /// Its answer began.
     pub fn begin(&mut self) {
         if let Some(unread) = self.unread.take() {
-            self.endpoints.has_read(&self.service, &self.endpoint, unread);
+            self.endpoints.finish_prefill(&self.service, &self.endpoint, unread);
             self.told.take();
         }
     }
@@ -114,7 +114,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.begin();
         self.endpoints.end(&self.service, &self.endpoint, self.failure);
@@ -124,11 +124,11 @@
 /// An answer's body, passed on as it comes.
 pub struct Relay {
     body: forward::Body,
-    meter: Meter,
+    event_counter: EventCounter,
     status: u16,
     timeout: Pin<Box<Sleep>>,
-    flight: Flight,
-    trip: Trip,
+    in_flight: InFlight,
+    exchange: Exchange,
     link: Arc<Link>,
 }
 
@@ -137,13 +137,13 @@
     pub fn new(
         body: forward::Body,
         status: u16,
-        flight: Flight,
-        trip: Trip,
+        in_flight: InFlight,
+        exchange: Exchange,
         link: Arc<Link>,
     ) -> Relay {
-        let timeout = Box::pin(tokio::time::sleep_until(trip.until));
+        let timeout = Box::pin(tokio::time::sleep_until(exchange.until));
         let mut relay =
-            Relay { body, meter: Meter::default(), status, timeout, flight, trip, link };
+            Relay { body, event_counter: EventCounter::default(), status, timeout, in_flight, exchange, link };
         relay.end_if_whole();
         relay
     }
@@ -155,25 +155,25 @@
     }
 
     fn end(&mut self) {
-        self.flight.watch.answered();
-        self.trip.end(End::Answered { status: self.status }, self.meter.events());
+        self.in_flight.watch.answered();
+        self.exchange.end(Outcome::Answered { status: self.status }, self.event_counter.events());
     }
 
     /// So many events arrived together.
     fn pace(&mut self, events: u64) {
-        let pause = (events > 0).then(|| self.flight.pace(events)).flatten();
-        self.trip.longest_pause = self.trip.longest_pause.max(pause);
+        let pause = (events > 0).then(|| self.in_flight.pace(events)).flatten();
+        self.exchange.longest_pause = self.exchange.longest_pause.max(pause);
     }
 
     fn break_off(&mut self, reason: String) {
-        self.trip.end(End::Broken { reason }, self.meter.events());
+        self.exchange.end(Outcome::Broken { reason }, self.event_counter.events());
     }
 }
 
 impl Drop for Relay {
     /// The caller went away first, unless it has ended.
     fn drop(&mut self) {
-        self.trip.end(End::Left, self.meter.events());
+        self.exchange.end(Outcome::Left, self.event_counter.events());
     }
 }
 
@@ -200,17 +200,17 @@
             }
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
-                    self.link.piece(data.len());
-                    let before = self.meter.events();
-                    self.meter.pass(data);
-                    let events = self.meter.events() - before;
+                    self.link.chunk(data.len());
+                    let before = self.event_counter.events();
+                    self.event_counter.feed(data);
+                    let events = self.event_counter.events() - before;
                     self.pace(events);
                 }
                 self.end_if_whole();
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(source)) => {
-                self.flight.broke();
+                self.in_flight.broke();
                 self.break_off(source.to_string());
                 Poll::Ready(Some(Err(Broken::Endpoint { source })))
             }
--- a/crates/gateway/src/way/teller.rs
+++ b/crates/gateway/src/way/teller.rs
@@ -9,28 +9,28 @@
 
 /// What is to be told of a life of an endpoint.
 #[derive(Debug)]
-pub enum Word {
+pub enum Announcement {
     /// What it takes changed.
-    LimitChanged { life: Arc<str> },
+    LimitChanged { instance: Arc<str> },
     /// It still takes what it took.
-    LimitStays { life: Arc<str> },
+    LimitUnchanged { instance: Arc<str> },
     /// It leaves.
-    Leaves { life: Arc<str>, address: SocketAddr },
+    Leaves { instance: Arc<str>, address: SocketAddr },
 }
 
 /// Passes words on to the task that tells other boxes.
 #[derive(Debug, Clone)]
-pub struct Teller(mpsc::Sender<Word>);
+pub struct Announcer(mpsc::Sender<Announcement>);
 
-impl Teller {
+impl Announcer {
     /// Words come out at the other end.
-    pub fn open() -> (Teller, mpsc::Receiver<Word>) {
+    pub fn open() -> (Announcer, mpsc::Receiver<Announcement>) {
         let (words, told) = mpsc::channel(WAITING);
-        (Teller(words), told)
+        (Announcer(words), told)
     }
 
     /// Other boxes are told. What is dropped, they hear from the endpoint itself.
-    pub fn tell(&self, word: Word) {
+    pub fn announce(&self, word: Announcement) {
         if let Err(error) = self.0.try_send(word) {
             tracing::warn!(event = "word_not_told", %error);
         }
--- a/crates/gateway/src/way/trip.rs
+++ b/crates/gateway/src/way/trip.rs
@@ -10,8 +10,8 @@
 use crate::{
     clock::Moment,
     metrics::{Finished, Metrics},
-    money::{bills::Bills, funds::Hold},
-    way::refusal::Refusal,
+    tokens::{bills::Bills, funds::Hold},
+    proxy::refusal::Refusal,
 };
 
 /// Events that an endpoint may make after the last one that was passed on, until it sees that its
@@ -20,7 +20,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// The caller got an endpoint's whole answer.
     Answered {
         /// HTTP status of the answer.
@@ -39,7 +39,7 @@
 
 /// A request on its way.
 #[derive(Debug)]
-pub struct Trip {
+pub struct Exchange {
     pub id: Option<Arc<str>>,
     pub customer: Option<Arc<str>>,
     pub route: Option<Arc<str>>,
@@ -70,7 +70,7 @@
     ended: bool,
 }
 
-impl Trip {
+impl Exchange {
     /// A request that was just read.
     pub fn begin(
         head: &Head,
@@ -78,9 +78,9 @@
         until: Instant,
         metrics: Metrics,
         bills: Bills,
-    ) -> Trip {
-        metrics.under_way.inc();
-        Trip {
+    ) -> Exchange {
+        metrics.in_flight.inc();
+        Exchange {
             id: head.id.clone(),
             customer: None,
             route: None,
@@ -121,7 +121,7 @@
     /// endpoint came until it saw that its connection was closed. Worst cases instead took 4% of
     /// what customers had paid on a day when many callers left. How much was made of an answer that
     /// was lost is not known.
-    fn charge(&self, end: &End, events: u64) -> u64 {
+    fn charge(&self, end: &Outcome, events: u64) -> u64 {
         let Some(tokens) = self.tokens else { return 0 };
         let made = |events: u64| {
             let output = events.saturating_mul(self.event_tokens);
@@ -129,14 +129,14 @@
         };
         match end {
             _ if !self.may_have_run => 0,
-            End::Answered { status } if (200..300).contains(status) => made(events),
-            End::Left | End::Broken { .. } if self.sent == 1 => made(events + UNSEEN_EVENTS),
+            Outcome::Answered { status } if (200..300).contains(status) => made(events),
+            Outcome::Left | Outcome::Broken { .. } if self.sent == 1 => made(events + UNSEEN_EVENTS),
             _ => made(u64::MAX),
         }
     }
 
     /// Settles and logs it; only the first call counts.
-    pub fn end(&mut self, end: End, events: u64) {
+    pub fn end(&mut self, end: Outcome, events: u64) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -145,20 +145,20 @@
         let charged = self.hold.take().map_or(0, |hold| hold.settle(charge));
         self.bill(&end, charged);
         let (outcome, reason) = match &end {
-            End::Answered { .. } => ("answered", "-"),
-            End::Refused(refusal) if refusal.reason.is_not_run() => {
+            Outcome::Answered { .. } => ("answered", "-"),
+            Outcome::Refused(refusal) if refusal.reason.is_not_run() => {
                 ("not_run", refusal.reason.as_str())
             }
-            End::Refused(refusal) => ("unknown", refusal.reason.as_str()),
-            End::Broken { .. } => ("broken", "-"),
-            End::Left => ("left", "-"),
+            Outcome::Refused(refusal) => ("unknown", refusal.reason.as_str()),
+            Outcome::Broken { .. } => ("broken", "-"),
+            Outcome::Left => ("left", "-"),
         };
         self.count(outcome, reason, charged);
         let (status, detail) = match &end {
-            End::Answered { status } => (*status, ""),
-            End::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
-            End::Broken { reason } => (0, &**reason),
-            End::Left => (0, ""),
+            Outcome::Answered { status } => (*status, ""),
+            Outcome::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
+            Outcome::Broken { reason } => (0, &**reason),
+            Outcome::Left => (0, ""),
         };
         tracing::info!(
             event = "request_ended",
@@ -184,10 +184,10 @@
         );
     }
 
-    fn bill(&self, end: &End, charged: u64) {
+    fn bill(&self, end: &Outcome, charged: u64) {
         let ended = match end {
-            End::Answered { .. } => Ended::Answered,
-            End::Refused(_) | End::Broken { .. } | End::Left => Ended::Broken,
+            Outcome::Answered { .. } => Ended::Answered,
+            Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Left => Ended::Broken,
         };
         match (&self.customer, &self.id) {
             (Some(customer), Some(id)) if charged > 0 => {
@@ -198,7 +198,7 @@
     }
 
     fn count(&self, outcome: &'static str, reason: &'static str, charged: u64) {
-        self.metrics.under_way.dec();
+        self.metrics.in_flight.dec();
         self.metrics.tokens.inc_by(charged);
         self.metrics.requests.get_or_create(&Finished { outcome, reason }).inc();
         if let Some(first) = self.first_byte {
@@ -207,8 +207,8 @@
     }
 }
 
-impl Drop for Trip {
+impl Drop for Exchange {
     fn drop(&mut self) {
-        self.end(End::Left, 0);
+        self.end(Outcome::Left, 0);
     }
 }
--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -56,7 +56,7 @@
     assert_eq!((pages.len(), bills.waiting()), (2, 0));
     platform.set(|faults| faults.lose_answers = 0.0);
     let other = Bills::open(Incarnation::new("box-2", 1));
-    other.carry(pages);
+    other.take_over(pages);
     other.write(&store, true).await;
     assert_eq!(billed(&platform).await, ["a", "b", "c"]);
 }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
 use futures_util::FutureExt;
-use gateway::{Clock, Crashes, Found};
+use gateway::{Clock, Crashes, Liveness};
 use ledger::Incarnation;
 use parking_lot::Mutex;
 use quarantine::{Fingerprint, Limits, Verdict};
@@ -17,7 +17,7 @@
 const LONG: Duration = Duration::from_secs(10);
 
 /// Proofs that wait for the test, in the order in which connections broke.
-type Proofs = Arc<Mutex<Vec<oneshot::Sender<Found>>>>;
+type Proofs = Arc<Mutex<Vec<oneshot::Sender<Liveness>>>>;
 
 fn request() -> Fingerprint {
     Fingerprint::of(None, [b"innocent".as_slice()])
@@ -30,10 +30,10 @@
     let prove = move |_: SocketAddr| {
         let (known, found) = oneshot::channel();
         opened.lock().push(known);
-        async move { found.await.unwrap_or(Found::OutOfReach) }.boxed()
+        async move { found.await.unwrap_or(Liveness::Unreachable) }.boxed()
     };
     let me = Incarnation::new("box-1", 1);
-    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(prove), &Clock::by_hand());
+    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(prove), &Clock::manual());
     // Whoever passes reports on is not needed here, but must be there.
     Box::leak(Box::new(reports));
     for n in 0..count {
@@ -48,14 +48,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_is_found_out_decides() {
-    use Found::{Ended, OutOfReach, Stands};
-    let cases: [(&[Found], Verdict); 6] = [
-        (&[Stands, Stands, Stands], Verdict::Free),
+    use Liveness::{Ended, Unreachable, Running};
+    let cases: [(&[Liveness], Verdict); 6] = [
+        (&[Running, Running, Running], Verdict::Allowed),
         (&[Ended, Ended, Ended], Verdict::Quarantined { for_s: 86_400 }),
-        (&[Ended, Ended, Stands], Verdict::Suspect { ended: 2 }),
-        (&[OutOfReach, OutOfReach, OutOfReach], Verdict::Free),
-        (&[Stands, Ended, Stands, Stands, Stands], Verdict::Suspect { ended: 1 }),
-        (&[Ended, Stands, Ended, OutOfReach, Ended], Verdict::Quarantined { for_s: 86_400 }),
+        (&[Ended, Ended, Running], Verdict::Suspect { ended: 2 }),
+        (&[Unreachable, Unreachable, Unreachable], Verdict::Allowed),
+        (&[Running, Ended, Running, Running, Running], Verdict::Suspect { ended: 1 }),
+        (&[Ended, Running, Ended, Unreachable, Ended], Verdict::Quarantined { for_s: 86_400 }),
     ];
     for (found, expected) in cases {
         let (crashes, proofs) = broken(found.len() as u16).await;
@@ -84,7 +84,7 @@
         let (crashes, _proofs) = broken(5).await;
         let (asked, began) = (request(), Instant::now());
         let verdict = crashes.verdict(&asked, began + left).await;
-        assert_eq!(verdict, Verdict::Unproved { ended: 0 });
+        assert_eq!(verdict, Verdict::Unconfirmed { ended: 0 });
         assert!(began.elapsed() <= left.min(Duration::from_millis(50)));
     }
 }
@@ -94,6 +94,6 @@
     let (crashes, _proofs) = broken(2).await;
     let asked = request();
     let verdict = crashes.verdict(&asked, Instant::now() + LONG).now_or_never();
-    assert_eq!(verdict, Some(Verdict::Free));
+    assert_eq!(verdict, Some(Verdict::Allowed));
     advance(Duration::from_millis(1)).await;
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Directory, Meter, Reason, Retries, Table, settings};
+use gateway::{Directory, EventCounter, Reason, Retries, Table, settings};
 use http::StatusCode;
 use platform::{config::Config, endpoint::Entry, played};
 
@@ -83,15 +83,15 @@
 fn entries_that_lapsed_with_the_store_have_time_to_come_back() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
-    directory.returned(5_000, 12_000);
+    directory.store_returned(5_000, 12_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     assert_eq!(ready(&directory), ["a", "b"], "b may still come back");
-    assert!(directory.keeps_missing());
+    assert!(directory.has_missing());
     assert!(!directory.sweep(11_999));
     directory.set("b".into(), 11, entry("ready"));
     assert!(!directory.sweep(12_000), "it came back");
     assert_eq!(ready(&directory), ["a", "b"]);
-    directory.returned(15_000, 20_000);
+    directory.store_returned(15_000, 20_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
     assert!(!directory.sweep(19_999));
     assert!(directory.sweep(20_000), "it did not come back this time");
@@ -102,7 +102,7 @@
 fn an_entry_that_goes_after_the_return_of_the_store_did_not_lapse() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
-    directory.returned(5_000, 12_000);
+    directory.store_returned(5_000, 12_000);
     directory.list(
         vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
         0,
@@ -110,21 +110,21 @@
     );
     directory.remove("b", 99);
     assert_eq!(ready(&directory), ["a"], "the store answers, so b left");
-    assert!(!directory.keeps_missing());
+    assert!(!directory.has_missing());
 }
 
 #[test]
 fn an_outage_that_is_told_of_again_later_gives_no_more_time() {
     let mut directory = Directory::default();
     directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
-    directory.returned(5_000, 12_000);
+    directory.store_returned(5_000, 12_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     // A task that looks seldom finds the store 2 s later, and has lost it at about the same time.
-    directory.returned(6_000, 14_000);
+    directory.store_returned(6_000, 14_000);
     directory.list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
     assert!(directory.sweep(12_000), "b did not come back in its time");
     assert_eq!(ready(&directory), ["a"]);
-    directory.returned(13_000, 20_000);
+    directory.store_returned(13_000, 20_000);
     directory.list(Vec::new(), 9, 18_000);
     assert_eq!(ready(&directory), ["a"], "another outage gives time again");
 }
@@ -148,10 +148,10 @@
 fn events_are_counted_however_their_bytes_are_cut() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n\n: note\n\ndata: unfinished\n";
     for size in 1..stream.len() {
-        let mut meter = Meter::default();
-        stream.chunks(size).for_each(|part| meter.pass(part));
-        assert_eq!(meter.events(), 3, "in parts of {size}");
-        assert!(meter.is_inside(), "the last event has not ended");
+        let mut event_counter = EventCounter::default();
+        stream.chunks(size).for_each(|part| event_counter.feed(part));
+        assert_eq!(event_counter.events(), 3, "in parts of {size}");
+        assert!(event_counter.is_in_event(), "the last event has not ended");
     }
 }
 
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -37,7 +37,7 @@
     /// Which zones were to be empty at each version of the store.
     truth: BTreeMap<u64, Zones>,
     log: Vec<Change>,
-    homes: [Evacuations; 2],
+    watchers: [Evacuations; 2],
     /// Up to which version the watch of each home came.
     watched: [u64; 2],
     told: [Vec<(Zones, u64)>; 2],
@@ -53,18 +53,18 @@
         match *step {
             Step::Write { zone, empty } => self.write(format!("z{zone}").into(), empty),
             Step::List { home } => {
-                self.homes[home].replace(self.now(), self.version);
+                self.watchers[home].replace(self.now(), self.version);
                 self.watched[home] = self.version;
             }
             Step::Watch { home, most } => {
                 let from = self.watched[home];
                 let fresh = self.log.iter().filter(|change| change.version > from);
                 let fresh: Vec<Change> = fresh.take(most).cloned().collect();
-                self.homes[home].change(&fresh);
+                self.watchers[home].change(&fresh);
                 self.watched[home] = fresh.last().map_or(from, |change| change.version);
             }
             Step::Hear { home } => {
-                let home_knows = &self.homes[home];
+                let home_knows = &self.watchers[home];
                 let told = (home_knows.zones().clone(), home_knows.at());
                 self.listener.replace(told.0.clone(), told.1);
                 self.told[home].push(told);
@@ -105,7 +105,7 @@
         let mut before = 0;
         for step in &steps {
             run.step(step);
-            for known in run.homes.iter().chain([&run.listener]) {
+            for known in run.watchers.iter().chain([&run.listener]) {
                 let truth = run.truth.get(&known.at()).cloned().unwrap_or_default();
                 prop_assert_eq!(known.zones(), &truth, "as at version {}", known.at());
             }
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Ends, Funds, Table};
+use gateway::{Participation, Funds, Table};
 use ledger::{Book, Granted, Incarnation, Item, Policy, Writer};
 use platform::{config::Config, played};
 
 const PAID: u64 = 1_000_000;
 const POLICY: Policy =
-    Policy { offline_share: 500, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
+    Policy { offline_share: 500, online_horizon: 0, offline_horizon: 10, boxes: 1, scarcity_permille: 500 };
 
 /// One box and the book.
 struct Desk {
@@ -40,7 +40,7 @@
     fn settle_under(&mut self, policy: Policy) -> (Item, Granted) {
         self.write += 1;
         let writer = Writer { write: self.write, peer: None, witness: None, witness_at: None };
-        let settlement = self.funds.plan(&self.name, writer, Ends::Not);
+        let settlement = self.funds.plan(&self.name, writer, Participation::Active);
         let granted = self.book.settle(&settlement, policy);
         let at = settlement.items.iter().position(|item| item.customer == customer());
         let at = at.expect("the customer's budget is settled");
@@ -80,7 +80,7 @@
         pass(Duration::from_millis(100)).await;
         desk.settle();
     }
-    let mut target = |answered_s| desk.settle_under(POLICY.in_touch_for(answered_s)).1.target;
+    let mut target = |answered_s| desk.settle_under(POLICY.reachable_for(answered_s)).1.target;
     let at_first = target(0);
     // It uses 1,000 tokens a second.
     for (answered_s, more_s) in [(1, 1), (4, 4), (60, 9)] {
@@ -103,14 +103,14 @@
         desk.settle();
     }
     let before = desk.funds.promise().expect("there is something to keep");
-    desk.funds.promised(&before);
+    desk.funds.promise_accepted(&before);
     let all = desk.funds.promise_all();
     assert!(all[&customer()] > before[&customer()], "it kept less before: {before:?} of {all:?}");
     // The witness refuses an ordinary promise that comes after the last one.
-    drop(desk.funds.want_kept(&customer(), 1_000));
+    drop(desk.funds.request_release(&customer(), 1_000));
     assert_eq!(desk.funds.promise(), None, "the last one was made");
-    desk.funds.promised(&before);
-    desk.funds.release();
+    desk.funds.promise_accepted(&before);
+    desk.funds.clear_promise();
     let to = Incarnation::new("box-1", 1);
     assert_eq!(desk.funds.lend(&customer(), 1_000, &desk.name, &to), None);
     assert!(desk.funds.try_hold(&customer(), 100).is_none(), "nothing is used either");
@@ -128,9 +128,9 @@
         desk.settle();
     }
     // It uses 1,000 tokens a second, and needs less of them ahead now.
-    let target = desk.settle_under(POLICY.in_touch_for(4)).1.target;
+    let target = desk.settle_under(POLICY.reachable_for(4)).1.target;
     assert!(!desk.funds.is_due(), "no settlement is made for this");
-    let (item, _) = desk.settle_under(POLICY.in_touch_for(4));
+    let (item, _) = desk.settle_under(POLICY.reachable_for(4));
     assert!(item.returned > 0, "{} are held, {target} needed", item.free);
     assert!(item.free <= target + target / 5, "{} are held, {target} needed", item.free);
 }
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -12,7 +12,7 @@
     let mut sheds = Vec::new();
     for _ in 0..seconds {
         for _ in 0..20 {
-            link.piece(bytes_per_s / 20);
+            link.chunk(bytes_per_s / 20);
             tokio::time::advance(Duration::from_millis(50)).await;
         }
         sheds.push(link.sheds());
--- a/crates/gateway/tests/loopback/crash.rs
+++ b/crates/gateway/tests/loopback/crash.rs
@@ -7,7 +7,7 @@
 use ledger::Incarnation;
 use standin::Scripted;
 
-use crate::world::{World, answers, call, charged, until, until_served};
+use crate::harness::{Harness, answers, call, charged, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// What may be lost with one box: 3% of what is paid.
@@ -15,7 +15,7 @@
 
 /// Two boxes that serve, and what they need.
 struct Fleet {
-    world: World,
+    harness: Harness,
     one: Gateway,
     two: Gateway,
     _endpoints: [Scripted; 2],
@@ -23,23 +23,23 @@
 
 impl Fleet {
     async fn start() -> Fleet {
-        let world = World::open(PAID, &["stream", "open"]).await;
+        let harness = Harness::open(PAID, &["stream", "open"]).await;
         let _endpoints = [
-            world.endpoint("i-1", "plain", answers).await,
-            world.endpoint("i-2", "engines", answers).await,
+            harness.endpoint("i-1", "plain", answers).await,
+            harness.endpoint("i-2", "engines", answers).await,
         ];
-        let one = world.gateway("box-1").await;
-        let two = world.gateway("box-2").await;
-        until_served(&world, &one, "/stream/x").await;
-        until_served(&world, &two, "/open/x").await;
-        Fleet { world, one, two, _endpoints }
+        let one = harness.gateway("box-1").await;
+        let two = harness.gateway("box-2").await;
+        until_served(&harness, &one, "/stream/x").await;
+        until_served(&harness, &two, "/open/x").await;
+        Fleet { harness, one, two, _endpoints }
     }
 }
 
 /// Waits until a box holds much and has promised most of it.
-async fn until_it_keeps_most(world: &World, gateway: &Gateway) {
+async fn until_it_keeps_most(harness: &Harness, gateway: &Gateway) {
     until("the box holds much and keeps most of it", async || {
-        call(gateway.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
+        call(gateway.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = gateway.balance("bornova");
         balance.free > 3 * LOST / 2 && balance.free - balance.kept < LOST / 2
@@ -48,9 +48,9 @@
 }
 
 /// Waits until the book knows of no earlier life of a box that started again.
-async fn until_replaced(world: &World, first: &Incarnation, again: &Gateway) {
+async fn until_replaced(harness: &Harness, first: &Incarnation, again: &Gateway) {
     until("the earlier life is settled", async || {
-        let book = world.book().await;
+        let book = harness.book().await;
         let is_settled = !book.writers.contains_key(first) && !book.claims.contains_key(first);
         is_settled && book.writers.contains_key(again.incarnation())
     })
@@ -59,13 +59,13 @@
 
 #[tokio::test]
 async fn little_is_lost_with_a_box_whose_witness_lives() {
-    let Fleet { world, one, two, _endpoints } = Fleet::start().await;
-    until_it_keeps_most(&world, &one).await;
+    let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
+    until_it_keeps_most(&harness, &one).await;
     let first = one.incarnation().clone();
     drop(one);
-    let again = world.gateway("box-1").await;
-    until_replaced(&world, &first, &again).await;
-    let book = world.book().await;
+    let again = harness.gateway("box-1").await;
+    until_replaced(&harness, &first, &again).await;
+    let book = harness.book().await;
     let of = &book.ledgers["bornova"];
     assert!(of.lost < LOST, "{} of {PAID} tokens lost", of.lost);
     assert!(of.is_sound(), "{of:?}");
@@ -76,14 +76,14 @@
 /// it has read which other boxes there are. In a play with one such death 12.8% of all that customers had paid was lost.
 #[tokio::test]
 async fn little_is_lost_with_a_box_whose_next_life_knows_no_other() {
-    let Fleet { world, one, two, _endpoints } = Fleet::start().await;
-    until_it_keeps_most(&world, &one).await;
+    let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
+    until_it_keeps_most(&harness, &one).await;
     let first = one.incarnation().clone();
-    world.forget_box("box-2").await;
+    harness.forget_box("box-2").await;
     drop(one);
-    let again = world.gateway("box-1").await;
-    until_replaced(&world, &first, &again).await;
-    let book = world.book().await;
+    let again = harness.gateway("box-1").await;
+    until_replaced(&harness, &first, &again).await;
+    let book = harness.book().await;
     let of = &book.ledgers["bornova"];
     assert!(of.lost < LOST, "{} of {PAID} tokens lost", of.lost);
     assert!(of.is_sound(), "{of:?}");
@@ -92,9 +92,9 @@
 
 #[tokio::test]
 async fn nothing_is_lost_with_a_box_that_stops_by_plan_while_the_store_is_down() {
-    let Fleet { world, one, two, _endpoints } = Fleet::start().await;
+    let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
     until("box 1 holds much and has a witness", async || {
-        call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
+        call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = one.balance("bornova");
         balance.free > LOST && balance.kept > 0
@@ -102,16 +102,16 @@
     .await;
     let charged = charged(&one);
     until("all that it charged is settled", async || {
-        world.book().await.ledgers["bornova"].statement.tokens >= charged
+        harness.book().await.ledgers["bornova"].statement.tokens >= charged
     })
     .await;
-    world.platform.set(|faults| faults.down = true);
+    harness.platform.set(|faults| faults.down = true);
     let first = one.incarnation().clone();
     one.stop().await;
-    world.platform.set(|faults| faults.down = false);
-    let again = world.gateway("box-1").await;
-    until_replaced(&world, &first, &again).await;
-    let lost = world.book().await.ledgers["bornova"].lost;
+    harness.platform.set(|faults| faults.down = false);
+    let again = harness.gateway("box-1").await;
+    until_replaced(&harness, &first, &again).await;
+    let lost = harness.book().await.ledgers["bornova"].lost;
     // A settlement under way when the store went down may leave a little.
     assert!(lost < LOST / 10, "{lost} of {PAID} tokens lost");
     drop(two);
@@ -119,13 +119,13 @@
 
 #[tokio::test]
 async fn what_two_boxes_held_that_die_together_counts_as_spent() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let one = world.gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/stream/x").await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let one = harness.gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    until_served(&harness, &one, "/stream/x").await;
     until("box 1 keeps tokens", async || {
-        call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
+        call(one.callers(), "/stream/x", &harness.asked("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         one.balance("bornova").kept > LOST
     })
@@ -133,34 +133,34 @@
     let held = one.balance("bornova").kept;
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
-    let again = [world.gateway("box-1").await, world.gateway("box-2").await];
+    let again = [harness.gateway("box-1").await, harness.gateway("box-2").await];
     until("the earlier lives are settled", async || {
-        let book = world.book().await;
+        let book = harness.book().await;
         let is_settled =
             |first| !book.writers.contains_key(first) && !book.claims.contains_key(first);
         firsts.iter().all(is_settled)
     })
     .await;
-    let lost = world.book().await.ledgers["bornova"].lost;
+    let lost = harness.book().await.ledgers["bornova"].lost;
     assert!(lost >= held, "nobody can tell that {held} tokens were not used: {lost} lost");
     drop(again);
 }
 
 #[tokio::test]
 async fn the_bills_of_a_box_that_stops_by_plan_without_the_store_are_written_by_another() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let (one, link) = world.cut_gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/stream/x").await;
-    until("both know each other", async || one.knows_peers() + two.knows_peers() == 2).await;
-    let asked = world.asked("key-b", 200, 10);
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let (one, link) = harness.cut_gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    until_served(&harness, &one, "/stream/x").await;
+    until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
+    let asked = harness.asked("key-b", 200, 10);
     assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
     link.set_cut(true);
     one.stop().await;
     // The other box writes them with its own, which it does last when it stops.
     two.stop().await;
-    let keys = world.billed().await;
+    let keys = harness.billed().await;
     let count = keys.iter().filter(|key| **key == asked.id).count();
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
@@ -168,25 +168,25 @@
 /// The load: whoever took the pages over is killed before it wrote them.
 #[tokio::test]
 async fn bills_that_were_handed_over_outlive_the_box_that_took_them() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let (one, link) = world.cut_gateway("box-1").await;
-    let mut others = vec![world.gateway("box-2").await, world.gateway("box-3").await];
-    until_served(&world, &one, "/stream/x").await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let (one, link) = harness.cut_gateway("box-1").await;
+    let mut others = vec![harness.gateway("box-2").await, harness.gateway("box-3").await];
+    until_served(&harness, &one, "/stream/x").await;
     until("all know each other", async || {
-        one.knows_peers() == 2 && others.iter().all(|other| other.knows_peers() == 2)
+        one.peer_count() == 2 && others.iter().all(|other| other.peer_count() == 2)
     })
     .await;
-    let asked = world.asked("key-b", 200, 10);
+    let asked = harness.asked("key-b", 200, 10);
     assert!(call(one.callers(), "/stream/x", &asked).await.status.is_success());
     link.set_cut(true);
-    world.platform.set(|faults| faults.down = true);
+    harness.platform.set(|faults| faults.down = true);
     one.stop().await;
     let took = others.iter().position(|other| other.bills_waiting() > 0).expect("one took them");
     drop(others.remove(took));
-    world.platform.set(|faults| faults.down = false);
+    harness.platform.set(|faults| faults.down = false);
     others.remove(0).stop().await;
-    let keys = world.billed().await;
+    let keys = harness.billed().await;
     let count = keys.iter().filter(|key| **key == asked.id).count();
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
@@ -194,18 +194,18 @@
 /// The load: a box starts while the others do not reach the store, and stops while it does not reach it either.
 #[tokio::test]
 async fn bills_of_a_box_that_the_others_do_not_know_yet_are_taken_over() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let (one, link_one) = world.cut_gateway("box-1").await;
-    let (two, link_two) = world.cut_gateway("box-2").await;
-    until_served(&world, &one, "/stream/x").await;
-    until("both know each other", async || one.knows_peers() + two.knows_peers() == 2).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let (one, link_one) = harness.cut_gateway("box-1").await;
+    let (two, link_two) = harness.cut_gateway("box-2").await;
+    until_served(&harness, &one, "/stream/x").await;
+    until("both know each other", async || one.peer_count() + two.peer_count() == 2).await;
     link_one.set_cut(true);
     link_two.set_cut(true);
-    let (three, link_three) = world.cut_gateway("box-3").await;
-    until("it knows both", async || three.knows_peers() == 2).await;
-    until_served(&world, &three, "/stream/x").await;
-    let asked = world.asked("key-b", 200, 10);
+    let (three, link_three) = harness.cut_gateway("box-3").await;
+    until("it knows both", async || three.peer_count() == 2).await;
+    until_served(&harness, &three, "/stream/x").await;
+    let asked = harness.asked("key-b", 200, 10);
     assert!(call(three.callers(), "/stream/x", &asked).await.status.is_success());
     link_three.set_cut(true);
     three.stop().await;
@@ -213,7 +213,7 @@
     link_two.set_cut(false);
     one.stop().await;
     two.stop().await;
-    let keys = world.billed().await;
+    let keys = harness.billed().await;
     let count = keys.iter().filter(|key| **key == asked.id).count();
     assert_eq!(count, 1, "{} is on {count} bills", asked.id);
 }
@@ -221,17 +221,17 @@
 /// The load: a box registers first and is cut off from the store before another one starts.
 #[tokio::test]
 async fn a_box_that_is_cut_off_before_it_heard_of_another_one_hands_its_bills_over() {
-    let world = World::open(100_000, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let (alone, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &alone, "/stream/x").await;
-    until("it is registered", async || world.entry_of("box-1").await.is_some()).await;
+    let harness = Harness::open(100_000, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let (alone, link) = harness.cut_gateway("box-1").await;
+    until_served(&harness, &alone, "/stream/x").await;
+    until("it is registered", async || harness.entry_of("box-1").await.is_some()).await;
     link.set_cut(true);
-    let asked = world.asked("key-b", 100, 20);
+    let asked = harness.asked("key-b", 100, 20);
     assert_eq!(call(alone.callers(), "/stream/x", &asked).await.status, StatusCode::OK);
-    let other = world.gateway("box-2").await;
-    until("it was greeted", async || alone.knows_peers() == 1).await;
+    let other = harness.gateway("box-2").await;
+    until("it was greeted", async || alone.peer_count() == 1).await;
     alone.stop().await;
-    until("its bill is written", async || world.billed().await.contains(&asked.id)).await;
+    until("its bill is written", async || harness.billed().await.contains(&asked.id)).await;
     drop(other);
 }
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use standin::Scripted;
 
-use crate::world::{World, answers, call, until, until_served};
+use crate::harness::{Harness, answers, call, until, until_served};
 
 /// Enough for every request here.
 const PAID: u64 = 1_000_000;
@@ -18,77 +18,77 @@
 /// Requests after which an endpoint that got none of them is taken to get none.
 const MANY: usize = 24;
 
-async fn fleet(world: &World, path: &str) -> Vec<Gateway> {
+async fn fleet(harness: &Harness, path: &str) -> Vec<Gateway> {
     let names: Vec<String> = (0..BOXES).map(|n| format!("box-{n}")).collect();
     let mut boxes = Vec::new();
     for name in &names {
-        boxes.push(world.gateway(name).await);
+        boxes.push(harness.gateway(name).await);
     }
     for gateway in &boxes {
-        until("it knows the others", async || gateway.knows_peers() == BOXES - 1).await;
-        until_served(world, gateway, path).await;
+        until("it knows the others", async || gateway.peer_count() == BOXES - 1).await;
+        until_served(harness, gateway, path).await;
     }
     boxes
 }
 
 /// Whether none of many requests, sent to all boxes in turn, arrives at an endpoint.
-async fn gets_none(world: &World, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
+async fn gets_none(harness: &Harness, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
     let before = endpoint.arrived().len();
     for gateway in boxes.iter().cycle().take(MANY) {
-        call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
     }
     endpoint.arrived().len() == before
 }
 
-async fn in_zone(world: &World, id: &str, zone: &str) -> Scripted {
+async fn in_zone(harness: &Harness, id: &str, zone: &str) -> Scripted {
     let endpoint = Scripted::spawn(answers).await;
     let entry = Listed { zone, ..listed("plain", endpoint.address()) }.entry();
-    world.list_as(id, entry.to_string()).await;
+    harness.list_as(id, entry.to_string()).await;
     endpoint
 }
 
 #[tokio::test]
 async fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let one = in_zone(&world, "i-1", "z1").await;
-    let two = in_zone(&world, "i-2", "z2").await;
-    let boxes = fleet(&world, "/cancel/x").await;
-    world.evacuate("z1").await;
-    until("z1 gets no more work", async || gets_none(&world, &boxes, "/cancel/x", &one).await)
+    let harness = Harness::open(PAID, &["cancel"]).await;
+    let one = in_zone(&harness, "i-1", "z1").await;
+    let two = in_zone(&harness, "i-2", "z2").await;
+    let boxes = fleet(&harness, "/cancel/x").await;
+    harness.evacuate("z1").await;
+    until("z1 gets no more work", async || gets_none(&harness, &boxes, "/cancel/x", &one).await)
         .await;
     // A box that starts now, and an entry that is written anew, change nothing.
-    world.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
-    let late = [world.gateway("box-late").await];
-    until_served(&world, &late[0], "/cancel/x").await;
-    assert!(gets_none(&world, &late, "/cancel/x", &one).await, "a box that started later");
-    assert!(gets_none(&world, &boxes, "/cancel/x", &one).await, "after its entry was written anew");
-    world.evacuate("z2").await;
+    harness.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
+    let late = [harness.gateway("box-late").await];
+    until_served(&harness, &late[0], "/cancel/x").await;
+    assert!(gets_none(&harness, &late, "/cancel/x", &one).await, "a box that started later");
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &one).await, "after its entry was written anew");
+    harness.evacuate("z2").await;
     until("nobody is left", async || {
-        let got = call(boxes[0].callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(boxes[0].callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         got.status == StatusCode::SERVICE_UNAVAILABLE && got.headers.contains_key("retry-after")
     })
     .await;
-    world.platform.set(|faults| faults.down = true);
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "while the store is away");
-    world.platform.set(|faults| faults.down = false);
-    world.take_back("z1").await;
+    harness.platform.set(|faults| faults.down = true);
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &two).await, "while the store is away");
+    harness.platform.set(|faults| faults.down = false);
+    harness.take_back("z1").await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/cancel/x").await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
-    assert!(gets_none(&world, &boxes, "/cancel/x", &two).await, "z2 is still to be empty");
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &two).await, "z2 is still to be empty");
 }
 
 #[tokio::test]
 async fn all_boxes_together_spare_a_cold_engine() {
-    let world = World::open(PAID, &["stream"]).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
     let engine = Scripted::spawn(answers).await;
     let cold = Listed { cold_ms: 600_000, ..listed("engines", engine.address()) };
-    world.list_as("i-1", cold.entry().to_string()).await;
-    let boxes = fleet(&world, "/stream/x").await;
+    harness.list_as("i-1", cold.entry().to_string()).await;
+    let boxes = fleet(&harness, "/stream/x").await;
     let (began, before) = (Instant::now(), engine.arrived().len());
     // A burst that meets a cold engine, and no other one to go to.
     let burst = boxes.iter().cycle().take(100).map(|gateway| {
-        let asked = world.asked("key-b", 1, 1);
+        let asked = harness.asked("key-b", 1, 1);
         async move { call(gateway.callers(), "/stream/x", &asked).await }
     });
     let got = join_all(burst).await;
@@ -103,17 +103,17 @@
 
 #[tokio::test]
 async fn an_endpoint_that_started_again_is_another_one() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let endpoint = Scripted::spawn(answers).await;
     let first = Listed { born: Some(1_000), beat: 9, ..listed("plain", endpoint.address()) };
-    world.list_as("i-1", first.entry().to_string()).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.list_as("i-1", first.entry().to_string()).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     let before = endpoint.connections();
     let second = Listed { born: Some(2_000), beat: 1, ..first.clone() };
-    world.list_as("i-1", second.entry().to_string()).await;
+    harness.list_as("i-1", second.entry().to_string()).await;
     until("connections to the earlier life are used no more", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         endpoint.connections() > before
     })
     .await;
@@ -121,17 +121,17 @@
     assert_eq!(told.instance.as_deref(), Some("i-1"), "its id is the same");
     // What the earlier life wrote before it died arrives late.
     let last = Listed { ready: false, beat: 10, ..first };
-    world.list_as("i-1", last.entry().to_string()).await;
-    world.configure(2, PAID, &["cancel", "open"]).await;
-    until_served(&world, &gateway, "/open/x").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.list_as("i-1", last.entry().to_string()).await;
+    harness.configure(2, PAID, &["cancel", "open"]).await;
+    until_served(&harness, &gateway, "/open/x").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
 async fn an_entry_that_no_endpoint_wrote_names_none() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let _sound = in_zone(&world, "i-sound", "z1").await;
-    let boxes = fleet(&world, "/cancel/x").await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
+    let _sound = in_zone(&harness, "i-sound", "z1").await;
+    let boxes = fleet(&harness, "/cancel/x").await;
     let odd = Scripted::spawn(answers).await;
     let whole = || listed("plain", odd.address()).entry();
     let with = |field: &str, value: Value| {
@@ -154,13 +154,13 @@
         entries.push(with(field, json!({"of": "another type"})));
     }
     for (n, entry) in entries.iter().enumerate() {
-        world.list_as(&format!("odd {n} ü/{{}}"), entry.to_string()).await;
+        harness.list_as(&format!("odd {n} ü/{{}}"), entry.to_string()).await;
     }
-    world.configure(2, PAID, &["cancel", "open"]).await;
+    harness.configure(2, PAID, &["cancel", "open"]).await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/open/x").await;
+        until_served(&harness, gateway, "/open/x").await;
     }
     tokio::time::sleep(Duration::from_millis(600)).await;
-    assert!(gets_none(&world, &boxes, "/cancel/x", &odd).await, "entries that no endpoint wrote");
+    assert!(gets_none(&harness, &boxes, "/cancel/x", &odd).await, "entries that no endpoint wrote");
     assert_eq!(odd.arrived(), [], "not at any time");
 }
--- a/crates/gateway/tests/loopback/fleet.rs
+++ b/crates/gateway/tests/loopback/fleet.rs
@@ -15,7 +15,7 @@
 use standin::Scripted;
 use std::time::Duration;
 
-use crate::world::{World, answers, call, until, until_served, until_within};
+use crate::harness::{Harness, answers, call, until, until_served, until_within};
 
 /// Enough for every request here many times over.
 const PAID: u64 = 100_000_000;
@@ -39,46 +39,46 @@
 
 /// A fleet in which one box was served, and what it needs.
 struct Fleet {
-    world: World,
+    harness: Harness,
     boxes: Vec<Gateway>,
     _endpoints: [Scripted; 2],
 }
 
 impl Fleet {
     async fn start() -> Fleet {
-        let world = World::open(PAID, &["stream", "open"]).await;
+        let harness = Harness::open(PAID, &["stream", "open"]).await;
         let _endpoints = [
-            world.endpoint("i-1", "plain", answers).await,
-            world.endpoint("i-2", "engines", answers).await,
+            harness.endpoint("i-1", "plain", answers).await,
+            harness.endpoint("i-2", "engines", answers).await,
         ];
-        world.platform.set(|faults| faults.delay = CALL);
+        harness.platform.set(|faults| faults.delay = CALL);
         let mut boxes = Vec::new();
         for number in 0..BOXES {
-            boxes.push(world.patient_gateway(&format!("box-{number}"), PATIENCE_MS).await);
+            boxes.push(harness.patient_gateway(&format!("box-{number}"), PATIENCE_MS).await);
         }
         for gateway in &boxes {
-            until_served(&world, gateway, "/open/x").await;
+            until_served(&harness, gateway, "/open/x").await;
         }
         for gateway in &boxes {
-            until_within(HANGS, "it knows all others", async || gateway.knows_peers() == BOXES - 1)
+            until_within(HANGS, "it knows all others", async || gateway.peer_count() == BOXES - 1)
                 .await;
         }
-        until("a box is served", async || is_served_prompt(&world, &boxes[0], SMALL).await).await;
+        until("a box is served", async || is_served_prompt(&harness, &boxes[0], SMALL).await).await;
         // Those that took themselves for the keeper before they knew the others leave the book.
         until_within(HANGS, "few boxes write", async || {
-            world.book().await.writers.len() <= WRITERS
+            harness.book().await.writers.len() <= WRITERS
         })
         .await;
-        Fleet { world, boxes, _endpoints }
+        Fleet { harness, boxes, _endpoints }
     }
 }
 
-async fn is_served(world: &World, gateway: &Gateway) -> bool {
-    is_served_prompt(world, gateway, 2_000).await
+async fn is_served(harness: &Harness, gateway: &Gateway) -> bool {
+    is_served_prompt(harness, gateway, 2_000).await
 }
 
-async fn is_served_prompt(world: &World, gateway: &Gateway, tokens: u64) -> bool {
-    let asked = world.asked("key-b", tokens, 10);
+async fn is_served_prompt(harness: &Harness, gateway: &Gateway, tokens: u64) -> bool {
+    let asked = harness.asked("key-b", tokens, 10);
     call(gateway.callers(), "/stream/x", &asked).await.status == StatusCode::OK
 }
 
@@ -93,10 +93,10 @@
 
 #[tokio::test]
 async fn every_box_of_a_large_fleet_is_served_without_a_write_of_its_own() {
-    let Fleet { world, boxes, _endpoints } = Fleet::start().await;
+    let Fleet { harness, boxes, _endpoints } = Fleet::start().await;
     let before: Vec<u64> = boxes.iter().map(book_writes).collect();
     for gateway in &boxes {
-        until("it is served", async || is_served_prompt(&world, gateway, SMALL).await).await;
+        until("it is served", async || is_served_prompt(&harness, gateway, SMALL).await).await;
     }
     let wrote = boxes.iter().zip(before).filter(|(gateway, before)| book_writes(gateway) > *before);
     let wrote = wrote.count();
@@ -105,11 +105,11 @@
 
 #[tokio::test]
 async fn the_boxes_that_write_the_book_do_not_grow_with_the_fleet() {
-    let Fleet { world, boxes, _endpoints } = Fleet::start().await;
+    let Fleet { harness, boxes, _endpoints } = Fleet::start().await;
     for gateway in &boxes {
-        is_served_prompt(&world, gateway, SMALL).await;
+        is_served_prompt(&harness, gateway, SMALL).await;
     }
-    let writers = world.book().await.writers.len();
+    let writers = harness.book().await.writers.len();
     assert!(
         writers <= WRITERS,
         "{writers} of {BOXES} boxes, all in one availability zone, write the book"
@@ -117,18 +117,18 @@
 }
 
 /// Boxes of one zone, the keeper first.
-async fn keeper_first(world: &World, names: [&str; 3]) -> Vec<Gateway> {
+async fn keeper_first(harness: &Harness, names: [&str; 3]) -> Vec<Gateway> {
     let mut boxes = Vec::new();
     for name in names {
-        boxes.push(world.waiting_gateway(name, WAIT_MS).await);
+        boxes.push(harness.waiting_gateway(name, WAIT_MS).await);
     }
     for gateway in &boxes {
-        until("boxes know each other", async || gateway.knows_peers() == 2).await;
-        until_served(world, gateway, "/stream/x").await;
+        until("boxes know each other", async || gateway.peer_count() == 2).await;
+        until_served(harness, gateway, "/stream/x").await;
     }
     until("one keeper passes tokens on", async || {
         for gateway in &boxes {
-            is_served(world, gateway).await;
+            is_served(harness, gateway).await;
         }
         boxes.iter().filter(|gateway| gateway.balance("bornova").passed > 0).count() == 1
     })
@@ -139,31 +139,31 @@
 
 #[tokio::test]
 async fn boxes_whose_keeper_died_are_served_by_another() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let mut boxes = keeper_first(&harness, ["box-1", "box-2", "box-3"]).await;
     drop(boxes.remove(0));
     for gateway in &boxes {
-        until("it is served again", async || is_served(&world, gateway).await).await;
+        until("it is served again", async || is_served(&harness, gateway).await).await;
     }
 }
 
 #[tokio::test]
 async fn a_keeper_that_stops_by_plan_returns_what_it_holds_and_nothing_is_spent_twice() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let mut boxes = keeper_first(&harness, ["box-1", "box-2", "box-3"]).await;
     let keeper = boxes.remove(0);
     let name = keeper.incarnation().clone();
     keeper.stop().await;
     for gateway in &boxes {
-        assert!(is_served(&world, gateway).await);
+        assert!(is_served(&harness, gateway).await);
     }
-    let charged: u64 = boxes.iter().map(crate::world::charged).sum();
+    let charged: u64 = boxes.iter().map(crate::harness::charged).sum();
     for gateway in boxes {
         gateway.stop().await;
     }
-    let book = world.book().await;
+    let book = harness.book().await;
     let of = &book.ledgers["bornova"];
     assert!(!book.writers.contains_key(&name), "it left the book");
     assert!(of.is_sound() && of.grants.is_empty(), "{of:?}");
@@ -172,17 +172,17 @@
 
 #[tokio::test]
 async fn a_box_that_stops_by_plan_gives_its_keeper_back_what_it_did_not_use() {
-    let world = World::open(PAID, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", answers).await;
-    let mut boxes = keeper_first(&world, ["box-1", "box-2", "box-3"]).await;
+    let harness = Harness::open(PAID, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", answers).await;
+    let mut boxes = keeper_first(&harness, ["box-1", "box-2", "box-3"]).await;
     let keeper = boxes.remove(0);
-    let mut charged = crate::world::charged(&keeper);
+    let mut charged = crate::harness::charged(&keeper);
     for gateway in boxes {
-        charged += crate::world::charged(&gateway);
+        charged += crate::harness::charged(&gateway);
         gateway.stop().await;
     }
     assert_eq!(keeper.balance("bornova").passed, 0, "all of it was told and given back");
     keeper.stop().await;
-    let of = &world.book().await.ledgers["bornova"];
+    let of = &harness.book().await.ledgers["bornova"];
     assert_eq!((of.spent, of.lost, of.granted()), (charged, 0, 0), "every token once: {of:?}");
 }
