--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -18,7 +18,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{World, answers, call, request, until, until_served};
+use crate::harness::{Harness, answers, call, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Time after an answer that says so from which on nothing may be sent: the shortest that users ask for.
@@ -56,60 +56,60 @@
 }
 
 /// Sends requests until one reaches an endpoint.
-async fn reach(world: &World, gateway: &Gateway, endpoint: &Scripted) {
+async fn reach(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) {
     let before = endpoint.arrived().len();
     until("it is reached", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         endpoint.arrived().len() > before
     })
     .await;
 }
 
 /// Requests of many that reach an endpoint.
-async fn arrive(world: &World, gateway: &Gateway, endpoint: &Scripted) -> usize {
+async fn arrive(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) -> usize {
     let before = endpoint.arrived().len();
     for _ in 0..MANY {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     }
     endpoint.arrived().len() - before
 }
 
 #[tokio::test]
 async fn an_endpoint_that_says_that_it_leaves_gets_nothing_though_its_entry_says_ready() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    reach(&world, &gateway, &leaving).await;
-    world.platform.set(|faults| faults.down = true);
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
+    reach(&harness, &gateway, &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
     word.says(true);
-    reach(&world, &gateway, &leaving).await;
+    reach(&harness, &gateway, &leaving).await;
     tokio::time::sleep(BOUND).await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "while the store is away");
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "while the store is away");
 }
 
 /// Every answer tells: a refusal, and the head of a stream long before its end.
 #[tokio::test]
 async fn a_refusal_and_the_head_of_a_stream_say_it_as_well() {
-    let world = World::open(PAID, &["cancel", "stream"]).await;
-    let declines = world.endpoint("i-1", "plain", |arrived| {
+    let harness = Harness::open(PAID, &["cancel", "stream"]).await;
+    let declines = harness.endpoint("i-1", "plain", |arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
         Reply::Whole(status, leaves(headers), "full".into())
     });
     let declines = declines.await;
-    let streams = world.endpoint("i-2", "engines", |arrived| {
+    let streams = harness.endpoint("i-2", "engines", |arrived| {
         let headers = leaves(played::answered(&arrived.told.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
     let streams = streams.await;
-    let _plain = world.endpoint("i-3", "plain", answers).await;
-    let _engine = world.endpoint("i-4", "engines", answers).await;
-    let gateway = world.gateway("box-1").await;
+    let _plain = harness.endpoint("i-3", "plain", answers).await;
+    let _engine = harness.endpoint("i-4", "engines", answers).await;
+    let gateway = harness.gateway("box-1").await;
     for (path, endpoint) in [("/cancel/x", &declines), ("/stream/x", &streams)] {
-        until_served(&world, &gateway, path).await;
-        let asked = || world.asked("key-b", 1, 1);
+        until_served(&harness, &gateway, path).await;
+        let asked = || harness.asked("key-b", 1, 1);
         until("it is reached", async || {
             tokio::spawn(request(gateway.callers(), path, &asked()).body("a body").send());
             !endpoint.arrived().is_empty()
@@ -127,50 +127,50 @@
 /// The load: an endpoint tells one box of a fleet, whose store is away.
 #[tokio::test]
 async fn boxes_tell_each_other_also_one_that_starts_into_it() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
     let mut boxes = Vec::new();
     for n in 0..4 {
-        boxes.push(world.gateway(&format!("box-{n}")).await);
+        boxes.push(harness.gateway(&format!("box-{n}")).await);
     }
     for gateway in &boxes {
-        until("it knows the others", async || gateway.knows_peers() == 3).await;
-        until_served(&world, gateway, "/cancel/x").await;
+        until("it knows the others", async || gateway.peer_count() == 3).await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
-    world.platform.set(|faults| faults.down = true);
-    reach(&world, &boxes[0], &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
+    reach(&harness, &boxes[0], &leaving).await;
     word.says(true);
-    reach(&world, &boxes[0], &leaving).await;
+    reach(&harness, &boxes[0], &leaving).await;
     let knows = |gateway: &Gateway| gateway.leaving() == 1;
     until("all know", async || boxes.iter().all(knows)).await;
     word.says(false);
     for gateway in &boxes {
-        assert_eq!(arrive(&world, gateway, &leaving).await, 0, "a box that was told by others");
+        assert_eq!(arrive(&harness, gateway, &leaving).await, 0, "a box that was told by others");
     }
-    world.platform.set(|faults| faults.down = false);
-    let late = world.gateway("box-late").await;
-    until_served(&world, &late, "/cancel/x").await;
+    harness.platform.set(|faults| faults.down = false);
+    let late = harness.gateway("box-late").await;
+    until_served(&harness, &late, "/cancel/x").await;
     until("it knows as well", async || late.leaving() == 1).await;
-    assert_eq!(arrive(&world, &late, &leaving).await, 0, "a box that started into it");
+    assert_eq!(arrive(&harness, &late, &leaving).await, 0, "a box that started into it");
 }
 
 /// The load: all endpoints of a service say so at once, and their successors stand in a store that is away.
 #[tokio::test]
 async fn where_all_leave_requests_are_refused_at_once_until_others_are_known() {
-    let world = World::open(PAID, &["cancel", "confirm"]).await;
+    let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
     let word = Word::default();
     let mut leaving = Vec::new();
     for id in ["i-1", "i-2"] {
-        leaving.push(world.endpoint(id, "plain", word.script()).await);
+        leaving.push(harness.endpoint(id, "plain", word.script()).await);
     }
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    world.platform.set(|faults| faults.down = true);
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
+    harness.platform.set(|faults| faults.down = true);
     word.says(true);
     until("all said so", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         gateway.leaving() == 2
     })
     .await;
@@ -178,7 +178,7 @@
     let before: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
     for path in ["/cancel/x", "/confirm/x"] {
         let sent = Instant::now();
-        let got = call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
         assert!(sent.elapsed() < BOUND / 2, "it waited {:?}", sent.elapsed());
         assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
         assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
@@ -186,38 +186,38 @@
     }
     let after: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
     assert_eq!(after, before, "nothing reaches them");
-    let _successor = world.endpoint("i-3", "plain", Word::default().script()).await;
-    world.platform.set(|faults| faults.down = false);
-    until_served(&world, &gateway, "/cancel/x").await;
+    let _successor = harness.endpoint("i-3", "plain", Word::default().script()).await;
+    harness.platform.set(|faults| faults.down = false);
+    until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 /// The load: a word that an endpoint says for ever, also of a box that has lost everybody.
 #[tokio::test]
 async fn a_box_alone_holds_to_it() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let leaving = harness.endpoint("i-1", "plain", word.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", Word::default().script()).await;
+    let (gateway, link) = harness.cut_gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     word.says(true);
-    reach(&world, &gateway, &leaving).await;
+    reach(&harness, &gateway, &leaving).await;
     link.set_cut(true);
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "cut off");
-    world.list("i-1", "plain", leaving.address(), true).await;
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "cut off");
+    harness.list("i-1", "plain", leaving.address(), true).await;
     link.set_cut(false);
-    world.configure(2, PAID, &["cancel", "open"]).await;
-    until_served(&world, &gateway, "/open/x").await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "with an entry that says ready");
+    harness.configure(2, PAID, &["cancel", "open"]).await;
+    until_served(&harness, &gateway, "/open/x").await;
+    assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "with an entry that says ready");
 }
 
 /// Another endpoint answers at the address: what it says is not of the one that was meant.
 #[tokio::test]
 async fn what_another_one_at_the_address_says_is_not_held_against_an_endpoint() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let other = Word::default();
     let says = other.clone();
-    let meant = world.endpoint("i-1", "plain", move |arrived| {
+    let meant = harness.endpoint("i-1", "plain", move |arrived| {
         if !says.0.load(Ordering::Relaxed) {
             return answers(arrived);
         }
@@ -226,12 +226,12 @@
         Reply::Whole(status, leaves(headers), "not here".into())
     });
     let meant = meant.await;
-    let _stays = world.endpoint("i-2", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let _stays = harness.endpoint("i-2", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     other.says(true);
-    reach(&world, &gateway, &meant).await;
+    reach(&harness, &gateway, &meant).await;
     other.says(false);
-    assert_eq!((gateway.leaving(), gateway.resting()), (0, 0));
-    reach(&world, &gateway, &meant).await;
+    assert_eq!((gateway.leaving(), gateway.backing_off()), (0, 0));
+    reach(&harness, &gateway, &meant).await;
 }
--- a/crates/gateway/tests/loopback/limit.rs
+++ b/crates/gateway/tests/loopback/limit.rs
@@ -18,7 +18,7 @@
 use platform::played::{self, Asked, Listed, listed};
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{Got, World, call, until, until_served};
+use crate::harness::{Got, Harness, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Boxes that know each other: so many that one request a second of each is far above any limit here.
@@ -55,7 +55,7 @@
 
 /// Boxes before endpoints of one service, each of which may name a limit.
 struct Fleet {
-    world: World,
+    harness: Harness,
     boxes: Vec<Gateway>,
     needs: Vec<Need>,
     endpoints: Vec<Scripted>,
@@ -63,21 +63,21 @@
 
 impl Fleet {
     async fn start(boxes: usize, endpoints: usize) -> Fleet {
-        let world = World::open(PAID, &["cancel", "confirm"]).await;
+        let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
         let mut fleet =
-            Fleet { world, boxes: Vec::new(), needs: Vec::new(), endpoints: Vec::new() };
+            Fleet { harness, boxes: Vec::new(), needs: Vec::new(), endpoints: Vec::new() };
         for n in 0..endpoints {
             let need = Need::default();
-            let endpoint = fleet.world.endpoint(&format!("i-{n}"), "plain", need.script()).await;
+            let endpoint = fleet.harness.endpoint(&format!("i-{n}"), "plain", need.script()).await;
             fleet.needs.push(need);
             fleet.endpoints.push(endpoint);
         }
         for n in 0..boxes {
-            fleet.boxes.push(fleet.world.gateway(&format!("box-{n}")).await);
+            fleet.boxes.push(fleet.harness.gateway(&format!("box-{n}")).await);
         }
         for gateway in &fleet.boxes {
-            until("it knows the others", async || gateway.knows_peers() == boxes - 1).await;
-            until_served(&fleet.world, gateway, "/cancel/x").await;
+            until("it knows the others", async || gateway.peer_count() == boxes - 1).await;
+            until_served(&fleet.harness, gateway, "/cancel/x").await;
         }
         fleet
     }
@@ -96,7 +96,7 @@
 
     async fn send(&self, gateway: &Gateway, path: &str) -> Got {
         // It costs no tokens: who has some while the store is away is not what is asked here.
-        let asked = Asked { tokens: None, ..self.world.asked("key-b", 1, 1) };
+        let asked = Asked { tokens: None, ..self.harness.asked("key-b", 1, 1) };
         call(gateway.callers(), path, &asked).await
     }
 
@@ -180,7 +180,7 @@
         knows(&fleet.boxes[0]) == Some(2.0)
     })
     .await;
-    let late = fleet.world.gateway("box-late").await;
+    let late = fleet.harness.gateway("box-late").await;
     fleet.boxes.push(late);
     for gateway in &fleet.boxes {
         // One box goes on to use the endpoint, as one in need is.
@@ -190,7 +190,7 @@
         })
         .await;
     }
-    until_served(&fleet.world, &fleet.boxes[4], "/cancel/x").await;
+    until_served(&fleet.harness, &fleet.boxes[4], "/cancel/x").await;
     fleet.needs[0].names(Some("7.5"));
     until("a raised limit is in force", async || {
         fleet.load(&fleet.boxes[..1], PAUSE).await;
@@ -278,7 +278,7 @@
     let mut fleet = Fleet::start(5, 2).await;
     fleet.needs[0].names(Some("4"));
     fleet.tell_all("i-0", 4.0).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     let (began, before) = (Instant::now(), fleet.arrived(0));
     for ends_by_plan in [false, true] {
         fleet.load(&fleet.boxes, COUNTED / 4).await;
@@ -307,8 +307,8 @@
 #[tokio::test]
 async fn a_box_alone_adds_nothing_to_what_the_others_send() {
     let mut fleet = Fleet::start(4, 2).await;
-    let alone = fleet.world.gateway_alone("box-alone").await;
-    until_served(&fleet.world, &alone, "/cancel/x").await;
+    let alone = fleet.harness.gateway_alone("box-alone").await;
+    until_served(&fleet.harness, &alone, "/cancel/x").await;
     fleet.boxes.push(alone);
     fleet.needs[0].names(Some("2"));
     fleet.tell_all("i-0", 2.0).await;
@@ -327,7 +327,7 @@
     fleet.needs[0].names(None);
     let address = fleet.endpoints[0].address();
     let entry = Listed { born: Some(5), ..listed("plain", address) }.entry();
-    fleet.world.list_as("i-0", entry.to_string()).await;
+    fleet.harness.list_as("i-0", entry.to_string()).await;
     // Nothing is sent meanwhile: no answer says that it takes work.
     until("it is another one", async || {
         fleet.boxes.iter().all(|gateway| gateway.limits().is_empty())
@@ -343,7 +343,7 @@
     let mut fleet = Fleet::start(4, 2).await;
     fleet.needs[0].names(Some("8"));
     fleet.tell_all("i-0", 8.0).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     fleet.boxes.truncate(1);
     let (began, before) = (Instant::now(), fleet.arrived(0));
     let callers = (0..4).map(|_| fleet.load(&fleet.boxes, COUNTED));
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -1,15 +1,15 @@
 //! Real gateways over loopback, between the stand-in store and scripted endpoints.
 
-mod crash;
+mod box_crash;
 mod endpoints;
-mod fleet;
+mod keepers;
 mod leaving;
-mod limit;
-mod news;
+mod rate_limit;
+mod sync;
 mod outage;
-mod path;
+mod proxy;
 mod prompts;
 mod quarantine;
-mod rest;
+mod back_off;
 mod suspended;
-mod world;
+mod harness;
--- a/crates/gateway/tests/loopback/news.rs
+++ b/crates/gateway/tests/loopback/news.rs
@@ -5,12 +5,12 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use gateway::{Gateway, Place, homes};
+use gateway::{Gateway, Profile, watchers};
 use http::StatusCode;
 use ledger::Incarnation;
 use objects::Operation;
 
-use crate::world::{World, answers, call, until, until_served, until_within};
+use crate::harness::{Harness, answers, call, until, until_served, until_within};
 
 /// Boxes that start together.
 const BOXES: usize = 40;
@@ -24,32 +24,32 @@
 
 /// Names of the homes of a fleet.
 fn home_names(names: &[String]) -> Vec<String> {
-    let place = |name: &String| Place {
+    let profile = |name: &String| Profile {
         name: Incarnation::new(name, 1),
         zone: "z1".into(),
         strength: gateway::settings::Machine::default().strength(),
     };
-    let others: Vec<Place> = names[1..].iter().map(place).collect();
-    let homes = homes(&place(&names[0]), &others);
-    homes.first.iter().map(|name| name.box_name().to_owned()).collect()
+    let others: Vec<Profile> = names[1..].iter().map(profile).collect();
+    let watchers = watchers(&profile(&names[0]), &others);
+    watchers.first.iter().map(|name| name.box_name().to_owned()).collect()
 }
 
 /// A fleet that is served and in which all know each other; homes first.
-async fn fleet(world: &World, count: usize) -> Vec<Gateway> {
+async fn fleet(harness: &Harness, count: usize) -> Vec<Gateway> {
     let names: Vec<String> = (0..count).map(|n| format!("box-{n}")).collect();
-    let homes = home_names(&names);
+    let watchers = home_names(&names);
     let mut boxes = BTreeMap::new();
     for name in &names {
-        boxes.insert((!homes.contains(name), name), world.gateway(name).await);
+        boxes.insert((!watchers.contains(name), name), harness.gateway(name).await);
     }
     let boxes: Vec<Gateway> = boxes.into_values().collect();
     for gateway in &boxes {
         until_within(HANGS, "it is served", async || {
-            let asked = world.asked("key-b", 1, 1);
+            let asked = harness.asked("key-b", 1, 1);
             call(gateway.callers(), "/open/x", &asked).await.status == StatusCode::OK
         })
         .await;
-        until_within(HANGS, "it knows all", async || gateway.knows_peers() == count - 1).await;
+        until_within(HANGS, "it knows all", async || gateway.peer_count() == count - 1).await;
     }
     boxes
 }
@@ -66,15 +66,15 @@
 
 #[tokio::test]
 async fn few_boxes_of_a_large_fleet_look_at_the_store() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let boxes = fleet(&world, BOXES).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let boxes = fleet(&harness, BOXES).await;
     let looked = boxes.iter().filter(|gateway| news_calls(gateway) > 0).count();
     assert!(looked <= LOOK, "{looked} of {BOXES} boxes listed or watched what others tell");
-    world.configure(2, PAID, &["open", "cancel"]).await;
+    harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
         until_within(HANGS, "the new version is in force", async || {
-            let asked = world.asked("key-b", 1, 1);
+            let asked = harness.asked("key-b", 1, 1);
             call(gateway.callers(), "/cancel/x", &asked).await.status == StatusCode::OK
         })
         .await;
@@ -85,18 +85,18 @@
 
 #[tokio::test]
 async fn an_outage_is_looked_at_by_homes_and_its_end_is_told() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let boxes = fleet(&world, BOXES).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let boxes = fleet(&harness, BOXES).await;
     let before: Vec<u64> = boxes.iter().map(news_calls).collect();
-    world.platform.set(|faults| faults.down = true);
+    harness.platform.set(|faults| faults.down = true);
     // As long as the outages that boxes ride out, in which each looked 30 times by itself.
     tokio::time::sleep(Duration::from_secs(6)).await;
-    world.configure(2, PAID, &["open", "cancel"]).await;
-    world.platform.set(|faults| faults.down = false);
+    harness.configure(2, PAID, &["open", "cancel"]).await;
+    harness.platform.set(|faults| faults.down = false);
     for gateway in &boxes {
         until_within(HANGS, "the new version is in force", async || {
-            let asked = world.asked("key-b", 1, 1);
+            let asked = harness.asked("key-b", 1, 1);
             call(gateway.callers(), "/cancel/x", &asked).await.status == StatusCode::OK
         })
         .await;
@@ -108,38 +108,38 @@
 
 #[tokio::test]
 async fn listeners_of_a_home_that_died_hear_another_one() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let mut boxes = fleet(&world, 5).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let mut boxes = fleet(&harness, 5).await;
     drop(boxes.remove(0));
-    world.configure(2, PAID, &["open", "cancel"]).await;
+    harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/cancel/x").await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn boxes_whose_homes_all_died_look_for_themselves_or_at_each_other() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let mut boxes = fleet(&world, 6).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let mut boxes = fleet(&harness, 6).await;
     drop(boxes.drain(..2));
-    world.configure(2, PAID, &["open", "cancel"]).await;
+    harness.configure(2, PAID, &["open", "cancel"]).await;
     for gateway in &boxes {
-        until_served(&world, gateway, "/cancel/x").await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn boxes_whose_homes_alone_lost_the_store_do_not_run_on_old_news() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
     let names: Vec<String> = (0..4).map(|n| format!("box-{n}")).collect();
-    let homes = home_names(&names);
+    let watchers = home_names(&names);
     let (mut links, mut boxes, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
     for name in &names {
-        let (gateway, link) = world.cut_gateway(name).await;
-        match homes.contains(name) {
+        let (gateway, link) = harness.cut_gateway(name).await;
+        match watchers.contains(name) {
             true => {
                 links.push(link);
                 boxes.push(gateway);
@@ -148,39 +148,39 @@
         }
     }
     for (gateway, _) in &listeners {
-        until("boxes know each other", async || gateway.knows_peers() == 3).await;
-        until_served(&world, gateway, "/open/x").await;
+        until("boxes know each other", async || gateway.peer_count() == 3).await;
+        until_served(&harness, gateway, "/open/x").await;
     }
     // Held open and silent: only the homes' own looks show it.
     links.iter().for_each(|link| link.set_cut(true));
-    world.configure(2, PAID, &["open", "cancel"]).await;
+    harness.configure(2, PAID, &["open", "cancel"]).await;
     for (gateway, _) in &listeners {
-        until_served(&world, gateway, "/cancel/x").await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
 }
 
 #[tokio::test]
 async fn a_leaving_endpoint_gets_no_work_of_listeners() {
-    let world = World::open(PAID, &["open"]).await;
-    let leaving = world.endpoint("i-1", "plain", answers).await;
-    let _stays = world.endpoint("i-2", "plain", answers).await;
-    let boxes = fleet(&world, 5).await;
-    world.list("i-1", "plain", leaving.address(), false).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let leaving = harness.endpoint("i-1", "plain", answers).await;
+    let _stays = harness.endpoint("i-2", "plain", answers).await;
+    let boxes = fleet(&harness, 5).await;
+    harness.list("i-1", "plain", leaving.address(), false).await;
     for gateway in &boxes {
         let mut quiet = 0;
         until("the box heard of it", async || {
             let before = leaving.arrived().len();
-            call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+            call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
             quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
             quiet > 20
         })
         .await;
     }
-    world.unlist("i-1").await;
+    harness.unlist("i-1").await;
     let before = leaving.arrived().len();
     for gateway in &boxes {
         for _ in 0..5 {
-            call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+            call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         }
     }
     assert_eq!(leaving.arrived().len(), before);
@@ -188,18 +188,18 @@
 
 #[tokio::test]
 async fn a_box_that_starts_again_registers_with_one_write() {
-    let world = World::open(PAID, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let _other = world.gateway("box-1").await;
-    let first = world.gateway("box-2").await;
-    until_served(&world, &first, "/open/x").await;
-    until("boxes know each other", async || first.knows_peers() == 1).await;
+    let harness = Harness::open(PAID, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let _other = harness.gateway("box-1").await;
+    let first = harness.gateway("box-2").await;
+    until_served(&harness, &first, "/open/x").await;
+    until("boxes know each other", async || first.peer_count() == 1).await;
     drop(first);
-    let second = world.gateway("box-2").await;
-    until_served(&world, &second, "/open/x").await;
+    let second = harness.gateway("box-2").await;
+    until_served(&harness, &second, "/open/x").await;
     until("it is registered", async || {
         let life = second.incarnation().as_str();
-        world.entry_of("box-2").await.is_some_and(|entry| entry.contains(life))
+        harness.entry_of("box-2").await.is_some_and(|entry| entry.contains(life))
     })
     .await;
     let calls = second.calls().snapshot();
@@ -209,9 +209,9 @@
 
 #[tokio::test]
 async fn what_boxes_ask_each_other_is_counted_by_topic_and_zone() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let boxes = fleet(&world, 4).await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let boxes = fleet(&harness, 4).await;
     let counts = |gateway: &Gateway| {
         let zone_of = |line: &str| line.contains(r#"topic="news""#) && line.contains("own");
         gateway.metrics().lines().any(|line| zone_of(line) && line.contains("heard"))
--- a/crates/gateway/tests/loopback/path.rs
+++ b/crates/gateway/tests/loopback/path.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::world::{
-    World, answers, call, charged, finish, request, settings, shared, until, until_served,
+use crate::harness::{
+    Harness, answers, call, charged, finish, request, settings, shared, until, until_served,
 };
 use http::{HeaderMap, StatusCode};
 use platform::played;
@@ -15,11 +15,11 @@
 
 #[tokio::test]
 async fn a_request_arrives_as_it_was_sent_and_its_answer_unchanged() {
-    let world = World::open(1_000_000, &["confirm", "open"]).await;
-    let endpoint = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
-    let asked = world.asked("key-b", 5, 5);
+    let harness = Harness::open(1_000_000, &["confirm", "open"]).await;
+    let endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
+    let asked = harness.asked("key-b", 5, 5);
     let sent = played::forged().into_iter().fold(
         request(gateway.callers(), "/confirm/a%20b?x=1&y", &asked),
         |request, (name, value)| request.header(name, value),
@@ -40,11 +40,11 @@
 
 #[tokio::test]
 async fn refusals_say_why() {
-    let world = World::open(1_000, &["confirm", "stream", "open"]).await;
-    let _plain = world.endpoint("i-1", "plain", answers).await;
-    let _engine = world.endpoint("i-2", "engines", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000, &["confirm", "stream", "open"]).await;
+    let _plain = harness.endpoint("i-1", "plain", answers).await;
+    let _engine = harness.endpoint("i-2", "engines", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let large = "x".repeat(70_000);
     let cases = [
         ("/nowhere/x", "key-b", 1, "", 404, "no_route"),
@@ -53,7 +53,7 @@
         ("/confirm/x", "key-b", 1, &*large, 413, "too_large"),
     ];
     for (path, key, prompt, body, status, reason) in cases {
-        let asked = world.asked(key, prompt, 1);
+        let asked = harness.asked(key, prompt, 1);
         let got = finish(request(gateway.callers(), path, &asked).body(body.to_owned())).await;
         let text = got.body.expect("a body");
         assert_eq!((got.status.as_u16(), text.contains(reason)), (status, true), "{path}: {text}");
@@ -90,22 +90,22 @@
         ("failed, repeatable", "cancel", Box::new(failed), 200, 2),
     ];
     for (name, route, script, status, sent) in cases {
-        let world = World::open(1_000_000, &["confirm", "cancel", "open"]).await;
+        let harness = Harness::open(1_000_000, &["confirm", "cancel", "open"]).await;
         // Whichever endpoint is tried first does it; the next one answers.
         let script = shared(move |arrived| match arrived.line.contains("/open/") {
             true => answers(arrived),
             false => script(arrived),
         });
-        let first = world.endpoint("i-1", "plain", script).await;
-        let gateway = world.gateway("box-1").await;
-        until_served(&world, &gateway, "/open/x").await;
+        let first = harness.endpoint("i-1", "plain", script).await;
+        let gateway = harness.gateway("box-1").await;
+        until_served(&harness, &gateway, "/open/x").await;
         let second = match sent {
             1 => None,
-            _ => Some(world.endpoint("i-2", "plain", answers).await),
+            _ => Some(harness.endpoint("i-2", "plain", answers).await),
         };
         if sent > 1 {
             until("both are known", async || {
-                call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+                call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
                 second.as_ref().is_some_and(|endpoint| !endpoint.arrived().is_empty())
             })
             .await;
@@ -120,7 +120,7 @@
             tries += 1;
             let (before, at_first) = (arrivals(), first.arrived().len());
             let path = format!("/{route}/x");
-            let got = call(gateway.callers(), &path, &world.asked("key-b", 1, 1)).await;
+            let got = call(gateway.callers(), &path, &harness.asked("key-b", 1, 1)).await;
             if sent > 1 && first.arrived().len() == at_first && tries < 100 {
                 continue;
             }
@@ -135,12 +135,12 @@
 
 #[tokio::test]
 async fn heads_may_be_as_large_as_the_operator_allows() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let endpoint = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let before = endpoint.arrived().len();
-    let asked = world.asked("key-b", 1, 1);
+    let asked = harness.asked("key-b", 1, 1);
     let large = "x".repeat(24_000);
     let got = finish(request(gateway.callers(), "/open/x", &asked).header("x-large", large)).await;
     assert_eq!((got.status, endpoint.arrived().len()), (StatusCode::OK, before + 1));
@@ -148,7 +148,7 @@
 
 #[tokio::test]
 async fn settings_read_again_are_in_force_at_once() {
-    let world = World::open(1_000_000, &["cancel", "open"]).await;
+    let harness = Harness::open(1_000_000, &["cancel", "open"]).await;
     let declined = |arrived: &Arrived| match arrived.line.contains("/open/") {
         true => answers(arrived),
         false => {
@@ -158,12 +158,12 @@
     };
     let declined = shared(declined);
     let endpoints = [
-        world.endpoint("i-1", "plain", declined.clone()).await,
-        world.endpoint("i-2", "plain", declined).await,
+        harness.endpoint("i-1", "plain", declined.clone()).await,
+        harness.endpoint("i-2", "plain", declined).await,
     ];
-    let gateway = world.gateway("box-1").await;
+    let gateway = harness.gateway("box-1").await;
     until("both are known", async || {
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         endpoints.iter().all(|endpoint| !endpoint.arrived().is_empty())
     })
     .await;
@@ -171,12 +171,12 @@
         let arrived = endpoints.iter().flat_map(|endpoint| endpoint.arrived());
         arrived.filter(|arrived| arrived.line.contains("/cancel/")).count()
     };
-    call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     assert_eq!(sent(&endpoints), 2, "it is sent once more");
-    let mut settings = settings("box-1", world.platform.socket());
+    let mut settings = settings("box-1", harness.platform.socket());
     (settings.retries.ratio, settings.retries.extra) = (0.0, 0);
     gateway.reload(settings);
-    call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     assert_eq!(sent(&endpoints), 3, "nothing may be sent once more now");
 }
 
@@ -188,14 +188,14 @@
         true => Reply::Torn(id_of(arrived), events.clone()),
         false => Reply::Events(id_of(arrived), whole.clone(), Duration::ZERO),
     };
-    let world = World::open(1_000_000, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", script).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/stream/x").await;
+    let harness = Harness::open(1_000_000, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", script).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/stream/x").await;
     let before = charged(&gateway);
-    let got = call(gateway.callers(), "/stream/torn", &world.asked("key-b", 10, 90)).await;
+    let got = call(gateway.callers(), "/stream/torn", &harness.asked("key-b", 10, 90)).await;
     assert!(got.body.is_err(), "the caller sees that it broke off: {got:?}");
-    let got = call(gateway.callers(), "/stream/x", &world.asked("key-b", 10, 90)).await;
+    let got = call(gateway.callers(), "/stream/x", &harness.asked("key-b", 10, 90)).await;
     assert_eq!(got.body.expect("a whole stream").matches("id:").count(), 3);
     // The prompt and 3 events of 2 tokens; of the one that broke off 10 events more.
     let both = (10 + 2 * 13) + (10 + 2 * 3);
@@ -208,13 +208,13 @@
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(20))
     };
-    let world = World::open(1_000_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("p-1", "plain", answers).await;
-    let _engine = world.endpoint("i-1", "engines", script).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answers).await;
+    let _engine = harness.endpoint("i-1", "engines", script).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let before = charged(&gateway);
-    let asked = world.asked("key-b", 10, 50_000);
+    let asked = harness.asked("key-b", 10, 50_000);
     let mut answer = request(gateway.callers(), "/stream/x", &asked).send().await.expect("a head");
     let first = answer.chunk().await.expect("it streams");
     assert!(first.is_some_and(|bytes| bytes.starts_with(b"id: 1")));
@@ -226,16 +226,16 @@
 
 #[tokio::test]
 async fn a_caller_that_leaves_ends_its_request_at_the_endpoint() {
-    let world = World::open(1_000_000, &["confirm", "open"]).await;
+    let harness = Harness::open(1_000_000, &["confirm", "open"]).await;
     let script = |arrived: &Arrived| match arrived.line.contains("/confirm/") {
         true => Reply::Silent,
         false => answers(arrived),
     };
-    let endpoint = world.endpoint("i-1", "plain", script).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let endpoint = harness.endpoint("i-1", "plain", script).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let closed = endpoint.closed();
-    let sending = request(gateway.callers(), "/confirm/x", &world.asked("key-b", 1, 1)).send();
+    let sending = request(gateway.callers(), "/confirm/x", &harness.asked("key-b", 1, 1)).send();
     let left = tokio::time::timeout(Duration::from_millis(300), sending).await;
     assert!(left.is_err(), "the endpoint never answers");
     until("the endpoint sees it", async || endpoint.closed() > closed).await;
@@ -250,12 +250,12 @@
         true => Reply::Events(id_of(arrived), events.clone(), Duration::ZERO),
         false => answers(arrived),
     };
-    let world = World::open(1_000_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("p-1", "plain", answers).await;
-    let engine = world.endpoint("i-1", "engines", script).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
-    let asked = world.asked("key-b", 10, 1_000);
+    let harness = Harness::open(1_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answers).await;
+    let engine = harness.endpoint("i-1", "engines", script).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
+    let asked = harness.asked("key-b", 10, 1_000);
     let answer = request(gateway.callers(), "/stream/x", &asked).send().await.expect("a head");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(engine.closed(), 0, "the endpoint waits for the caller");
@@ -265,24 +265,24 @@
 
 #[tokio::test]
 async fn a_leaving_endpoint_gets_no_new_work() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let old = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
-    let new = world.endpoint("i-2", "plain", answers).await;
-    world.list("i-1", "plain", old.address(), false).await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let old = harness.endpoint("i-1", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
+    let new = harness.endpoint("i-2", "plain", answers).await;
+    harness.list("i-1", "plain", old.address(), false).await;
     let mut quiet = 0;
     until("only the new one is used", async || {
         let before = old.arrived().len();
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         quiet = if old.arrived().len() == before { quiet + 1 } else { 0 };
         quiet > 20
     })
     .await;
     assert!(new.arrived().len() > 20);
-    world.unlist("i-2").await;
+    harness.unlist("i-2").await;
     until("nobody is left", async || {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         got.status == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
@@ -294,12 +294,12 @@
     let script = move |arrived: &Arrived| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(30))
     };
-    let world = World::open(100_000, &["stream"]).await;
-    let _engine = world.endpoint("i-1", "engines", script).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/stream/x").await;
+    let harness = Harness::open(100_000, &["stream"]).await;
+    let _engine = harness.endpoint("i-1", "engines", script).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/stream/x").await;
     let (callers, ready) = (gateway.callers(), gateway.ready());
-    let asked = world.asked("key-b", 100, 100);
+    let asked = harness.asked("key-b", 100, 100);
     let stream = tokio::spawn(async move { call(callers, "/stream/x", &asked).await });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stop = tokio::spawn(gateway.stop());
@@ -311,12 +311,12 @@
     let got = stream.await.expect("no panic");
     assert_eq!(got.body.expect("a whole stream").matches("id:").count(), 20);
     stop.await.expect("it stops");
-    let book = world.book().await;
+    let book = harness.book().await;
     let of = &book.ledgers["bornova"];
     assert!(book.writers.is_empty() && of.grants.is_empty(), "{book:?}");
     assert_eq!((of.lost, of.spent, of.statement.tokens), (0, of.spent, of.spent));
     assert!(of.spent >= 140, "100 of the prompt and 20 events of 2 tokens");
-    let pages = objects::Store::list(world.platform.memory(), ledger::BILLS, "").await;
+    let pages = objects::Store::list(harness.platform.memory(), ledger::BILLS, "").await;
     let pages = pages.expect("memory answers");
     let read = |page: &objects::Object| serde_json::from_str::<ledger::Page>(&page.value);
     let bills = pages.iter().flat_map(|page| read(page).expect("a page").bills);
@@ -350,10 +350,10 @@
 
 #[tokio::test]
 async fn endpoints_that_start_together_cost_a_few_watches() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let first = world.endpoint("i-0", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let first = harness.endpoint("i-0", "plain", answers).await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/open/x").await;
     let watches = || -> u64 {
         let calls = gateway.calls().snapshot();
         let endpoints = calls.iter().filter(|((_, kind), _)| &**kind == platform::ENDPOINTS);
@@ -361,10 +361,10 @@
     };
     let (before, began) = (watches(), std::time::Instant::now());
     for n in 1..=50 {
-        world.list(&format!("i-{n}"), "plain", first.address(), true).await;
+        harness.list(&format!("i-{n}"), "plain", first.address(), true).await;
         tokio::time::sleep(Duration::from_millis(4)).await;
     }
-    world.list("i-0", "plain", first.address(), false).await;
+    harness.list("i-0", "plain", first.address(), false).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let made = watches() - before;
     // One in 250 ms, however slow this machine is, and those under way at both ends.
@@ -374,21 +374,21 @@
 
 #[tokio::test]
 async fn a_box_whose_link_is_full_sends_callers_elsewhere_and_refuses_nothing() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.narrow_gateway("box-1", 0.02).await;
-    until_served(&world, &gateway, "/open/x").await;
+    let harness = Harness::open(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answers).await;
+    let gateway = harness.narrow_gateway("box-1", 0.02).await;
+    until_served(&harness, &gateway, "/open/x").await;
     let ready = async || {
         let answer = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
         answer.expect("an answer").status() == StatusCode::OK
     };
     until("its link is full", async || {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         assert_eq!(got.status, StatusCode::OK);
         !ready().await
     })
     .await;
-    let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+    let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
     assert_eq!(got.status, StatusCode::OK, "what comes all the same is served");
     assert_eq!(got.headers.get("connection").map(|value| value.as_bytes()), Some(&b"close"[..]));
     until("it takes connections again once it is free", ready).await;
--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -1,6 +1,6 @@
 //! What boxes tell each other of prompts.
 
-use crate::world::{World, answers, call, shared, until, until_served};
+use crate::harness::{Harness, answers, call, shared, until, until_served};
 use platform::request::Part;
 use standin::{Arrived, Reply, Scripted};
 
@@ -13,28 +13,28 @@
 
 #[tokio::test]
 async fn a_box_passes_over_an_engine_that_reads_a_long_prompt_of_another_box() {
-    let world = World::open(10_000_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("p-1", "plain", answers).await;
+    let harness = Harness::open(10_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answers).await;
     // An engine that reads a long prompt says nothing until it has.
     let script = shared(|arrived: &Arrived| match arrived.line.contains("/stream/long") {
         true => Reply::Silent,
         false => answers(arrived),
     });
     let engines = [
-        world.endpoint("e-1", "engines", script.clone()).await,
-        world.endpoint("e-2", "engines", script).await,
+        harness.endpoint("e-1", "engines", script.clone()).await,
+        harness.endpoint("e-2", "engines", script).await,
     ];
-    let one = world.gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/stream/x").await;
-    until_served(&world, &two, "/stream/x").await;
+    let one = harness.gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    until_served(&harness, &one, "/stream/x").await;
+    until_served(&harness, &two, "/stream/x").await;
     until("both know each other and both engines", async || {
-        call(two.callers(), "/stream/x", &world.asked("key-b", 10, 1)).await;
+        call(two.callers(), "/stream/x", &harness.asked("key-b", 10, 1)).await;
         let known = engines.iter().all(|engine| !engine.arrived().is_empty());
-        known && one.knows_peers() > 0 && two.knows_peers() > 0
+        known && one.peer_count() > 0 && two.peer_count() > 0
     })
     .await;
-    let mut asked = world.asked("key-b", 50_000, 10);
+    let mut asked = harness.asked("key-b", 50_000, 10);
     asked.parts = vec![Part { id: 1, tokens: 50_000 }];
     let callers = one.callers();
     let waits = tokio::spawn(async move { call(callers, "/stream/long", &asked).await });
@@ -43,7 +43,7 @@
     until("box 2 uses the other engine alone", async || {
         let before = other.arrived().len();
         for id in 0..IN_A_ROW as u64 {
-            let mut asked = world.asked("key-b", 10, 1);
+            let mut asked = harness.asked("key-b", 10, 1);
             asked.parts = vec![Part { id: 100 + id, tokens: 10 }];
             call(two.callers(), "/stream/x", &asked).await;
         }
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -13,7 +13,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{Got, World, answers, finish, request, until, until_served};
+use crate::harness::{Got, Harness, answers, finish, request, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Boxes that know each other: two homes of news and their listeners.
@@ -45,32 +45,32 @@
 }
 
 struct Fleet {
-    world: World,
+    harness: Harness,
     boxes: Vec<gateway::Gateway>,
     endpoints: Vec<Scripted>,
 }
 
 impl Fleet {
     async fn start(service: &str, routes: &[&str]) -> Fleet {
-        let world = World::open(PAID, routes).await;
+        let harness = Harness::open(PAID, routes).await;
         let mut endpoints = Vec::new();
         for n in 0..ENDPOINTS {
-            endpoints.push(world.endpoint(&format!("i-{n}"), service, crashes).await);
+            endpoints.push(harness.endpoint(&format!("i-{n}"), service, crashes).await);
         }
         let mut boxes = Vec::new();
         for n in 0..BOXES {
-            boxes.push(world.gateway(&format!("box-{n}")).await);
+            boxes.push(harness.gateway(&format!("box-{n}")).await);
         }
         for gateway in &boxes {
-            until("it knows the others", async || gateway.knows_peers() == BOXES - 1).await;
-            until_served(&world, gateway, &format!("/{}/x", routes[0])).await;
+            until("it knows the others", async || gateway.peer_count() == BOXES - 1).await;
+            until_served(&harness, gateway, &format!("/{}/x", routes[0])).await;
         }
-        Fleet { world, boxes, endpoints }
+        Fleet { harness, boxes, endpoints }
     }
 
     /// A caller's try of a request at a box.
     async fn send(&self, at: usize, path: &str, body: &str) -> Got {
-        let asked = self.world.asked("key-b", 1, 1);
+        let asked = self.harness.asked("key-b", 1, 1);
         let address = self.boxes[at % BOXES].callers();
         finish(request(address, path, &asked).body(body.to_owned())).await
     }
@@ -189,10 +189,10 @@
     let ended = fleet.ended();
     fleet.boxes.clear();
     for n in 0..BOXES {
-        fleet.boxes.push(fleet.world.gateway(&format!("box-{n}")).await);
+        fleet.boxes.push(fleet.harness.gateway(&format!("box-{n}")).await);
     }
     for (at, gateway) in fleet.boxes.iter().enumerate() {
-        until_served(&fleet.world, gateway, "/confirm/x").await;
+        until_served(&fleet.harness, gateway, "/confirm/x").await;
         assert!(is_quarantined(&fleet.send(at, "/confirm/x", GUILTY).await), "box {at}");
     }
     assert_eq!(fleet.ended(), ended, "nothing ends any more");
@@ -202,12 +202,12 @@
 #[tokio::test]
 async fn boxes_tell_each_other_while_the_store_is_away() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
-    fleet.world.platform.set(|faults| faults.down = true);
+    fleet.harness.platform.set(|faults| faults.down = true);
     fleet.send_until_refused("/confirm/x").await;
     assert!(fleet.ended() <= MOST_ENDED, "{} ended", fleet.ended());
-    fleet.world.platform.set(|faults| faults.down = false);
+    fleet.harness.platform.set(|faults| faults.down = false);
     until("the reports are in the store", async || {
-        fleet.world.count(quarantine::CRASHES).await >= 3
+        fleet.harness.count(quarantine::CRASHES).await >= 3
     })
     .await;
 }
@@ -216,11 +216,11 @@
 #[tokio::test]
 async fn a_box_alone_hears_of_it_from_the_store() {
     let fleet = Fleet::start("plain", &["confirm"]).await;
-    let alone = fleet.world.gateway_alone("box-alone").await;
-    until_served(&fleet.world, &alone, "/confirm/x").await;
+    let alone = fleet.harness.gateway_alone("box-alone").await;
+    until_served(&fleet.harness, &alone, "/confirm/x").await;
     fleet.send_until_refused("/confirm/x").await;
     let ended = fleet.ended();
-    let asked = fleet.world.asked("key-b", 1, 1);
+    let asked = fleet.harness.asked("key-b", 1, 1);
     let sent = request(alone.callers(), "/confirm/x", &asked).body(GUILTY);
     assert!(is_quarantined(&finish(sent).await));
     assert_eq!(fleet.ended(), ended);
@@ -233,7 +233,7 @@
     let fleet = Fleet::start("engines", &["stream"]).await;
     for n in 0..2 * ENDPOINTS {
         let beside = (0..2 * ENDPOINTS).map(|at| fleet.send(at, "/stream/x", "long beside"));
-        let asked = fleet.world.asked("key-b", 1, 1);
+        let asked = fleet.harness.asked("key-b", 1, 1);
         let slow = request(fleet.boxes[n % BOXES].callers(), "/stream/x", &asked)
             .body(format!("{GUILTY} slowly"))
             .timeout(LONG / 8);
--- a/crates/gateway/tests/loopback/rest.rs
+++ b/crates/gateway/tests/loopback/rest.rs
@@ -17,7 +17,7 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{World, answers, call, until, until_served};
+use crate::harness::{Harness, answers, call, until, until_served};
 
 const PAID: u64 = 1_000_000;
 /// Time from which on a rest is to be kept: what was on its way may still arrive.
@@ -60,7 +60,7 @@
 
 /// A box before two endpoints, one of which may ask for rest.
 struct Pair {
-    world: World,
+    harness: Harness,
     gateway: Gateway,
     tired: Tired,
     _endpoints: [Scripted; 2],
@@ -68,23 +68,23 @@
 
 impl Pair {
     async fn open() -> Pair {
-        let world = World::open(PAID, &["cancel"]).await;
+        let harness = Harness::open(PAID, &["cancel"]).await;
         let tired = Tired::default();
         let _endpoints = [
-            world.endpoint("i-1", "plain", tired.script()).await,
-            world.endpoint("i-2", "plain", answers).await,
+            harness.endpoint("i-1", "plain", tired.script()).await,
+            harness.endpoint("i-2", "plain", answers).await,
         ];
-        let gateway = world.gateway("box-1").await;
-        until_served(&world, &gateway, "/cancel/x").await;
-        Pair { world, gateway, tired, _endpoints }
+        let gateway = harness.gateway("box-1").await;
+        until_served(&harness, &gateway, "/cancel/x").await;
+        Pair { harness, gateway, tired, _endpoints }
     }
 }
 
 #[tokio::test]
 async fn an_endpoint_that_asks_for_rest_is_left_alone_for_as_long() {
-    let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("3"));
-    let send = async || call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    let send = async || call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
     let before = tired.arrived().len();
     until("it asks for rest", async || {
         send().await;
@@ -105,19 +105,19 @@
 /// The load: a burst meets endpoints that all ask for rest.
 #[tokio::test]
 async fn where_all_rest_requests_are_refused_at_once_and_told_when_to_come() {
-    let world = World::open(PAID, &["cancel", "confirm"]).await;
+    let harness = Harness::open(PAID, &["cancel", "confirm"]).await;
     let tired = [Tired::default(), Tired::default()];
     let mut endpoints = Vec::new();
     for (id, tired) in ["i-1", "i-2"].iter().zip(&tired) {
-        endpoints.push(world.endpoint(id, "plain", tired.script()).await);
+        endpoints.push(harness.endpoint(id, "plain", tired.script()).await);
     }
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let gateway = harness.gateway("box-1").await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     tired.iter().for_each(|tired| tired.asks(Some("30")));
-    let send = async |path| call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
+    let send = async |path| call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
     until("all rest", async || {
         send("/cancel/x").await;
-        gateway.resting() == 2
+        gateway.backing_off() == 2
     })
     .await;
     tokio::time::sleep(ON_ITS_WAY).await;
@@ -136,48 +136,48 @@
     }
     assert_eq!(arrived(), before, "nothing reaches them");
     tired.iter().for_each(|tired| tired.asks(None));
-    let successor = world.endpoint("i-3", "plain", answers).await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    let successor = harness.endpoint("i-3", "plain", answers).await;
+    until_served(&harness, &gateway, "/cancel/x").await;
     assert!(!successor.arrived().is_empty());
 }
 
 /// A rest is of the box that was turned away; others go on until they are.
 #[tokio::test]
 async fn another_box_is_not_told() {
-    let world = World::open(PAID, &["cancel"]).await;
+    let harness = Harness::open(PAID, &["cancel"]).await;
     let tired = Tired::default();
-    let _tired = world.endpoint("i-1", "plain", tired.script()).await;
-    let _stands = world.endpoint("i-2", "plain", answers).await;
-    let (one, two) = (world.gateway("box-1").await, world.gateway("box-2").await);
+    let _tired = harness.endpoint("i-1", "plain", tired.script()).await;
+    let _stands = harness.endpoint("i-2", "plain", answers).await;
+    let (one, two) = (harness.gateway("box-1").await, harness.gateway("box-2").await);
     for gateway in [&one, &two] {
-        until("it knows the other", async || gateway.knows_peers() == 1).await;
-        until_served(&world, gateway, "/cancel/x").await;
+        until("it knows the other", async || gateway.peer_count() == 1).await;
+        until_served(&harness, gateway, "/cancel/x").await;
     }
     tired.asks(Some("60"));
     until("one is turned away", async || {
-        call(one.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
-        one.resting() == 1
+        call(one.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
+        one.backing_off() == 1
     })
     .await;
     tired.asks(None);
     let before = tired.arrived().len();
     until("the other is served there", async || {
-        call(two.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+        call(two.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         tired.arrived().len() > before
     })
     .await;
-    assert_eq!((one.resting(), two.resting()), (1, 0));
+    assert_eq!((one.backing_off(), two.backing_off()), (1, 0));
 }
 
 /// The load: more requests are under way than an endpoint bears when it begins to ask for rest.
 #[tokio::test]
 async fn of_a_burst_that_is_turned_away_nothing_leaves_later() {
-    let Pair { world, gateway, tired, _endpoints } = Pair::open().await;
+    let Pair { harness, gateway, tired, _endpoints } = Pair::open().await;
     tired.asks(Some("2"));
     let before = tired.arrived().len();
     let burst = (0..200).map(|n| {
         let gateway = &gateway;
-        let asked = world.asked("key-b", 1, 1);
+        let asked = harness.asked("key-b", 1, 1);
         async move {
             tokio::time::sleep(Duration::from_millis(n * 8)).await;
             call(gateway.callers(), "/cancel/x", &asked).await
--- a/crates/gateway/tests/loopback/world.rs
+++ b/crates/gateway/tests/loopback/world.rs
@@ -22,7 +22,7 @@
 pub const BOUND: Duration = Duration::from_secs(20);
 
 /// The store, and what writes to it as the operator and the endpoints do.
-pub struct World {
+pub struct Harness {
     pub platform: Platform,
     ids: AtomicU64,
 }
@@ -36,12 +36,12 @@
     pub body: Result<String, String>,
 }
 
-impl World {
+impl Harness {
     /// A store with a configuration in which each customer has paid this much.
-    pub async fn open(paid: u64, routes: &[&str]) -> World {
-        let world = World { platform: Platform::spawn(1).await, ids: AtomicU64::new(1) };
-        world.configure(1, paid, routes).await;
-        world
+    pub async fn open(paid: u64, routes: &[&str]) -> Harness {
+        let harness = Harness { platform: Platform::spawn(1).await, ids: AtomicU64::new(1) };
+        harness.configure(1, paid, routes).await;
+        harness
     }
 
     /// Writes an object whatever its version.
@@ -179,7 +179,7 @@
     /// Starts a gateway by a clock that is set by hand, with a link to the store that can be cut.
     pub async fn clocked_gateway(&self, name: &str) -> (Gateway, Link, Clock) {
         let link = Link::bind(self.platform.socket(), Duration::ZERO).await.expect("a link");
-        let clock = Clock::by_hand();
+        let clock = Clock::manual();
         let seed = self.ids.fetch_add(1, Ordering::Relaxed);
         let started = Gateway::spawn_with(settings(name, link.address()), seed, clock.clone());
         (started.await.expect("it starts"), link, clock)
@@ -218,7 +218,7 @@
     Settings::read(&text).expect("valid settings")
 }
 
-impl World {
+impl Harness {
     /// A fresh request of a customer that costs tokens.
     pub fn asked(&self, key: &str, prompt: u64, most_output: u64) -> Asked {
         Asked {
@@ -268,9 +268,9 @@
 }
 
 /// Waits until a route is served, so that configuration and endpoints are known.
-pub async fn until_served(world: &World, gateway: &Gateway, path: &str) {
+pub async fn until_served(harness: &Harness, gateway: &Gateway, path: &str) {
     until("the route is served", async || {
-        let asked = world.asked("key-b", 1, 1);
+        let asked = harness.asked("key-b", 1, 1);
         call(gateway.callers(), path, &asked).await.status == StatusCode::OK
     })
     .await;
--- a/crates/gateway/tests/money.rs
+++ b/crates/gateway/tests/money.rs
@@ -11,9 +11,9 @@
     sync::Arc,
 };
 
-use gateway::{Ends, Funds, Hold, Records, Table, Taken};
+use gateway::{Participation, Funds, Hold, Promises, Table, Acceptance};
 use ledger::{
-    Book, Claim, Given, Granted, Incarnation, Policy, Promise, Settlement, Told, Transfer,
+    Book, Claim, Supply, Granted, Incarnation, Policy, Promise, Settlement, Demand, Transfer,
     Untouched, Witness, Writer,
 };
 use platform::{config::Config, played};
@@ -22,7 +22,7 @@
 const PAID: u64 = 60_000;
 const BOXES: usize = 3;
 const POLICY: Policy =
-    Policy { offline_share: 500, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
+    Policy { offline_share: 500, online_horizon: 0, offline_horizon: 10, boxes: 1, scarcity_permille: 500 };
 
 /// Rules that a variant breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -109,7 +109,7 @@
     names: Option<Witness>,
     promises: u64,
     /// What others promised it.
-    records: Records,
+    records: Promises,
     /// What its earlier life left untouched, until its first settlement tells.
     earlier: Vec<Untouched>,
 }
@@ -130,7 +130,7 @@
             named: None,
             names: None,
             promises: 0,
-            records: Records::default(),
+            records: Promises::default(),
             earlier: Vec::new(),
         }
     }
@@ -141,7 +141,7 @@
 struct Question {
     from: Incarnation,
     keeper: Incarnation,
-    items: Vec<Told>,
+    items: Vec<Demand>,
 }
 
 /// A keeper's answer, on its way.
@@ -149,7 +149,7 @@
 struct Answer {
     to: Incarnation,
     question: Question,
-    given: Vec<Given>,
+    given: Vec<Supply>,
 }
 
 struct World {
@@ -189,20 +189,20 @@
         match *step {
             Step::Hold { at, tokens } => {
                 if self.broken == Broken::SpendKept {
-                    self.nodes[at].funds.release();
+                    self.nodes[at].funds.clear_promise();
                 }
                 let hold = self.nodes[at].funds.try_hold(&customer(), tokens);
                 if hold.is_none() {
                     // The next promise frees them.
-                    drop(self.nodes[at].funds.want_kept(&customer(), tokens));
+                    drop(self.nodes[at].funds.request_release(&customer(), tokens));
                 }
                 self.nodes[at].holds.extend(hold);
             }
             Step::End { at, percent } => self.end(at, percent),
-            Step::Plan { at } => self.plan(at, Ends::Not),
+            Step::Plan { at } => self.plan(at, Participation::Active),
             Step::Retire { at } => {
                 self.nodes[at].funds.retire(true);
-                self.plan(at, Ends::Retires);
+                self.plan(at, Participation::Retiring);
                 self.nodes[at].funds.retire(false);
             }
             Step::Write { at, answered } => self.write(at, answered),
@@ -273,7 +273,7 @@
         self.used += hold.settle(charge);
     }
 
-    fn plan(&mut self, at: usize, ends: Ends) {
+    fn plan(&mut self, at: usize, participation: Participation) {
         let node = &mut self.nodes[at];
         if node.pending.is_some() {
             return;
@@ -282,7 +282,7 @@
         let writer =
             Writer { write: node.write, peer: None, witness: node.names.clone(), witness_at: None };
         let earlier = std::mem::take(&mut node.earlier);
-        let plan = node.funds.plan(&node.name, writer, ends);
+        let plan = node.funds.plan(&node.name, writer, participation);
         node.pending = Some(Settlement { earlier, ..plan });
     }
 
@@ -304,17 +304,17 @@
         let Some(by) = self.nodes.iter().position(|node| node.name == witness.by) else {
             // Another start answers there: what the witness knew is gone with it.
             if answered {
-                self.nodes[at].funds.release();
+                self.nodes[at].funds.clear_promise();
             }
             return;
         };
-        let taken = arrives && self.nodes[by].records.take(&name, promise) == Taken::Newest;
+        let taken = arrives && self.nodes[by].records.take(&name, promise) == Acceptance::Accepted;
         if taken {
             self.taken.insert(name.clone(), tokens.clone());
             self.terms.insert((name, witness.by), witness.term);
         }
         if (taken && answered) || blind {
-            self.nodes[at].funds.promised(&tokens);
+            self.nodes[at].funds.promise_accepted(&tokens);
         }
     }
 
@@ -361,7 +361,7 @@
                 node.funds.landed(&settlement, granted);
                 if node.named != settlement.writer.witness {
                     node.named = settlement.writer.witness.clone();
-                    node.funds.release();
+                    node.funds.clear_promise();
                 }
             }
             false if broken == Broken::Blind => {
@@ -403,7 +403,7 @@
         let (from, keeper) = (self.nodes[at].name.clone(), self.nodes[keeper].name.clone());
         let name = customer();
         let asked = worst.map(|worst| (&name, worst));
-        let mut items = self.nodes[at].funds.tell(&keeper, asked);
+        let mut items = self.nodes[at].funds.demands(&keeper, asked);
         items.iter_mut().for_each(|told| told.ahead = ahead);
         let question = Question { from, keeper, items };
         self.questions.push(question.clone());
@@ -422,15 +422,15 @@
             _ => node.name == question.keeper,
         })?;
         let funds = &self.nodes[at].funds;
-        funds.hear(&question.from, &question.items);
+        funds.receive_report(&question.from, &question.items);
         for told in &question.items {
-            if told.need > 0 && funds.try_give(&question.from, told) {
+            if told.need > 0 && funds.try_pass_on(&question.from, told) {
                 let tokens = funds.given(&question.from, std::slice::from_ref(told))[0].given;
                 if self.broken == Broken::PassTwice {
                     // The keeper takes them back at once, as if they had never left.
                     let share = ledger::Share { given: tokens, returned: tokens, ..told.share };
-                    let back = Told { share, need: 0, least: 0, ..told.clone() };
-                    funds.hear(&question.from, &[back]);
+                    let back = Demand { share, need: 0, least: 0, ..told.clone() };
+                    funds.receive_report(&question.from, &[back]);
                 }
             }
         }
@@ -473,7 +473,7 @@
     fn free_passed(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         for node in &self.nodes {
-            let told = Told {
+            let told = Demand {
                 customer: customer(),
                 share: Default::default(),
                 need: 0,
@@ -482,7 +482,7 @@
             };
             let given = node.funds.given(&name, std::slice::from_ref(&told))[0].given;
             let share = ledger::Share { given, returned: given, ..Default::default() };
-            node.funds.hear(&name, &[Told { share, ..told }]);
+            node.funds.receive_report(&name, &[Demand { share, ..told }]);
         }
     }
 
@@ -500,7 +500,7 @@
         }
         let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
         self.used += held;
-        self.plan(at, Ends::Leaves);
+        self.plan(at, Participation::Leaving);
         self.write(at, true);
         self.restart(at);
     }
@@ -670,9 +670,9 @@
         all.collect::<Vec<_>>()
     };
     let draw = Step::Draw { at: 0, keeper: 1, need: 50, ahead: 0, arrives: true, answered: true };
-    let tell = Step::Tell { at: 0, keeper: 1, arrives: true, answered: true };
+    let demands = Step::Tell { at: 0, keeper: 1, arrives: true, answered: true };
     // What was given back to one life of a keeper is told to the next one.
-    let wrong_life = [draw.clone(), tell, Step::Leave { at: 1 }];
+    let wrong_life = [draw.clone(), demands, Step::Leave { at: 1 }];
     let wrong_life = wrong_life.into_iter().chain(settle(1)).chain(settle(1)).chain([draw]);
     let wrong_life = wrong_life.chain([Step::AskAgain { which: 1 }]).chain(holds_all());
     // A box dies unasked, its next life opens the claim, another box collects what was kept.
@@ -723,7 +723,7 @@
     let mut settle = |node: &mut Node| {
         node.write += 1;
         let writer = Writer { write: node.write, peer: None, witness: None, witness_at: None };
-        let settlement = node.funds.plan(&node.name, writer, Ends::Not);
+        let settlement = node.funds.plan(&node.name, writer, Participation::Active);
         let granted = book.settle(&settlement, POLICY);
         node.funds.landed(&settlement, granted);
     };
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use gateway::{Directory, Homes, Place, Shelf, homes};
+use gateway::{Directory, Watchers, Profile, ChangeLog, watchers};
 use ledger::Incarnation;
 use platform::{
     endpoint::Entry,
@@ -14,26 +14,26 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-fn place(name: &str, zone: &str, strength: u64) -> Place {
-    Place { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, strength: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
 }
 
 /// A fleet of three zones in which every third box is weak.
-fn fleet(boxes: usize) -> Vec<Place> {
+fn fleet(boxes: usize) -> Vec<Profile> {
     let zones = ["bornova", "buca", "cigli"];
     let one = |n: usize| {
-        place(&format!("box-{n}"), zones[n % 3], if n.is_multiple_of(4) { 10 } else { 50 })
+        profile(&format!("box-{n}"), zones[n % 3], if n.is_multiple_of(4) { 10 } else { 50 })
     };
     (0..boxes).map(one).collect()
 }
 
-fn seen_from(fleet: &[Place], me: usize) -> Homes {
-    let others: Vec<Place> = fleet.iter().filter(|place| **place != fleet[me]).cloned().collect();
-    homes(&fleet[me], &others)
+fn seen_from(fleet: &[Profile], me: usize) -> Watchers {
+    let others: Vec<Profile> = fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
+    watchers(&fleet[me], &others)
 }
 
-fn names(homes: &[Incarnation]) -> BTreeSet<&str> {
-    homes.iter().map(Incarnation::box_name).collect()
+fn names(watchers: &[Incarnation]) -> BTreeSet<&str> {
+    watchers.iter().map(Incarnation::box_name).collect()
 }
 
 #[test]
@@ -62,7 +62,7 @@
     for me in 0..fleet.len() {
         let seen = seen_from(&fleet, me);
         let strong = |name: &Incarnation| {
-            fleet.iter().any(|place| place.name == *name && place.strength == 50)
+            fleet.iter().any(|profile| profile.name == *name && profile.strength == 50)
         };
         assert!(seen.all().all(strong));
         *listeners.entry(seen.first[0].box_name().to_owned()).or_insert(0) += 1;
@@ -76,14 +76,14 @@
 fn homes_stand_in_as_many_zones_as_they_can_and_are_heard_there() {
     let zones = ["a", "b", "c", "d", "e", "f"];
     for (boxes, in_zones) in [(7, 2), (73, 2), (180, 4), (301, 6)] {
-        let fleet: Vec<Place> =
-            (0..boxes).map(|n| place(&format!("box-{n}"), zones[n % 6], 10)).collect();
+        let fleet: Vec<Profile> =
+            (0..boxes).map(|n| profile(&format!("box-{n}"), zones[n % 6], 10)).collect();
         let zone_of = |name: &Incarnation| {
-            let place = fleet.iter().find(|place| place.name == *name);
-            place.expect("one of the fleet").zone.clone()
+            let profile = fleet.iter().find(|profile| profile.name == *name);
+            profile.expect("one of the fleet").zone.clone()
         };
-        let homes = seen_from(&fleet, 0).first;
-        let with_home: BTreeSet<Arc<str>> = homes.iter().map(zone_of).collect();
+        let watchers = seen_from(&fleet, 0).first;
+        let with_home: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
         assert_eq!(with_home.len(), in_zones, "{boxes} boxes: {homes:?}");
         for me in 0..boxes {
             let heard = zone_of(&seen_from(&fleet, me).first[0]);
@@ -132,31 +132,31 @@
 
 #[test]
 fn a_shelf_tells_what_came_since_or_the_whole() {
-    let mut shelf = Shelf::default();
-    assert!(shelf.put("servers", "a", 1, Some("{}")));
-    assert!(shelf.put("servers", "b", 2, Some("{}")));
-    let told = shelf.last();
-    assert!(!shelf.put("servers", "b", 2, Some("{}")), "nothing new");
-    assert!(!shelf.put("servers", "a", 0, Some("older")), "older than what is known");
-    assert!(shelf.put("servers", "a", 1, None));
-    let (changes, whole) = shelf.since(told);
+    let mut change_log = ChangeLog::default();
+    assert!(change_log.put("servers", "a", 1, Some("{}")));
+    assert!(change_log.put("servers", "b", 2, Some("{}")));
+    let told = change_log.last();
+    assert!(!change_log.put("servers", "b", 2, Some("{}")), "nothing new");
+    assert!(!change_log.put("servers", "a", 0, Some("older")), "older than what is known");
+    assert!(change_log.put("servers", "a", 1, None));
+    let (changes, whole) = change_log.since(told);
     assert!(!whole && changes.len() == 1 && changes[0].value.is_none(), "{changes:?}");
-    let (changes, whole) = shelf.since(0);
+    let (changes, whole) = change_log.since(0);
     assert!(whole && changes.len() == 2, "those that went are told of too: {changes:?}");
-    let (_, whole) = shelf.since(told + 9);
+    let (_, whole) = change_log.since(told + 9);
     assert!(whole, "a number of another life");
 }
 
 #[test]
 fn a_shelf_forgets_what_went_long_ago_and_then_tells_the_whole() {
-    let mut shelf = Shelf::default();
+    let mut change_log = ChangeLog::default();
     for n in 0..3_000 {
-        shelf.put("servers", &format!("i-{n}"), n, Some("{}"));
-        shelf.put("servers", &format!("i-{n}"), n, None);
+        change_log.put("servers", &format!("i-{n}"), n, Some("{}"));
+        change_log.put("servers", &format!("i-{n}"), n, None);
     }
-    let (changes, whole) = shelf.since(3);
+    let (changes, whole) = change_log.since(3);
     assert!(whole && changes.len() < 2_000, "{} told", changes.len());
-    let (changes, whole) = shelf.since(shelf.last() - 1);
+    let (changes, whole) = change_log.since(change_log.last() - 1);
     assert!(!whole && changes.len() == 1);
 }
 
@@ -195,7 +195,7 @@
 #[derive(Default)]
 struct Home {
     directory: Directory,
-    shelf: Shelf,
+    change_log: ChangeLog,
     at: u64,
     told: u64,
 }
@@ -269,7 +269,7 @@
 #[derive(Default)]
 struct Run {
     truth: Truth,
-    homes: [Home; 2],
+    watchers: [Home; 2],
     listener: Directory,
     /// Lives that the listener was told have left.
     left: BTreeSet<(Arc<str>, u64)>,
@@ -308,7 +308,7 @@
     }
 
     fn look(&mut self, home: usize) {
-        let home = &mut self.homes[home];
+        let home = &mut self.watchers[home];
         let mut list = Vec::new();
         for (id, (version, text)) in &self.truth.entries {
             match Entry::read(text) {
@@ -319,22 +319,22 @@
         home.directory.list(list, self.truth.version, 0);
         for (id, (version, text)) in &self.truth.entries {
             if home.directory.version(id) == Some(*version) {
-                home.shelf.put("servers", id, *version, Some(text));
+                home.change_log.put("servers", id, *version, Some(text));
             }
         }
-        for (id, version) in home.shelf.names("servers") {
+        for (id, version) in home.change_log.names("servers") {
             if home.directory.version(&id).is_none() {
-                let gone_at = home.directory.gone_at(&id).unwrap_or(version);
-                home.shelf.put("servers", &id, gone_at, None);
+                let removed_at = home.directory.removed_at(&id).unwrap_or(version);
+                home.change_log.put("servers", &id, removed_at, None);
             }
         }
         home.at = self.truth.version;
     }
 
     fn hear(&mut self, at: usize, whole: bool) {
-        let home = &mut self.homes[at];
-        let (changes, whole) = home.shelf.since(if whole { 0 } else { home.told });
-        home.told = home.shelf.last();
+        let home = &mut self.watchers[at];
+        let (changes, whole) = home.change_log.since(if whole { 0 } else { home.told });
+        home.told = home.change_log.last();
         let mut entries = Vec::new();
         for change in changes {
             match change.value {
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -2,23 +2,23 @@
 
 use std::collections::BTreeSet;
 
-use gateway::{Place, order, times_apart};
+use gateway::{Profile, keepers, interval_factor};
 use ledger::Incarnation;
 
-fn place(name: &str, zone: &str, strength: u64) -> Place {
-    Place { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, strength: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
-fn asked(fleet: &[Place], me: usize) -> Vec<String> {
-    let others: Vec<Place> = fleet.iter().filter(|place| **place != fleet[me]).cloned().collect();
-    order(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
+fn asked(fleet: &[Profile], me: usize) -> Vec<String> {
+    let others: Vec<Profile> = fleet.iter().filter(|profile| **profile != fleet[me]).cloned().collect();
+    keepers(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
 /// Zones of so many boxes each, the first box of each zone the strongest.
-fn fleet(zones: &[(&str, usize)]) -> Vec<Place> {
+fn fleet(zones: &[(&str, usize)]) -> Vec<Profile> {
     let boxes = zones.iter().flat_map(|(zone, count)| {
-        (0..*count).map(move |n| place(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
+        (0..*count).map(move |n| profile(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
     });
     boxes.collect()
 }
@@ -39,9 +39,9 @@
     let orders: BTreeSet<Vec<String>> =
         (0..fleet.len()).filter(of_buca).map(|me| asked(&fleet, me)).collect();
     assert_eq!(orders.len(), 1, "{orders:?}");
-    let order = orders.first().expect("one");
+    let keepers = orders.first().expect("one");
     let zones: Vec<&str> =
-        order.iter().map(|name| name.split('-').next().expect("a zone")).collect();
+        keepers.iter().map(|name| name.split('-').next().expect("a zone")).collect();
     assert_eq!(zones[..3], ["buca"; 3]);
     assert_eq!(zones[3..].iter().collect::<BTreeSet<_>>().len(), 2, "{zones:?}");
 }
@@ -52,8 +52,8 @@
 fn keepers_grow_with_boxes_and_not_with_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
         let zone = ["a", "b", "c", "d", "e", "f"];
-        let fleet: Vec<Place> =
-            (0..boxes).map(|n| place(&format!("box-{n}"), zone[n % zones], 10)).collect();
+        let fleet: Vec<Profile> =
+            (0..boxes).map(|n| profile(&format!("box-{n}"), zone[n % zones], 10)).collect();
         let asked: Vec<Vec<String>> = (0..boxes).map(|me| asked(&fleet, me)).collect();
         let first: BTreeSet<&String> = asked.iter().map(|asked| &asked[0]).collect();
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
@@ -83,7 +83,7 @@
 fn boxes_that_are_alike_share_the_work_over_zones() {
     // Names decide: the first box by name is not the keeper of every zone.
     let boxes =
-        |zone: &str| (0..8).map(|n| place(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
+        |zone: &str| (0..8).map(|n| profile(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
     let firsts: BTreeSet<String> = ["a", "b", "c", "d", "e", "f"]
         .into_iter()
         .map(|zone| asked(&boxes(zone), 0)[0].clone())
@@ -95,6 +95,6 @@
 #[test]
 fn many_that_write_the_book_settle_no_more_often_together_than_few() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(times_apart(writers), times, "{writers} boxes write");
+        assert_eq!(interval_factor(writers), times, "{writers} boxes write");
     }
 }
--- a/crates/gateway/tests/outlook.rs
+++ b/crates/gateway/tests/outlook.rs
@@ -7,12 +7,12 @@
 
 use std::time::Duration;
 
-use gateway::Outlook;
+use gateway::Forecast;
 use ledger::{Book, Incarnation, Policy, Settlement, Writer};
 use tokio::time::Instant;
 
 const POLICY: Policy =
-    Policy { offline_share: 600, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
+    Policy { offline_share: 600, online_horizon: 0, offline_horizon: 10, boxes: 1, scarcity_permille: 500 };
 
 /// Share of what is left that all boxes may hold while no outage was seen, and after one, in thousandths.
 const CALM: u64 = POLICY.offline_share;
@@ -21,20 +21,20 @@
 /// One box, with a book that others write as well.
 struct Desk {
     book: Book,
-    outlook: Outlook,
+    forecast: Forecast,
     write: u64,
 }
 
 impl Desk {
     fn open() -> Desk {
-        Desk { book: Book::default(), outlook: Outlook::open(Instant::now()), write: 0 }
+        Desk { book: Book::default(), forecast: Forecast::open(Instant::now()), write: 0 }
     }
 
     /// A settlement of this box lands; says whether an outage ended with it.
     fn land(&mut self) -> bool {
-        self.outlook.tell(&mut self.book, Instant::now());
+        self.forecast.report_outage(&mut self.book, Instant::now());
         self.settle("box-0");
-        self.outlook.landed(&self.book, Instant::now())
+        self.forecast.landed(&self.book, Instant::now())
     }
 
     /// A settlement of some box lands.
@@ -54,7 +54,7 @@
 
     /// The store does not answer for so long, while others settle so often.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
-        self.outlook.failed(Instant::now());
+        self.forecast.failed(Instant::now());
         pass(seconds).await;
         (0..others_settle).for_each(|_| self.settle("box-1"));
         self.land()
@@ -62,7 +62,7 @@
 
     /// Seconds of use that this box prepares for, and the share of what is left that all may hold.
     fn prepares(&self) -> (u64, u64) {
-        let policy = self.outlook.policy(POLICY, Instant::now());
+        let policy = self.forecast.policy(POLICY, Instant::now());
         (policy.offline_horizon, policy.offline_share)
     }
 }
@@ -76,7 +76,7 @@
     let mut desk = Desk::open();
     pass(60).await;
     desk.land();
-    desk.outlook.failed(Instant::now());
+    desk.forecast.failed(Instant::now());
     pass(8).await;
     assert_eq!(desk.prepares().0, 1, "the store is not back for a moment yet");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use gateway::{Entry, Peers, Place};
+use gateway::{Entry, Peers, Profile};
 use ledger::Incarnation;
 
 fn entry(n: u16, zone: &str) -> Entry {
@@ -15,13 +15,13 @@
 /// that boxes of four availability zones sent each other on a calm day, 17 of them to another zone.
 #[test]
 fn prompts_are_told_in_the_own_zone_first() {
-    let me = Place { name: Incarnation::new("z1-me", 7), zone: "z1".into(), strength: 1 };
+    let me = Profile { name: Incarnation::new("z1-me", 7), zone: "z1".into(), strength: 1 };
     for (near, far, told_near) in [(20, 20, 12), (3, 20, 3), (0, 4, 0)] {
         let peers = Peers::open(me.clone(), None, 1);
         let entries =
             (0..near).map(|n| entry(n, "z1")).chain((0..far).map(|n| entry(n + 100, "z2")));
         peers.update(entries.map(|entry| (entry, 1)).collect(), 1);
-        let told = peers.told_of_prompts();
+        let told = peers.prompt_recipients();
         let of_zone = told.iter().filter(|name| name.as_str().starts_with("z1")).count();
         assert_eq!(
             (of_zone, told.len()),
--- a/crates/gateway/tests/words.rs
+++ b/crates/gateway/tests/words.rs
@@ -2,8 +2,8 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Offer, Prefix};
-use gateway::{Chosen, Clock, Endpoints, Heard, settings};
+use balance::{Candidates, Prefix};
+use gateway::{Chosen, Clock, Endpoints, Changes, settings};
 use platform::{
     answer::Head,
     endpoint::Entry,
@@ -29,7 +29,7 @@
 
 impl Known {
     fn open(ids: &[&str]) -> Known {
-        let clock = Clock::by_hand();
+        let clock = Clock::manual();
         let endpoints = Endpoints::new("z1".into(), settings::Cold::default(), &clock, 7);
         let mut known = Known { endpoints, clock, listed: Vec::new() };
         let entries = ids.iter().enumerate().map(|(n, id)| ((*id).into(), entry(n as u16, |_| {})));
@@ -49,7 +49,7 @@
     }
 
     fn choose(&self) -> Option<Chosen> {
-        self.endpoints.choose(SERVICE, Offer::All, &Prefix::of_parts([]), &[])
+        self.endpoints.choose(SERVICE, Candidates::All, &Prefix::of_parts([]), &[])
     }
 
     /// The choice of an endpoint, made as long ago as it takes to be made.
@@ -62,14 +62,14 @@
         (0..MANY).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
     }
 
-    fn hears(&self, chosen: &Chosen, said: &Said) -> Heard {
+    fn hears(&self, chosen: &Chosen, said: &Said) -> Changes {
         self.hears_of(chosen, said, AT_ONCE)
     }
 
     /// Hears an answer to a request that was sent so long ago.
-    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Heard {
+    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
         let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
-        self.endpoints.hear(SERVICE, chosen, &head, ago)
+        self.endpoints.receive_signals(SERVICE, chosen, &head, ago)
     }
 }
 
@@ -106,21 +106,21 @@
         }),
         ("a suspension of the box", |known, _| known.clock.suspend(LONG)),
         ("the word, told by another box as new", |known, chosen| {
-            known.endpoints.hear_departure(&chosen.life, chosen.address, true);
+            known.endpoints.receive_departure(&chosen.instance, chosen.address, true);
         }),
     ];
     for (what, later) in later {
         let mut known = Known::open(&["i-1", "i-2"]);
         let chosen = known.chosen("i-1");
-        assert_eq!(known.hears(&chosen, &leaves(true)), Heard { leaves: true, limit: false });
-        assert_eq!(known.hears(&chosen, &leaves(true)), Heard::default(), "no news");
+        assert_eq!(known.hears(&chosen, &leaves(true)), Changes { leaves: true, limit: false });
+        assert_eq!(known.hears(&chosen, &leaves(true)), Changes::default(), "no news");
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(LONG);
         known.listed.remove(1);
         known.update();
         assert!(known.choose().is_none(), "after {what}, with no other endpoint");
-        assert!(known.endpoints.wants_nothing(SERVICE, &chosen), "after {what}");
+        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
     }
 }
 
@@ -153,7 +153,7 @@
     let unknown = vec![("server-mood".into(), "low".into())];
     for _ in 0..3 {
         let said = Said { leaves: leaves.clone(), unknown: unknown.clone(), ..Said::default() };
-        assert_eq!(known.hears(&chosen, &said), Heard::default());
+        assert_eq!(known.hears(&chosen, &said), Changes::default());
     }
     known.clock.suspend(LONG);
     assert!(known.gets_some("i-1"));
@@ -171,7 +171,7 @@
     }
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
     assert!(known.choose().is_some(), "its successors may not be known yet");
-    assert_eq!(known.endpoints.comes_again(SERVICE, 0), None, "nobody stays");
+    assert_eq!(known.endpoints.retry_delay(SERVICE, 0), None, "nobody stays");
     known.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
     assert!(known.choose().is_none(), "it gets nothing any more");
 }
@@ -180,7 +180,7 @@
 fn a_box_that_starts_into_it_sends_nothing() {
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
-    known.endpoints.hear_departure(&chosen.life, chosen.address, false);
+    known.endpoints.receive_departure(&chosen.instance, chosen.address, false);
     assert!(known.choose().is_none(), "others have known it for a time");
 }
 
@@ -192,8 +192,8 @@
     known.clock.suspend(LONG);
     known.update();
     for n in 0..6_000 {
-        let life: Arc<str> = format!("i-gone-{n}").into();
-        known.endpoints.hear_departure(&life, ([127, 0, 0, 2], 1).into(), true);
+        let instance: Arc<str> = format!("i-gone-{n}").into();
+        known.endpoints.receive_departure(&instance, ([127, 0, 0, 2], 1).into(), true);
     }
     let remembered =
         (0..6_000).filter(|n| known.endpoints.remembers_departure(&format!("i-gone-{n}")));
@@ -246,14 +246,14 @@
     for (what, later) in later {
         let mut known = Known::open(&["i-1", "i-2"]);
         let chosen = known.chosen("i-1");
-        assert_eq!(known.hears(&chosen, &rests(3_000)), Heard::default(), "other boxes rest not");
+        assert_eq!(known.hears(&chosen, &rests(3_000)), Changes::default(), "other boxes rest not");
         later(&mut known, &chosen);
         assert!(!known.gets_some("i-1"), "after {what}");
-        assert!(known.endpoints.wants_nothing(SERVICE, &chosen), "after {what}");
+        assert!(known.endpoints.refuses_requests(SERVICE, &chosen), "after {what}");
         known.clock.suspend(Duration::from_millis(2_000));
         assert!(!known.gets_some("i-1"), "after {what}");
         known.clock.suspend(Duration::from_millis(1_100));
-        assert!(!known.endpoints.wants_nothing(SERVICE, &chosen), "it is over, after {what}");
+        assert!(!known.endpoints.refuses_requests(SERVICE, &chosen), "it is over, after {what}");
         known.clock.suspend(LONG);
         assert!(known.gets_some("i-1"), "a while later, after {what}");
     }
@@ -266,7 +266,7 @@
     let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
     known.hears(&chosen, &said);
     assert!(known.choose().is_none());
-    assert!(known.endpoints.comes_again(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
+    assert!(known.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
     known.clock.suspend(Duration::from_millis(1_000));
     assert!(known.gets_some("i-1"), "it did not say for how long");
     known.hears(&chosen, &rests(86_400_000));
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -49,7 +49,7 @@
 
 /// What a reservation lacked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Need {
+pub struct Deficit {
     /// Tokens missing in that part.
     pub missing: u64,
 }
@@ -71,7 +71,7 @@
     }
 
     /// Adds tokens whose draw or transfer has landed.
-    pub fn give(&mut self, part: Part, tokens: u64) {
+    pub fn add(&mut self, part: Part, tokens: u64) {
         self.tokens_mut(part).given += tokens;
     }
 
@@ -84,11 +84,11 @@
     }
 
     /// Holds the worst case of a request, or says what is missing.
-    pub fn reserve(&mut self, part: Part, tokens: u64) -> Result<Reservation, Need> {
+    pub fn reserve(&mut self, part: Part, tokens: u64) -> Result<Reservation, Deficit> {
         let of = self.tokens_mut(part);
         let free = of.free();
         if free < tokens {
-            return Err(Need { missing: tokens - free });
+            return Err(Deficit { missing: tokens - free });
         }
         of.reserved += tokens;
         Ok(Reservation { part, tokens })
--- a/crates/ledger/src/audit.rs
+++ b/crates/ledger/src/audit.rs
@@ -70,12 +70,12 @@
     /// What does not fit; empty if all is well.
     pub findings: Vec<Finding>,
     /// What lives that ended held, of which it is open how much was untouched.
-    pub claims: Vec<Held>,
+    pub claims: Vec<OpenClaim>,
 }
 
 /// What a life that ended held.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Held {
+pub struct OpenClaim {
     /// The life.
     pub holder: Incarnation,
     /// Who knows what it left untouched.
@@ -84,17 +84,17 @@
     pub tokens: u64,
 }
 
-impl Held {
-    fn of(book: &Book, holder: &Incarnation, claim: &Claim) -> Held {
+impl OpenClaim {
+    fn of(book: &Book, holder: &Incarnation, claim: &Claim) -> OpenClaim {
         let grants = book.ledgers.values().filter_map(|ledger| ledger.grants.get(holder));
         let tokens = grants.map(Grant::total).sum();
-        Held { holder: holder.clone(), witness: claim.witness.by.clone(), tokens }
+        OpenClaim { holder: holder.clone(), witness: claim.witness.by.clone(), tokens }
     }
 }
 
 /// Compares a book with all bills that were written.
 pub fn audit(book: &Book, bills: &[Bill]) -> Audit {
-    let claims = book.claims.iter().map(|(holder, claim)| Held::of(book, holder, claim));
+    let claims = book.claims.iter().map(|(holder, claim)| OpenClaim::of(book, holder, claim));
     let mut audit = Audit { claims: claims.collect(), ..Audit::default() };
     let mut billed: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let (mut keys, mut numbers) = (BTreeSet::new(), BTreeSet::new());
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -409,8 +409,8 @@
 /// What a budget has little of, a box holds little of: tokens that were not used in an outage can
 /// be used after it, those that a box held when it died cannot.
 fn target(unspent: u64, paid: u64, portion: u64, observed: Observed, policy: Policy) -> u64 {
-    let plenty = (paid * policy.plenty / 1_000).max(1);
-    let part = unspent * portion / 1_000 * unspent.min(plenty) / plenty;
+    let scarcity_permille = (paid * policy.scarcity_permille / 1_000).max(1);
+    let part = unspent * portion / 1_000 * unspent.min(scarcity_permille) / scarcity_permille;
     let large = observed.peak / policy.boxes.max(1);
     part.min(observed.rate * policy.offline_horizon + large)
 }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::{Bill, Grant, Incarnation, Journal, Numbers, Page, Part, Record, Statement, Transfer};
+use crate::{Bill, Grant, Incarnation, Journal, RangeSet, Page, Part, Record, Statement, Transfer};
 
 /// Bills on one page.
-pub const PAGE_BILLS: usize = 200;
+pub const BILLS_PER_PAGE: usize = 200;
 /// Keys remembered against billing a rerun twice.
 const KEYS: usize = 4_000;
 /// Bills kept in a ledger before a fold waits for pages: a value holds 1 MB.
@@ -95,7 +95,7 @@
     /// Numbers of the tokens passed on between boxes that are counted here, by giver. Kept also
     /// when the giver is gone: whoever received tokens may tell so later.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub passed: BTreeMap<Incarnation, Numbers>,
+    pub passed: BTreeMap<Incarnation, RangeSet>,
     /// Transfers applied, while their giver or receiver still has a grant.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub transfers: BTreeSet<Transfer>,
@@ -354,16 +354,16 @@
 
     /// Full pages of bills to write before they leave the ledger, the oldest first.
     pub fn full_pages(&self) -> Vec<(u64, Page)> {
-        let pages = self.statement.recent.chunks_exact(PAGE_BILLS);
+        let pages = self.statement.recent.chunks_exact(BILLS_PER_PAGE);
         let numbered = (self.statement.pages..).zip(pages);
         numbered.map(|(number, bills)| (number, Page { bills: bills.to_vec() })).collect()
     }
 
     /// Drops the bills of page `number`, which has been written.
     pub fn drop_page(&mut self, number: u64) -> bool {
-        let fits = self.statement.pages == number && self.statement.recent.len() >= PAGE_BILLS;
+        let fits = self.statement.pages == number && self.statement.recent.len() >= BILLS_PER_PAGE;
         if fits {
-            self.statement.recent.drain(..PAGE_BILLS);
+            self.statement.recent.drain(..BILLS_PER_PAGE);
             self.statement.pages += 1;
         }
         fits
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::{Ended, Evidence, Incarnation, Numbers, Outcome, Part, Record, Transfer};
+use crate::{Ended, Evidence, Incarnation, RangeSet, Outcome, Part, Record, Transfer};
 
 /// Whether a journal takes new intents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     pub records: Vec<Record>,
     /// Numbers of records that were folded and dropped.
     #[serde(default)]
-    pub dropped: Numbers,
+    pub dropped: RangeSet,
     /// Offline transfers given or received, with their budget, until folded.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub transfers: Vec<(Arc<str>, Transfer)>,
@@ -71,7 +71,7 @@
             outcomes: 0,
             drawn: BTreeSet::new(),
             records: Vec::new(),
-            dropped: Numbers::default(),
+            dropped: RangeSet::default(),
             transfers: Vec::new(),
         }
     }
--- a/crates/ledger/src/number.rs
+++ b/crates/ledger/src/number.rs
@@ -5,9 +5,9 @@
 /// Numbers of records that a journal no longer holds, as sorted inclusive ranges.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Numbers(Vec<(u64, u64)>);
+pub struct RangeSet(Vec<(u64, u64)>);
 
-impl Numbers {
+impl RangeSet {
     /// Whether `n` is in the set.
     pub fn contains(&self, n: u64) -> bool {
         let at = self.0.partition_point(|range| range.1 < n);
@@ -50,7 +50,7 @@
     proptest! {
         #[test]
         fn holds_what_a_plain_set_holds(numbers in prop::collection::vec(0u64..60, 0..80)) {
-            let mut set = Numbers::default();
+            let mut set = RangeSet::default();
             let mut model = BTreeSet::new();
             for n in numbers {
                 set.insert(n);
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -31,7 +31,7 @@
 
 /// What a keeper hears newly of a box.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct News {
+pub struct Delta {
     /// Tokens used.
     pub used: u64,
     /// Tokens given back.
@@ -42,13 +42,13 @@
 
 impl Share {
     /// Tokens that are neither used nor given back.
-    pub fn rest(&self) -> u64 {
+    pub fn outstanding(&self) -> u64 {
         self.given.saturating_sub(self.used + self.returned)
     }
 
     /// Marks up to `tokens` as used; returns how many were.
     pub fn spend(&mut self, tokens: u64) -> u64 {
-        let spent = tokens.min(self.rest());
+        let spent = tokens.min(self.outstanding());
         self.used += spent;
         spent
     }
@@ -56,13 +56,13 @@
     /// The keeper hears the totals of the box; returns what is new.
     ///
     /// Totals that do not fit what was given are no word of this pair and change nothing.
-    pub fn hear(&mut self, told: Share) -> Option<News> {
+    pub fn receive_report(&mut self, told: Share) -> Option<Delta> {
         let (used, returned) = (told.used.max(self.used), told.returned.max(self.returned));
         if used.checked_add(returned)? > self.given {
             return None;
         }
         let requests = told.requests.max(self.requests);
-        let news = News {
+        let news = Delta {
             used: used - self.used,
             returned: returned - self.returned,
             requests: requests - self.requests,
@@ -81,7 +81,7 @@
 
 /// What a box tells its keeper of one customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Demand {
     /// Customer whose budget it is.
     pub customer: Arc<str>,
     /// Totals as the box knows them.
@@ -96,7 +96,7 @@
 
 /// What a keeper answers of one customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Given {
+pub struct Supply {
     /// Customer whose budget it is.
     pub customer: Arc<str>,
     /// Total of what was passed on.
--- a/crates/ledger/src/sizing.rs
+++ b/crates/ledger/src/sizing.rs
@@ -42,7 +42,7 @@
     /// Boxes that may hold a part.
     pub boxes: u64,
     /// Part of what is paid, in thousandths, below which the share shrinks with what is unspent.
-    pub plenty: u64,
+    pub scarcity_permille: u64,
 }
 
 /// Share that the fleet holds once an outage was seen, in thousandths: nearly all, since seconds of use bound
@@ -59,7 +59,7 @@
     pub fn after_outage(self) -> Policy {
         Policy {
             offline_share: self.offline_share.max(SHARE_AFTER_OUTAGE),
-            plenty: self.plenty.min(PLENTY_AFTER_OUTAGE),
+            scarcity_permille: self.scarcity_permille.min(PLENTY_AFTER_OUTAGE),
             ..self
         }
     }
@@ -67,7 +67,7 @@
     /// The policy of a box that draws only what its requests wait for, while the keeper of its zone holds
     /// what an outage takes. With a part for each box that stood in for one during an outage, eight boxes
     /// shared what three of them held after it, and two thirds of it were nobody's.
-    pub fn stand_in(self) -> Policy {
+    pub fn on_demand(self) -> Policy {
         Policy { offline_share: 0, ..self }
     }
 
@@ -78,7 +78,7 @@
     /// dies with them. Over 54 days with outages and mostly a loss of all boxes at once, refusals
     /// fell from 11.6% to 11.5% of what was owed and worth grew by 0.006 (standard error 0.003),
     /// against the whole horizon at once.
-    pub fn in_touch_for(self, seconds: u64) -> Policy {
+    pub fn reachable_for(self, seconds: u64) -> Policy {
         Policy { offline_horizon: self.offline_horizon.min(seconds + LEAST_HORIZON_S), ..self }
     }
 }
@@ -130,7 +130,7 @@
                 online_horizon: 10,
                 offline_horizon: 7_200,
                 boxes,
-                plenty: 0,
+                scarcity_permille: 0,
             };
             let observed =
                 Observed { rate: 1_000_000, largest: 5_000, peak: 5_000, unspent: 1_000_000 };
@@ -146,7 +146,7 @@
             online_horizon: 10,
             offline_horizon: 7_200,
             boxes: 8,
-            plenty: 0,
+            scarcity_permille: 0,
         };
         let observed = Observed { rate: 100, largest: 500, peak: 500, unspent: 800 };
         assert_eq!(target(policy, observed).online, 50);
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -7,7 +7,7 @@
 const PAID: u64 = 100_000_000;
 const LARGEST: u64 = 20_000;
 const POLICY: Policy =
-    Policy { offline_share: 400, online_horizon: 0, offline_horizon: 10, boxes: 1, plenty: 500 };
+    Policy { offline_share: 400, online_horizon: 0, offline_horizon: 10, boxes: 1, scarcity_permille: 500 };
 
 fn settle(book: &mut Book, name: usize, write: u64) -> Granted {
     let item = Item {
@@ -120,7 +120,7 @@
         let mut held = 0;
         for write in 1..=3 {
             for name in (0..stand_ins).map(|n| format!("other-{n}")) {
-                let granted = uses(&mut book, &name, write, rate, POLICY.stand_in());
+                let granted = uses(&mut book, &name, write, rate, POLICY.on_demand());
                 assert_eq!(granted.target, 0, "it holds nothing ahead");
             }
             let names = ["box-0", "box-1", "box-2"];
--- a/crates/ledger/tests/exhaustive.rs
+++ b/crates/ledger/tests/exhaustive.rs
@@ -178,14 +178,14 @@
         let marked = mine.is_some_and(|grant| grant.write >= write);
         let settled = objects::settle(expect, self.ledger.version, marked);
         match settled {
-            objects::Settled::Lost if broken != Broken::Blind => {
+            objects::Resolution::Lost if broken != Broken::Blind => {
                 found.extend(self.send_draw(write));
             }
-            objects::Settled::Open if broken != Broken::Blind => {}
+            objects::Resolution::Open if broken != Broken::Blind => {}
             _ => {
                 let mut world = self.clone();
-                world.account.give(Part::Online, GRANT - 1);
-                world.account.give(Part::Offline, 1);
+                world.account.add(Part::Online, GRANT - 1);
+                world.account.add(Part::Offline, 1);
                 world.stage = Stage::Drawn;
                 found.push(world);
             }
--- a/crates/ledger/tests/share.rs
+++ b/crates/ledger/tests/share.rs
@@ -47,20 +47,20 @@
                     to_keeper.push(holder);
                 }
                 Step::Return(tokens) => {
-                    let returned = tokens.min(holder.rest());
+                    let returned = tokens.min(holder.outstanding());
                     holder.returned += returned;
                     here -= returned;
                     to_keeper.push(holder);
                 }
                 Step::ToBox(which) => here += holder.receive(to_box[which % to_box.len()]),
                 Step::ToKeeper(which) => {
-                    let news = keeper.hear(to_keeper[which % to_keeper.len()]);
+                    let news = keeper.receive_report(to_keeper[which % to_keeper.len()]);
                     back += news.expect("a word of this pair fits").returned;
                 }
             }
-            prop_assert_eq!(here, holder.rest());
+            prop_assert_eq!(here, holder.outstanding());
             prop_assert!(used + here + back <= keeper.given);
-            prop_assert!(used + here <= keeper.used + keeper.rest());
+            prop_assert!(used + here <= keeper.used + keeper.outstanding());
         }
     }
 }
@@ -74,7 +74,7 @@
         Share { used: 60, returned: 41, ..Share::default() },
         Share { used: u64::MAX, returned: 1, ..Share::default() },
     ] {
-        assert_eq!(keeper.hear(told), None, "{told:?}");
+        assert_eq!(keeper.receive_report(told), None, "{told:?}");
         assert_eq!(keeper, before);
     }
 }
--- a/crates/member/src/members.rs
+++ b/crates/member/src/members.rs
@@ -47,7 +47,7 @@
 
 impl Members {
     /// A member object was read, newly or again.
-    pub fn saw(&mut self, member: Member, now: u64) {
+    pub fn observe(&mut self, member: Member, now: u64) {
         let known = self.known.get_mut(&member.incarnation);
         match known {
             Some(seen) if seen.member == member => {}
@@ -57,14 +57,14 @@
     }
 
     /// An incarnation was heard of in another way, such as by a peer's frame.
-    pub fn heard(&mut self, incarnation: &Incarnation, now: u64) {
+    pub fn touch(&mut self, incarnation: &Incarnation, now: u64) {
         if let Some(seen) = self.known.get_mut(incarnation) {
             seen.at = now;
         }
     }
 
     /// A member object was deleted.
-    pub fn removed(&mut self, incarnation: &Incarnation) {
+    pub fn remove(&mut self, incarnation: &Incarnation) {
         self.known.remove(incarnation);
     }
 
@@ -72,7 +72,7 @@
     ///
     /// The paper has the same rule: a replica that could not reach the store takes nobody for
     /// gone, and the absence of others counts again from when its own lease is current.
-    pub fn restart_counting(&mut self, now: u64) {
+    pub fn reset_silence(&mut self, now: u64) {
         for seen in self.known.values_mut() {
             seen.at = now;
         }
--- a/crates/member/tests/members.rs
+++ b/crates/member/tests/members.rs
@@ -19,13 +19,13 @@
 #[test]
 fn after_own_absence_silence_counts_anew() {
     let (mut members, me) = (Members::default(), Incarnation::from("a.1"));
-    members.saw(member("a.1", 1), 0);
-    members.saw(member("b.1", 1), 0);
-    members.saw(member("b.1", 1), 900);
+    members.observe(member("a.1", 1), 0);
+    members.observe(member("b.1", 1), 0);
+    members.observe(member("b.1", 1), 900);
     assert_eq!(members.silent(&me, 1_000, 1_000), [Incarnation::from("b.1")]);
-    members.restart_counting(1_000);
+    members.reset_silence(1_000);
     assert!(members.silent(&me, 1_500, 1_000).is_empty());
-    members.saw(member("b.1", 2), 1_900);
+    members.observe(member("b.1", 2), 1_900);
     assert!(members.silent(&me, 2_500, 1_000).is_empty());
 }
 
@@ -35,7 +35,7 @@
         let mut members = Members::default();
         let names: Vec<String> = (0..count).map(|i| format!("b{i}.1")).collect();
         for name in &names {
-            members.saw(member(name, 1), 0);
+            members.observe(member(name, 1), 0);
         }
         let mut ranks: Vec<usize> = names
             .iter()
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -7,11 +7,11 @@
 
 mod call;
 mod object;
-mod settle;
+mod resolve;
 
 pub use call::{Calls, Count, Counts, Operation};
 pub use object::{Change, Expect, Host, Object, Watch, Write};
-pub use settle::{Settled, settle};
+pub use resolve::{Resolution, resolve};
 
 use snafu::Snafu;
 
--- a/crates/objects/src/settle.rs
+++ b/crates/objects/src/settle.rs
@@ -5,7 +5,7 @@
 
 /// What reading back says about an earlier write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Settled {
+pub enum Resolution {
     /// The write took effect.
     Landed,
     /// It did not, and no longer can.
@@ -16,11 +16,11 @@
 
 /// Resolves a write that expected `expected` (0: absent) from the version read back and whether
 /// the object carries the writer's mark.
-pub fn settle(expected: u64, read: u64, marked: bool) -> Settled {
+pub fn resolve(expected: u64, read: u64, marked: bool) -> Resolution {
     match (marked, read == expected) {
-        (true, _) => Settled::Landed,
-        (false, true) => Settled::Open,
-        (false, false) => Settled::Lost,
+        (true, _) => Resolution::Landed,
+        (false, true) => Resolution::Open,
+        (false, false) => Resolution::Lost,
     }
 }
 
@@ -31,13 +31,13 @@
     #[test]
     fn only_an_unmoved_version_leaves_the_write_open() {
         let cases = [
-            (4, 5, true, Settled::Landed),
-            (4, 4, false, Settled::Open),
-            (4, 6, false, Settled::Lost),
-            (0, 0, false, Settled::Open),
+            (4, 5, true, Resolution::Landed),
+            (4, 4, false, Resolution::Open),
+            (4, 6, false, Resolution::Lost),
+            (0, 0, false, Resolution::Open),
         ];
         for (expected, read, marked, want) in cases {
-            assert_eq!(settle(expected, read, marked), want);
+            assert_eq!(resolve(expected, read, marked), want);
         }
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -14,9 +14,9 @@
 
 mod answered;
 mod fingerprint;
-mod record;
+mod registry;
 mod report;
 
 pub use fingerprint::Fingerprint;
-pub use record::{Limits, Record, Verdict};
+pub use registry::{Limits, Registry, Verdict};
 pub use report::{CRASHES, Finding, Report};
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -31,12 +31,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be run.
-    Free,
+    Allowed,
     /// It may be run, although `ended` endpoints crashed with it.
     Suspect { ended: usize },
     /// It depends on possible crashes that are not confirmed yet, in addition to `ended` confirmed
     /// ones.
-    Unproved { ended: usize },
+    Unconfirmed { ended: usize },
     /// It must not be run for `for_s` seconds.
     Quarantined { for_s: u64 },
 }
@@ -50,7 +50,7 @@
 
 /// All crash reports that a box knows.
 #[derive(Debug)]
-pub struct Record {
+pub struct Registry {
     limits: Limits,
     reports: HashMap<Arc<str>, Known>,
     /// Names of the reports that name a request.
@@ -59,10 +59,10 @@
     arrivals: u64,
 }
 
-impl Record {
-    pub fn new(limits: Limits) -> Record {
+impl Registry {
+    pub fn new(limits: Limits) -> Registry {
         let (reports, about, answered) = Default::default();
-        Record { limits, reports, about, answered, arrivals: 0 }
+        Registry { limits, reports, about, answered, arrivals: 0 }
     }
 
     /// Adds a report, with its version if it comes from the store. Returns the requests in it that
@@ -145,14 +145,14 @@
                 let last = seconds[proved - self.limits.ended];
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
-            _ if proved + open.len() >= self.limits.ended => Verdict::Unproved { ended: proved },
-            0 => Verdict::Free,
+            _ if proved + open.len() >= self.limits.ended => Verdict::Unconfirmed { ended: proved },
+            0 => Verdict::Allowed,
             _ => Verdict::Suspect { ended: proved },
         }
     }
 
     /// Whether a report is known and not expired.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.reports.contains_key(name)
     }
 
@@ -199,8 +199,8 @@
         if self.reports.len() <= MOST_REPORTS {
             return;
         }
-        let holds = |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
-        let rank = |known: &Known| (holds(known), known.order);
+        let contains = |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
+        let rank = |known: &Known| (contains(known), known.order);
         let ranked = self.reports.iter().map(|(name, known)| (rank(known), name.clone()));
         let mut ranked: Vec<((bool, _), Arc<str>)> = ranked.collect();
         ranked.sort();
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use quarantine::{Finding, Fingerprint, Limits, Record, Report, Verdict};
+use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -87,7 +87,7 @@
 
 struct Fleet {
     random: ChaCha8Rng,
-    record: Record,
+    record: Registry,
     answers_count: bool,
     /// How unconfirmed crashes count; `None` if crashes are confirmed at once.
     way: Option<Way>,
@@ -127,7 +127,7 @@
         let open = self.open.iter().filter(|open| open.requests.contains(&request));
         let lives: Vec<Arc<str>> = open.map(|open| open.life.clone()).collect();
         let verdict = self.record.verdict(&request, &lives, now / 1_000);
-        let is_open = matches!(verdict, Verdict::Unproved { .. });
+        let is_open = matches!(verdict, Verdict::Unconfirmed { .. });
         if is_open && matches!(self.way, Some(Way::Waits | Way::Refused)) {
             self.count.delayed += u64::from(!matches!(who, Who::Guilty(_)));
             let pause = if self.way == Some(Way::Waits) { STEP } else { 10 * PROOF };
@@ -250,7 +250,7 @@
     for seed in 0..SEEDS {
         let mut fleet = Fleet {
             random: ChaCha8Rng::seed_from_u64(seed),
-            record: Record::new(Limits { ended, keep_s: 86_400 }),
+            record: Registry::new(Limits { ended, keep_s: 86_400 }),
             answers_count,
             way,
             open: Vec::new(),
--- a/crates/quarantine/tests/record.rs
+++ b/crates/quarantine/tests/record.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use quarantine::{Finding, Fingerprint, Limits, Record, Report, Verdict};
+use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
 
 const LIMITS: Limits = Limits { ended: 3, keep_s: 100 };
 const NOW: u64 = 1_000;
@@ -22,8 +22,8 @@
 }
 
 /// Takes these reports in this order, each with the next store version.
-fn record(reports: &[Report]) -> Record {
-    let mut record = Record::new(LIMITS);
+fn record(reports: &[Report]) -> Registry {
+    let mut record = Registry::new(LIMITS);
     for (n, report) in reports.iter().enumerate() {
         record.take(&format!("r-{n}").into(), Some(n as u64 + 1), report.clone(), NOW, 0);
     }
@@ -32,9 +32,9 @@
 
 #[test]
 fn what_reports_mean() {
-    use Verdict::{Free, Quarantined, Suspect};
+    use Verdict::{Allowed, Quarantined, Suspect};
     let cases: [(&str, Vec<Report>, Verdict); 7] = [
-        ("no reports", vec![], Free),
+        ("no reports", vec![], Allowed),
         ("two endpoints", vec![ended("a", &[1]), ended("b", &[1])], Suspect { ended: 2 }),
         (
             "three endpoints",
@@ -46,11 +46,11 @@
             vec![ended("a", &[1]), ended("a", &[1]), ended("a", &[1])],
             Suspect { ended: 1 },
         ),
-        ("other requests", vec![ended("a", &[2]), ended("b", &[2]), ended("c", &[2])], Free),
+        ("other requests", vec![ended("a", &[2]), ended("b", &[2]), ended("c", &[2])], Allowed),
         (
             "crashes, then a complete answer",
             vec![ended("a", &[1]), ended("b", &[1]), ended("c", &[1]), answered(&[1])],
-            Free,
+            Allowed,
         ),
         (
             "a complete answer, then crashes",
@@ -71,9 +71,9 @@
         record(&reports).verdict(&request(1), &lives, NOW)
     };
     let (suspect, unproved) =
-        (|ended| Verdict::Suspect { ended }, |ended| Verdict::Unproved { ended });
+        (|ended| Verdict::Suspect { ended }, |ended| Verdict::Unconfirmed { ended });
     let cases: [(&[&str], &[&str], Verdict); 7] = [
-        (&[], &["a", "b"], Verdict::Free),
+        (&[], &["a", "b"], Verdict::Allowed),
         (&[], &["a", "b", "c", "d"], unproved(0)),
         (&["a"], &["b"], suspect(1)),
         (&["a"], &["b", "c"], unproved(1)),
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_quarantine_ends_with_the_oldest_end_that_it_needs() {
-    let mut record = Record::new(LIMITS);
+    let mut record = Registry::new(LIMITS);
     for (n, at_s) in [1_000, 1_010, 1_020, 1_030].into_iter().enumerate() {
         let report = Report { at_s, ..ended(&format!("i-{n}"), &[1]) };
         record.take(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
@@ -97,22 +97,22 @@
     assert_eq!(record.verdict(&request(1), &[], 1_110), Verdict::Suspect { ended: 2 });
     record.expire(1_200);
     assert!(record.is_empty());
-    assert_eq!(record.verdict(&request(1), &[], 1_200), Verdict::Free);
+    assert_eq!(record.verdict(&request(1), &[], 1_200), Verdict::Allowed);
 }
 
 /// Many callers send the same request all the time while many engines crash at once.
 #[test]
 fn a_request_that_is_answered_all_the_time_is_cleared_at_once() {
-    let mut record = Record::new(LIMITS);
+    let mut record = Registry::new(LIMITS);
     assert!(!record.answered(&request(1), 5_000), "no report names it");
-    let take = |record: &mut Record, n: usize, now_ms| {
+    let take = |record: &mut Registry, n: usize, now_ms| {
         let report = ended(&format!("i-{n}"), &[1, 2]);
         record.take(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
     assert_eq!(take(&mut record, 1, 6_000), []);
     assert_eq!(take(&mut record, 2, 6_001), [request(1)], "one crash before the quarantine");
     assert_eq!(take(&mut record, 3, 6_002), [], "an answer clears it once");
-    let mut late = Record::new(LIMITS);
+    let mut late = Registry::new(LIMITS);
     late.answered(&request(1), 5_000);
     (1..3).for_each(|n| drop(take(&mut late, n, 5_000)));
     assert_eq!(take(&mut late, 3, 65_001), [], "the answer is too old");
@@ -130,11 +130,11 @@
     assert_eq!(record.quarantined(), 1);
     assert_eq!(record.verdict(&request(1), &[], NOW), Verdict::Quarantined { for_s: 100 });
     let many: Vec<u32> = (0..10_000).collect();
-    let mut wide = Record::new(LIMITS);
+    let mut wide = Registry::new(LIMITS);
     wide.take(&"r".into(), None, ended("a", &many), NOW, 0);
     assert_eq!(
         wide.verdict(&request(9_999), &[], NOW),
-        Verdict::Free,
+        Verdict::Allowed,
         "beyond the limit of one report"
     );
 }
@@ -172,7 +172,7 @@
             })
             .collect();
         let plain = record(&reports);
-        let mut other = Record::new(LIMITS);
+        let mut other = Registry::new(LIMITS);
         let at_last = (0..reports.len()).map(|n| (n, true));
         let heard = order.iter().map(|(n, stored)| (n.index(reports.len()), *stored));
         for (n, stored) in heard.chain(at_last) {
@@ -180,7 +180,7 @@
             other.take(&format!("r-{n}").into(), version, reports[n].clone(), NOW, 0);
         }
         for asked in 0..4 {
-            let verdict = |record: &Record| record.verdict(&request(asked), &[], NOW);
+            let verdict = |record: &Registry| record.verdict(&request(asked), &[], NOW);
             prop_assert_eq!(verdict(&plain), verdict(&other));
         }
     }
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -4,7 +4,7 @@
 
 use ledger::Incarnation;
 use objects::{Expect, Store};
-use wire::{Answer, Frame, Message, Question, Told, Value};
+use wire::{Answer, Frame, Message, Question, Status, Value};
 
 use crate::{follow::put_in_force, shared::Shared};
 
@@ -18,15 +18,15 @@
 const TURN_MOST: Duration = Duration::from_millis(2_400);
 
 /// Answers the questions of other boxes.
-pub struct Desk(pub Arc<Shared>);
+pub struct PeerService(pub Arc<Shared>);
 
 #[async_trait::async_trait]
-impl Answer for Desk {
+impl Answer for PeerService {
     async fn answer(&self, question: Message) -> Message {
         let shared = &self.0;
         shared.log.observe(question.stamp);
         let now = shared.now();
-        shared.members.lock().heard(&question.from, now);
+        shared.members.lock().touch(&question.from, now);
         let frame = answer(shared, question).await;
         Message { from: shared.me(), stamp: shared.log.stamp(), frame }
     }
@@ -34,11 +34,11 @@
 
 async fn answer(shared: &Arc<Shared>, question: Message) -> Frame {
     match question.frame {
-        Frame::Tell(told) => {
+        Frame::Status(told) => {
             let reply = told_by(shared);
             shared.peers.note(&question.from, Some(told.clone()));
             take(shared, &question.from, told);
-            Frame::Tell(reply)
+            Frame::Status(reply)
         }
         Frame::Carry { by, entries } => {
             let taken = entries.into_iter().filter(|e| shared.carried.take(by.clone(), e.clone()));
@@ -63,9 +63,9 @@
             shared.places.note(customer, key, place);
             Frame::Done
         }
-        Frame::Where { customer, key } => {
+        Frame::Locate { customer, key } => {
             let now = shared.now();
-            Frame::There(shared.places.find(&customer, &key, &question.from, now))
+            Frame::Location(shared.places.find(&customer, &key, &question.from, now))
         }
         Frame::Taken { .. }
         | Frame::Objects { .. }
@@ -73,7 +73,7 @@
         | Frame::Written(_)
         | Frame::Spared { .. }
         | Frame::Lent { .. }
-        | Frame::There(_)
+        | Frame::Location(_)
         | Frame::Done
         | Frame::Promised { .. }
         | Frame::Sealed { .. }
@@ -81,7 +81,7 @@
         // A hint; boxes of this kind tell what they have under way regularly.
         Frame::Prompt(_) => Frame::Done,
         // The engines of this interface name no limits, and say in their reports whether they leave.
-        Frame::Turn(_) | Frame::Turned(_) | Frame::Limit { .. } | Frame::Departure { .. } => {
+        Frame::PermitRequest(_) | Frame::PermitReply(_) | Frame::Limit { .. } | Frame::Departure { .. } => {
             Frame::Refused { reason: "endpoints of this interface report to each box".into() }
         }
         Frame::Draw(_) | Frame::Drawn(_) | Frame::Bills { .. } | Frame::HandOver { .. } => {
@@ -89,7 +89,7 @@
                 reason: "boxes of this interface write their ledgers themselves".into(),
             }
         }
-        Frame::Listen(_) | Frame::News(_) | Frame::Crash { .. } | Frame::Greet { .. } => {
+        Frame::Subscribe(_) | Frame::Update(_) | Frame::Crash { .. } | Frame::Greet { .. } => {
             Frame::Refused {
                 reason: "boxes of this interface follow the platform themselves".into(),
             }
@@ -138,9 +138,9 @@
     }
 }
 
-fn told_by(shared: &Shared) -> Told {
+fn told_by(shared: &Shared) -> Status {
     let snapshot = shared.config.borrow().clone();
-    Told {
+    Status {
         in_flight: shared.endpoints.snapshot(),
         newest: snapshot.newest(),
         versions: snapshot.sum(),
@@ -149,7 +149,7 @@
 }
 
 /// Takes over what a peer told; true if its configuration is worth asking for.
-fn take(shared: &Shared, from: &Incarnation, told: Told) -> bool {
+fn take(shared: &Shared, from: &Incarnation, told: Status) -> bool {
     let now = shared.now();
     let name: Arc<str> = from.box_name().into();
     shared.endpoints.peer(&name, &told.in_flight, now);
@@ -188,9 +188,9 @@
     }
 }
 
-async fn learn(shared: &Arc<Shared>, name: &Incarnation, told: Told) {
+async fn learn(shared: &Arc<Shared>, name: &Incarnation, told: Status) {
     let now = shared.now();
-    shared.members.lock().heard(name, now);
+    shared.members.lock().touch(name, now);
     if take(shared, name, told)
         && let Some(Frame::Objects { objects }) = shared.peers.ask_one(name, Frame::Accepted).await
     {
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -6,7 +6,7 @@
 use ledger::{Part, Record};
 use session::{Denied, Hold};
 use timeline::What;
-use wire::There;
+use wire::Location;
 
 use crate::{
     answer::Answer,
@@ -66,10 +66,10 @@
     }
     loop {
         match shared.find_place(&call.caller.customer, &call.key).await {
-            There::Nowhere => return None,
-            There::Place(place) => return relay::attach(shared, call, driver, &place).await,
-            There::Soon if call.left() < WAIT_SOON => return None,
-            There::Soon => tokio::time::sleep(WAIT_SOON).await,
+            Location::Nowhere => return None,
+            Location::Place(place) => return relay::attach(shared, call, driver, &place).await,
+            Location::Soon if call.left() < WAIT_SOON => return None,
+            Location::Soon => tokio::time::sleep(WAIT_SOON).await,
         }
     }
 }
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -152,7 +152,7 @@
     pub fn capacity(&self, pool: &str, now: u64) -> Capacity {
         let state = self.state.lock();
         let endpoints = state.pools.get(pool).map_or(&[][..], |pool| pool.endpoints());
-        let usable = endpoints.iter().filter(|e| !e.wants_nothing(now) && !e.is_ejected(now));
+        let usable = endpoints.iter().filter(|e| !e.refuses_requests(now) && !e.is_ejected(now));
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -42,7 +42,7 @@
                 tokio::time::sleep(AGAIN + shared.jitter(AGAIN)).await;
                 // Others' silence means nothing while this box could not hear them.
                 let now = shared.now();
-                shared.members.lock().restart_counting(now);
+                shared.members.lock().reset_silence(now);
             }
         }
     }
@@ -135,7 +135,7 @@
             Err(_) => {
                 // Others' silence means nothing while this box could not hear them.
                 let now = shared.now();
-                shared.members.lock().restart_counting(now);
+                shared.members.lock().reset_silence(now);
             }
         }
         let least = Duration::from_millis(shared.boxes() * 1_000 / LISTS_PER_S);
@@ -150,13 +150,13 @@
     let mut members = shared.members.lock();
     match value.map(serde_json::from_str::<Member>) {
         Some(Ok(member)) => {
-            shared.peers.saw(&member);
-            members.saw(member, now);
+            shared.peers.observe(&member);
+            members.observe(member, now);
         }
         Some(Err(_)) => {}
         None => {
-            shared.peers.removed(&incarnation);
-            members.removed(&incarnation);
+            shared.peers.remove(&incarnation);
+            members.remove(&incarnation);
         }
     }
 }
--- a/crates/router/src/lanes.rs
+++ b/crates/router/src/lanes.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use admit::{Gate, Limits, Reached, Ticket, Verdict};
+use admit::{Queue, Limits, Exceeded, Request, Verdict};
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
@@ -16,7 +16,7 @@
 
 #[derive(Default)]
 struct State {
-    gates: HashMap<Arc<str>, Gate>,
+    queues: HashMap<Arc<str>, Queue>,
     waiters: HashMap<u64, oneshot::Sender<()>>,
     limits: Limits,
 }
@@ -37,7 +37,7 @@
             let mut capacity = endpoints.capacity(pool, now);
             // What was started here a moment ago is not dispatched yet.
             capacity.load += ahead;
-            let next = state.gates.get_mut(pool).and_then(|gate| gate.next(capacity, now));
+            let next = state.queues.get_mut(pool).and_then(|queue| queue.next(capacity, now));
             let Some(id) = next else { return };
             ahead += 1.0;
             if let Some(waiter) = state.waiters.remove(&id) {
@@ -47,7 +47,7 @@
     }
 
     /// Counts a call against the limits of its customer and its route.
-    pub fn count(&self, call: &Call) -> Result<(), Reached> {
+    pub fn count(&self, call: &Call) -> Result<(), Exceeded> {
         let (customer, route) = (&call.caller.customer, &call.route_name);
         self.state
             .lock()
@@ -68,7 +68,7 @@
         now: u64,
     ) -> (u64, Verdict, oneshot::Receiver<()>) {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let ticket = Ticket {
+        let request = Request {
             id,
             class: call.class(),
             customer: call.caller.customer.clone(),
@@ -78,8 +78,8 @@
         let capacity = endpoints.capacity(&call.route.pool, now);
         let (sender, receiver) = oneshot::channel();
         let mut state = self.state.lock();
-        let gate = state.gates.entry(call.route.pool.clone()).or_default();
-        let verdict = gate.offer(ticket, capacity, now);
+        let queue = state.queues.entry(call.route.pool.clone()).or_default();
+        let verdict = queue.offer(request, capacity, now);
         if verdict == Verdict::Wait {
             state.waiters.insert(id, sender);
         }
@@ -90,8 +90,8 @@
     pub fn give_up(&self, pool: &Arc<str>, id: u64) {
         let mut state = self.state.lock();
         state.waiters.remove(&id);
-        if let Some(gate) = state.gates.get_mut(pool) {
-            gate.remove(id);
+        if let Some(queue) = state.queues.get_mut(pool) {
+            queue.remove(id);
         }
     }
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -13,7 +13,7 @@
 use rand::{SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
 use timeline::{Log, What};
-use wire::{Frame, Message, Peer, Told};
+use wire::{Frame, Message, Peer, Status};
 
 /// Longest wait for an answer.
 const WITHIN: Duration = Duration::from_millis(250);
@@ -32,7 +32,7 @@
     zone: Arc<str>,
     failures: u32,
     up: bool,
-    told: Option<Told>,
+    told: Option<Status>,
 }
 
 struct State {
@@ -64,7 +64,7 @@
     }
 
     /// A member object was read.
-    pub fn saw(&self, member: &Member) {
+    pub fn observe(&self, member: &Member) {
         let Ok(address) = member.peer.parse::<SocketAddr>() else { return };
         let own_box = member.incarnation.box_name() == self.me.lock().box_name();
         let mut state = self.state.lock();
@@ -80,10 +80,10 @@
     }
 
     /// Exchanges with an address given in the settings, whoever answers there.
-    pub async fn seed(&self, address: SocketAddr, told: Told) -> Option<(Incarnation, Told)> {
+    pub async fn seed(&self, address: SocketAddr, told: Status) -> Option<(Incarnation, Status)> {
         let peer = Peer::new(address, self.source);
-        let answer = peer.ask(&self.message(Frame::Tell(told)), WITHIN).await.ok()?;
-        let Frame::Tell(told) = answer.frame else { return None };
+        let answer = peer.ask(&self.message(Frame::Status(told)), WITHIN).await.ok()?;
+        let Frame::Status(told) = answer.frame else { return None };
         let known = Known {
             peer,
             zone: self.zone.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// A member object was removed.
-    pub fn removed(&self, incarnation: &Incarnation) {
+    pub fn remove(&self, incarnation: &Incarnation) {
         self.state.lock().known.remove(incarnation);
     }
 
@@ -148,10 +148,10 @@
     }
 
     /// Exchanges what both sides know; `None` if the peer is out of reach.
-    pub async fn tell(&self, name: &Incarnation, told: Told) -> Option<Told> {
-        let answer = self.ask_one(name, Frame::Tell(told)).await;
+    pub async fn tell(&self, name: &Incarnation, told: Status) -> Option<Status> {
+        let answer = self.ask_one(name, Frame::Status(told)).await;
         let told = match answer {
-            Some(Frame::Tell(told)) => Some(told),
+            Some(Frame::Status(told)) => Some(told),
             _ => None,
         };
         self.note(name, told.clone());
@@ -159,7 +159,7 @@
     }
 
     /// A peer told something, or did not answer.
-    pub fn note(&self, name: &Incarnation, told: Option<Told>) {
+    pub fn note(&self, name: &Incarnation, told: Option<Status>) {
         let mut state = self.state.lock();
         let Some(known) = state.known.get_mut(name) else { return };
         let was = known.up;
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -10,7 +10,7 @@
 
 use ledger::Incarnation;
 use parking_lot::Mutex;
-use wire::{Place, There};
+use wire::{Place, Location};
 
 /// Requests remembered.
 const MOST: usize = 100_000;
@@ -45,18 +45,18 @@
     }
 
     /// Where a request is or was run; if nowhere, `by` is remembered as about to run it.
-    pub fn find(&self, customer: &Arc<str>, key: &Arc<str>, by: &Incarnation, now: u64) -> There {
+    pub fn find(&self, customer: &Arc<str>, key: &Arc<str>, by: &Incarnation, now: u64) -> Location {
         let mut state = self.0.lock();
         let id = (customer.clone(), key.clone());
         match state.places.get(&id) {
-            Some(Known::At(place)) => return There::Place(place.clone()),
+            Some(Known::At(place)) => return Location::Place(place.clone()),
             Some(Known::Soon { by: other, at }) if other != by && at + SOON_MS > now => {
-                return There::Soon;
+                return Location::Soon;
             }
             Some(Known::Soon { .. }) | None => {}
         }
         state.put(id, Known::Soon { by: by.clone(), at: now });
-        There::Nowhere
+        Location::Nowhere
     }
 }
 
@@ -81,12 +81,12 @@
         let places = Places::default();
         let (a, b) = (Incarnation::from("a.1"), Incarnation::from("b.1"));
         let find = |by, now| places.find(&"c".into(), &"k".into(), by, now);
-        assert_eq!(find(&a, 0), There::Nowhere);
-        assert_eq!(find(&b, 10), There::Soon);
-        assert_eq!(find(&a, 20), There::Nowhere);
-        assert_eq!(find(&b, 20 + SOON_MS), There::Nowhere, "the first one never told");
+        assert_eq!(find(&a, 0), Location::Nowhere);
+        assert_eq!(find(&b, 10), Location::Soon);
+        assert_eq!(find(&a, 20), Location::Nowhere);
+        assert_eq!(find(&b, 20 + SOON_MS), Location::Nowhere, "the first one never told");
         let place = Place { by: b.clone(), endpoint: "e".into(), dispatch: "d".into() };
         places.note("c".into(), "k".into(), place.clone());
-        assert_eq!(find(&a, 30), There::Place(place));
+        assert_eq!(find(&a, 30), Location::Place(place));
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -291,7 +291,7 @@
         claim::Answer {
             status: 200,
             content_type: "application/json".into(),
-            body: text.filter(|text| text.len() <= claim::MAX_ANSWER).map(Into::into),
+            body: text.filter(|text| text.len() <= claim::MAX_ANSWER_BYTES).map(Into::into),
         }
     }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -10,7 +10,7 @@
 use tokio::{net::TcpSocket, task::JoinHandle};
 
 use crate::{
-    answers::{self, Desk},
+    answers::{self, PeerService},
     api::{Callers, Operators},
     follow, keeper, reports, sealer,
     settings::Settings,
@@ -190,7 +190,7 @@
 async fn bind_peers(shared: &Arc<Shared>) -> Result<Option<wire::Server>, Error> {
     let listen = &shared.settings.listen;
     let Some(address) = listen.peers else { return Ok(None) };
-    let server = wire::Server::bind(address, Arc::new(Desk(shared.clone()))).await;
+    let server = wire::Server::bind(address, Arc::new(PeerService(shared.clone()))).await;
     let server = server.context(PeersSnafu { address })?;
     let advertised = listen.advertise.unwrap_or_else(|| server.address());
     *shared.advertised.lock() = advertised.to_string().into();
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -20,7 +20,7 @@
 };
 
 /// Largest answer of a plain service, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Headers that belong to one connection, or that the router sets itself.
 const OWN: [&str; 14] = [
@@ -108,7 +108,7 @@
     let mut body = Vec::new();
     let reading = async {
         while let Some(chunk) = response.chunk().await.map_err(|_| Unknown::Broken)? {
-            if body.len() + chunk.len() > MAX_ANSWER {
+            if body.len() + chunk.len() > MAX_ANSWER_BYTES {
                 return Err(Unknown::Broken);
             }
             body.extend_from_slice(&chunk);
@@ -125,7 +125,7 @@
     claim::Answer {
         status: answer.status,
         content_type: content_type.unwrap_or("application/octet-stream").into(),
-        body: text.filter(|text| text.len() <= claim::MAX_ANSWER).map(Into::into),
+        body: text.filter(|text| text.len() <= claim::MAX_ANSWER_BYTES).map(Into::into),
     }
 }
 
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -17,7 +17,7 @@
 use timeline::Log;
 use tokio::{sync::watch, time::Instant};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
-use wire::{Frame, Place, There};
+use wire::{Frame, Place, Location};
 
 use crate::{
     endpoints::Endpoints, lanes::Lanes, metrics::Metrics, peers::Peers, places::Places,
@@ -163,15 +163,15 @@
     }
 
     /// Where a request with a key is or was run, as its home knows.
-    pub async fn find_place(&self, customer: &Arc<str>, key: &Arc<str>) -> There {
+    pub async fn find_place(&self, customer: &Arc<str>, key: &Arc<str>) -> Location {
         let Some(home) = self.key_home(customer, key) else {
             return self.places.find(customer, key, &self.me(), self.now());
         };
-        let question = Frame::Where { customer: customer.clone(), key: key.clone() };
+        let question = Frame::Locate { customer: customer.clone(), key: key.clone() };
         match self.peers.ask_one(&home, question).await {
-            Some(Frame::There(there)) => there,
+            Some(Frame::Location(there)) => there,
             // A home out of reach knows nothing: the request is run here.
-            _ => There::Nowhere,
+            _ => Location::Nowhere,
         }
     }
 
--- a/crates/router/src/turn.rs
+++ b/crates/router/src/turn.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use admit::{Reached, Verdict};
+use admit::{Exceeded, Verdict};
 
 use crate::{
     call::Call,
@@ -74,10 +74,10 @@
     }
 }
 
-fn limit_reached(reached: Reached) -> Refusal {
+fn limit_reached(reached: Exceeded) -> Refusal {
     let message = match reached {
-        Reached::Customer => "too many requests of this customer are under way on this box",
-        Reached::Route => "too many requests of this route are under way on this box",
+        Exceeded::Customer => "too many requests of this customer are under way on this box",
+        Exceeded::Route => "too many requests of this route are under way on this box",
     };
     Reason::LimitReached.after(message, Duration::from_secs(1))
 }
--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ledger::{Account, Draw, Ledger, Need, Part, Reservation};
+use ledger::{Account, Draw, Ledger, Deficit, Part, Reservation};
 use parking_lot::Mutex;
 use tokio::{sync::Mutex as Turn, time::Instant};
 
@@ -41,7 +41,7 @@
         Entry { budget, account: Mutex::default(), usage: Mutex::default(), book: Turn::default() }
     }
 
-    pub fn reserve(&self, part: Part, tokens: u64) -> Result<Reservation, Need> {
+    pub fn reserve(&self, part: Part, tokens: u64) -> Result<Reservation, Deficit> {
         self.usage.lock().reserved(tokens);
         self.account.lock().reserve(part, tokens)
     }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -11,7 +11,7 @@
 
 use config::Snapshot;
 use ledger::{Draw, Incarnation, Ledger, Observed, Part, Policy, Reservation, target};
-use objects::{Expect, Settled, Store, Write, settle};
+use objects::{Expect, Resolution, Store, Write, resolve};
 use parking_lot::Mutex;
 use resource::Kind;
 use snafu::Snafu;
@@ -166,7 +166,7 @@
 
     /// Adds offline tokens that a peer passed on.
     pub fn give_offline(&self, budget: &Arc<str>, tokens: u64) {
-        self.entry(budget).account.lock().give(Part::Offline, tokens);
+        self.entry(budget).account.lock().add(Part::Offline, tokens);
     }
 
     /// Returns what this box can spare of a budget that others lack; true if anything returned.
@@ -404,7 +404,7 @@
             online_horizon: options.online_horizon,
             offline_horizon: options.offline_horizon,
             boxes: options.boxes,
-            plenty: 0,
+            scarcity_permille: 0,
         };
         let unspent = next.paid.saturating_sub(next.spent);
         target(policy, Observed { rate, largest, peak, unspent })
@@ -428,7 +428,7 @@
     /// Whether another write would fold or page more.
     fn has_more(&self, entry: &Entry, book: &Book) -> bool {
         let Some(mut ledger) = book.ledger.clone() else { return false };
-        let paged = ledger.statement.recent.len() >= ledger::PAGE_BILLS;
+        let paged = ledger.statement.recent.len() >= ledger::BILLS_PER_PAGE;
         paged || ledger.fold(&entry.budget, &self.recorder.journal()).outcomes > 0
     }
 
@@ -479,17 +479,17 @@
             let ledger = book.ledger.as_ref().expect("just read");
             let mine = ledger.grants.get(self.me());
             let marked = mine.is_some_and(|grant| grant.write >= pending.write);
-            match settle(pending.expected, book.version, marked) {
-                Settled::Landed => {
+            match resolve(pending.expected, book.version, marked) {
+                Resolution::Landed => {
                     book.pending = None;
                     let (version, ledger) = (book.version, ledger.clone());
                     self.landed(entry, book, ledger, pending.draw, version);
                 }
-                Settled::Lost => {
+                Resolution::Lost => {
                     book.pending = None;
                     self.undo(entry, pending.draw);
                 }
-                Settled::Open => {
+                Resolution::Open => {
                     let expect = match pending.expected {
                         0 => Expect::Absent,
                         version => Expect::Version(version),
@@ -512,8 +512,8 @@
     fn landed(&self, entry: &Arc<Entry>, book: &mut Book, next: Ledger, draw: Draw, version: u64) {
         {
             let mut account = entry.account.lock();
-            account.give(Part::Online, draw.online);
-            account.give(Part::Offline, draw.offline);
+            account.add(Part::Online, draw.online);
+            account.add(Part::Offline, draw.offline);
         }
         if let Some(grant) = next.grants.get(self.me()) {
             self.recorder.folded(&entry.budget, grant.folded);
@@ -530,8 +530,8 @@
     /// Tokens taken for a return that did not land are free again.
     fn undo(&self, entry: &Entry, draw: Draw) {
         let mut account = entry.account.lock();
-        account.give(Part::Online, draw.return_online);
-        account.give(Part::Offline, draw.return_offline);
+        account.add(Part::Online, draw.return_online);
+        account.add(Part::Offline, draw.return_offline);
     }
 
     /// Ends this session's grant of one budget by its own word: folds what is left, then returns
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -7,10 +7,10 @@
 #[snafu(visibility(pub))]
 pub enum Error {
     /// The peer speaks a format that this box does not know.
-    #[snafu(display("format {format} is not between {} and {}", crate::OLDEST, crate::NEWEST))]
+    #[snafu(display("format {format} is not between {} and {}", crate::OLDEST_FORMAT, crate::NEWEST_FORMAT))]
     Format { format: u16 },
     /// The message is larger than any of ours.
-    #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_BYTES))]
+    #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_MESSAGE_BYTES))]
     TooLarge { bytes: usize },
     /// The message ends too early or is not one of ours.
     #[snafu(display("the message was not understood: {reason}"))]
@@ -20,5 +20,5 @@
     Unreachable { reason: String },
     /// No answer in time.
     #[snafu(display("the peer did not answer in time"))]
-    Late,
+    Timeout,
 }
--- a/crates/wire/src/format.rs
+++ b/crates/wire/src/format.rs
@@ -9,21 +9,21 @@
 use crate::{Error, Message};
 
 /// Newest format spoken.
-pub const NEWEST: u16 = 2;
+pub const NEWEST_FORMAT: u16 = 2;
 /// Oldest format understood.
-pub const OLDEST: u16 = 1;
+pub const OLDEST_FORMAT: u16 = 1;
 /// Largest message, in bytes.
-pub const MAX_BYTES: usize = 2 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
 const HEAD: usize = 2;
 
-type Config = Configuration<LittleEndian, Fixint, Limit<MAX_BYTES>>;
+type Config = Configuration<LittleEndian, Fixint, Limit<MAX_MESSAGE_BYTES>>;
 
 fn config() -> Config {
     bincode::config::standard()
         .with_little_endian()
         .with_fixed_int_encoding()
-        .with_limit::<MAX_BYTES>()
+        .with_limit::<MAX_MESSAGE_BYTES>()
 }
 
 /// Encodes a message in a format.
@@ -31,7 +31,7 @@
     let mut bytes = format.to_le_bytes().to_vec();
     let body = bincode::serde::encode_to_vec(message, config())
         .map_err(|error| Error::Malformed { reason: error.to_string() })?;
-    if body.len() + HEAD > MAX_BYTES {
+    if body.len() + HEAD > MAX_MESSAGE_BYTES {
         return Err(Error::TooLarge { bytes: body.len() + HEAD });
     }
     bytes.extend_from_slice(&body);
@@ -40,14 +40,14 @@
 
 /// Decodes a message; returns the format it came in.
 pub fn decode(bytes: &[u8]) -> Result<(Message, u16), Error> {
-    if bytes.len() > MAX_BYTES {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(Error::TooLarge { bytes: bytes.len() });
     }
     let (head, body) = bytes
         .split_first_chunk::<HEAD>()
         .ok_or_else(|| Error::Malformed { reason: "no format number".into() })?;
     let format = u16::from_le_bytes(*head);
-    if !(OLDEST..=NEWEST).contains(&format) {
+    if !(OLDEST_FORMAT..=NEWEST_FORMAT).contains(&format) {
         return Err(Error::Format { format });
     }
     let (message, read) = bincode::serde::decode_from_slice(body, config())
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -21,7 +21,7 @@
 
 /// What a box tells of itself now and then.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Status {
     /// Requests under way at endpoints, by pool.
     pub in_flight: Vec<(Arc<str>, Vec<Snapshot>)>,
     /// Newest source version in force.
@@ -45,7 +45,7 @@
 
 /// What the home of a key knows of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum There {
+pub enum Location {
     /// Nobody runs it: whoever asked may.
     Nowhere,
     /// Another incarnation is about to run it.
@@ -99,7 +99,7 @@
     /// The life of the keeper that is meant: another one knows nothing of these totals.
     pub keeper: Incarnation,
     /// Customers of whom there is something to tell or to ask.
-    pub items: Vec<ledger::Told>,
+    pub items: Vec<ledger::Status>,
     /// How long the keeper may look for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender ends by plan: nothing comes after this.
@@ -132,7 +132,7 @@
 
 /// A page of bills as the store takes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct BillPage {
     /// Its name, which is the writer's alone.
     pub name: String,
     /// JSON text.
@@ -154,9 +154,9 @@
 
 /// What a box that listens knows already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listen {
+pub struct Subscribe {
     /// The life of the teller that is meant: another one counts its changes anew.
-    pub teller: Incarnation,
+    pub watcher: Incarnation,
     /// Number of the newest change known, 0 for none; nothing where no changes are wanted, but whether
     /// the teller reaches the store.
     pub since: Option<u64>,
@@ -170,7 +170,7 @@
 
 /// What a box that looks at the store tells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// Number of the newest change told.
     pub last: u64,
     /// What is told is all there is.
@@ -187,35 +187,35 @@
 
 /// What an endpoint said of the requests that it takes from all boxes together, and how long ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct LimitNotice {
     /// This life of the endpoint.
     pub endpoint: Arc<str>,
     /// How much it takes; nothing where it named no limit.
     pub limit: Option<Limit>,
     /// Milliseconds since the request was sent whose answer said so.
-    pub asked_ms: u64,
+    pub sent_ms: u64,
     /// Milliseconds since that answer came.
-    pub heard_ms: u64,
+    pub answered_ms: u64,
 }
 
 /// Asks the box that hands out turns at an endpoint for one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct PermitRequest {
     /// What the asker knows of the endpoint.
-    pub said: Limited,
+    pub signal: LimitNotice,
     /// Boxes that passed this question on.
     pub hops: u8,
 }
 
 /// What came of asking for a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum PermitReply {
     /// A request may be sent at once.
     Given,
     /// None is left; to be asked for again after so many milliseconds.
     After { ms: u64 },
     /// The endpoint named no limit last.
-    Free { said: Limited },
+    Free { signal: LimitNotice },
     /// The box that was asked hands out no turns any more: it is about to stop.
     Leaves,
 }
@@ -224,7 +224,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Regular exchange; answered in kind.
-    Tell(Told),
+    Status(Status),
     /// Entries to carry while the platform is out of reach.
     Carry { by: Incarnation, entries: Vec<Entry> },
     /// How many were taken.
@@ -250,9 +250,9 @@
     /// A request with a key is run here.
     Note { customer: Arc<str>, key: Arc<str>, place: Place },
     /// Where is the request with this key run? If nowhere, the asker is about to run it.
-    Where { customer: Arc<str>, key: Arc<str> },
+    Locate { customer: Arc<str>, key: Arc<str> },
     /// What the key's home knows.
-    There(There),
+    Location(Location),
     /// Understood, nothing to say.
     Done,
     /// The question made no sense to this box.
@@ -273,21 +273,21 @@
     Drawn(Drawn),
     /// Pages of bills that the sender could not write before it ends: the receiver writes them. Boxes of the version
     /// before send it.
-    Bills { pages: Vec<Sheet> },
+    Bills { pages: Vec<BillPage> },
     /// Wants news of what the store holds.
-    Listen(Listen),
+    Subscribe(Subscribe),
     /// News.
-    News(News),
+    Update(Update),
     /// What the sender found of requests and an endpoint, for the receiver to pass on.
     Crash { name: Arc<str>, report: Report },
     /// Asks for a turn at an endpoint.
-    Turn(Turn),
+    PermitRequest(PermitRequest),
     /// What came of that.
-    Turned(Turned),
+    PermitReply(PermitReply),
     /// What an endpoint named last, for the receiver to pass on.
     Limit { endpoint: Arc<str>, limit: Option<Limit> },
     /// Pages of bills that the sender could not write before it ends, for this life of the receiver to write.
-    HandOver { to: Incarnation, pages: Vec<Sheet> },
+    HandOver { to: Incarnation, pages: Vec<BillPage> },
     /// The sender registered after this life of the receiver did, which may not have heard of it.
     Greet { to: Incarnation, sender: Greeting },
     /// An endpoint at this address said that it leaves, for the receiver to pass on.
@@ -298,7 +298,7 @@
     /// What it is about, for counters: a question and its answer are alike.
     pub fn topic(&self) -> &'static str {
         match self {
-            Frame::Listen(_) | Frame::News(_) => "news",
+            Frame::Subscribe(_) | Frame::Update(_) => "news",
             Frame::Draw(_) | Frame::Drawn(_) => "draws",
             Frame::Lend { .. } | Frame::Lent { .. } => "loans",
             Frame::Promise(_) | Frame::Promised { .. } => "promises",
@@ -306,7 +306,7 @@
             Frame::Prompt(_) => "prompts",
             Frame::Bills { .. } | Frame::HandOver { .. } => "bills",
             Frame::Crash { .. } => "crashes",
-            Frame::Turn(_) | Frame::Turned(_) => "turns",
+            Frame::PermitRequest(_) | Frame::PermitReply(_) => "turns",
             Frame::Limit { .. } => "limits",
             Frame::Departure { .. } => "departures",
             Frame::Greet { .. } => "greetings",
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,10 +12,10 @@
 mod server;
 
 pub use error::Error;
-pub use format::{MAX_BYTES, NEWEST, OLDEST, decode, encode};
+pub use format::{MAX_MESSAGE_BYTES, NEWEST_FORMAT, OLDEST_FORMAT, decode, encode};
 pub use frame::{
-    Change, Draw, Drawn, Frame, Greeting, Limited, Listen, Message, News, Place, Question, Sheet,
-    There, Told, Turn, Turned, Value, Write,
+    Change, Draw, Drawn, Frame, Greeting, LimitNotice, Subscribe, Message, Update, Place, Question, BillPage,
+    Location, Status, PermitRequest, PermitReply, Value, Write,
 };
 pub use peer::{Peer, Size};
 pub use server::{Answer, Server};
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -8,7 +8,7 @@
 
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 
-use crate::{Error, MAX_BYTES};
+use crate::{Error, MAX_MESSAGE_BYTES};
 
 /// What a question says, and an answer that is packed.
 pub const ENCODING: &str = "deflate";
@@ -29,10 +29,10 @@
 /// Unpacks an answer, as long as it is no larger than any message.
 pub fn unpack(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut unpacked = Vec::new();
-    let most = MAX_BYTES as u64 + 1;
+    let most = MAX_MESSAGE_BYTES as u64 + 1;
     let read = DeflateDecoder::new(bytes).take(most).read_to_end(&mut unpacked);
     read.map_err(|error| Error::Malformed { reason: error.to_string() })?;
-    match unpacked.len() > MAX_BYTES {
+    match unpacked.len() > MAX_MESSAGE_BYTES {
         true => Err(Error::TooLarge { bytes: unpacked.len() }),
         false => Ok(unpacked),
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -14,7 +14,7 @@
     sync::Mutex,
 };
 
-use crate::{Error, MAX_BYTES, Message, NEWEST, decode, encode, packed, server::read_all};
+use crate::{Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all};
 
 /// A peer that is asked over one connection, opened when it is needed.
 #[derive(Clone)]
@@ -31,13 +31,13 @@
     /// Of the question.
     pub sent: u64,
     /// Of the answer.
-    pub heard: u64,
+    pub received: u64,
 }
 
 impl Peer {
     /// A peer at an address, reached from this box's own IP number; nothing is sent yet.
     pub fn new(address: SocketAddr, source: IpAddr) -> Peer {
-        Peer { address, source, connection: Arc::default(), format: NEWEST }
+        Peer { address, source, connection: Arc::default(), format: NEWEST_FORMAT }
     }
 
     /// The same peer, spoken to in a given format.
@@ -67,7 +67,7 @@
             Err(_) => {
                 // A connection that does not answer may be one end of a cut link.
                 self.connection.lock().await.take();
-                Err(Error::Late)
+                Err(Error::Timeout)
             }
         }
     }
@@ -93,7 +93,7 @@
         let status = response.status();
         let is_packed = response.headers().contains_key(header::CONTENT_ENCODING);
         let body = read_all(response.into_body()).await?;
-        let size = Size { sent, heard: body.len() as u64 };
+        let size = Size { sent, received: body.len() as u64 };
         let body = if is_packed { packed::unpack(&body)? } else { body.to_vec() };
         if !status.is_success() {
             let reason = String::from_utf8_lossy(&body).into_owned();
@@ -119,7 +119,7 @@
         let stream = self.connect().await.map_err(unreachable)?;
         let _ = stream.set_nodelay(true);
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(MAX_BYTES as u32).initial_connection_window_size(4 << 20);
+        builder.initial_window_size(MAX_MESSAGE_BYTES as u32).initial_connection_window_size(4 << 20);
         let (sender, driver) = builder.handshake(stream).await.map_err(unreachable)?;
         tokio::spawn(async move {
             let _ = driver.await;
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -9,7 +9,7 @@
     task::{JoinHandle, JoinSet},
 };
 
-use crate::{Error, MAX_BYTES, Message, decode, encode, packed};
+use crate::{Error, MAX_MESSAGE_BYTES, Message, decode, encode, packed};
 
 /// Streams at once on one connection.
 const STREAMS: u32 = 256;
@@ -69,7 +69,7 @@
     let _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
     builder.max_concurrent_streams(STREAMS).max_header_list_size(4 << 10);
-    builder.initial_window_size(MAX_BYTES as u32).initial_connection_window_size(4 << 20);
+    builder.initial_window_size(MAX_MESSAGE_BYTES as u32).initial_connection_window_size(4 << 20);
     let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
     let mut streams = JoinSet::new();
     while let Some(Ok((request, respond))) = connection.accept().await {
@@ -92,7 +92,7 @@
     let question = match read {
         Ok(Ok(bytes)) => decode(&bytes),
         Ok(Err(error)) => Err(error),
-        Err(_) => Err(Error::Late),
+        Err(_) => Err(Error::Timeout),
     };
     let (status, body) = match question {
         Ok((message, format)) => match encode(&answer.answer(message).await, format) {
@@ -120,7 +120,7 @@
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
         let part = part.map_err(|error| Error::Unreachable { reason: error.to_string() })?;
-        if bytes.len() + part.len() > MAX_BYTES {
+        if bytes.len() + part.len() > MAX_MESSAGE_BYTES {
             return Err(Error::TooLarge { bytes: bytes.len() + part.len() });
         }
         let _ = body.flow_control().release_capacity(part.len());
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use timeline::Stamp;
 use wire::{
-    Answer, Error, Frame, MAX_BYTES, Message, NEWEST, OLDEST, Peer, Question, Server, Told, decode,
+    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, Question, Server, Status, decode,
     encode,
 };
 
@@ -28,7 +28,7 @@
             let (kind, name) = (kind.into(), name.into());
             Frame::Call(Question::Put { kind, name, value: "{}".into(), version })
         }),
-        any::<u64>().prop_map(|newest| Frame::Tell(Told {
+        any::<u64>().prop_map(|newest| Frame::Status(Status {
             in_flight: vec![("pool".into(), Vec::new())],
             newest,
             versions: 1,
@@ -42,7 +42,7 @@
 
 proptest! {
     #[test]
-    fn frames_survive_in_every_format(frame in frame(), format in OLDEST..=NEWEST) {
+    fn frames_survive_in_every_format(frame in frame(), format in OLDEST_FORMAT..=NEWEST_FORMAT) {
         let sent = message(frame);
         let bytes = encode(&sent, format).unwrap();
         prop_assert_eq!(decode(&bytes).unwrap(), (sent, format));
@@ -55,7 +55,7 @@
 
     #[test]
     fn a_flipped_byte_never_panics(frame in frame(), at in any::<usize>(), with in any::<u8>()) {
-        let mut bytes = encode(&message(frame), NEWEST).unwrap();
+        let mut bytes = encode(&message(frame), NEWEST_FORMAT).unwrap();
         let at = at % bytes.len();
         bytes[at] = with;
         let _ = decode(&bytes);
@@ -64,12 +64,12 @@
 
 #[test]
 fn newer_formats_and_large_messages_are_refused_by_name() {
-    let mut bytes = encode(&message(Frame::Done), NEWEST).unwrap();
-    bytes[0] = (NEWEST + 1) as u8;
-    assert!(matches!(decode(&bytes), Err(Error::Format { format }) if format == NEWEST + 1));
-    assert!(matches!(decode(&vec![0; MAX_BYTES + 1]), Err(Error::TooLarge { .. })));
-    let large = Frame::Refused { reason: "x".repeat(MAX_BYTES).into() };
-    assert!(encode(&message(large), NEWEST).is_err());
+    let mut bytes = encode(&message(Frame::Done), NEWEST_FORMAT).unwrap();
+    bytes[0] = (NEWEST_FORMAT + 1) as u8;
+    assert!(matches!(decode(&bytes), Err(Error::Format { format }) if format == NEWEST_FORMAT + 1));
+    assert!(matches!(decode(&vec![0; MAX_MESSAGE_BYTES + 1]), Err(Error::TooLarge { .. })));
+    let large = Frame::Refused { reason: "x".repeat(MAX_MESSAGE_BYTES).into() };
+    assert!(encode(&message(large), NEWEST_FORMAT).is_err());
 }
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
@@ -86,12 +86,12 @@
 #[tokio::test]
 async fn old_and_new_boxes_understand_each_other() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
-    for format in OLDEST..=NEWEST {
+    for format in OLDEST_FORMAT..=NEWEST_FORMAT {
         let peer = Peer::new(server.address(), LOOPBACK).speaking(format);
         let answer = peer.ask(&message(Frame::Accepted), Duration::from_secs(5)).await.unwrap();
         assert_eq!(answer.frame, Frame::Accepted);
     }
-    let newer = Peer::new(server.address(), LOOPBACK).speaking(NEWEST + 1);
+    let newer = Peer::new(server.address(), LOOPBACK).speaking(NEWEST_FORMAT + 1);
     let refused = newer.ask(&message(Frame::Done), Duration::from_secs(5)).await;
     assert!(matches!(refused, Err(Error::Malformed { .. })), "{refused:?}");
 }
@@ -146,6 +146,6 @@
     let ask = async |within| peer.ask(&message(Frame::Done), Duration::from_millis(within)).await;
     assert!(ask(5_000).await.is_ok());
     lose.send_replace(1);
-    assert!(matches!(ask(100).await, Err(Error::Late)), "it went silent");
+    assert!(matches!(ask(100).await, Err(Error::Timeout)), "it went silent");
     assert!(ask(5_000).await.is_ok(), "a new one is opened");
 }
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -18,7 +18,7 @@
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
 };
-use wire::{Answer, Change, Frame, Listen, Message, News, Peer, Server, encode};
+use wire::{Answer, Change, Frame, Subscribe, Message, Update, Peer, Server, encode};
 
 /// Endpoints of the load.
 const ENDPOINTS: u64 = 3_000;
@@ -48,7 +48,7 @@
     };
     let changes = (0..endpoints).map(change).collect();
     let (last, at) = (endpoints, endpoints + 400);
-    Frame::News(News { last, whole: true, changes, endpoints_at: at, boxes_at: at, away_ms: None })
+    Frame::Update(Update { last, whole: true, changes, endpoints_at: at, boxes_at: at, away_ms: None })
 }
 
 /// Tells the whole of this many endpoints.
@@ -62,9 +62,9 @@
 }
 
 fn question() -> Message {
-    let teller = Incarnation::new("box-1", 1);
-    let listen = Listen { teller, since: Some(0), config: 0, away: false, wait_ms: 0 };
-    message(Frame::Listen(listen))
+    let watcher = Incarnation::new("box-1", 1);
+    let listen = Subscribe { watcher, since: Some(0), config: 0, away: false, wait_ms: 0 };
+    message(Frame::Subscribe(listen))
 }
 
 /// Passes everything on to `to`, and counts what comes back.
@@ -102,7 +102,7 @@
     let peer = Peer::new(address, address.ip());
     let answer = peer.ask(&question(), Duration::from_secs(30)).await.expect("an answer");
     assert_eq!(answer, message(whole(ENDPOINTS)), "nothing is lost on the way");
-    let plain = encode(&answer, wire::NEWEST).expect("it fits").len();
+    let plain = encode(&answer, wire::NEWEST_FORMAT).expect("it fits").len();
     let took = count.load(Ordering::Relaxed);
     // A fifth: 10 Mbit/s carry it within the 0.6 s that a box waits, with room for what goes beside it.
     assert!(took * 5 < plain, "{took} bytes on the way of {plain}");
@@ -117,7 +117,7 @@
     let mut sender = sender.ready().await.expect("a stream");
     let request = http::Request::post("http://peer/").body(()).expect("a plain request");
     let (response, mut stream) = sender.send_request(request, false).expect("it is sent");
-    let bytes = encode(&question(), wire::NEWEST).expect("it fits");
+    let bytes = encode(&question(), wire::NEWEST_FORMAT).expect("it fits");
     stream.send_data(bytes.into(), true).expect("it is sent");
     let response = response.await.expect("an answer");
     assert!(!response.headers().contains_key("content-encoding"));
