--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -8,5 +8,5 @@
 mod queue;
 mod limit;
 
+pub use limit::{Exceeded, Limits};
 pub use queue::{Capacity, Queue, Request, Verdict};
-pub use limit::{Limits, Exceeded};
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    availability::Departure,
+    back_off::BackOff,
     cold::Cold,
     limit::{Limit, LimitSignal},
     pace::Pace,
-    back_off::BackOff,
-    availability::Departure,
 };
 
 /// Number of remembered samples of this box's own request count, one per [`SAMPLE_MS`].
@@ -223,8 +223,12 @@
 
     /// Records a prompt that another box published, or the end of its prefill.
     pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |receive_prompt: &Told| receive_prompt.by == *by && receive_prompt.number == prompt.number;
-        self.prompts.retain(|receive_prompt| !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now);
+        let same = |receive_prompt: &Told| {
+            receive_prompt.by == *by && receive_prompt.number == prompt.number
+        };
+        self.prompts.retain(|receive_prompt| {
+            !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now
+        });
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
             self.prompts.push(Told { by, number, size, at: now });
@@ -241,7 +245,8 @@
             let age = now.saturating_sub(report.at) as f64;
             waiting * (-age / BACKLOG_MS).exp()
         });
-        let receive_prompt = self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
+        let receive_prompt =
+            self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
         let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
         // Published prompts may be the ones in the reported queue, so they are not added up.
         self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
--- a/crates/balance/src/pool/wait.rs
+++ b/crates/balance/src/pool/wait.rs
@@ -1,7 +1,7 @@
 //! Availability of endpoints, and when a request that no endpoint took should be retried.
 
 use super::Pool;
-use crate::{Endpoint, Limit, Availability};
+use crate::{Availability, Endpoint, Limit};
 
 /// Longest delay in milliseconds that is added to space retries: callers wait a few times as long
 /// for a model's answer.
@@ -54,7 +54,8 @@
     /// urgent requests come first.
     pub fn retry_after_ms(&mut self, rank: u8, now: u64) -> Option<u64> {
         let wait = self.next_offer_ms(now)?;
-        let kept_back = self.staying().filter_map(|endpoint| endpoint.back_off.keeps_back_since(now));
+        let kept_back =
+            self.staying().filter_map(|endpoint| endpoint.back_off.keeps_back_since(now));
         if let Some(since) = kept_back.max().filter(|_| wait > 0) {
             let place = SOONEST + f64::from(rank.min(RANKS)) / f64::from(RANKS);
             let later = now.saturating_sub(since) as f64 * place;
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -3,7 +3,9 @@
 
 use std::sync::Arc;
 
-use balance::{Endpoint, Fleet, Limit, Candidates, Pool, Prefix, LimitSignal, Permit, Permits, Weights};
+use balance::{
+    Candidates, Endpoint, Fleet, Limit, LimitSignal, Permit, Permits, Pool, Prefix, Weights,
+};
 use proptest::prelude::*;
 use rand::{SeedableRng, rngs::SmallRng};
 
@@ -169,7 +171,11 @@
     // A higher limit, or none at all, ends the wait.
     for (limit, sent_at) in [(Some(3.0), 700), (None, 800)] {
         pool.get_mut("e2").expect("in the pool").defer_permits(5_000, sent_at);
-        pool.get_mut("e2").expect("in the pool").update_limit(limit_signal(limit, sent_at, sent_at + 10));
+        pool.get_mut("e2").expect("in the pool").update_limit(limit_signal(
+            limit,
+            sent_at,
+            sent_at + 10,
+        ));
         assert_eq!(chosen(&pool, Candidates::All, sent_at + 11).len(), 3, "{limit:?}");
     }
 }
--- a/crates/gateway/src/fleet/order.rs
+++ b/crates/gateway/src/fleet/keepers.rs
@@ -62,7 +62,8 @@
 /// Zones in which a box keeps tokens.
 fn kept_zones<'a>(me: &'a Profile, others: &'a [Profile]) -> Vec<&'a Arc<str>> {
     let count = (others.len() + 1).div_ceil(SERVED).max(ZONES);
-    let mut zones: Vec<&Arc<str>> = others.iter().chain([me]).map(|profile| &profile.zone).collect();
+    let mut zones: Vec<&Arc<str>> =
+        others.iter().chain([me]).map(|profile| &profile.zone).collect();
     zones.sort_by_key(|zone| Reverse((member::weight(KEEPERS, zone), *zone)));
     zones.dedup();
     zones.truncate(count);
--- a/crates/gateway/src/fleet/peers/questions.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -11,7 +11,7 @@
 use quarantine::Report;
 use timeline::Stamp;
 use tokio::time::Instant;
-use wire::{Draw, Drawn, Frame, Subscribe, Message, Update, Peer, BillPage};
+use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
 
 use super::{LEAVES, Peers, REST};
 
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -23,35 +23,35 @@
 
 use crate::{
     clock::{Clock, Watchdog},
-    inbound::{peer_service::PeerService, admin, serve},
     fleet::{entry::Entry, keepers::Profile, peers::Peers},
+    inbound::{admin, peer_service::PeerService, serve},
     metrics::Metrics,
-    tokens::{
-        bills::Bills,
-        acquirer::Acquirer,
-        funds::{Balance, Funds},
-        borrower::Borrower,
-        settle::{Settler, Setup},
-        witness::{Promiser, Selector},
-    },
-    sync::{
-        listen::Subscriber,
-        watcher,
-        reporter::Reporter,
-        discovery::Discovery,
-        view::{Consumers, View},
-        signals,
-    },
     outage::Recovery,
-    settings::Settings,
     proxy::{
+        announcer::Announcer,
+        context::Context,
         crashes::{Crashes, connect_prober},
         endpoints::Endpoints,
-        context::Context,
         link::Link,
-        announcer::Announcer,
         permits::{self, Permits},
     },
+    settings::Settings,
+    sync::{
+        discovery::Discovery,
+        reporter::Reporter,
+        signals,
+        subscriber::Subscriber,
+        view::{Consumers, View},
+        watcher,
+    },
+    tokens::{
+        acquirer::Acquirer,
+        bills::Bills,
+        borrower::Borrower,
+        funds::{Balance, Funds},
+        settle::{Settler, Setup},
+        witness::{Promiser, Selector},
+    },
 };
 
 /// Connections of the balancer and of scrapers at once.
@@ -189,10 +189,12 @@
             };
             Discovery::new(store.clone(), me, peers.clone(), view.clone(), recovery.clone())
         });
-        let registered =
-            discovery.as_ref().map_or_else(|| watch::channel(None).1, |discovery| discovery.written());
+        let registered = discovery
+            .as_ref()
+            .map_or_else(|| watch::channel(None).1, |discovery| discovery.registered());
         let selector = Selector::open();
-        let promiser = Promiser { funds: funds.clone(), peers: peers.clone(), selector: selector.clone() };
+        let promiser =
+            Promiser { funds: funds.clone(), peers: peers.clone(), selector: selector.clone() };
         let setup = Setup {
             store: store.clone(),
             funds: funds.clone(),
@@ -254,7 +256,12 @@
         let mut loops = vec![
             tokio::spawn(subscriber.run()),
             tokio::spawn(reporter.run(reports)),
-            tokio::spawn(signals::publish(view.clone(), context.peers.clone(), endpoints.clone(), told)),
+            tokio::spawn(signals::publish(
+                view.clone(),
+                context.peers.clone(),
+                endpoints.clone(),
+                told,
+            )),
             tokio::spawn(watchdog.run()),
             tokio::spawn(promiser.run()),
             tokio::spawn(acquirer.run()),
--- a/crates/gateway/src/door/pages.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -9,9 +9,9 @@
 use objects::Calls;
 
 use crate::{
-    metrics::{Budget, Flow, Header, Endpoint, StoreCall},
+    metrics::{Budget, Endpoint, Flow, Header, StoreCall},
+    proxy::context::Context,
     sync::view::View,
-    way::context::Context,
 };
 
 type Page = Response<Full<Bytes>>;
--- a/crates/gateway/src/way/endpoints/departures.rs
+++ b/crates/gateway/src/proxy/endpoints/departures.rs
@@ -49,7 +49,8 @@
             return false;
         }
         if self.0.len() >= MOST_LEFT {
-            let oldest = self.0.iter().min_by_key(|(instance, known)| (is_listed(instance), known.listed));
+            let oldest =
+                self.0.iter().min_by_key(|(instance, known)| (is_listed(instance), known.listed));
             let oldest = oldest.map(|(instance, _)| instance.clone());
             oldest.map(|instance| self.0.remove(&instance));
         }
--- a/crates/gateway/src/way/endpoints/limits.rs
+++ b/crates/gateway/src/proxy/endpoints/limits.rs
@@ -2,18 +2,24 @@
 
 use std::{sync::Arc, time::Duration};
 
-use balance::{Limit, Pool, LimitSignal};
+use balance::{Limit, LimitSignal, Pool};
 
 use super::Endpoints;
 
 impl Endpoints {
     /// What this box knows of how much an endpoint takes; `None` if it never heard of a limit, or of the endpoint.
-    pub fn said(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
+    pub fn limit_notice(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
         let now = self.now();
         let state = self.state.lock();
-        let said = state.services.values().find_map(|pool| pool.get(instance))?.said()?;
-        let (sent_ms, answered_ms) = (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
-        Some(wire::LimitNotice { endpoint: instance.clone(), limit: said.limit, sent_ms, answered_ms })
+        let said = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
+        let (sent_ms, answered_ms) =
+            (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
+        Some(wire::LimitNotice {
+            endpoint: instance.clone(),
+            limit: said.limit,
+            sent_ms,
+            answered_ms,
+        })
     }
 
     /// Another box says what it knows of how much an endpoint takes.
@@ -24,7 +30,9 @@
         let mut state = self.state.lock();
         let mut pools = state.services.values_mut();
         let known = pools.find_map(|pool| pool.get_mut(&said.endpoint));
-        if known.is_some_and(|known| known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })) {
+        if known.is_some_and(|known| {
+            known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })
+        }) {
             log_limit(&said.endpoint, said.limit, by);
         }
     }
--- a/crates/gateway/src/news/mod.rs
+++ b/crates/gateway/src/sync/mod.rs
@@ -5,7 +5,7 @@
 //! watcher also has to notice quickly when the store is unreachable. A subscriber sends one
 //! long-poll request at a time to a watcher, answered when there are updates, or after a moment as
 //! a heartbeat. Both apply what they learn to the [`View`](view::View), which puts it in force on
-//! this box and keeps it for subscribers in a [`ChangeLog`](shelf::Shelf).
+//! this box and keeps it for subscribers in a [`ChangeLog`](change_log::ChangeLog).
 //!
 //! The source of an update does not matter: each object carries the version that the store gave it,
 //! and a view never goes back to an older one. So a box may switch to another source at any time,
--- a/crates/gateway/src/news/reporter.rs
+++ b/crates/gateway/src/sync/reporter.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     fleet::peers::Peers,
-    sync::view::View,
-    outage::{Recovery, Outage, Probe},
+    outage::{Outage, Probe, Recovery},
     proxy::crashes::NamedReport,
+    sync::view::View,
 };
 
 /// Maximum number of reports that wait for the store to become reachable.
--- a/crates/gateway/src/news/words.rs
+++ b/crates/gateway/src/sync/signals.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     fleet::peers::Peers,
+    proxy::{announcer::Announcement, endpoints::Endpoints},
     sync::view::View,
-    proxy::{endpoints::Endpoints, announcer::Announcement},
 };
 
 /// Interval at which a box repeats that an endpoint leaves, until the endpoint's entry shows it: a
@@ -37,8 +37,12 @@
         };
         let Some(word) = word else { return };
         match word {
-            Announcement::LimitChanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, false),
-            Announcement::LimitUnchanged { instance } => publish_limit(&view, &peers, &endpoints, &instance, true),
+            Announcement::LimitChanged { instance } => {
+                publish_limit(&view, &peers, &endpoints, &instance, false)
+            }
+            Announcement::LimitUnchanged { instance } => {
+                publish_limit(&view, &peers, &endpoints, &instance, true)
+            }
             Announcement::Leaves { instance, address } => {
                 view.receive_departure(&instance, address);
                 peers.publish_departure(&instance, address);
@@ -54,7 +58,7 @@
     instance: &Arc<str>,
     is_repeated: bool,
 ) {
-    let Some(said) = endpoints.said(instance) else { return };
+    let Some(said) = endpoints.limit_notice(instance) else { return };
     if view.receive_limit(instance, said.limit) || is_repeated {
         peers.publish_limit(instance, said.limit);
     }
--- a/crates/gateway/src/news/listen.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -3,7 +3,7 @@
 //!
 //! Endpoints and callers rely on updates within a bounded time, 2 s in the strictest deployments. A
 //! watcher that is suspended or gone is noticed after [`SIGN`] plus [`LATE`]; one that cannot reach
-//! the store reports that itself (see `look`). The next watcher answers within [`LATE`] or is
+//! the store reports that itself (see `watcher`). The next watcher answers within [`LATE`] or is
 //! skipped. If none does, the box reads the store itself.
 
 use std::time::Duration;
@@ -18,9 +18,9 @@
 
 use crate::{
     clock::Dataset,
-    fleet::{entry::BOXES, watchers::Watchers, peers::Peers},
-    updates::look::{Looking, Setup},
+    fleet::{entry::BOXES, peers::Peers, watchers::Watchers},
     outage::Probe,
+    sync::watcher::{Looking, Setup},
 };
 
 /// Time after which a watcher without updates answers anyway, as a heartbeat.
@@ -232,7 +232,9 @@
     /// Subscribes to another watcher, one that reaches the store.
     async fn in_touch(&self, not: &Incarnation) -> Option<Heard> {
         let watchers = self.peers.watchers();
-        for home in watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home)) {
+        for home in
+            watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home))
+        {
             match self.ask(home, None, true, Duration::ZERO).await {
                 Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
                 _ => {}
@@ -285,7 +287,8 @@
             whole = updates.whole,
             away_ms = updates.away_ms,
         );
-        let heard = Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
+        let heard =
+            Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
         self.setup.view.hear(updates);
         heard
     }
--- a/crates/gateway/src/news/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -6,12 +6,12 @@
 use platform::endpoint::Entry as Endpoint;
 use tokio::time::Instant;
 
-use super::{State, Consumers, View, note_unreadable};
+use super::{Consumers, State, View, note_unreadable};
 use crate::clock::Dataset;
 
 impl View {
-    /// Takes over all entries of endpoints as read from the store at version `at`. `suspensions` is the
-    /// number of suspensions of the box before the call began.
+    /// Takes over all entries of endpoints as read from the store at version `at`. `suspensions` is
+    /// the number of suspensions of the box before the call began.
     pub fn endpoints_read(&self, objects: &[Object], at: u64, suspensions: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
--- a/crates/gateway/src/news/view/limits.rs
+++ b/crates/gateway/src/sync/view/limits.rs
@@ -20,8 +20,10 @@
         let text =
             limit.map(|limit| serde_json::to_string(&limit).expect("limits always serialize"));
         let mut state = self.0.state.lock();
-        let told =
-            state.change_log.value(LIMITS, endpoint).map(|text| serde_json::from_str::<Limit>(&text));
+        let told = state
+            .change_log
+            .value(LIMITS, endpoint)
+            .map(|text| serde_json::from_str::<Limit>(&text));
         let is_news = match (limit, told) {
             (Some(limit), Some(Ok(told))) => !limit.is_close(told),
             (None, None) => false,
--- a/crates/gateway/src/news/look.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -10,8 +10,8 @@
 use crate::{
     clock::Watchdog,
     fleet::entry::{BOXES, Entry},
+    outage::{Outage, Probe, Recovery},
     sync::view::{self, View},
-    outage::{Recovery, Outage, Probe},
 };
 
 /// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
--- a/crates/gateway/src/money/draws.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -10,18 +10,18 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{Incarnation, Demand};
+use ledger::{Demand, Incarnation};
 use tokio::{sync::watch, time::Instant};
 use wire::{Draw, Drawn};
 
 use crate::{
     fleet::peers::Peers,
-    money::{
-        funds::{Funds, Hold},
+    settings::Settings,
+    tokens::{
         borrower::Borrower,
+        funds::{Funds, Hold},
         report,
     },
-    settings::Settings,
 };
 
 /// Time for the answer to come besides: many times the way there and back, with room for a box
--- a/crates/gateway/src/money/bills.rs
+++ b/crates/gateway/src/tokens/bills.rs
@@ -115,7 +115,9 @@
     /// Writes pages of other boxes; stops at the first that fails.
     async fn write_carried(&self, store: &Client) {
         loop {
-            let Some(BillPage { name, text }) = self.0.lock().carried.last().cloned() else { return };
+            let Some(BillPage { name, text }) = self.0.lock().carried.last().cloned() else {
+                return;
+            };
             match store.replace(BILLS, &name, &text, Expect::Absent).await {
                 Put::Landed(_) | Put::Refused(_) => {
                     self.0.lock().carried.retain(|page| page.name != name);
--- a/crates/gateway/src/money/funds/passing.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ledger::{Supply, Incarnation, Demand, Transfer};
+use ledger::{Demand, Incarnation, Supply, Transfer};
 use tokio::time::Instant;
 
 use super::Funds;
@@ -57,7 +57,8 @@
     /// Keepers that passed something on.
     pub fn keepers(&self) -> Vec<Incarnation> {
         let state = self.0.state.lock();
-        let mut keepers: Vec<_> = state.wallets.values().flat_map(Wallet::keepers).cloned().collect();
+        let mut keepers: Vec<_> =
+            state.wallets.values().flat_map(Wallet::keepers).cloned().collect();
         keepers.sort();
         keepers.dedup();
         keepers
--- a/crates/gateway/src/money/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -14,12 +14,12 @@
 use crate::{
     fleet::{entry, peers::Peers},
     metrics::Metrics,
-    money::{
-        bills::Bills, claims, acquirer::Acquirer, participation::Participation, funds::Funds, forecast::Forecast, report,
-        spacing, witness::Selector,
-    },
-    outage::{Recovery, Outage, Probe},
+    outage::{Outage, Probe, Recovery},
     settings::{SETTLEMENT_BATCH_MS, Settings},
+    tokens::{
+        acquirer::Acquirer, bills::Bills, claims, forecast::Forecast, funds::Funds,
+        participation::Participation, report, spacing, witness::Selector,
+    },
 };
 
 /// Time between two log lines on the calls of the store.
--- a/crates/gateway/src/money/purse/passing.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use ledger::{Supply, Incarnation, Part, Share, Demand, Transfer};
+use ledger::{Demand, Incarnation, Part, Share, Supply, Transfer};
 use tokio::time::Instant;
 
-use super::{Wallet, RESERVE_S};
+use super::{RESERVE_S, Wallet};
 
 /// Seconds of use that a box gets from its keeper beyond what a request lacks, and keeps: enough
 /// for most requests to find their tokens here, and little to be lost with the box.
@@ -37,7 +37,7 @@
 
     /// Takes over tokens that another box passed on.
     pub fn receive(&mut self, transfer: Transfer) {
-        self.account.pass_on(Part::Offline, transfer.tokens);
+        self.account.add(Part::Offline, transfer.tokens);
         self.received += transfer.tokens;
         self.transfers.push(transfer);
     }
@@ -93,7 +93,7 @@
     /// A keeper answered what it was told.
     pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Supply) {
         let new = self.loans.receive(keeper, given.given);
-        self.account.pass_on(Part::Offline, new);
+        self.account.add(Part::Offline, new);
         self.loans.heard(keeper, told);
         self.used_told = self.used_told.max(Some(given.used));
     }
@@ -113,7 +113,7 @@
         let Some(news) = self.passed.receive_report(from, told) else { return false };
         self.charged += news.used;
         self.requests += news.requests;
-        self.account.pass_on(Part::Offline, news.returned);
+        self.account.add(Part::Offline, news.returned);
         true
     }
 
--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -1,4 +1,4 @@
-//! Pages of bills and a store whose answers are lost.
+//! Writing bills to a store whose responses get lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Keys on all pages, sorted.
+/// Keys on all pages in the store, sorted.
 async fn billed(platform: &Platform) -> Vec<String> {
     let pages = platform.memory().list(BILLS, "").await.expect("memory answers");
     let read = |text: &str| serde_json::from_str::<Page>(text).expect("a page").bills;
@@ -30,13 +30,13 @@
 }
 
 #[tokio::test]
-async fn bills_that_come_after_a_lost_answer_go_on_the_next_page() {
+async fn bills_after_a_lost_response_go_on_the_next_page() {
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
     platform.set(|faults| faults.lose_answers = 1.0);
     bills.write(&store, true).await;
-    assert_eq!(bills.waiting(), 2, "nobody knows that the page is there");
+    assert_eq!(bills.waiting(), 2, "the box doesn't know that the page was written");
     add(&bills, &["c"]);
     platform.set(|faults| faults.lose_answers = 0.0);
     bills.write(&store, true).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn pages_that_another_box_writes_are_the_same_as_those_sent_before() {
+async fn handed_over_pages_match_those_sent_before() {
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/registry.rs
@@ -199,7 +199,8 @@
         if self.reports.len() <= MOST_REPORTS {
             return;
         }
-        let contains = |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
+        let contains =
+            |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
         let rank = |known: &Known| (contains(known), known.order);
         let ranked = self.reports.iter().map(|(name, known)| (rank(known), name.clone()));
         let mut ranked: Vec<((bool, _), Arc<str>)> = ranked.collect();
--- a/crates/router/src/lanes.rs
+++ b/crates/router/src/lanes.rs
@@ -8,7 +8,7 @@
     },
 };
 
-use admit::{Queue, Limits, Exceeded, Request, Verdict};
+use admit::{Exceeded, Limits, Queue, Request, Verdict};
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,8 +14,8 @@
 pub use error::Error;
 pub use format::{MAX_MESSAGE_BYTES, NEWEST_FORMAT, OLDEST_FORMAT, decode, encode};
 pub use frame::{
-    Change, Draw, Drawn, Frame, Greeting, LimitNotice, Subscribe, Message, Update, Place, Question, BillPage,
-    Location, Status, PermitRequest, PermitReply, Value, Write,
+    BillPage, Change, Draw, Drawn, Frame, Greeting, LimitNotice, Location, Message, PermitReply,
+    PermitRequest, Place, Question, Status, Subscribe, Update, Value, Write,
 };
 pub use peer::{Peer, Size};
 pub use server::{Answer, Server};
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -14,7 +14,9 @@
     sync::Mutex,
 };
 
-use crate::{Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all};
+use crate::{
+    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all,
+};
 
 /// A peer that is asked over one connection, opened when it is needed.
 #[derive(Clone)]
@@ -119,7 +121,9 @@
         let stream = self.connect().await.map_err(unreachable)?;
         let _ = stream.set_nodelay(true);
         let mut builder = h2::client::Builder::new();
-        builder.initial_window_size(MAX_MESSAGE_BYTES as u32).initial_connection_window_size(4 << 20);
+        builder
+            .initial_window_size(MAX_MESSAGE_BYTES as u32)
+            .initial_connection_window_size(4 << 20);
         let (sender, driver) = builder.handshake(stream).await.map_err(unreachable)?;
         tokio::spawn(async move {
             let _ = driver.await;
