--- a/crates/balance/src/back_off.rs
+++ b/crates/balance/src/back_off.rs
@@ -8,15 +8,15 @@
 //! first, later by one per full window.
 
 /// Divisor of the number of unanswered requests before the back-off that gives the first window.
-const FIRST: u32 = 4;
+const FIRST_WINDOW_DIVISOR: u32 = 4;
 /// Multiple of the number of requests before up to which each accepted request grows the window by
 /// one. Leaves room for requests that were held back beside new ones.
-const FAST: u32 = 2;
+const FAST_GROWTH_FACTOR: u32 = 2;
 /// Multiple of the number of requests before from which on the window is dropped.
-const WIDE: u32 = 4;
+const UNLIMITED_FACTOR: u32 = 4;
 /// Delay in milliseconds before a request tries again that found the window full: by then an engine
 /// usually begins one of its answers.
-const NEXT_MS: u64 = 50;
+const FULL_WINDOW_DELAY_MS: u64 = 50;
 
 /// Back-off of one endpoint towards one box, in milliseconds of the box's clock.
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,30 +26,31 @@
     /// End of the back-off.
     until: u64,
     /// Unanswered requests of this box at the endpoint when the back-off began.
-    before: u32,
+    unanswered_before: u32,
     /// Maximum number of unanswered requests after the back-off; `None` if not limited.
     window: Option<u32>,
     /// Requests accepted since the window grew.
-    taken: u32,
+    accepted: u32,
 }
 
 impl BackOff {
     /// Starts or extends the back-off by `ms` from now, with `unanswered` requests of this box at
     /// the endpoint. Returns whether it ends later than before.
-    pub fn ask(&mut self, ms: u64, unanswered: u32, now: u64) -> bool {
+    pub fn extend(&mut self, ms: u64, unanswered: u32, now: u64) -> bool {
         let until = now.saturating_add(ms);
         if ms == 0 || until <= self.until {
             return false;
         }
         // Consecutive rejections belong to one back-off.
-        let goes_on = now < self.until;
-        let before = if goes_on { self.before.max(unanswered) } else { unanswered };
+        let is_active = now < self.until;
+        let unanswered_before =
+            if is_active { self.unanswered_before.max(unanswered) } else { unanswered };
         *self = BackOff {
-            since: if goes_on { self.since } else { now },
+            since: if is_active { self.since } else { now },
             until,
-            before,
-            window: Some((before / FIRST).max(1)),
-            taken: 0,
+            unanswered_before,
+            window: Some((unanswered_before / FIRST_WINDOW_DIVISOR).max(1)),
+            accepted: 0,
         };
         true
     }
@@ -61,7 +62,7 @@
 
     /// Since when requests are held back: first by the back-off, then by the window. `None` if they
     /// are not.
-    pub fn keeps_back_since(&self, now: u64) -> Option<u64> {
+    pub fn held_back_since(&self, now: u64) -> Option<u64> {
         self.window.map(|_| if now < self.until { self.since } else { self.until })
     }
 
@@ -69,7 +70,7 @@
     pub fn wait_ms(&self, unanswered: u32, now: u64) -> u64 {
         match self.window {
             _ if now < self.until => self.until - now,
-            Some(window) if unanswered >= window => NEXT_MS,
+            Some(window) if unanswered >= window => FULL_WINDOW_DELAY_MS,
             _ => 0,
         }
     }
@@ -77,11 +78,11 @@
     /// Grows the window for an accepted request that was sent at `sent_at`.
     pub fn request_accepted(&mut self, sent_at: u64) {
         let Some(window) = self.window.filter(|_| sent_at >= self.until) else { return };
-        self.taken += 1;
-        if window < self.before * FAST || self.taken >= window {
-            self.taken = 0;
-            let wide = self.before.max(1) * WIDE;
-            self.window = Some(window + 1).filter(|window| *window < wide);
+        self.accepted += 1;
+        if window < self.unanswered_before * FAST_GROWTH_FACTOR || self.accepted >= window {
+            self.accepted = 0;
+            let unlimited_from = self.unanswered_before.max(1) * UNLIMITED_FACTOR;
+            self.window = Some(window + 1).filter(|window| *window < unlimited_from);
         }
     }
 }
--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -13,11 +13,11 @@
 
 /// Factor by which a box stretches the interval between its requests: two requests may arrive
 /// closer together than they were sent.
-const APART: f64 = 1.1;
+const INTERVAL_FACTOR: f64 = 1.1;
 
 /// Part of the allowed rate that boxes use. The rest is left for requests that were in flight when
 /// the endpoint turned cold, and for boxes that know a different fleet.
-const USED: f64 = 0.85;
+const USED_FRACTION: f64 = 0.85;
 
 /// The rate that a cold endpoint can handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -39,58 +39,58 @@
 impl Allowance {
     /// Milliseconds between two requests of this box to a cold endpoint; `None` if only other boxes
     /// send to it.
-    pub fn every_ms(self, fleet: &Fleet, endpoint: &str) -> Option<u64> {
+    pub fn interval_ms(self, fleet: &Fleet, endpoint: &str) -> Option<u64> {
         let boxes = fleet.others.len() as f64 + 1.0;
-        let per_s = self.per_s * USED;
+        let per_s = self.per_s * USED_FRACTION;
         let senders = per_s.floor().clamp(1.0, boxes);
-        let mine = member::weight(endpoint, &fleet.me);
-        let before =
-            |other: &Arc<str>| (member::weight(endpoint, other), other) > (mine, &fleet.me);
-        let rank = fleet.others.iter().filter(|other| before(other)).count();
-        let each_per_s = (per_s / senders).min(if senders < boxes { 1.0 } else { f64::MAX });
-        ((rank as f64) < senders).then(|| (1_000.0 * APART / each_per_s).ceil() as u64)
+        let own_weight = member::weight(endpoint, &fleet.me);
+        let ranks_above =
+            |other: &Arc<str>| (member::weight(endpoint, other), other) > (own_weight, &fleet.me);
+        let rank = fleet.others.iter().filter(|other| ranks_above(other)).count();
+        let sender_per_s = (per_s / senders).min(if senders < boxes { 1.0 } else { f64::MAX });
+        ((rank as f64) < senders).then(|| (1_000.0 * INTERVAL_FACTOR / sender_per_s).ceil() as u64)
     }
 }
 
 /// Rate limiter of one box for one cold endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Cold {
+pub struct Throttle {
     /// The endpoint is cold until then.
     until: u64,
     /// Milliseconds between two requests; `None` if this box sends none.
-    every: Option<u64>,
-    next: u64,
+    interval_ms: Option<u64>,
+    next_at: u64,
 }
 
-impl Cold {
-    /// Marks the endpoint cold from `now` until `until`, with `every` milliseconds between two
+impl Throttle {
+    /// Marks the endpoint cold from `now` until `until`, with `interval_ms` milliseconds between two
     /// requests.
-    pub fn extend(&mut self, now: u64, until: u64, every: Option<u64>) {
+    pub fn extend(&mut self, now: u64, until: u64, interval_ms: Option<u64>) {
         if self.until <= now {
-            self.next = self.next.max(now);
+            self.next_at = self.next_at.max(now);
         }
         self.until = until;
-        self.every = every;
+        self.interval_ms = interval_ms;
     }
 
     /// Changes the interval between two requests.
-    pub fn share(&mut self, every: Option<u64>) {
-        self.every = every;
+    pub fn set_interval(&mut self, interval_ms: Option<u64>) {
+        self.interval_ms = interval_ms;
     }
 
     /// Whether the endpoint is cold.
-    pub fn holds(&self, now: u64) -> bool {
+    pub fn is_active(&self, now: u64) -> bool {
         now < self.until
     }
 
     /// Milliseconds until this box may send a request to the endpoint.
     pub fn wait_ms(&self, now: u64) -> u64 {
-        let next = self.every.map_or(self.until, |_| self.next.min(self.until));
-        next.saturating_sub(now)
+        let next_at = self.interval_ms.map_or(self.until, |_| self.next_at.min(self.until));
+        next_at.saturating_sub(now)
     }
 
     /// Records a request that was sent.
-    pub fn sent(&mut self, now: u64) {
-        self.next = now + self.every.unwrap_or_default();
+    pub fn record_sent(&mut self, now: u64) {
+        self.next_at = now + self.interval_ms.unwrap_or_default();
     }
 }
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -7,7 +7,7 @@
 use crate::{
     availability::Departure,
     back_off::BackOff,
-    cold::Cold,
+    cold::Throttle,
     limit::{Limit, LimitSignal},
     pace::Pace,
 };
@@ -19,19 +19,19 @@
 /// Consecutive failures after which an endpoint is ejected.
 const EJECT_AFTER: u32 = 3;
 /// First ejection time in milliseconds; doubles with each further failure.
-const EJECT_MS: u64 = 1_000;
+const EJECTION_MS: u64 = 1_000;
 /// Longest ejection time in milliseconds.
-const EJECT_MOST_MS: u64 = 30_000;
+const MAX_EJECTION_MS: u64 = 30_000;
 /// Time in milliseconds over which a new endpoint is ramped up to its full share.
 const SLOW_START_MS: u64 = 5_000;
 /// Time constant in milliseconds by which a reported queue decays: about as long as an engine needs
 /// to prefill a long prompt.
-const BACKLOG_MS: f64 = 300.0;
+const QUEUE_DECAY_MS: f64 = 300.0;
 /// Time in milliseconds after which a peer's prompt no longer counts, even if nobody reported the
 /// end of its prefill. Longer than any prefill takes.
-const PROMPT_MOST_MS: u64 = 2_000;
+const PROMPT_TTL_MS: u64 = 2_000;
 /// Age in milliseconds at which a load report no longer counts.
-const REPORT_MOST_MS: u64 = 15_000;
+const REPORT_TTL_MS: u64 = 15_000;
 
 /// A load report of an endpoint, taken at `at` by this box's clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,18 +88,18 @@
     /// Requests of this box whose answer has not begun, and the size of their prompts still to
     /// prefill.
     unanswered: u32,
-    unread: u64,
-    prompts: Vec<Told>,
+    prefill_size: u64,
+    peer_prompts: Vec<PeerPrompt>,
     /// Rate limiter while the endpoint is cold.
-    pub cold: Cold,
+    pub cold: Throttle,
     /// Rate limiter after the endpoint was silent: it may have restarted and be cold.
-    pub doubt: Cold,
+    pub suspected_cold: Throttle,
     /// Time that it takes between two events of a stream.
     pub pace: Pace,
     /// Newest rate limit that it signaled; `None` if it never named one.
     limit_signal: Option<LimitSignal>,
     /// While it names a limit, this box asks for no permit before this time.
-    closed_until: u64,
+    permits_deferred_until: u64,
     /// Back-off that it asked this box for.
     pub back_off: BackOff,
     /// Set once it signaled that it leaves.
@@ -108,7 +108,7 @@
 
 /// A prompt that another box published.
 #[derive(Debug, Clone)]
-struct Told {
+struct PeerPrompt {
     by: Arc<str>,
     number: u64,
     size: u64,
@@ -139,13 +139,13 @@
             ejected_until: 0,
             new_since: (!warm).then_some(now),
             unanswered: 0,
-            unread: 0,
-            prompts: Vec::new(),
-            cold: Cold::default(),
-            doubt: Cold::default(),
+            prefill_size: 0,
+            peer_prompts: Vec::new(),
+            cold: Throttle::default(),
+            suspected_cold: Throttle::default(),
             pace: Pace::default(),
             limit_signal: None,
-            closed_until: 0,
+            permits_deferred_until: 0,
             back_off: BackOff::default(),
             departure: None,
         }
@@ -171,19 +171,19 @@
         }
         let is_new = self.limit() != before;
         if is_new {
-            self.closed_until = 0;
+            self.permits_deferred_until = 0;
         }
         is_new
     }
 
     /// Asks for no permit there for `ms` milliseconds.
     pub fn defer_permits(&mut self, ms: u64, now: u64) {
-        self.closed_until = now + ms;
+        self.permits_deferred_until = now + ms;
     }
 
     /// Milliseconds until this box may ask for a permit; 0 if the endpoint names no limit.
-    pub fn turn_wait_ms(&self, now: u64) -> u64 {
-        self.limit().map_or(0, |_| self.closed_until.saturating_sub(now))
+    pub fn permit_wait_ms(&self, now: u64) -> u64 {
+        self.limit().map_or(0, |_| self.permits_deferred_until.saturating_sub(now))
     }
 
     /// Whether it gets no new work any more.
@@ -197,14 +197,14 @@
     }
 
     /// Milliseconds until its back-off lets this box send a request.
-    pub fn rest_wait_ms(&self, now: u64) -> u64 {
+    pub fn back_off_wait_ms(&self, now: u64) -> u64 {
         self.back_off.wait_ms(self.unanswered, now)
     }
 
     /// Records a request that was sent to it.
     pub fn start(&mut self, now: u64) {
-        self.cold.sent(now);
-        self.doubt.sent(now);
+        self.cold.record_sent(now);
+        self.suspected_cold.record_sent(now);
         self.in_flight += 1;
         self.sample(now);
     }
@@ -212,44 +212,39 @@
     /// Records a prompt that was sent to it, `size` of which is to be prefilled.
     pub fn start_prefill(&mut self, size: u64) {
         self.unanswered += 1;
-        self.unread += size;
+        self.prefill_size += size;
     }
 
     /// Ends the prefill of a prompt, because its answer began or its request ended without one.
     pub fn finish_prefill(&mut self, size: u64) {
         self.unanswered = self.unanswered.saturating_sub(1);
-        self.unread = self.unread.saturating_sub(size);
+        self.prefill_size = self.prefill_size.saturating_sub(size);
     }
 
     /// Records a prompt that another box published, or the end of its prefill.
     pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |receive_prompt: &Told| {
-            receive_prompt.by == *by && receive_prompt.number == prompt.number
-        };
-        self.prompts.retain(|receive_prompt| {
-            !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now
-        });
+        let same = |known: &PeerPrompt| known.by == *by && known.number == prompt.number;
+        self.peer_prompts.retain(|known| !same(known) && known.at + PROMPT_TTL_MS > now);
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
-            self.prompts.push(Told { by, number, size, at: now });
+            self.peer_prompts.push(PeerPrompt { by, number, size, at: now });
         }
     }
 
     /// Size of prompts that are to be prefilled before a new one: those of this box, and those of
-    /// others. Other boxes publish only large prompts; so, if that gives more, a `typical` prompt
-    /// is counted for each request of others in the reported queue, decaying with the age of the
-    /// report.
-    pub fn backlog(&self, typical: f64, now: u64) -> f64 {
+    /// others. Other boxes publish only large prompts; so, if that gives more, a prompt of size
+    /// `mean_prefill` is counted for each request of others in the reported queue, decaying with
+    /// the age of the report.
+    pub fn backlog(&self, mean_prefill: f64, now: u64) -> f64 {
         let waiting = self.report.map_or(0.0, |report| {
             let waiting = f64::from(report.waiting.saturating_sub(self.unanswered));
             let age = now.saturating_sub(report.at) as f64;
-            waiting * (-age / BACKLOG_MS).exp()
+            waiting * (-age / QUEUE_DECAY_MS).exp()
         });
-        let receive_prompt =
-            self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
-        let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
+        let published = self.peer_prompts.iter().filter(|prompt| prompt.at + PROMPT_TTL_MS > now);
+        let published: u64 = published.map(|prompt| prompt.size).sum();
         // Published prompts may be the ones in the reported queue, so they are not added up.
-        self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
+        self.prefill_size as f64 + (waiting * mean_prefill).max(published as f64)
     }
 
     /// Records the end of a request.
@@ -262,15 +257,15 @@
                 self.ejected_until = 0;
             }
             Some(Failure::Refused) => {}
-            Some(Failure::Silent | Failure::Broken) => self.fail(now),
+            Some(Failure::Silent | Failure::Broken) => self.record_failure(now),
         }
     }
 
-    fn fail(&mut self, now: u64) {
+    fn record_failure(&mut self, now: u64) {
         self.failures += 1;
         if self.failures >= EJECT_AFTER {
             let doublings = (self.failures - EJECT_AFTER).min(10);
-            self.ejected_until = now + (EJECT_MS << doublings).min(EJECT_MOST_MS);
+            self.ejected_until = now + (EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         }
     }
 
@@ -298,10 +293,10 @@
             Some(known) => (known.1, known.2) = (in_flight, now),
             None => self.peers.push((peer.clone(), in_flight, now)),
         }
-        self.peers.retain(|(_, _, at)| at + REPORT_MOST_MS > now);
+        self.peers.retain(|(_, _, at)| at + REPORT_TTL_MS > now);
     }
 
-    fn own_at(&self, at: u64) -> u32 {
+    fn own_in_flight_at(&self, at: u64) -> u32 {
         let known = self.samples.iter().rev().find(|(sampled, _)| *sampled <= at);
         known.map_or(0, |(_, count)| *count)
     }
@@ -318,12 +313,12 @@
 
     /// Estimated number of requests at the endpoint now, over all boxes.
     pub fn load(&self, now: u64) -> f64 {
-        let receive_prompt: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
-        let known = f64::from(self.in_flight) + f64::from(receive_prompt);
-        let fresh = self.report.filter(|report| report.at + REPORT_MOST_MS > now);
+        let by_peers: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
+        let known = f64::from(self.in_flight) + f64::from(by_peers);
+        let fresh = self.report.filter(|report| report.at + REPORT_TTL_MS > now);
         let Some(report) = fresh else { return known };
         let reported = f64::from(report.running + report.waiting);
-        let change = f64::from(self.in_flight) - f64::from(self.own_at(report.at));
+        let change = f64::from(self.in_flight) - f64::from(self.own_in_flight_at(report.at));
         let corrected = (reported + change).max(f64::from(self.in_flight));
         // A fresh report outweighs what peers reported; an old one does not.
         let age = now.saturating_sub(report.at) as f64;
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -18,9 +18,9 @@
 
 pub use availability::{Availability, Departure, LAST_RESORT_MS};
 pub use back_off::BackOff;
-pub use cold::{Allowance, Cold, Fleet};
+pub use cold::{Allowance, Fleet, Throttle};
 pub use endpoint::{Endpoint, Failure, Prompt, Report, Snapshot};
 pub use limit::{Limit, LimitSignal};
 pub use permits::{Permit, Permits};
 pub use pool::{Candidates, Choice, Pool, Weights};
-pub use prefix::{BLOCK_BYTES, Prefix, Prefixes};
+pub use prefix::{BLOCK_BYTES, Prefix, PrefixIndex};
--- a/crates/balance/src/limit.rs
+++ b/crates/balance/src/limit.rs
@@ -25,8 +25,8 @@
     /// Whether two limits differ by at most a quarter. Boxes that issue no permits need to know
     /// only that there is a limit, so they are not notified of such a change.
     pub fn is_close(self, other: Limit) -> bool {
-        let (less, more) = (self.min(other).0, self.max(other).0);
-        more - less <= more / 4
+        let (low, high) = (self.min(other).0, self.max(other).0);
+        high - low <= high / 4
     }
 
     /// Requests per second.
--- a/crates/balance/src/pace.rs
+++ b/crates/balance/src/pace.rs
@@ -11,29 +11,29 @@
 /// Step of the estimate, relative to its value.
 const GAIN: f64 = 0.05;
 /// Observations before the estimate is valid; it starts from the shortest of them.
-const LEAST_SEEN: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 
 /// A low quantile of observed times.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pace {
     ms: f64,
-    seen: u32,
+    samples: u32,
 }
 
 impl Pace {
     /// Adds an observed time, in milliseconds.
-    pub fn see(&mut self, ms: f64) {
-        self.ms = match self.seen {
+    pub fn record(&mut self, ms: f64) {
+        self.ms = match self.samples {
             0 => ms,
-            seen if seen < LEAST_SEEN => self.ms.min(ms),
+            samples if samples < MIN_SAMPLES => self.ms.min(ms),
             _ if ms > self.ms => self.ms * (1.0 + GAIN * QUANTILE),
             _ => self.ms * (1.0 - GAIN * (1.0 - QUANTILE)),
         };
-        self.seen = self.seen.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 
     /// The estimate in milliseconds, once there are enough observations.
     pub fn ms(&self) -> Option<f64> {
-        (self.seen >= LEAST_SEEN).then_some(self.ms)
+        (self.samples >= MIN_SAMPLES).then_some(self.ms)
     }
 }
--- a/crates/balance/src/permits.rs
+++ b/crates/balance/src/permits.rs
@@ -14,27 +14,27 @@
 /// bursts. Within 4 s an endpoint may get up to 2 L + 5 requests more than a limit of L per second
 /// allows; this uses L/2 + 1 of them, and as much again if another box takes over as issuer. The
 /// rest is for requests that are delayed on the way.
-const SAVED_S: f64 = 0.5;
+const MAX_SAVED_S: f64 = 0.5;
 /// Interval in milliseconds at which one request is sent to an endpoint although its limit allows
 /// none: only its answers report a higher limit. Far below the five requests within 4 s that any
 /// limit allows in addition.
-const ASK_AGAIN: u64 = 5_000;
+const PROBE_INTERVAL_MS: u64 = 5_000;
 /// Distance between the retry times that are given out, in permits. Below 1, because some of those
 /// who ask again no longer need their permit.
-const APART: f64 = 0.5;
+const RETRY_SPACING: f64 = 0.5;
 /// Longest retry time in milliseconds: callers wait no longer, and the limit may be gone by then.
-const MOST_AFTER: u64 = 5_000;
+const MAX_RETRY_MS: u64 = 5_000;
 
 /// Issuer's state for one endpoint, in milliseconds of the issuer's clock.
 #[derive(Debug, Clone)]
 pub struct Permits {
     saved: f64,
     /// When `saved` was updated last.
-    at: u64,
+    saved_at: u64,
     /// When a permit was issued last.
-    given: u64,
+    issued_at: u64,
     /// Latest retry time given out so far.
-    last_told: u64,
+    last_retry_at: u64,
 }
 
 /// Answer to a request for a permit.
@@ -49,25 +49,26 @@
 impl Permits {
     /// No permits are saved up at first, because another box may have issued some a moment ago.
     pub fn open(now: u64) -> Permits {
-        Permits { saved: 0.0, at: now, given: now, last_told: now }
+        Permits { saved: 0.0, saved_at: now, issued_at: now, last_retry_at: now }
     }
 
     /// Asks for a permit at an endpoint with a limit of `per_s` requests per second.
     pub fn take(&mut self, per_s: f64, now: u64) -> Permit {
-        let passed_s = now.saturating_sub(self.at) as f64 / 1_000.0;
-        self.saved = (self.saved + passed_s * per_s).min(1.0 + SAVED_S * per_s);
-        self.at = now;
-        if self.saved >= 1.0 || now >= self.given + ASK_AGAIN {
+        let elapsed_s = now.saturating_sub(self.saved_at) as f64 / 1_000.0;
+        self.saved = (self.saved + elapsed_s * per_s).min(1.0 + MAX_SAVED_S * per_s);
+        self.saved_at = now;
+        if self.saved >= 1.0 || now >= self.issued_at + PROBE_INTERVAL_MS {
             self.saved = (self.saved - 1.0).max(0.0);
-            self.given = now;
+            self.issued_at = now;
             return Permit::Given;
         }
         // When the next permit is saved up, or the endpoint is due for a request in any case. With
         // a limit of zero, nothing is ever saved up.
-        let saved_up = ((1.0 - self.saved) * 1_000.0 / per_s).min(MOST_AFTER as f64).ceil() as u64;
-        let next = (now + saved_up).min(self.given + ASK_AGAIN);
-        let apart = (APART * 1_000.0 / per_s).min(MOST_AFTER as f64) as u64;
-        self.last_told = (self.last_told + apart).clamp(next, now + MOST_AFTER);
-        Permit::After { ms: self.last_told - now }
+        let saved_up =
+            ((1.0 - self.saved) * 1_000.0 / per_s).min(MAX_RETRY_MS as f64).ceil() as u64;
+        let next = (now + saved_up).min(self.issued_at + PROBE_INTERVAL_MS);
+        let spacing_ms = (RETRY_SPACING * 1_000.0 / per_s).min(MAX_RETRY_MS as f64) as u64;
+        self.last_retry_at = (self.last_retry_at + spacing_ms).clamp(next, now + MAX_RETRY_MS);
+        Permit::After { ms: self.last_retry_at - now }
     }
 }
--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -87,19 +87,20 @@
     /// Like [`Pool::choose`], among all endpoints or some of them.
     pub fn choose_from(
         &self,
-        offer: Candidates,
+        filter: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
         now: u64,
         random: &mut impl Rng,
     ) -> Option<Choice> {
-        let offered = self.offered(tried, offer, now);
-        if let Some(probe) = offered.iter().find(|endpoint| endpoint.wants_probe(now)) {
-            return Some(self.judge(probe, prefix, 0, now).1);
+        let available = self.available(tried, filter, now);
+        if let Some(probe) = available.iter().find(|endpoint| endpoint.wants_probe(now)) {
+            return Some(self.evaluate(probe, prefix, 0, now).1);
         }
-        let aside = |e: &&&Endpoint| e.is_ejected(now) || e.is_probed(now);
-        let most_aside = offered.iter().filter(aside).count() * 2 >= offered.len().max(1);
-        let usable = offered.iter().filter(|e| most_aside || !aside(e)).copied();
+        let is_unhealthy = |e: &&&Endpoint| e.is_ejected(now) || e.is_probed(now);
+        let mostly_unhealthy =
+            available.iter().filter(is_unhealthy).count() * 2 >= available.len().max(1);
+        let usable = available.iter().filter(|e| mostly_unhealthy || !is_unhealthy(e)).copied();
         let mut candidates = usable.clone().choose_multiple(random, self.weights.random_candidates);
         // The draw keeps the order of the pool, which would decide every tie.
         candidates.shuffle(random);
@@ -110,32 +111,32 @@
         }
         let prefix_owners = self.prefix_owners(usable, prefix);
         candidates.extend(prefix_owners.iter().filter(|e| e.load(now) <= bound));
-        let judged = candidates.into_iter().map(|endpoint| {
-            let home = prefix_owners.first().is_some_and(|home| home.name == endpoint.name);
-            let unknown = |(hash, _): &(u64, u64)| home && !self.prefixes.is_known(*hash);
-            let shared = prefix.shared().filter(unknown).map_or(0, |(_, size)| size);
-            self.judge(endpoint, prefix, shared, now)
+        let evaluated = candidates.into_iter().map(|endpoint| {
+            let is_owner = prefix_owners.first().is_some_and(|owner| owner.name == endpoint.name);
+            let is_unknown = |(hash, _): &(u64, u64)| is_owner && !self.prefixes.is_known(*hash);
+            let shared = prefix.shared().filter(is_unknown).map_or(0, |(_, size)| size);
+            self.evaluate(endpoint, prefix, shared, now)
         });
-        judged.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
+        evaluated.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
     }
 
     /// Endpoints that may get a request of this box now, without those in `tried`. If there are
     /// none, those that signaled recently that they leave.
-    fn offered(&self, tried: &[Arc<str>], offer: Candidates, now: u64) -> Vec<&Endpoint> {
+    fn available(&self, tried: &[Arc<str>], filter: Candidates, now: u64) -> Vec<&Endpoint> {
         let staying = self.staying().count();
-        let doubted = self.staying().filter(|e| e.doubt.holds(now)).count();
-        let spares = self.allowance.is_some() && doubted * 2 < staying.max(1);
-        let takes = |wanted: Availability| {
+        let suspected = self.staying().filter(|e| e.suspected_cold.is_active(now)).count();
+        let avoids_suspects = self.allowance.is_some() && suspected * 2 < staying.max(1);
+        let having = |wanted: Availability| {
             let fits = move |e: &&Endpoint| {
-                let may_be_cold = spares && e.doubt.wait_ms(now) > 0;
-                let is_limited = offer == Candidates::Unlimited && e.limit().is_some();
+                let may_be_cold = avoids_suspects && e.suspected_cold.wait_ms(now) > 0;
+                let is_limited = filter == Candidates::Unlimited && e.limit().is_some();
                 !may_be_cold && !is_limited && self.availability(e, now) == wanted
             };
             self.endpoints.iter().filter(fits).filter(|e| !tried.contains(&e.name)).collect()
         };
-        let open: Vec<&Endpoint> = takes(Availability::Open);
+        let open: Vec<&Endpoint> = having(Availability::Open);
         match open.is_empty() {
-            true => takes(Availability::LastResort),
+            true => having(Availability::LastResort),
             false => open,
         }
     }
@@ -150,12 +151,9 @@
         let Some((hash, size)) = prefix.shared().filter(|_| self.weights.prefix_owners > 0) else {
             return Vec::new();
         };
-        let large_prefix = size >= self.weights.large_prefix;
+        let is_large = size >= self.weights.large_prefix;
         let rank = |e: &Endpoint| {
-            (
-                large_prefix && self.speed.is_slow(e),
-                Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)),
-            )
+            (is_large && self.speed.is_slow(e), Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)))
         };
         let mut prefix_owners: Vec<_> = usable.map(|e| (rank(e), e)).collect();
         prefix_owners.sort_unstable_by_key(|(rank, _)| *rank);
@@ -167,15 +165,21 @@
     }
 
     /// Cost of sending a prompt to an endpoint that is assumed to hold at least `assumed` of it.
-    fn judge(&self, endpoint: &Endpoint, prefix: &Prefix, assumed: u64, now: u64) -> (f64, Choice) {
+    fn evaluate(
+        &self,
+        endpoint: &Endpoint,
+        prefix: &Prefix,
+        assumed: u64,
+        now: u64,
+    ) -> (f64, Choice) {
         let load = endpoint.load(now);
         let held = self.prefixes.held(prefix, &endpoint.name).max(assumed);
         let missing = prefix.size().saturating_sub(held);
-        let away = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
-        let backlog = endpoint.backlog(self.typical, now);
+        let zone_cost = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
+        let backlog = endpoint.backlog(self.mean_prefill, now);
         let cost = (load + 1.0) * self.weights.in_flight * endpoint.slow_start(now)
             + (missing as f64 * self.weights.prefill + backlog) / self.weights.size_per_request
-            + away;
+            + zone_cost;
         (cost, Choice { name: endpoint.name.clone(), held, load })
     }
 }
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -9,7 +9,7 @@
 use std::{collections::HashMap, sync::Arc};
 
 use crate::{
-    Allowance, BackOff, Departure, Endpoint, Failure, Fleet, Prefix, Prefixes, Prompt, Report,
+    Allowance, BackOff, Departure, Endpoint, Failure, Fleet, Prefix, PrefixIndex, Prompt, Report,
     Snapshot, speed::Speed,
 };
 
@@ -17,48 +17,48 @@
 #[derive(Debug)]
 pub struct Pool {
     endpoints: Vec<Endpoint>,
-    prefixes: Prefixes,
+    prefixes: PrefixIndex,
     weights: Weights,
     zone: Arc<str>,
     /// Moving average of the size to prefill per prompt.
-    typical: f64,
+    mean_prefill: f64,
     speed: Speed,
     /// Rate that cold endpoints can handle; `None` if not limited.
     allowance: Option<Allowance>,
     /// The boxes that share this rate; `None` until the other boxes are known.
     fleet: Option<Fleet>,
     /// Latest retry time given to a request that was refused because of rate limits.
-    last_told: u64,
+    last_retry_at: u64,
     /// Back-offs of endpoints that are not listed now: an entry that expired may come back within
     /// seconds.
-    rests: HashMap<Arc<str>, BackOff>,
+    back_offs: HashMap<Arc<str>, BackOff>,
 }
 
 /// Smoothing factor of the average prompt size; about the last twenty prompts count.
-const TYPICAL_GAIN: f64 = 0.05;
+const MEAN_PREFILL_GAIN: f64 = 0.05;
 /// Shortest event gap in milliseconds that is recorded; events closer together were delivered at
 /// once.
-const SHORTEST_MS: f64 = 1.0;
+const MIN_GAP_MS: f64 = 1.0;
 /// Maximum number of remembered back-offs of unlisted endpoints, about 100 bytes each.
-const MOST_RESTS: usize = 4_096;
+const MAX_BACK_OFFS: usize = 4_096;
 /// Prompt blocks remembered per pool.
-const PREFIX_BLOCKS: usize = 65_536;
+const MAX_PREFIX_BLOCKS: usize = 65_536;
 
 impl Pool {
     /// An empty pool seen from a box in `zone`.
     pub fn new(zone: Arc<str>, weights: Weights) -> Pool {
-        let prefixes = Prefixes::new(PREFIX_BLOCKS);
+        let prefixes = PrefixIndex::new(MAX_PREFIX_BLOCKS);
         Pool {
             endpoints: Vec::new(),
             prefixes,
             weights,
             zone,
-            typical: 0.0,
+            mean_prefill: 0.0,
             speed: Speed::default(),
             allowance: None,
             fleet: None,
-            last_told: 0,
-            rests: HashMap::new(),
+            last_retry_at: 0,
+            back_offs: HashMap::new(),
         }
     }
 
@@ -71,7 +71,7 @@
             let endpoint = match at {
                 Some(at) => known.swap_remove(at),
                 None => {
-                    let back_off = self.rests.remove(&name).unwrap_or_default();
+                    let back_off = self.back_offs.remove(&name).unwrap_or_default();
                     let mut endpoint = Endpoint::new(name, zone, now, warm);
                     endpoint.back_off = back_off;
                     endpoint
@@ -79,12 +79,14 @@
             };
             self.endpoints.push(endpoint);
         }
-        self.rests.retain(|_, back_off| back_off.left_ms(now) > 0);
-        let resting = known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
-        self.rests
-            .extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
-        if self.rests.len() > MOST_RESTS {
-            self.rests.clear();
+        self.back_offs.retain(|_, back_off| back_off.left_ms(now) > 0);
+        let active_back_offs =
+            known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
+        self.back_offs.extend(
+            active_back_offs.take(MAX_BACK_OFFS).map(|endpoint| (endpoint.name, endpoint.back_off)),
+        );
+        if self.back_offs.len() > MAX_BACK_OFFS {
+            self.back_offs.clear();
         }
     }
 
@@ -123,7 +125,7 @@
     pub fn set_allowance(&mut self, allowance: Option<Allowance>, now: u64) {
         if self.allowance != allowance {
             self.allowance = allowance;
-            self.share_cold(now);
+            self.update_cold_intervals(now);
         }
     }
 
@@ -131,17 +133,17 @@
     pub fn set_fleet(&mut self, fleet: &Fleet, now: u64) {
         if self.fleet.as_ref() != Some(fleet) {
             self.fleet = Some(fleet.clone());
-            self.share_cold(now);
+            self.update_cold_intervals(now);
         }
     }
 
     /// Updates this box's share of the rate at all cold endpoints.
-    fn share_cold(&mut self, now: u64) {
+    fn update_cold_intervals(&mut self, now: u64) {
         for endpoint in &mut self.endpoints {
-            if endpoint.cold.holds(now) || endpoint.doubt.holds(now) {
-                let every = every_ms(self.allowance, &self.fleet, &endpoint.name);
-                endpoint.cold.share(every);
-                endpoint.doubt.share(every);
+            if endpoint.cold.is_active(now) || endpoint.suspected_cold.is_active(now) {
+                let interval_ms = cold_interval_ms(self.allowance, &self.fleet, &endpoint.name);
+                endpoint.cold.set_interval(interval_ms);
+                endpoint.suspected_cold.set_interval(interval_ms);
             }
         }
     }
@@ -150,18 +152,18 @@
     pub fn mark_cold(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
         let lasts_ms =
             lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
-        let every = every_ms(self.allowance, &self.fleet, name);
+        let interval_ms = cold_interval_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.cold.extend(now, now + lasts_ms, every);
+            endpoint.cold.extend(now, now + lasts_ms, interval_ms);
         }
     }
 
     /// Treats a silent endpoint as cold: it may have crashed and restarted.
-    fn doubt(&mut self, name: &str, now: u64) {
+    fn suspect_cold(&mut self, name: &str, now: u64) {
         let lasts_ms = self.allowance.map_or(0, |allowance| allowance.lasts_ms);
-        let every = every_ms(self.allowance, &self.fleet, name);
+        let interval_ms = cold_interval_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.doubt.extend(now, now + lasts_ms, every);
+            endpoint.suspected_cold.extend(now, now + lasts_ms, interval_ms);
         }
     }
 
@@ -169,22 +171,22 @@
     pub fn back_off(&mut self, name: &str, ms: u64, now: u64) -> bool {
         let Some(endpoint) = self.get_mut(name) else { return false };
         let unanswered = endpoint.unanswered();
-        endpoint.back_off.ask(ms, unanswered, now)
+        endpoint.back_off.extend(ms, unanswered, now)
     }
 
     /// Number of cold endpoints.
     pub fn cold(&self, now: u64) -> usize {
-        self.endpoints.iter().filter(|endpoint| endpoint.cold.holds(now)).count()
+        self.endpoints.iter().filter(|endpoint| endpoint.cold.is_active(now)).count()
     }
 
     /// Index of cached blocks.
-    pub fn prefixes_mut(&mut self) -> &mut Prefixes {
+    pub fn prefixes_mut(&mut self) -> &mut PrefixIndex {
         &mut self.prefixes
     }
 
     /// Records a request that is sent to an endpoint.
     pub fn start(&mut self, name: &Arc<str>, prefix: &Prefix, now: u64) {
-        self.prefixes.sent(prefix, name);
+        self.prefixes.insert(prefix, name);
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.start(now);
         }
@@ -194,7 +196,7 @@
     /// prefill.
     pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
         let missing = prefix.size().saturating_sub(held);
-        self.typical += (missing as f64 - self.typical) * TYPICAL_GAIN;
+        self.mean_prefill += (missing as f64 - self.mean_prefill) * MEAN_PREFILL_GAIN;
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.start_prefill(missing);
         }
@@ -220,7 +222,7 @@
     /// Records the end of a request.
     pub fn end(&mut self, name: &str, failure: Option<Failure>, now: u64) {
         if failure == Some(Failure::Silent) {
-            self.doubt(name, now);
+            self.suspect_cold(name, now);
         }
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.end(now, failure);
@@ -236,19 +238,19 @@
 
     /// Records the gap between two events of an endpoint's stream.
     pub fn record_gap(&mut self, name: &str, gap_ms: f64) {
-        if gap_ms < SHORTEST_MS {
+        if gap_ms < MIN_GAP_MS {
             return;
         }
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.pace.see(gap_ms);
+            endpoint.pace.record(gap_ms);
         }
-        self.speed.note_event(&self.endpoints);
+        self.speed.count_gap(&self.endpoints);
     }
 
     /// Takes over the requests that a peer has in flight.
-    pub fn peer(&mut self, peer: &Arc<str>, receive_prompt: &[Snapshot], now: u64) {
+    pub fn peer(&mut self, peer: &Arc<str>, snapshots: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
-            let count = receive_prompt.iter().find(|snapshot| snapshot.name == endpoint.name);
+            let count = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
             endpoint.peer(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
         }
     }
@@ -260,6 +262,10 @@
     }
 }
 
-fn every_ms(allowance: Option<Allowance>, fleet: &Option<Fleet>, name: &str) -> Option<u64> {
-    allowance?.every_ms(fleet.as_ref()?, name)
+fn cold_interval_ms(
+    allowance: Option<Allowance>,
+    fleet: &Option<Fleet>,
+    name: &str,
+) -> Option<u64> {
+    allowance?.interval_ms(fleet.as_ref()?, name)
 }
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -15,7 +15,7 @@
 /// Bytes of prompt text in one block.
 pub const BLOCK_BYTES: usize = 64;
 /// Maximum number of blocks of a prompt that are considered.
-const BLOCKS: usize = 256;
+const MAX_BLOCKS: usize = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Block {
@@ -34,8 +34,8 @@
     pub fn of<'a>(texts: impl IntoIterator<Item = &'a str>) -> Prefix {
         let mut bytes = Vec::with_capacity(BLOCK_BYTES * 8);
         for text in texts {
-            let room = (BLOCKS * BLOCK_BYTES).saturating_sub(bytes.len());
-            bytes.extend_from_slice(&text.as_bytes()[..text.len().min(room)]);
+            let remaining = (MAX_BLOCKS * BLOCK_BYTES).saturating_sub(bytes.len());
+            bytes.extend_from_slice(&text.as_bytes()[..text.len().min(remaining)]);
         }
         let mut seed = 0;
         let blocks = bytes.chunks_exact(BLOCK_BYTES).map(|block| {
@@ -75,20 +75,20 @@
 
 /// A bounded index from blocks to the endpoints that probably hold them.
 #[derive(Debug)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     holders: HashMap<u64, Vec<Arc<str>>>,
     order: VecDeque<u64>,
     capacity: usize,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// An empty index for up to `capacity` blocks.
-    pub fn new(capacity: usize) -> Prefixes {
-        Prefixes { holders: HashMap::new(), order: VecDeque::new(), capacity }
+    pub fn new(capacity: usize) -> PrefixIndex {
+        PrefixIndex { holders: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
     /// Records a prompt that was sent to an endpoint, which will cache its blocks.
-    pub fn sent(&mut self, prefix: &Prefix, endpoint: &Arc<str>) {
+    pub fn insert(&mut self, prefix: &Prefix, endpoint: &Arc<str>) {
         for block in &prefix.0 {
             self.add(block.hash, endpoint);
         }
@@ -130,15 +130,15 @@
         prefix.0.iter().take_while(holds).map(|block| u64::from(block.size)).sum()
     }
 
-    /// Up to `most` endpoints that hold the longest known prefix, longest first.
-    pub fn best(&self, prefix: &Prefix, most: usize) -> Vec<Arc<str>> {
+    /// Up to `limit` endpoints that hold the longest known prefix, longest first.
+    pub fn best(&self, prefix: &Prefix, limit: usize) -> Vec<Arc<str>> {
         let mut found: Vec<Arc<str>> = Vec::new();
         let known = prefix.0.partition_point(|block| self.holders.contains_key(&block.hash));
         for block in prefix.0[..known].iter().rev() {
             for name in self.holders.get(&block.hash).into_iter().flatten() {
                 match found.contains(name) {
                     true => {}
-                    false if found.len() < most => found.push(name.clone()),
+                    false if found.len() < limit => found.push(name.clone()),
                     false => return found,
                 }
             }
--- a/crates/balance/src/speed.rs
+++ b/crates/balance/src/speed.rs
@@ -6,9 +6,9 @@
 
 /// An endpoint is slow if its pace exceeds this multiple of the pool's median. Above the variation
 /// among engines of one type, below the difference to a slower type.
-const SLOW: f64 = 1.2;
+const SLOW_FACTOR: f64 = 1.2;
 /// Number of event gaps after which the median is computed anew.
-const MEDIAN_EVERY: u32 = 64;
+const MEDIAN_INTERVAL: u32 = 64;
 
 /// Speed of a pool's endpoints, as one box observes it.
 #[derive(Debug, Default)]
@@ -16,14 +16,14 @@
     /// Median pace of all endpoints, in milliseconds.
     median_ms: Option<f64>,
     /// Event gaps observed so far.
-    events: u32,
+    gaps: u32,
 }
 
 impl Speed {
     /// Counts an event gap that was added to the pace of one of the endpoints.
-    pub fn note_event(&mut self, endpoints: &[Endpoint]) {
-        self.events = self.events.wrapping_add(1);
-        if self.events.is_multiple_of(MEDIAN_EVERY) {
+    pub fn count_gap(&mut self, endpoints: &[Endpoint]) {
+        self.gaps = self.gaps.wrapping_add(1);
+        if self.gaps.is_multiple_of(MEDIAN_INTERVAL) {
             self.median_ms = median(endpoints.iter().filter_map(|endpoint| endpoint.pace.ms()));
         }
     }
@@ -35,7 +35,7 @@
 
     /// Whether an endpoint is much slower than most others.
     pub fn is_slow(&self, endpoint: &Endpoint) -> bool {
-        self.slowness(endpoint) > SLOW
+        self.slowness(endpoint) > SLOW_FACTOR
     }
 }
 
--- a/crates/balance/tests/back_off.rs
+++ b/crates/balance/tests/back_off.rs
@@ -6,31 +6,31 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Step of the simulation, in milliseconds.
-const STEP: u64 = 5;
-/// Time that an endpoint takes for a request, in milliseconds.
-const WORK: u64 = 100;
+const STEP_MS: u64 = 5;
+/// Time that an endpoint accepts for a request, in milliseconds.
+const WORK_MS: u64 = 100;
 /// Requests that an endpoint runs at once.
 const SLOTS: usize = 64;
 /// Window over which simultaneous arrivals are counted, in milliseconds.
-const WAVE: u64 = 50;
+const WAVE_MS: u64 = 50;
 /// Shortest time after which a caller retries, in milliseconds.
-const LEAST_WAIT: u64 = 100;
+const MIN_RETRY_MS: u64 = 100;
 /// Length of a run in milliseconds, enough for all refused requests to be retried.
-const LASTS: u64 = 16_000;
+const RUN_MS: u64 = 16_000;
 /// Load as a fraction of the endpoints' capacity.
 const THIRD: f64 = 1.0 / 3.0;
 const HALF: f64 = 1.0 / 2.0;
 /// When overloaded endpoints reject all requests, and the back-off that they ask for, in
 /// milliseconds.
-const TIRED: Range<u64> = 1_000..4_000;
-const ASKS: u64 = 3_000;
+const OVERLOAD: Range<u64> = 1_000..4_000;
+const BACK_OFF_MS: u64 = 3_000;
 
 #[test]
-fn a_rest_holds_whatever_else_is_heard() {
+fn a_back_off_is_never_shortened() {
     /// Times at which a back-off is asked for, and its length.
-    type Asked<'a> = &'a [(u64, u64)];
+    type Requests<'a> = &'a [(u64, u64)];
     // Requested back-offs, and when they end.
-    let cases: [(&str, Asked, u64); 7] = [
+    let cases: [(&str, Requests, u64); 7] = [
         ("zero", &[(0, 0)], 0),
         ("3 s", &[(10, 3_000)], 3_010),
         ("3 s, then 1 s", &[(10, 3_000), (20, 1_000)], 3_010),
@@ -39,10 +39,10 @@
         ("a day", &[(10, 86_400_000)], 86_400_010),
         ("no end", &[(10, u64::MAX)], u64::MAX),
     ];
-    for (what, asked, until) in cases {
+    for (what, requests, until) in cases {
         let mut back_off = BackOff::default();
-        for (now, ms) in asked {
-            back_off.ask(*ms, 0, *now);
+        for (now, ms) in requests {
+            back_off.extend(*ms, 0, *now);
             back_off.request_accepted(*now);
         }
         assert_eq!(back_off.left_ms(100), until.saturating_sub(100), "{what}");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_box_comes_back_with_a_part_and_more_with_each_request_that_is_taken() {
+fn the_window_after_a_back_off_grows_with_accepted_requests() {
     let most = |back_off: &BackOff, now| {
         (0..100).take_while(|sent| back_off.wait_ms(*sent, now) == 0).count()
     };
@@ -63,8 +63,8 @@
     ];
     for (unanswered, windows) in cases {
         let mut back_off = BackOff::default();
-        back_off.ask(1_000, unanswered, 0);
-        back_off.ask(1_000, 0, 100);
+        back_off.extend(1_000, unanswered, 0);
+        back_off.extend(1_000, 0, 100);
         assert_eq!(most(&back_off, 1_099), 0, "the back-off is not over");
         back_off.request_accepted(900);
         let mut grown = vec![most(&back_off, 1_100)];
@@ -73,7 +73,7 @@
             grown.push(most(&back_off, 1_200));
         }
         assert_eq!(grown, windows, "{unanswered}");
-        back_off.ask(1_000, 0, 2_000);
+        back_off.extend(1_000, 0, 2_000);
         assert_eq!(most(&back_off, 3_000), 1, "after another back-off");
     }
 }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn rest_a_limit_a_cold_start_and_leaving_hold_together() {
+fn back_off_limit_and_departure_combine() {
     let mut pool = pool(2, None);
     let availability =
         |pool: &Pool, now| pool.availability(pool.get("e0").expect("in the pool"), now);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_entry_that_lapses_ends_no_rest_and_another_life_starts_without() {
+fn a_back_off_survives_an_expired_entry_but_not_a_restart() {
     let mut pool = pool(2, None);
     pool.back_off("e0", 5_000, 0);
     pool.update([(name(1), "z".into())], 100);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn where_all_rest_requests_come_again_half_as_fast_as_they_came_the_urgent_ones_first() {
+fn retries_after_a_back_off_are_spread_by_rank() {
     let mut pool = pool(3, None);
     (0..3).for_each(|n| {
         pool.back_off(&name(n), 2_000 + n as u64 * 500, 0);
@@ -136,18 +136,18 @@
 struct Model {
     boxes: Vec<Pool>,
     /// Number of overloaded endpoints, the first ones.
-    tired: usize,
+    overloaded: usize,
     /// End times of the requests at each endpoint.
-    at_work: Vec<Vec<u64>>,
+    running: Vec<Vec<u64>>,
     /// Box and endpoint of the requests in flight, by end time.
     in_flight: BTreeMap<u64, Vec<(usize, usize)>>,
     /// Box and rank of refused requests, by retry time.
-    coming: BTreeMap<u64, Vec<(usize, u8)>>,
+    retries: BTreeMap<u64, Vec<(usize, u8)>>,
     random: SmallRng,
     /// When the first endpoint asked each box to back off, and how many requests it got from that
     /// box more than half a second later.
-    asked: Vec<Option<u64>>,
-    in_rest: Vec<usize>,
+    back_off_since: Vec<Option<u64>>,
+    in_back_off: Vec<usize>,
     /// Requests that reached the first endpoint after its overload, by window.
     waves: BTreeMap<u64, usize>,
     requests: usize,
@@ -155,11 +155,11 @@
     /// Refused although an available endpoint had room.
     refused_idle: usize,
     /// Refused on retry.
-    refused_again: usize,
+    refused_on_retry: usize,
 }
 
 impl Model {
-    fn open(boxes: usize, endpoints: usize, tired: usize) -> Model {
+    fn open(boxes: usize, endpoints: usize, overloaded: usize) -> Model {
         let names: Vec<Arc<str>> = (0..boxes).map(|n| format!("box-{n}").into()).collect();
         let fleet = |me: &Arc<str>| {
             let others = names.iter().filter(|name| *name != me).cloned().collect();
@@ -167,37 +167,37 @@
         };
         Model {
             boxes: names.iter().map(|me| pool(endpoints, Some(fleet(me)))).collect(),
-            tired,
-            at_work: vec![Vec::new(); endpoints],
+            overloaded,
+            running: vec![Vec::new(); endpoints],
             in_flight: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            retries: BTreeMap::new(),
             random: SmallRng::seed_from_u64(9),
-            asked: vec![None; boxes],
-            in_rest: vec![0; boxes],
+            back_off_since: vec![None; boxes],
+            in_back_off: vec![0; boxes],
             waves: BTreeMap::new(),
             requests: 0,
             refused: 0,
             refused_idle: 0,
-            refused_again: 0,
+            refused_on_retry: 0,
         }
     }
 
     /// Starts all back-offs at the same time.
-    fn all_are_told(&mut self) {
+    fn start_all_back_offs(&mut self) {
         for pool in &mut self.boxes {
-            (0..self.tired).for_each(|n| {
-                pool.back_off(&name(n), ASKS, TIRED.start);
+            (0..self.overloaded).for_each(|n| {
+                pool.back_off(&name(n), BACK_OFF_MS, OVERLOAD.start);
             });
         }
     }
 
-    fn is_tired(&self, endpoint: usize, now: u64) -> bool {
-        endpoint < self.tired && TIRED.contains(&now)
+    fn is_overloaded(&self, endpoint: usize, now: u64) -> bool {
+        endpoint < self.overloaded && OVERLOAD.contains(&now)
     }
 
     /// Handles a request at a box, which may try two endpoints; a refused request is retried once.
-    fn request(&mut self, at: usize, rank: u8, comes_again: bool, now: u64) {
-        self.requests += usize::from(!comes_again);
+    fn request(&mut self, at: usize, rank: u8, is_retry: bool, now: u64) {
+        self.requests += usize::from(!is_retry);
         let mut tried = Vec::new();
         for _ in 0..2 {
             let prefix = Prefix::of_parts([]);
@@ -207,50 +207,51 @@
             let endpoint: usize = choice.name[1..].parse().expect("a number");
             pool.start(&choice.name, &prefix, now);
             pool.start_prefill(&choice.name, &prefix, 0);
-            if self.takes(at, endpoint, now) {
+            if self.accepts(at, endpoint, now) {
                 return;
             }
             let pool = &mut self.boxes[at];
             pool.finish_prefill(&choice.name, 0);
             pool.end(&choice.name, Some(Failure::Refused), now);
-            if endpoint < self.tired {
-                pool.back_off(&choice.name, ASKS, now);
+            if endpoint < self.overloaded {
+                pool.back_off(&choice.name, BACK_OFF_MS, now);
             }
             tried.push(choice.name);
         }
         self.refused += 1;
-        let has_room = |n: usize| !self.is_tired(n, now) && self.at_work[n].len() < SLOTS / 2;
-        self.refused_idle += usize::from((0..self.at_work.len()).any(has_room));
-        if comes_again {
-            self.refused_again += 1;
+        let has_room = |n: usize| !self.is_overloaded(n, now) && self.running[n].len() < SLOTS / 2;
+        self.refused_idle += usize::from((0..self.running.len()).any(has_room));
+        if is_retry {
+            self.refused_on_retry += 1;
             return;
         }
         let wait = self.boxes[at].retry_after_ms(rank, now).expect("an endpoint");
-        self.coming.entry(now + wait.max(LEAST_WAIT)).or_default().push((at, rank));
+        self.retries.entry(now + wait.max(MIN_RETRY_MS)).or_default().push((at, rank));
     }
 
     /// Whether an endpoint accepts a request.
-    fn takes(&mut self, at: usize, endpoint: usize, now: u64) -> bool {
-        let is_tired = self.is_tired(endpoint, now);
+    fn accepts(&mut self, at: usize, endpoint: usize, now: u64) -> bool {
+        let is_overloaded = self.is_overloaded(endpoint, now);
         if endpoint == 0 {
-            self.count(at, is_tired, now);
+            self.count(at, is_overloaded, now);
         }
-        if is_tired || self.at_work[endpoint].len() >= SLOTS {
+        if is_overloaded || self.running[endpoint].len() >= SLOTS {
             return false;
         }
-        self.at_work[endpoint].push(now + WORK);
-        self.in_flight.entry(now + WORK).or_default().push((at, endpoint));
+        self.running[endpoint].push(now + WORK_MS);
+        self.in_flight.entry(now + WORK_MS).or_default().push((at, endpoint));
         true
     }
 
-    fn count(&mut self, at: usize, is_tired: bool, now: u64) {
-        let asked = self.asked[at].filter(|asked| now < asked + ASKS);
-        let is_late = asked.is_some_and(|asked| now >= asked + 500);
-        self.in_rest[at] += usize::from(is_late);
-        match is_tired {
-            true if asked.is_none() => self.asked[at] = Some(now),
+    fn count(&mut self, at: usize, is_overloaded: bool, now: u64) {
+        let back_off_since =
+            self.back_off_since[at].filter(|back_off_since| now < back_off_since + BACK_OFF_MS);
+        let is_late = back_off_since.is_some_and(|back_off_since| now >= back_off_since + 500);
+        self.in_back_off[at] += usize::from(is_late);
+        match is_overloaded {
+            true if back_off_since.is_none() => self.back_off_since[at] = Some(now),
             true => {}
-            false if now >= TIRED.end => *self.waves.entry(now / WAVE).or_default() += 1,
+            false if now >= OVERLOAD.end => *self.waves.entry(now / WAVE_MS).or_default() += 1,
             false => {}
         }
     }
@@ -262,15 +263,15 @@
             let (pool, name) = (&mut self.boxes[at], name(endpoint));
             pool.finish_prefill(&name, 0);
             pool.end(&name, None, now);
-            pool.get_mut(&name).expect("in the pool").back_off.request_accepted(now - WORK);
+            pool.get_mut(&name).expect("in the pool").back_off.request_accepted(now - WORK_MS);
         }
-        self.at_work.iter_mut().for_each(|work| work.retain(|ends| *ends > now));
-        let later = self.coming.split_off(&(now + 1));
-        let coming = std::mem::replace(&mut self.coming, later);
-        for (at, rank) in coming.into_values().flatten() {
+        self.running.iter_mut().for_each(|work| work.retain(|ends| *ends > now));
+        let later = self.retries.split_off(&(now + 1));
+        let retries = std::mem::replace(&mut self.retries, later);
+        for (at, rank) in retries.into_values().flatten() {
             self.request(at, rank, true, now);
         }
-        let mut expected = per_s * STEP as f64 / 1_000.0;
+        let mut expected = per_s * STEP_MS as f64 / 1_000.0;
         while expected > 0.0 {
             if self.random.random::<f64>() < expected {
                 let at = self.random.random_range(0..self.boxes.len());
@@ -284,24 +285,29 @@
 
 /// Simulates a time in which some endpoints reject all requests for 3 s, and ask each box to back
 /// off for 3 s. `load` is a fraction of the endpoints' capacity.
-fn play(boxes: usize, load: f64, is_together: bool, tired: impl Fn(usize) -> usize) -> Model {
+fn simulate(
+    boxes: usize,
+    load: f64,
+    is_together: bool,
+    overloaded: impl Fn(usize) -> usize,
+) -> Model {
     let endpoints = (boxes / 2).clamp(3, 40);
-    let mut model = Model::open(boxes, endpoints, tired(endpoints));
-    let per_s = (endpoints * SLOTS) as f64 * 1_000.0 / WORK as f64 * load;
-    for step in 0..(LASTS / STEP) {
-        let now = step * STEP;
+    let mut model = Model::open(boxes, endpoints, overloaded(endpoints));
+    let per_s = (endpoints * SLOTS) as f64 * 1_000.0 / WORK_MS as f64 * load;
+    for step in 0..(RUN_MS / STEP_MS) {
+        let now = step * STEP_MS;
         model.step(now, per_s);
-        if is_together && now == TIRED.start {
-            model.all_are_told();
+        if is_together && now == OVERLOAD.start {
+            model.start_all_back_offs();
         }
     }
-    let most_in_rest = model.in_rest.iter().max().copied().unwrap_or_default();
+    let most_in_back_off = model.in_back_off.iter().max().copied().unwrap_or_default();
     let wave = model.waves.values().max().copied().unwrap_or_default();
     println!(
-        "{boxes} boxes: {most_in_rest} during a back-off, wave {wave}, of {} requests refused {}, with room {}, on retry {}",
-        model.requests, model.refused, model.refused_idle, model.refused_again
+        "{boxes} boxes: {most_in_back_off} during a back-off, wave {wave}, of {} requests refused {}, with room {}, on retry {}",
+        model.requests, model.refused, model.refused_idle, model.refused_on_retry
     );
-    assert!(most_in_rest <= 2, "{boxes} boxes: {most_in_rest} during a back-off");
+    assert!(most_in_back_off <= 2, "{boxes} boxes: {most_in_back_off} during a back-off");
     // The capacity of an idle endpoint.
     assert!(wave <= SLOTS, "{boxes} boxes: {wave} arrived together");
     assert!(wave > 0, "{boxes} boxes: no requests after the overload");
@@ -309,36 +315,36 @@
 }
 
 #[test]
-fn fleets_of_all_sizes_keep_the_rest_of_one_endpoint_and_come_back_bit_by_bit() {
+fn fleets_respect_the_back_off_of_one_endpoint_and_resume_gradually() {
     for boxes in [1, 7, 75, 300] {
-        let model = play(boxes, THIRD, false, |_| 1);
+        let model = simulate(boxes, THIRD, false, |_| 1);
         // Less than a hundredth of the requests of the first 9 s, which include the back-off.
-        let came = model.requests * 9_000 / LASTS as usize;
+        let came = model.requests * 9_000 / RUN_MS as usize;
         assert!(model.refused * 100 < came, "{boxes} boxes: {} refused", model.refused);
     }
 }
 
 #[test]
-fn fleets_of_all_sizes_keep_the_rest_of_all_endpoints_and_come_back_bit_by_bit() {
-    all_rest(THIRD, [1, 7, 75, 300]);
+fn fleets_respect_the_back_off_of_all_endpoints_and_resume_gradually() {
+    simulate_back_off_of_all(THIRD, [1, 7, 75, 300]);
 }
 
 #[test]
-fn at_half_load_one_box_comes_back_after_the_rest_of_all_endpoints() {
-    all_rest(HALF, [1]);
+fn one_box_at_half_load_resumes_after_the_back_off_of_all_endpoints() {
+    simulate_back_off_of_all(HALF, [1]);
 }
 
 #[test]
-fn at_half_load_fleets_come_back_after_the_rest_of_all_endpoints() {
-    all_rest(HALF, [7, 75, 300]);
+fn fleets_at_half_load_resume_after_the_back_off_of_all_endpoints() {
+    simulate_back_off_of_all(HALF, [7, 75, 300]);
 }
 
-fn all_rest<const N: usize>(load: f64, sizes: [usize; N]) {
+fn simulate_back_off_of_all<const N: usize>(load: f64, sizes: [usize; N]) {
     for (boxes, is_together) in sizes.into_iter().flat_map(|boxes| [(boxes, false), (boxes, true)])
     {
-        let model = play(boxes, load, is_together, |endpoints| endpoints);
+        let model = simulate(boxes, load, is_together, |endpoints| endpoints);
         // Most requests find room at the retry time that they were given.
-        let (again, first) = (model.refused_again, model.refused - model.refused_again);
+        let (again, first) = (model.refused_on_retry, model.refused - model.refused_on_retry);
         assert!(again * 4 < first, "{boxes} boxes: {again} of {first} refused on retry");
     }
 }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_cached_prompt_goes_back_unless_its_endpoint_is_overloaded() {
+fn a_cached_prompt_returns_to_its_endpoint_unless_overloaded() {
     let mut pool = pool(8);
     let text = "the whole chair calendar ".repeat(200);
     let prefix = Prefix::of([text.as_str()]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_failing_endpoint_is_put_aside_and_probed_once() {
+fn a_failing_endpoint_is_ejected_and_probed_once() {
     let mut pool = pool(4);
     let none = Prefix::default();
     for now in 0..3 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn when_most_fail_none_is_put_aside() {
+fn no_endpoint_is_ejected_when_most_fail() {
     let mut pool = pool(2);
     for name in ["e0", "e1"] {
         for now in 0..3 {
@@ -64,7 +64,7 @@
 
 proptest! {
     #[test]
-    fn never_a_leaving_or_tried_endpoint(
+    fn leaving_and_tried_endpoints_are_never_chosen(
         leaving in prop::collection::vec(any::<bool>(), 1..9),
         tried in prop::collection::vec(0usize..9, 0..4),
         seed in any::<u64>(),
@@ -87,7 +87,7 @@
     }
 
     #[test]
-    fn own_dispatches_correct_a_late_report(before in 0u32..20, after in 0u32..20) {
+    fn own_requests_correct_a_late_report(before in 0u32..20, after in 0u32..20) {
         let mut pool = pool(1);
         let name: Arc<str> = "e0".into();
         for _ in 0..before {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_engine_with_a_long_prompt_to_read_is_avoided() {
+fn an_engine_with_a_long_prefill_is_avoided() {
     let weights = Weights {
         size_per_request: 2_000.0,
         in_flight: 0.05,
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_shared_part_has_the_same_home_on_every_box() {
+fn a_shared_part_has_the_same_owner_on_every_box() {
     let weights = Weights {
         size_per_request: 2_000.0,
         in_flight: 0.05,
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_prompt_that_another_box_told_of_counts_until_it_was_read() {
+fn a_published_prompt_counts_until_it_is_prefilled() {
     let mut pool = engines();
     let short = Prefix::of_parts([(2, 500)]);
     let by: Arc<str> = "box-2".into();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_shared_part_is_read_again_only_where_that_saves_much() {
+fn a_shared_part_is_prefilled_again_only_to_avoid_a_long_queue() {
     let mut pool = engines();
     let shared = |own| Prefix::of_parts([(7, 6_000), (own, 900)]);
     pool.start(&"e1".into(), &shared(1), 0);
@@ -224,7 +224,7 @@
 }
 
 /// A pool of engines, some of which take `slow_ms` instead of 20 ms between events.
-fn record_gap(slow: &[&str], slow_ms: f64) -> Pool {
+fn pool_with_slow(slow: &[&str], slow_ms: f64) -> Pool {
     let weights = Weights {
         prefix_owners: 1,
         large_prefix: 2_000,
@@ -245,10 +245,10 @@
 }
 
 #[test]
-fn large_shared_parts_are_at_home_at_engines_that_are_not_slow() {
+fn large_shared_parts_are_owned_by_engines_that_are_not_slow() {
     let cases = [(6_000, 27.0, 0), (6_000, 22.0, 1), (200, 27.0, 1)];
     for (shared, slow_ms, least) in cases {
-        let pool = record_gap(&["e1", "e4", "e7"], slow_ms);
+        let pool = pool_with_slow(&["e1", "e4", "e7"], slow_ms);
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
             let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
@@ -260,8 +260,8 @@
 }
 
 #[test]
-fn a_prompt_goes_to_the_engine_where_another_box_sent_its_shared_part() {
-    let mut pool = record_gap(&[], 20.0);
+fn a_prompt_follows_the_shared_part_sent_by_another_box() {
+    let mut pool = pool_with_slow(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
     let home = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
     assert_eq!(home.held, 6_000, "nothing is known: its owner counts as holding it");
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -58,7 +58,7 @@
 
 /// Sends `per_s` requests per second from random boxes for `ms` milliseconds. Returns the arrivals
 /// at cold engines, and how many requests found no engine.
-fn play(
+fn run(
     pools: &mut [Pool],
     per_s: u64,
     ms: u64,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn engines_that_come_back_together_get_what_they_bear() {
+fn engines_that_restart_together_stay_below_their_rate() {
     for (boxes, per_s) in [(75, 565), (75, 1_400), (16, 113), (7, 60), (295, 2_300)] {
         let engines = boxes * 2;
         let mut pools = pools(boxes, engines);
@@ -106,7 +106,7 @@
                 pool.mark_cold(&format!("i-{n}"), Some(3_000), 1_000);
             }
         }
-        let (arrived, refused) = play(&mut pools, per_s, 2_900, zone);
+        let (arrived, refused) = run(&mut pools, per_s, 2_900, zone);
         let most = most_in_a_second(&arrived);
         assert!(most < TOO_MANY, "{boxes} boxes: {most} within a second");
         assert_eq!(refused, 0, "{boxes} boxes: the warm engines take the other requests");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn without_a_bound_engines_that_come_back_together_get_too_much() {
+fn engines_that_restart_together_exceed_their_rate_without_a_bound() {
     let mut pools = pools(75, 140);
     for pool in &mut pools {
         pool.set_allowance(None, 0);
@@ -129,27 +129,27 @@
         }
     }
     let zone = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
-    let (arrived, _) = play(&mut pools, 1_400, 2_900, zone);
+    let (arrived, _) = run(&mut pools, 1_400, 2_900, zone);
     let most = most_in_a_second(&arrived);
     assert!(most >= TOO_MANY, "the load is too low for this test: {most} within a second");
 }
 
 #[test]
-fn where_all_are_cold_boxes_refuse_what_they_do_not_bear() {
+fn excess_requests_are_refused_if_all_engines_are_cold() {
     let mut pools = pools(75, 8);
     for pool in &mut pools {
         (0..8).for_each(|n| pool.mark_cold(&format!("i-{n}"), Some(3_000), 1_000));
     }
-    let (arrived, refused) = play(&mut pools, 565, 2_900, |_| true);
+    let (arrived, refused) = run(&mut pools, 565, 2_900, |_| true);
     assert!(most_in_a_second(&arrived) < TOO_MANY);
     let served: usize = arrived.values().map(Vec::len).sum();
     assert!(served > 8 * 12 && refused > 0, "{served} served, {refused} refused");
-    let waits = pools.iter().map(|pool| pool.next_offer_ms(3_000).expect("an endpoint"));
+    let waits = pools.iter().map(|pool| pool.next_available_ms(3_000).expect("an endpoint"));
     assert!(waits.max().is_some_and(|ms| ms <= 1_100), "no longer than they stay cold");
 }
 
 #[test]
-fn an_endpoint_that_was_silent_may_be_cold_when_it_comes_back() {
+fn an_endpoint_that_was_silent_is_treated_as_cold() {
     let mut pools = pools(75, 140);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let silent: Arc<str> = "i-5".into();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_box_to_which_all_are_silent_doubts_itself() {
+fn silence_of_all_endpoints_is_not_held_against_them() {
     let mut pool = pools(75, 8).remove(0);
     for n in 0..8 {
         let name: Arc<str> = format!("i-{n}").into();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_box_that_knows_no_others_yet_leaves_cold_endpoints_alone() {
+fn a_box_without_a_known_fleet_sends_nothing_to_cold_endpoints() {
     let mut pool = Pool::new("z0".into(), weights());
     pool.update([("i-0".into(), "z0".into())], 0);
     pool.set_allowance(Some(ALLOWANCE), 0);
@@ -193,19 +193,19 @@
     /// For any fleet size and rate: all boxes together stay below the rate on average, and no more
     /// boxes send than the rate allows.
     #[test]
-    fn a_fleet_sends_what_is_borne(boxes in 1..300usize, per_s in 0.2..60.0f64) {
-        let bears = Allowance { per_s, lasts_ms: 3_000 };
-        let every: Vec<u64> =
-            (0..boxes).filter_map(|me| bears.every_ms(&fleet(boxes, me), "i-1")).collect();
-        let sent: f64 = every.iter().map(|ms| 1_000.0 / *ms as f64).sum();
-        prop_assert!(!every.is_empty() && sent <= per_s, "{sent} of {per_s} a second");
-        prop_assert!(every.len() as f64 <= per_s.max(1.0), "{} senders", every.len());
+    fn a_fleet_stays_below_the_rate(boxes in 1..300usize, per_s in 0.2..60.0f64) {
+        let allowance = Allowance { per_s, lasts_ms: 3_000 };
+        let intervals: Vec<u64> =
+            (0..boxes).filter_map(|me| allowance.interval_ms(&fleet(boxes, me), "i-1")).collect();
+        let sent: f64 = intervals.iter().map(|ms| 1_000.0 / *ms as f64).sum();
+        prop_assert!(!intervals.is_empty() && sent <= per_s, "{sent} of {per_s} a second");
+        prop_assert!(intervals.len() as f64 <= per_s.max(1.0), "{} senders", intervals.len());
         prop_assert!(sent > per_s.min(1.0) * 0.4, "{sent} of {per_s} a second");
     }
 }
 
 #[test]
-fn what_is_known_of_an_endpoint_before_the_operator_says_what_it_bears_holds() {
+fn a_cold_mark_takes_effect_once_the_rate_is_configured() {
     let mut pool = Pool::new("z0".into(), weights());
     pool.update([("i-0".into(), "z0".into())], 0);
     pool.mark_cold("i-0", Some(3_000), 100);
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_older_word_never_takes_the_place_of_a_later_one() {
+fn an_older_signal_never_replaces_a_later_one() {
     let (none, one, two) = (None, Some(1.0), Some(2.0));
     // Signals in order of arrival, and the limit that is in effect after them.
     let cases: [(&str, Vec<LimitSignal>, Option<f64>); 10] = [
@@ -59,8 +59,8 @@
     ];
     for (what, answered_at, holds) in cases {
         let mut endpoint = endpoint();
-        for word in answered_at {
-            endpoint.update_limit(word);
+        for signal in answered_at {
+            endpoint.update_limit(signal);
         }
         assert_eq!(endpoint.limit().map(Limit::as_per_s), holds, "{what}");
     }
@@ -69,7 +69,7 @@
 proptest! {
     /// In whatever order signals arrive, the answer to a request sent after all of them decides.
     #[test]
-    fn the_last_word_holds_once_it_was_asked_for_after_all_others(
+    fn the_answer_to_the_last_request_decides(
         words in prop::collection::vec((prop::option::of(0_u32..5), 0_u64..100, 0_u64..100), 0..20),
         last in prop::option::of(0_u32..5),
     ) {
@@ -85,19 +85,19 @@
     /// below one and a half times the limit plus five. That includes a new issuer that has saved no
     /// permits.
     #[test]
-    fn no_four_seconds_bring_more_than_a_limit_allows(
+    fn permits_stay_below_the_bound_in_any_four_seconds(
         per_s in 0_u32..8_000,
         sent_at in prop::collection::vec(1_u64..1_500, 1..300),
         changes_at in 0_usize..300,
     ) {
         let per_s = f64::from(per_s) / 1_000.0;
-        let (mut turns, mut now, mut given) = (Permits::open(0), 0, Vec::new());
+        let (mut permits, mut now, mut given) = (Permits::open(0), 0, Vec::new());
         for (n, pause) in sent_at.into_iter().enumerate() {
             now += pause;
             if n == changes_at {
-                turns = Permits::open(now);
+                permits = Permits::open(now);
             }
-            if turns.take(per_s, now) == Permit::Given {
+            if permits.take(per_s, now) == Permit::Given {
                 given.push(now);
             }
         }
@@ -110,12 +110,12 @@
     /// Each one that gets no permit is given a later retry time than the one before, up to the
     /// longest.
     #[test]
-    fn those_who_get_none_come_again_one_by_one(per_s in 500_u32..20_000, askers in 1_usize..20) {
+    fn retry_times_increase(per_s in 500_u32..20_000, askers in 1_usize..20) {
         let per_s = f64::from(per_s) / 1_000.0;
-        let mut turns = Permits::open(0);
+        let mut permits = Permits::open(0);
         let mut last = 0;
         for _ in 0..askers {
-            let Permit::After { ms } = turns.take(per_s, 1) else { panic!("no permits are saved") };
+            let Permit::After { ms } = permits.take(per_s, 1) else { panic!("no permits are saved") };
             prop_assert!(ms > last || ms == 5_000, "{ms} after {last}");
             last = ms;
         }
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn turns_do_not_pile_up_in_a_calm_minute_or_while_a_box_is_suspended() {
+fn saved_permits_are_bounded() {
     for (per_s, most) in [(0.2, 1), (1.5, 1), (4.0, 3), (20.0, 11)] {
-        let mut turns = Permits::open(0);
-        let at_once = (0..100).filter(|_| turns.take(per_s, 60_000) == Permit::Given).count();
+        let mut permits = Permits::open(0);
+        let at_once = (0..100).filter(|_| permits.take(per_s, 60_000) == Permit::Given).count();
         assert_eq!(at_once, most, "at {per_s} a second");
     }
 }
 
 #[test]
-fn an_endpoint_that_takes_nothing_is_asked_again_every_five_seconds() {
-    let mut turns = Permits::open(0);
-    let given = (0..20_000).filter(|now| turns.take(0.0, *now) == Permit::Given);
+fn an_endpoint_with_a_zero_limit_is_probed_every_five_seconds() {
+    let mut permits = Permits::open(0);
+    let given = (0..20_000).filter(|now| permits.take(0.0, *now) == Permit::Given);
     assert_eq!(given.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
 }
 
@@ -151,9 +151,9 @@
 }
 
 /// Names of the endpoints that are chosen at `now`.
-fn chosen(pool: &Pool, offer: Candidates, now: u64) -> Vec<Arc<str>> {
+fn chosen(pool: &Pool, filter: Candidates, now: u64) -> Vec<Arc<str>> {
     let mut random = SmallRng::seed_from_u64(7);
-    let choose = |_| pool.choose_from(offer, &Prefix::default(), &[], now, &mut random);
+    let choose = |_| pool.choose_from(filter, &Prefix::default(), &[], now, &mut random);
     let mut names: Vec<Arc<str>> = (0..200).filter_map(choose).map(|choice| choice.name).collect();
     names.sort();
     names.dedup();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_endpoint_without_a_turn_is_passed_over_until_it_may_have_one() {
+fn an_endpoint_without_a_permit_is_skipped_until_one_may_be_available() {
     let mut pool = pool([Some(1.0), None, Some(2.0)]);
     assert_eq!(chosen(&pool, Candidates::All, 10).len(), 3, "a permit may be available");
     assert_eq!(chosen(&pool, Candidates::Unlimited, 10), ["e1".into()]);
@@ -181,14 +181,14 @@
 }
 
 #[test]
-fn those_refused_for_limits_come_again_apart_and_others_as_before() {
+fn retries_are_spaced_only_if_all_endpoints_name_limits() {
     let closed = |limits: [Option<f64>; 3]| {
         let mut pool = pool(limits);
         for name in ["e0", "e1", "e2"] {
             pool.get_mut(name).expect("in the pool").defer_permits(400, 60_000);
         }
-        let mut told = || pool.retry_after_ms(0, 60_000).expect("an endpoint");
-        (0..4).map(|_| told()).collect::<Vec<_>>()
+        let mut next_retry = || pool.retry_after_ms(0, 60_000).expect("an endpoint");
+        (0..4).map(|_| next_retry()).collect::<Vec<_>>()
     };
     // Three boxes share 2 requests per second, so each sends one every 1.5 s. Retries are at most 3
     // s later than the first.
