--- a/crates/quarantine/tests/registry.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -22,16 +22,16 @@
 }
 
 /// Takes these reports in this order, each with the next store version.
-fn record(reports: &[Report]) -> Registry {
-    let mut record = Registry::new(LIMITS);
+fn registry(reports: &[Report]) -> Registry {
+    let mut registry = Registry::new(LIMITS);
     for (n, report) in reports.iter().enumerate() {
-        record.take(&format!("r-{n}").into(), Some(n as u64 + 1), report.clone(), NOW, 0);
+        registry.take(&format!("r-{n}").into(), Some(n as u64 + 1), report.clone(), NOW, 0);
     }
-    record
+    registry
 }
 
 #[test]
-fn what_reports_mean() {
+fn verdicts_follow_from_reports() {
     use Verdict::{Allowed, Quarantined, Suspect};
     let cases: [(&str, Vec<Report>, Verdict); 7] = [
         ("no reports", vec![], Allowed),
@@ -59,59 +59,64 @@
         ),
     ];
     for (what, reports, verdict) in cases {
-        assert_eq!(record(&reports).verdict(&request(1), &[], NOW), verdict, "{what}");
+        assert_eq!(registry(&reports).verdict(&request(1), &[], NOW), verdict, "{what}");
     }
 }
 
 #[test]
-fn an_end_that_is_still_to_be_proved_keeps_a_request_waiting_and_never_in_quarantine() {
-    let verdict = |proved: &[&str], lives: &[&str]| {
-        let reports: Vec<Report> = proved.iter().map(|life| ended(life, &[1])).collect();
-        let lives: Vec<Arc<str>> = lives.iter().map(|life| (*life).into()).collect();
-        record(&reports).verdict(&request(1), &lives, NOW)
+fn an_unconfirmed_crash_never_quarantines() {
+    let verdict = |confirmed: &[&str], instances: &[&str]| {
+        let reports: Vec<Report> = confirmed.iter().map(|instance| ended(instance, &[1])).collect();
+        let instances: Vec<Arc<str>> =
+            instances.iter().map(|instance| (*instance).into()).collect();
+        registry(&reports).verdict(&request(1), &instances, NOW)
     };
-    let (suspect, unproved) =
+    let (suspect, unconfirmed) =
         (|ended| Verdict::Suspect { ended }, |ended| Verdict::Unconfirmed { ended });
     let cases: [(&[&str], &[&str], Verdict); 7] = [
         (&[], &["a", "b"], Verdict::Allowed),
-        (&[], &["a", "b", "c", "d"], unproved(0)),
+        (&[], &["a", "b", "c", "d"], unconfirmed(0)),
         (&["a"], &["b"], suspect(1)),
-        (&["a"], &["b", "c"], unproved(1)),
+        (&["a"], &["b", "c"], unconfirmed(1)),
         (&["a", "b"], &["b"], suspect(2)),
-        (&["a", "b"], &["c"], unproved(2)),
+        (&["a", "b"], &["c"], unconfirmed(2)),
         (&["a", "b", "c"], &["d"], Verdict::Quarantined { for_s: 100 }),
     ];
-    for (proved, lives, expected) in cases {
-        assert_eq!(verdict(proved, lives), expected, "{proved:?} confirmed, {lives:?} not yet");
+    for (confirmed, instances, expected) in cases {
+        assert_eq!(
+            verdict(confirmed, instances),
+            expected,
+            "{confirmed:?} confirmed, {instances:?} not yet"
+        );
     }
 }
 
 #[test]
-fn a_quarantine_ends_with_the_oldest_end_that_it_needs() {
-    let mut record = Registry::new(LIMITS);
+fn a_quarantine_ends_when_its_oldest_needed_crash_expires() {
+    let mut registry = Registry::new(LIMITS);
     for (n, at_s) in [1_000, 1_010, 1_020, 1_030].into_iter().enumerate() {
         let report = Report { at_s, ..ended(&format!("i-{n}"), &[1]) };
-        record.take(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
+        registry.take(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
     }
-    assert_eq!(record.verdict(&request(1), &[], 1_030), Verdict::Quarantined { for_s: 80 });
-    assert_eq!(record.verdict(&request(1), &[], 1_110), Verdict::Suspect { ended: 2 });
-    record.expire(1_200);
-    assert!(record.is_empty());
-    assert_eq!(record.verdict(&request(1), &[], 1_200), Verdict::Allowed);
+    assert_eq!(registry.verdict(&request(1), &[], 1_030), Verdict::Quarantined { for_s: 80 });
+    assert_eq!(registry.verdict(&request(1), &[], 1_110), Verdict::Suspect { ended: 2 });
+    registry.expire(1_200);
+    assert!(registry.is_empty());
+    assert_eq!(registry.verdict(&request(1), &[], 1_200), Verdict::Allowed);
 }
 
 /// Many callers send the same request all the time while many engines crash at once.
 #[test]
-fn a_request_that_is_answered_all_the_time_is_cleared_at_once() {
-    let mut record = Registry::new(LIMITS);
-    assert!(!record.answered(&request(1), 5_000), "no report names it");
-    let take = |record: &mut Registry, n: usize, now_ms| {
+fn a_request_that_is_answered_often_is_cleared_at_once() {
+    let mut registry = Registry::new(LIMITS);
+    assert!(!registry.answered(&request(1), 5_000), "no report names it");
+    let take = |registry: &mut Registry, n: usize, now_ms| {
         let report = ended(&format!("i-{n}"), &[1, 2]);
-        record.take(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
+        registry.take(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
-    assert_eq!(take(&mut record, 1, 6_000), []);
-    assert_eq!(take(&mut record, 2, 6_001), [request(1)], "one crash before the quarantine");
-    assert_eq!(take(&mut record, 3, 6_002), [], "an answer clears it once");
+    assert_eq!(take(&mut registry, 1, 6_000), []);
+    assert_eq!(take(&mut registry, 2, 6_001), [request(1)], "one crash before the quarantine");
+    assert_eq!(take(&mut registry, 3, 6_002), [], "an answer clears it once");
     let mut late = Registry::new(LIMITS);
     late.answered(&request(1), 5_000);
     (1..3).for_each(|n| drop(take(&mut late, n, 5_000)));
@@ -119,16 +124,16 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_a_wave_of_ends_frees_nobody() {
-    let mut record = record(&[ended("a", &[1]), ended("b", &[1]), ended("c", &[1])]);
+fn reports_are_bounded_and_keep_the_quarantine() {
+    let mut registry = registry(&[ended("a", &[1]), ended("b", &[1]), ended("c", &[1])]);
     for n in 0..5_000_u32 {
         let report = ended(&format!("i-{n}"), &[n + 10, n + 11]);
-        record.take(&format!("w-{n}").into(), Some(u64::from(n) + 10), report, NOW, 0);
-        record.answered(&request(n), u64::from(n));
+        registry.take(&format!("w-{n}").into(), Some(u64::from(n) + 10), report, NOW, 0);
+        registry.answered(&request(n), u64::from(n));
     }
-    assert!(record.len() <= 1_024, "{} reports", record.len());
-    assert_eq!(record.quarantined(), 1);
-    assert_eq!(record.verdict(&request(1), &[], NOW), Verdict::Quarantined { for_s: 100 });
+    assert!(registry.len() <= 1_024, "{} reports", registry.len());
+    assert_eq!(registry.quarantined(), 1);
+    assert_eq!(registry.verdict(&request(1), &[], NOW), Verdict::Quarantined { for_s: 100 });
     let many: Vec<u32> = (0..10_000).collect();
     let mut wide = Registry::new(LIMITS);
     wide.take(&"r".into(), None, ended("a", &many), NOW, 0);
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn a_report_is_read_as_it_was_written() {
+fn reports_and_fingerprints_round_trip() {
     let report = ended("i-1 7", &[1, 2]);
     let text = serde_json::to_string(&report).expect("reports always serialize");
     assert_eq!(serde_json::from_str::<Report>(&text).expect("a valid report"), report);
@@ -160,7 +165,7 @@
     /// Boxes that know the same reports reach the same verdicts, however often and in which order
     /// they received them, and whether or not they knew the store versions at first.
     #[test]
-    fn the_same_reports_mean_the_same(
+    fn the_same_reports_give_the_same_verdict(
         reports in proptest::collection::vec((0..6_u32, 0..4_u32, any::<bool>()), 1..12),
         order in proptest::collection::vec((any::<prop::sample::Index>(), any::<bool>()), 0..30),
     ) {
@@ -171,16 +176,16 @@
                 false => answered(&[asked]),
             })
             .collect();
-        let plain = record(&reports);
+        let plain = registry(&reports);
         let mut other = Registry::new(LIMITS);
         let at_last = (0..reports.len()).map(|n| (n, true));
-        let heard = order.iter().map(|(n, stored)| (n.index(reports.len()), *stored));
-        for (n, stored) in heard.chain(at_last) {
+        let received = order.iter().map(|(n, stored)| (n.index(reports.len()), *stored));
+        for (n, stored) in received.chain(at_last) {
             let version = stored.then_some(n as u64 + 1);
             other.take(&format!("r-{n}").into(), version, reports[n].clone(), NOW, 0);
         }
         for asked in 0..4 {
-            let verdict = |record: &Registry| record.verdict(&request(asked), &[], NOW);
+            let verdict = |registry: &Registry| registry.verdict(&request(asked), &[], NOW);
             prop_assert_eq!(verdict(&plain), verdict(&other));
         }
     }
