--- a/crates/gateway/src/sync/change_log.rs
+++ b/crates/gateway/src/sync/change_log.rs
@@ -14,7 +14,7 @@
 
 /// Maximum number of remembered deletions. Subscribers fetch them within a second, so this covers
 /// the deletions of a rolling update of all endpoints.
-const MOST_GONE: usize = 1_024;
+const MAX_DELETIONS: usize = 1_024;
 
 type Id = (Arc<str>, Arc<str>);
 
@@ -22,15 +22,15 @@
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     last: u64,
-    objects: HashMap<Id, Kept>,
+    objects: HashMap<Id, Entry>,
     order: BTreeMap<u64, Id>,
-    gone: BTreeMap<u64, Id>,
+    deleted: BTreeMap<u64, Id>,
     /// Some deletions up to this change number have been dropped.
-    forgotten: u64,
+    dropped_until: u64,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Entry {
     number: u64,
     version: u64,
     /// `None` if the object was deleted.
@@ -48,34 +48,34 @@
     pub fn put(&mut self, kind: &str, name: &str, version: u64, value: Option<&str>) -> bool {
         let id: Id = (kind.into(), name.into());
         let known = self.objects.get(&id);
-        let is_news = match known {
-            Some(kept) if kept.version > version => false,
-            Some(kept) => kept.value.as_deref() != value || kept.version < version,
+        let is_new = match known {
+            Some(entry) if entry.version > version => false,
+            Some(entry) => entry.value.as_deref() != value || entry.version < version,
             None => value.is_some(),
         };
-        if !is_news {
+        if !is_new {
             return false;
         }
-        if let Some(kept) = known {
-            self.order.remove(&kept.number);
-            self.gone.remove(&kept.number);
+        if let Some(entry) = known {
+            self.order.remove(&entry.number);
+            self.deleted.remove(&entry.number);
         }
         self.last += 1;
         self.order.insert(self.last, id.clone());
         if value.is_none() {
-            self.gone.insert(self.last, id.clone());
+            self.deleted.insert(self.last, id.clone());
         }
-        self.objects.insert(id, Kept { number: self.last, version, value: value.map(Into::into) });
-        self.forget();
+        self.objects.insert(id, Entry { number: self.last, version, value: value.map(Into::into) });
+        self.drop_old_deletions();
         true
     }
 
-    fn forget(&mut self) {
-        while self.gone.len() > MOST_GONE {
-            let Some((number, id)) = self.gone.pop_first() else { return };
+    fn drop_old_deletions(&mut self) {
+        while self.deleted.len() > MAX_DELETIONS {
+            let Some((number, id)) = self.deleted.pop_first() else { return };
             self.order.remove(&number);
             self.objects.remove(&id);
-            self.forgotten = number;
+            self.dropped_until = number;
         }
     }
 
@@ -87,19 +87,19 @@
     /// Names and versions of the objects of a kind, without deleted ones.
     pub fn names(&self, kind: &str) -> Vec<(Arc<str>, u64)> {
         let there =
-            self.objects.iter().filter(|((of, _), kept)| &**of == kind && kept.value.is_some());
-        there.map(|((_, name), kept)| (name.clone(), kept.version)).collect()
+            self.objects.iter().filter(|((of, _), entry)| &**of == kind && entry.value.is_some());
+        there.map(|((_, name), entry)| (name.clone(), entry.version)).collect()
     }
 
     /// The changes after number `since`, and whether they are a full snapshot. That is so for 0,
     /// and for numbers that are no longer remembered or were never assigned.
     pub fn since(&self, since: u64) -> (Vec<Change>, bool) {
-        let whole = since == 0 || since < self.forgotten || since > self.last;
+        let whole = since == 0 || since < self.dropped_until || since > self.last;
         let from = if whole { 0 } else { since };
         let changes = self.order.range(from + 1..).map(|(_, id)| {
-            let kept = &self.objects[id];
+            let entry = &self.objects[id];
             let (kind, name) = id.clone();
-            Change { kind, name, version: kept.version, value: kept.value.clone() }
+            Change { kind, name, version: entry.version, value: entry.value.clone() }
         });
         (changes.collect(), whole)
     }
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -20,18 +20,18 @@
 
 /// Maximum number of remembered removals. Outdated updates arrive within about a second, so only
 /// recent removals matter.
-const MOST_GONE: usize = 4_096;
+const MAX_REMOVED: usize = 4_096;
 
 /// Endpoints by id. Times are milliseconds of a monotonic clock.
 #[derive(Debug, Default)]
 pub struct Directory {
     known: HashMap<Arc<str>, Known>,
     /// Missing entries are kept until then.
-    lenient_until: u64,
+    grace_until: u64,
     /// When the newest list was read.
     listed: Option<u64>,
     /// Removed entries.
-    gone: HashMap<Arc<str>, Gone>,
+    removed: HashMap<Arc<str>, Removed>,
     /// Store version up to which all entries are known.
     at: u64,
 }
@@ -45,7 +45,7 @@
 
 /// A removed entry.
 #[derive(Debug, Clone, Copy, Default)]
-struct Gone {
+struct Removed {
     /// Store version at which it was known to be removed.
     at: u64,
     /// The last known instance.
@@ -54,7 +54,7 @@
 
 impl Known {
     /// Whether a newer entry replaces this one.
-    fn gives_way_to(&self, entry: &Entry) -> bool {
+    fn is_replaced_by(&self, entry: &Entry) -> bool {
         match (self.entry.life, entry.life) {
             (known, new) if known == new => {
                 entry.beat >= self.entry.beat || entry.state != State::Ready
@@ -70,7 +70,7 @@
     /// the end of the outage, and a task that notices it later must not prolong the grace period.
     pub fn store_returned(&mut self, lost_since: u64, until: u64) {
         if self.listed.is_none_or(|listed| listed < lost_since) {
-            self.lenient_until = until;
+            self.grace_until = until;
         }
     }
 
@@ -81,10 +81,10 @@
         for (id, version, entry) in entries {
             self.set(id, version, entry);
         }
-        let gone: Vec<Arc<str>> =
+        let removed: Vec<Arc<str>> =
             self.known.keys().filter(|id| !listed.contains(*id)).cloned().collect();
-        for id in gone {
-            self.miss(&id, at, now);
+        for id in removed {
+            self.mark_missing(&id, at, now);
         }
         self.listed = Some(now);
     }
@@ -92,19 +92,20 @@
     /// Takes over an entry that was written; returns whether it is now the current one.
     pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
         let known = self.known.get(&id);
-        let said_before = known.is_some_and(|known| known.entry.life.is_some());
-        if said_before && entry.life.is_none() {
+        let has_instance = known.is_some_and(|known| known.entry.life.is_some());
+        if has_instance && entry.life.is_none() {
             // Endpoints always report their start time, so this was not written by the endpoint.
             self.remove(&id, version);
             return false;
         }
         let newer = known.is_none_or(|known| known.version <= version);
-        let later = known.is_none_or(|known| known.gives_way_to(&entry));
-        let gone = self.gone.get(&id);
-        let went = gone.is_some_and(|gone| version <= gone.at || entry.life < gone.life);
-        let counts = newer && later && !went;
+        let later = known.is_none_or(|known| known.is_replaced_by(&entry));
+        let removed = self.removed.get(&id);
+        let was_removed =
+            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.life);
+        let counts = newer && later && !was_removed;
         if counts {
-            self.gone.remove(&id);
+            self.removed.remove(&id);
             self.known.insert(id, Known { entry, version, missing: false });
         }
         counts
@@ -113,12 +114,12 @@
     /// Takes over all entries that another box knows, which are complete up to store version `at`.
     pub fn mirror(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
         self.seen(at);
-        let told: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
+        let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
         for (id, version, entry) in entries {
             self.set(id, version, entry);
         }
         let is_gone = |(id, known): (&Arc<str>, &Known)| {
-            (known.version <= at && !told.contains(id)).then(|| id.clone())
+            (known.version <= at && !listed.contains(id)).then(|| id.clone())
         };
         for id in self.known.iter().filter_map(is_gone).collect::<Vec<_>>() {
             self.remove(&id, at);
@@ -131,9 +132,9 @@
     }
 
     /// Handles an entry that a list lacks.
-    fn miss(&mut self, id: &str, at: u64, now: u64) {
+    fn mark_missing(&mut self, id: &str, at: u64, now: u64) {
         match self.known.get_mut(id) {
-            Some(known) if now < self.lenient_until => known.missing = true,
+            Some(known) if now < self.grace_until => known.missing = true,
             _ => self.remove(id, at),
         }
     }
@@ -156,32 +157,32 @@
         }
         let life = known.and_then(|known| known.entry.life);
         self.known.remove(id);
-        self.note_gone(id.into(), Gone { at, life });
+        self.record_removed(id.into(), Removed { at, life });
     }
 
     /// Store version at which an entry was known to be removed.
     pub fn removed_at(&self, id: &str) -> Option<u64> {
-        self.gone.get(id).map(|gone| gone.at)
+        self.removed.get(id).map(|removed| removed.at)
     }
 
-    fn note_gone(&mut self, id: Arc<str>, gone: Gone) {
-        if self.gone.len() > MOST_GONE {
-            self.gone.clear();
+    fn record_removed(&mut self, id: Arc<str>, removed: Removed) {
+        if self.removed.len() > MAX_REMOVED {
+            self.removed.clear();
         }
-        let newest = self.gone.entry(id).or_default();
-        newest.at = gone.at.max(newest.at);
-        newest.life = gone.life.max(newest.life);
+        let newest = self.removed.entry(id).or_default();
+        newest.at = removed.at.max(newest.at);
+        newest.life = removed.life.max(newest.life);
     }
 
     /// Time until missing entries count as removed; `None` if none is missing.
-    pub fn lenient_for(&self, now: u64) -> Option<u64> {
-        self.has_missing().then(|| self.lenient_until.saturating_sub(now))
+    pub fn grace_left(&self, now: u64) -> Option<u64> {
+        self.has_missing().then(|| self.grace_until.saturating_sub(now))
     }
 
     /// Removes missing entries if the grace period is over; returns whether there were any.
     pub fn sweep(&mut self, now: u64) -> bool {
         let before = self.known.len();
-        if now >= self.lenient_until {
+        if now >= self.grace_until {
             let missing = self.known.iter().filter(|(_, known)| known.missing);
             let missing: Vec<Arc<str>> = missing.map(|(id, _)| id.clone()).collect();
             let at = self.at;
--- a/crates/gateway/src/sync/discovery.rs
+++ b/crates/gateway/src/sync/discovery.rs
@@ -21,17 +21,17 @@
 };
 
 /// Time over which requests for a new list are collected into one read.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 /// Interval between two reads until a replica shows the own entry, and so those of boxes that
 /// started together.
-const TOGETHER: Duration = Duration::from_millis(700);
+const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// Maximum number of these reads: replicas are at most some seconds behind.
-const READS: usize = 8;
+const MAX_READS: usize = 8;
 
 /// Registers this box and reads the entries of the others.
 pub struct Discovery {
     store: Client,
-    me: Entry,
+    own_entry: Entry,
     peers: Peers,
     view: View,
     outage: Outage,
@@ -42,13 +42,13 @@
 impl Discovery {
     pub fn new(
         store: Client,
-        me: Entry,
+        own_entry: Entry,
         peers: Peers,
         view: View,
         recovery: Recovery,
     ) -> Discovery {
         let outage = Outage::new("boxes", Probe::Lazy, recovery);
-        Discovery { store, me, peers, view, outage, registered: watch::channel(None).0 }
+        Discovery { store, own_entry, peers, view, outage, registered: watch::channel(None).0 }
     }
 
     /// The version of the own entry, which is needed to remove it.
@@ -63,27 +63,27 @@
         self.read().await;
         let version = self.register().await;
         let mut greeted = Vec::new();
-        for _ in 0..READS {
+        for _ in 0..MAX_READS {
             let is_shown = self.read().await.is_some_and(|at| at >= version);
-            self.peers.greet(&self.me, version, &mut greeted);
+            self.peers.greet(&self.own_entry, version, &mut greeted);
             if is_shown {
                 break;
             }
-            tokio::time::sleep(TOGETHER).await;
+            tokio::time::sleep(READ_INTERVAL).await;
         }
         self.registered.send_replace(Some(version));
         loop {
             self.peers.unknown().await;
             // One read serves all requests made in the meantime.
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             self.read().await;
         }
     }
 
     /// Writes the own entry and returns its version.
     async fn register(&mut self) -> u64 {
-        let value = serde_json::to_string(&self.me).expect("entries always serialize");
-        let name = self.me.incarnation.box_name().to_owned();
+        let value = serde_json::to_string(&self.own_entry).expect("entries always serialize");
+        let name = self.own_entry.incarnation.box_name().to_owned();
         // If the replica showed the entry of an earlier incarnation, one call is enough.
         let earlier = self.view.box_version(&name);
         let mut expect = earlier.map_or(Expect::Absent, Expect::Version);
@@ -111,7 +111,7 @@
         match self.store.all_maybe_old(BOXES).await {
             Ok(list) => {
                 self.outage.answered();
-                self.view.boxes_read(watcher::entries(&list.objects), list.version);
+                self.view.load_boxes(watcher::entries(&list.objects), list.version);
                 Some(list.version)
             }
             Err(error) => {
--- a/crates/gateway/src/sync/reporter.rs
+++ b/crates/gateway/src/sync/reporter.rs
@@ -18,9 +18,9 @@
 };
 
 /// Maximum number of reports that wait for the store to become reachable.
-const WAITING: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 /// Interval at which a watcher removes expired reports from the store.
-const SWEEP_EVERY: Duration = Duration::from_secs(300);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(300);
 
 /// Publishes the crash reports of this box.
 pub struct Reporter {
@@ -33,21 +33,21 @@
 impl Reporter {
     /// Publishes reports for as long as the box runs.
     pub async fn run(self, mut reports: mpsc::Receiver<NamedReport>) {
-        let (to_write, waiting) = mpsc::channel(WAITING);
+        let (to_write, waiting) = mpsc::channel(QUEUE_CAPACITY);
         let outage = Outage::new("crash reports", Probe::Lazy, self.recovery.clone());
         let writing = write_all(self.store.clone(), outage, waiting);
-        let telling = async {
+        let publishing = async {
             while let Some((name, report)) = reports.recv().await {
-                self.tell(&name, &report);
+                self.publish(&name, &report);
                 if let Err(error) = to_write.try_send((name, report)) {
                     tracing::error!(event = "crash_report_not_written", %error);
                 }
             }
         };
-        tokio::join!(writing, telling, sweep(&self.store, &self.view));
+        tokio::join!(writing, publishing, sweep(&self.store, &self.view));
     }
 
-    fn tell(&self, name: &Arc<str>, report: &Report) {
+    fn publish(&self, name: &Arc<str>, report: &Report) {
         let requests = report.requests.len();
         tracing::info!(event = "crash_reported", name = &**name, finding = ?report.finding, requests);
         self.view.receive_crash(name, report.clone());
@@ -77,8 +77,8 @@
 /// Removes expired reports from the store while this box watches it.
 async fn sweep(store: &Client, view: &View) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
-        for (name, version) in view.old_crashes() {
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        for (name, version) in view.expired_crashes() {
             let removed = objects::Store::delete(store, CRASHES, &name, version).await;
             tracing::info!(event = "crash_report_removed", name = &*name, outcome = ?removed);
         }
--- a/crates/gateway/src/sync/signals.rs
+++ b/crates/gateway/src/sync/signals.rs
@@ -17,26 +17,26 @@
 
 /// Interval at which a box repeats that an endpoint leaves, until the endpoint's entry shows it: a
 /// watcher that started since does not know.
-const TELL_EVERY: Duration = Duration::from_millis(1_000);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Publishes signals for as long as the box runs.
 pub async fn publish(
     view: View,
     peers: Peers,
     endpoints: Arc<Endpoints>,
-    mut told: mpsc::Receiver<Announcement>,
+    mut announcements: mpsc::Receiver<Announcement>,
 ) {
     loop {
         let own = endpoints.own_departures();
-        let word = tokio::select! {
-            word = told.recv() => word,
-            () = sleep(TELL_EVERY), if !own.is_empty() => {
+        let announcement = tokio::select! {
+            announcement = announcements.recv() => announcement,
+            () = sleep(REPEAT_INTERVAL), if !own.is_empty() => {
                 own.iter().for_each(|(instance, address)| peers.publish_departure(instance, *address));
                 continue;
             }
         };
-        let Some(word) = word else { return };
-        match word {
+        let Some(announcement) = announcement else { return };
+        match announcement {
             Announcement::LimitChanged { instance } => {
                 publish_limit(&view, &peers, &endpoints, &instance, false)
             }
@@ -58,8 +58,8 @@
     instance: &Arc<str>,
     is_repeated: bool,
 ) {
-    let Some(said) = endpoints.limit_notice(instance) else { return };
-    if view.receive_limit(instance, said.limit) || is_repeated {
-        peers.publish_limit(instance, said.limit);
+    let Some(notice) = endpoints.limit_notice(instance) else { return };
+    if view.receive_limit(instance, notice.limit) || is_repeated {
+        peers.publish_limit(instance, notice.limit);
     }
 }
--- a/crates/gateway/src/sync/view/boxes.rs
+++ b/crates/gateway/src/sync/view/boxes.rs
@@ -5,12 +5,12 @@
 use ledger::Incarnation;
 use wire::Greeting;
 
-use super::{State, View, note_unreadable};
+use super::{State, View, log_unreadable};
 use crate::fleet::entry::{BOXES, Entry};
 
 impl View {
     /// Takes over all entries of boxes, as read at a store version that may be out of date.
-    pub fn boxes_read(&self, entries: Vec<(Entry, u64)>, at: u64) {
+    pub fn load_boxes(&self, entries: Vec<(Entry, u64)>, at: u64) {
         let mut state = self.0.state.lock();
         let named = |(entry, version): (Entry, u64)| {
             (Arc::from(entry.incarnation.box_name()), (entry, version))
@@ -49,16 +49,16 @@
 
     pub(super) fn publish_boxes(&self, state: &mut State, at: u64) {
         state.boxes_at = state.boxes_at.max(at);
-        state.shelve_boxes();
+        state.add_box_changes();
         let entries = state.boxes.values().cloned().collect();
-        self.0.uses.peers.update(entries, at);
-        self.0.uses.endpoints.set_fleet(self.0.uses.peers.fleet());
-        self.tell();
+        self.0.consumers.peers.update(entries, at);
+        self.0.consumers.endpoints.set_fleet(self.0.consumers.peers.fleet());
+        self.notify();
     }
 }
 
 impl State {
-    fn shelve_boxes(&mut self) {
+    fn add_box_changes(&mut self) {
         for (name, version) in self.change_log.names(BOXES) {
             if !self.boxes.contains_key(&name) {
                 self.change_log.put(BOXES, &name, version, None);
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn hear_boxes(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
+    pub(super) fn apply_boxes(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
         let before = std::mem::take(&mut self.boxes);
         if !whole {
             self.boxes = before;
@@ -90,5 +90,5 @@
 
 /// Parses the entry of a box.
 pub fn read_box(name: &str, text: &str) -> Option<Entry> {
-    serde_json::from_str(text).inspect_err(|error| note_unreadable(BOXES, name, error)).ok()
+    serde_json::from_str(text).inspect_err(|error| log_unreadable(BOXES, name, error)).ok()
 }
--- a/crates/gateway/src/sync/view/departures.rs
+++ b/crates/gateway/src/sync/view/departures.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use super::{State, View, note_unreadable};
+use super::{State, View, log_unreadable};
 
 /// Kind of these updates.
 pub const DEPARTURES: &str = "departures";
@@ -13,37 +13,37 @@
 impl View {
     /// Takes over that an endpoint signaled a moment ago, to this box or another one, that it
     /// leaves.
-    pub fn receive_departure(&self, life: &Arc<str>, address: SocketAddr) {
+    pub fn receive_departure(&self, instance: &Arc<str>, address: SocketAddr) {
         let text = serde_json::to_string(&address).expect("addresses always serialize");
-        self.take_departure(&mut self.0.state.lock(), life, &text, true);
-        self.tell();
+        self.apply_departure(&mut self.0.state.lock(), instance, &text, true);
+        self.notify();
     }
 
     /// Takes over an update from a watcher: a new one, or one from a full snapshot, which may be
     /// old.
-    pub(super) fn take_departure(
+    pub(super) fn apply_departure(
         &self,
         state: &mut State,
-        life: &Arc<str>,
+        instance: &Arc<str>,
         text: &str,
         is_new: bool,
     ) {
         match serde_json::from_str::<SocketAddr>(text) {
             Ok(address) => {
-                self.0.uses.endpoints.receive_departure(life, address, is_new);
-                state.change_log.put(DEPARTURES, life, NOT_STORED, Some(text));
+                self.0.consumers.endpoints.receive_departure(instance, address, is_new);
+                state.change_log.put(DEPARTURES, instance, NOT_STORED, Some(text));
             }
-            Err(error) => note_unreadable(DEPARTURES, life, &error),
+            Err(error) => log_unreadable(DEPARTURES, instance, &error),
         }
     }
 }
 
 impl State {
     /// Removes forgotten departures from the change log.
-    pub(super) fn unshelve_departures(&mut self, is_remembered: impl Fn(&str) -> bool) {
-        for (life, _) in self.change_log.names(DEPARTURES) {
-            if !is_remembered(&life) {
-                self.change_log.put(DEPARTURES, &life, NOT_STORED, None);
+    pub(super) fn drop_departures(&mut self, is_remembered: impl Fn(&str) -> bool) {
+        for (instance, _) in self.change_log.names(DEPARTURES) {
+            if !is_remembered(&instance) {
+                self.change_log.put(DEPARTURES, &instance, NOT_STORED, None);
             }
         }
     }
--- a/crates/gateway/src/sync/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -6,13 +6,13 @@
 use platform::endpoint::Entry as Endpoint;
 use tokio::time::Instant;
 
-use super::{Consumers, State, View, note_unreadable};
+use super::{Consumers, State, View, log_unreadable};
 use crate::clock::Dataset;
 
 impl View {
     /// Takes over all entries of endpoints as read from the store at version `at`. `suspensions` is
     /// the number of suspensions of the box before the call began.
-    pub fn endpoints_read(&self, objects: &[Object], at: u64, suspensions: u64) {
+    pub fn load_endpoints(&self, objects: &[Object], at: u64, suspensions: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
         let mut entries = Vec::with_capacity(objects.len());
@@ -24,31 +24,31 @@
         }
         state.directory.list(entries, at, now);
         for object in objects {
-            state.shelve_endpoint(&object.name, object.version, &object.value);
+            state.add_endpoint_change(&object.name, object.version, &object.value);
         }
-        state.watches.endpoints = true;
-        self.publish(&mut state, "list", at);
-        self.0.uses.watchdog.read(Dataset::Endpoints, suspensions);
+        state.loaded.endpoints = true;
+        self.publish_endpoints(&mut state, "list", at);
+        self.0.consumers.watchdog.read(Dataset::Endpoints, suspensions);
     }
 
     /// Takes over changed entries of endpoints, complete up to store version `at`.
-    pub fn endpoints_changed(&self, changes: Vec<Change>, at: u64) {
+    pub fn update_endpoints(&self, changes: Vec<Change>, at: u64) {
         let now = self.now();
         let mut state = self.0.state.lock();
-        let is_news = !changes.is_empty();
+        let is_new = !changes.is_empty();
         for change in changes {
             let read = change.value.as_deref().and_then(|text| read_endpoint(&change.name, text));
             match (read, &change.value) {
                 (Some(entry), Some(text)) => {
                     state.directory.set(change.name.clone(), change.version, entry);
-                    state.shelve_endpoint(&change.name, change.version, text);
+                    state.add_endpoint_change(&change.name, change.version, text);
                 }
                 _ => state.directory.remove(&change.name, change.version),
             }
         }
         state.directory.seen(at);
-        if state.directory.sweep(now) || is_news {
-            self.publish(&mut state, "watch", at);
+        if state.directory.sweep(now) || is_new {
+            self.publish_endpoints(&mut state, "watch", at);
         }
     }
 
@@ -61,9 +61,9 @@
     }
 
     /// Time until missing entries count as removed; `None` if none is missing.
-    pub fn lenient_for(&self) -> Option<Duration> {
-        let rest = self.0.state.lock().directory.lenient_for(self.now());
-        rest.map(Duration::from_millis)
+    pub fn grace_left(&self) -> Option<Duration> {
+        let left = self.0.state.lock().directory.grace_left(self.now());
+        left.map(Duration::from_millis)
     }
 
     /// Removes missing entries if the grace period is over.
@@ -72,35 +72,35 @@
         let mut state = self.0.state.lock();
         if state.directory.sweep(now) {
             let at = state.directory.at();
-            self.publish(&mut state, "sweep", at);
+            self.publish_endpoints(&mut state, "sweep", at);
         }
     }
 
     /// Puts the known endpoints in force.
-    pub(super) fn publish(&self, state: &mut State, by: &str, version: u64) {
-        state.unshelve_endpoints();
-        let Consumers { endpoints, connections, .. } = &self.0.uses;
+    pub(super) fn publish_endpoints(&self, state: &mut State, by: &str, version: u64) {
+        state.add_endpoint_removals();
+        let Consumers { endpoints, connections, .. } = &self.0.consumers;
         let unused = endpoints.update(state.directory.ready());
         unused.iter().for_each(|address| connections.forget(*address));
-        state.unshelve_limits(|life| endpoints.is_listed(life));
-        state.unshelve_departures(|life| endpoints.remembers_departure(life));
+        state.drop_limits(|instance| endpoints.is_listed(instance));
+        state.drop_departures(|instance| endpoints.remembers_departure(instance));
         let (known, ready) = (state.directory.len(), state.directory.ready().count());
         let gone = unused.len();
         tracing::info!(event = "endpoints_changed", by, version, known, ready, gone);
-        self.tell();
+        self.notify();
     }
 }
 
 impl State {
     /// Adds an entry to the change log, if it is the current one.
-    fn shelve_endpoint(&mut self, id: &str, version: u64, text: &str) {
+    fn add_endpoint_change(&mut self, id: &str, version: u64, text: &str) {
         if self.directory.version(id) == Some(version) {
             self.change_log.put(platform::ENDPOINTS, id, version, Some(text));
         }
     }
 
     /// Records the removal of endpoints in the change log.
-    fn unshelve_endpoints(&mut self) {
+    fn add_endpoint_removals(&mut self) {
         for (id, version) in self.change_log.names(platform::ENDPOINTS) {
             if self.directory.version(&id).is_none() {
                 let removed_at = self.directory.removed_at(&id).unwrap_or(version);
@@ -109,7 +109,7 @@
         }
     }
 
-    pub(super) fn hear_endpoints(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
+    pub(super) fn apply_endpoints(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
         let mut entries = Vec::new();
         let mut texts = Vec::new();
         for change in changes {
@@ -131,11 +131,11 @@
             }
         }
         for (id, version, text) in &texts {
-            self.shelve_endpoint(id, *version, text);
+            self.add_endpoint_change(id, *version, text);
         }
     }
 }
 
 fn read_endpoint(id: &str, text: &str) -> Option<Endpoint> {
-    Endpoint::read(text).inspect_err(|error| note_unreadable(platform::ENDPOINTS, id, error)).ok()
+    Endpoint::read(text).inspect_err(|error| log_unreadable(platform::ENDPOINTS, id, error)).ok()
 }
--- a/crates/gateway/src/sync/view/limits.rs
+++ b/crates/gateway/src/sync/view/limits.rs
@@ -5,7 +5,7 @@
 use balance::Limit;
 use wire::LimitNotice;
 
-use super::{State, View, note_unreadable};
+use super::{State, View, log_unreadable};
 
 /// Kind of these updates.
 pub const LIMITS: &str = "limits";
@@ -20,43 +20,43 @@
         let text =
             limit.map(|limit| serde_json::to_string(&limit).expect("limits always serialize"));
         let mut state = self.0.state.lock();
-        let told = state
+        let published = state
             .change_log
             .value(LIMITS, endpoint)
             .map(|text| serde_json::from_str::<Limit>(&text));
-        let is_news = match (limit, told) {
-            (Some(limit), Some(Ok(told))) => !limit.is_close(told),
+        let is_new = match (limit, published) {
+            (Some(limit), Some(Ok(published))) => !limit.is_close(published),
             (None, None) => false,
             _ => true,
         };
-        if is_news {
-            self.take_limit(&mut state, endpoint, text.as_deref());
+        if is_new {
+            self.apply_limit(&mut state, endpoint, text.as_deref());
             drop(state);
-            self.tell();
+            self.notify();
         }
-        is_news
+        is_new
     }
 
     /// Takes over a limit from the change log of a watcher; `None` if the endpoint names none any
     /// more.
-    pub(super) fn take_limit(&self, state: &mut State, endpoint: &Arc<str>, text: Option<&str>) {
+    pub(super) fn apply_limit(&self, state: &mut State, endpoint: &Arc<str>, text: Option<&str>) {
         let limit = match text.map(serde_json::from_str::<Limit>).transpose() {
             Ok(limit) => limit,
-            Err(error) => return note_unreadable(LIMITS, endpoint, &error),
+            Err(error) => return log_unreadable(LIMITS, endpoint, &error),
         };
         if state.change_log.put(LIMITS, endpoint, NOT_STORED, text) {
             // Counts as signaled just now, so that it takes effect at once; any answer to a later
             // request replaces it.
             let endpoint = endpoint.clone();
-            let said = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
-            self.0.uses.endpoints.receive_limit(&said, "news");
+            let notice = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
+            self.0.consumers.endpoints.receive_limit(&notice, "news");
         }
     }
 }
 
 impl State {
     /// Removes limits of unknown endpoints from the change log.
-    pub(super) fn unshelve_limits(&mut self, is_known: impl Fn(&str) -> bool) {
+    pub(super) fn drop_limits(&mut self, is_known: impl Fn(&str) -> bool) {
         for (endpoint, _) in self.change_log.names(LIMITS) {
             if !is_known(&endpoint) {
                 self.change_log.put(LIMITS, &endpoint, NOT_STORED, None);
--- a/crates/gateway/src/sync/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -64,12 +64,12 @@
 pub struct View(Arc<Shared>);
 
 struct Shared {
-    uses: Consumers,
+    consumers: Consumers,
     state: Mutex<State>,
     /// Incremented with each update.
     updates: watch::Sender<u64>,
     /// Notified when another box subscribes while this one does not watch the store.
-    wanted: Notify,
+    watch_requested: Notify,
 }
 
 #[derive(Default)]
@@ -82,18 +82,18 @@
     config_at: u64,
     boxes_at: u64,
     /// Since when the store has not answered the source of this box's updates.
-    away_since: Option<Instant>,
+    unreachable_since: Option<Instant>,
     /// What this box has read from the store since it began to watch it.
-    watches: Looks,
+    loaded: Loaded,
     /// When another box asked for updates last.
-    asked: Option<Instant>,
+    last_subscribed: Option<Instant>,
     /// When this box last heard from the store, or from a watcher that reaches it.
-    heard: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 /// State of this box's updates, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// Whether this box watches the store itself.
     pub watches: bool,
     /// Time since this box last heard from the store, or from a watcher that reaches it.
@@ -102,28 +102,28 @@
 
 /// What a box that watches the store has read from it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Looks {
+struct Loaded {
     config: bool,
     endpoints: bool,
     evacuations: bool,
     crashes: bool,
 }
 
-impl Looks {
+impl Loaded {
     /// Whether other boxes may subscribe.
-    fn is_whole(self) -> bool {
+    fn is_complete(self) -> bool {
         self.config && self.endpoints && self.evacuations && self.crashes
     }
 }
 
 impl View {
-    pub fn open(uses: Consumers) -> View {
+    pub fn open(consumers: Consumers) -> View {
         let (state, updates) = (Mutex::default(), watch::channel(0).0);
-        View(Arc::new(Shared { uses, state, updates, wanted: Notify::new() }))
+        View(Arc::new(Shared { consumers, state, updates, watch_requested: Notify::new() }))
     }
 
     fn now(&self) -> u64 {
-        self.0.uses.started.elapsed().as_millis() as u64
+        self.0.consumers.started.elapsed().as_millis() as u64
     }
 
     /// Milliseconds of an instant, on the assumption that the box was not suspended since then.
@@ -131,20 +131,20 @@
         self.now().saturating_sub(at.elapsed().as_millis() as u64)
     }
 
-    fn tell(&self) {
+    fn notify(&self) {
         self.0.updates.send_modify(|count| *count += 1);
     }
 
     /// Takes over the configuration as read from the store.
-    pub fn config_read(&self, objects: &[Object], suspensions: u64) {
-        self.0.state.lock().watches.config = true;
-        objects.iter().for_each(|object| self.config(object));
-        self.0.uses.watchdog.read(Dataset::Config, suspensions);
-        self.tell();
+    pub fn load_config(&self, objects: &[Object], suspensions: u64) {
+        self.0.state.lock().loaded.config = true;
+        objects.iter().for_each(|object| self.update_config(object));
+        self.0.consumers.watchdog.read(Dataset::Config, suspensions);
+        self.notify();
     }
 
     /// Takes over a configuration that was written.
-    pub fn config(&self, object: &Object) {
+    pub fn update_config(&self, object: &Object) {
         if &*object.name != platform::CONFIG.1 {
             return;
         }
@@ -155,40 +155,40 @@
                 return;
             }
         };
-        let newest = self.0.uses.in_force.borrow().as_ref().map(|table| table.version());
+        let newest = self.0.consumers.in_force.borrow().as_ref().map(|table| table.version());
         if newest.is_some_and(|newest| newest >= config.version) {
             return;
         }
         let (version, routes) = (config.version, config.routes.len());
         let table = Arc::new(Table::new(config));
-        self.0.uses.funds.configure(&table);
-        self.0.uses.endpoints.configure(&table);
-        self.0.uses.in_force.send_replace(Some(table));
+        self.0.consumers.funds.configure(&table);
+        self.0.consumers.endpoints.configure(&table);
+        self.0.consumers.in_force.send_replace(Some(table));
         let (kind, name) = platform::CONFIG;
         let mut state = self.0.state.lock();
         state.config_at = object.version;
         state.change_log.put(kind, name, object.version, Some(&object.value));
         drop(state);
-        self.tell();
+        self.notify();
         tracing::info!(event = "config_in_force", version, routes, object = object.version);
     }
 
     /// Sets since when the store has not answered this box or its watcher; `None` if it answers.
-    pub fn set_away(&self, since: Option<Instant>) {
+    pub fn set_unreachable(&self, since: Option<Instant>) {
         let mut state = self.0.state.lock();
-        let before = std::mem::replace(&mut state.away_since, since);
+        let before = std::mem::replace(&mut state.unreachable_since, since);
         if since.is_none() {
-            state.heard = Some(Instant::now());
+            state.last_contact = Some(Instant::now());
         }
         drop(state);
         if before.is_some() != since.is_some() {
-            self.tell();
+            self.notify();
         }
     }
 
     /// Whether a configuration is known.
     pub fn knows_config(&self) -> bool {
-        self.0.uses.in_force.borrow().is_some()
+        self.0.consumers.in_force.borrow().is_some()
     }
 
     /// Version of the object that holds the configuration in force; 0 if there is none.
@@ -197,81 +197,81 @@
     }
 
     /// Since when the store has been unreachable, as last reported.
-    pub fn away_since(&self) -> Option<Instant> {
-        self.0.state.lock().away_since
+    pub fn unreachable_since(&self) -> Option<Instant> {
+        self.0.state.lock().unreachable_since
     }
 
     /// State of this box's updates.
-    pub fn status(&self) -> Standing {
+    pub fn status(&self) -> Status {
         let state = self.0.state.lock();
-        let age = state.heard.map(|at| at.elapsed());
-        Standing { watches: state.watches.is_whole(), age }
+        let age = state.last_contact.map(|at| at.elapsed());
+        Status { watches: state.loaded.is_complete(), age }
     }
 
     /// Called when this box begins or ends to watch the store.
-    pub fn start_over(&self) {
-        self.0.state.lock().watches = Looks::default();
+    pub fn reset_loaded(&self) {
+        self.0.state.lock().loaded = Loaded::default();
     }
 
     /// Takes over updates from a watcher.
-    pub fn hear(&self, updates: Update) {
+    pub fn apply(&self, updates: Update) {
         let mut state = self.0.state.lock();
         let mut endpoints = Vec::new();
         let mut boxes = Vec::new();
-        let mut words = Vec::new();
+        let mut signals = Vec::new();
         let mut config = None;
         for change in updates.changes {
             match &*change.kind {
                 platform::ENDPOINTS => endpoints.push(change),
                 BOXES => boxes.push(change),
-                platform::EVACUATIONS => self.hear_evacuations(&mut state, change),
+                platform::EVACUATIONS => self.apply_evacuations(&mut state, change),
                 CRASHES => {
                     let wire::Change { name, version, value, .. } = change;
-                    self.take_crash(&mut state, &name, version, value.as_deref());
+                    self.apply_crash(&mut state, &name, version, value.as_deref());
                 }
-                LIMITS | DEPARTURES => words.push(change),
+                LIMITS | DEPARTURES => signals.push(change),
                 kind if kind == platform::CONFIG.0 => config = Some(change),
                 kind => tracing::warn!(event = "news_not_understood", kind),
             }
         }
         if updates.whole || !endpoints.is_empty() {
-            state.hear_endpoints(endpoints, updates.whole, updates.endpoints_at);
-            self.publish(&mut state, "home", updates.endpoints_at);
+            state.apply_endpoints(endpoints, updates.whole, updates.endpoints_at);
+            self.publish_endpoints(&mut state, "home", updates.endpoints_at);
         }
         // Applied after the endpoints, because signals of unknown endpoints are ignored.
-        for wire::Change { kind, name, value, .. } in words {
+        for wire::Change { kind, name, value, .. } in signals {
             match value.as_deref() {
-                value if &*kind == LIMITS => self.take_limit(&mut state, &name, value),
-                Some(text) => self.take_departure(&mut state, &name, text, !updates.whole),
+                value if &*kind == LIMITS => self.apply_limit(&mut state, &name, value),
+                Some(text) => self.apply_departure(&mut state, &name, text, !updates.whole),
                 // The watcher dropped it; this box does so by its own rules.
                 None => {}
             }
         }
         if updates.whole || !boxes.is_empty() {
-            state.hear_boxes(boxes, updates.whole, updates.boxes_at);
+            state.apply_boxes(boxes, updates.whole, updates.boxes_at);
             self.publish_boxes(&mut state, updates.boxes_at);
         }
         drop(state);
         if let Some(wire::Change { kind, name, version, value: Some(value) }) = config {
-            self.config(&Object { kind, name, version, value });
+            self.update_config(&Object { kind, name, version, value });
         }
         let now = Instant::now();
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-        let away = updates.away_ms.map(ago);
-        let before = self.away_since();
-        self.set_away(away);
-        if let (Some(lost_since), None) = (before, away) {
-            self.0.uses.recovery.announce(lost_since);
+        let unreachable_since = updates.away_ms.map(ago);
+        let before = self.unreachable_since();
+        self.set_unreachable(unreachable_since);
+        if let (Some(lost_since), None) = (before, unreachable_since) {
+            self.0.consumers.recovery.announce(lost_since);
         }
     }
 }
 
 /// Longest part of a name or reason that is logged: anybody may write any text to the store.
-const MOST_LOGGED: usize = 120;
+const MAX_LOGGED_CHARS: usize = 120;
 
 /// Logs an unreadable entry. It is ignored; the others stay valid.
-fn note_unreadable(kind: &str, name: &str, error: &serde_json::Error) {
-    let reason: String = error.to_string().chars().take(MOST_LOGGED).collect();
-    let name: String = name.chars().take(MOST_LOGGED).collect();
+fn log_unreadable(kind: &str, name: &str, error: &serde_json::Error) {
+    let reason: String = error.to_string().chars().take(MAX_LOGGED_CHARS).collect();
+    let name: String = name.chars().take(MAX_LOGGED_CHARS).collect();
     tracing::warn!(event = "entry_unreadable", kind, name, reason);
 }
--- a/crates/gateway/src/sync/view/subscribers.rs
+++ b/crates/gateway/src/sync/view/subscribers.rs
@@ -9,66 +9,67 @@
 
 /// Longest time that a subscriber may wait, in milliseconds: dead connections are noticed only by
 /// silence.
-const WAIT_MOST_MS: u64 = 5_000;
+const MAX_WAIT_MS: u64 = 5_000;
 
 /// Whether an answer contains anything new for a subscriber.
-fn is_new(updates: &Update, listen: &Subscribe) -> bool {
+fn is_new(updates: &Update, request: &Subscribe) -> bool {
     updates.whole
-        || listen.since.is_none()
+        || request.since.is_none()
         || !updates.changes.is_empty()
-        || updates.away_ms.is_some() != listen.away
+        || updates.away_ms.is_some() != request.away
 }
 
 impl View {
     /// When another box asked for updates last.
-    pub fn asked(&self) -> Option<Instant> {
-        self.0.state.lock().asked
+    pub fn last_subscribed(&self) -> Option<Instant> {
+        self.0.state.lock().last_subscribed
     }
 
     /// Waits until another box asks for updates while this one does not watch the store.
-    pub async fn wanted(&self) {
-        self.0.wanted.notified().await;
+    pub async fn watch_requested(&self) {
+        self.0.watch_requested.notified().await;
     }
 
     /// Updates for a subscriber: at once if there are any that it does not know, else when there
     /// are, or after its waiting time. `None` while this box does not watch the store itself.
-    pub async fn updates(&self, listen: &Subscribe) -> Option<Update> {
-        let until = Instant::now() + Duration::from_millis(listen.wait_ms.min(WAIT_MOST_MS));
-        let mut heard = self.0.updates.subscribe();
-        self.0.state.lock().asked = Some(Instant::now());
+    pub async fn updates(&self, request: &Subscribe) -> Option<Update> {
+        let until = Instant::now() + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
+        let mut updated = self.0.updates.subscribe();
+        self.0.state.lock().last_subscribed = Some(Instant::now());
         loop {
-            heard.borrow_and_update();
-            let found = self.news_now(listen);
+            updated.borrow_and_update();
+            let found = self.updates_now(request);
             match found {
                 None => {
-                    self.0.wanted.notify_one();
+                    self.0.watch_requested.notify_one();
                     return None;
                 }
-                Some(updates) if is_new(&updates, listen) => return Some(updates),
+                Some(updates) if is_new(&updates, request) => return Some(updates),
                 Some(_) => {}
             }
-            if timeout_at(until, heard.changed()).await.is_err() {
-                return self.news_now(listen);
+            if timeout_at(until, updated.changed()).await.is_err() {
+                return self.updates_now(request);
             }
         }
     }
 
-    fn news_now(&self, listen: &Subscribe) -> Option<Update> {
+    fn updates_now(&self, request: &Subscribe) -> Option<Update> {
         let state = self.0.state.lock();
-        if !state.watches.is_whole() {
+        if !state.loaded.is_complete() {
             return None;
         }
-        let told = listen.since.map(|since| state.change_log.since(since));
-        let (mut changes, whole) = told.unwrap_or_default();
-        changes
-            .retain(|change| &*change.kind != platform::CONFIG.0 || change.version > listen.config);
+        let logged = request.since.map(|since| state.change_log.since(since));
+        let (mut changes, whole) = logged.unwrap_or_default();
+        changes.retain(|change| {
+            &*change.kind != platform::CONFIG.0 || change.version > request.config
+        });
         Some(Update {
             last: state.change_log.last(),
             whole,
             changes,
             endpoints_at: state.directory.at(),
             boxes_at: state.boxes_at,
-            away_ms: state.away_since.map(|since| since.elapsed().as_millis() as u64),
+            away_ms: state.unreachable_since.map(|since| since.elapsed().as_millis() as u64),
         })
     }
 }
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -16,22 +16,22 @@
 
 /// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
 /// the number of calls low when many endpoints start together.
-const GATHER: Duration = Duration::from_millis(250);
+const BATCH_DELAY: Duration = Duration::from_millis(250);
 /// Interval between two reads of the other boxes: as long as replica reads may be out of date.
-const BOXES_EVERY: Duration = Duration::from_secs(4);
+const BOXES_INTERVAL: Duration = Duration::from_secs(4);
 /// Interval between two probes of the store. A waiting watch does not show whether the store is
 /// reachable, and subscribers rely on their watcher to report an outage. Even with both timeouts
 /// below, that stays under the 2 s after which a leaving endpoint must get no more work in the
 /// strictest deployments. Probes read from a replica, which is cheap.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// Timeout of a probe: twice the latency of a slow store.
-const LOOK_WITHIN: Duration = Duration::from_millis(600);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Timeout of the second probe, after one that got no answer: single answers get lost.
-const LOOK_AGAIN_WITHIN: Duration = Duration::from_millis(300);
+const SECOND_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Entries of endpoints may expire in an outage longer than this: shorter than the heartbeat
 /// interval of endpoints in any deployment.
-const LAPSES_AFTER: Duration = Duration::from_millis(900);
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(900);
 
 /// What a watcher needs.
 #[derive(Clone)]
@@ -47,45 +47,45 @@
 }
 
 /// Tasks that watch the store; they end when this is dropped.
-pub struct Looking(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
+pub struct Watcher(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
 
-impl Looking {
+impl Watcher {
     /// Starts to watch the store.
-    pub fn spawn(setup: &Setup, probe: Probe) -> Looking {
-        setup.view.start_over();
+    pub fn spawn(setup: &Setup, probe: Probe) -> Watcher {
+        setup.view.reset_loaded();
         let mut tasks = JoinSet::new();
-        tasks.spawn(look_at_store(setup.clone(), probe));
-        tasks.spawn(look_at_config(setup.clone()));
-        tasks.spawn(look_at_evacuations(setup.clone()));
-        tasks.spawn(look_at_crashes(setup.clone()));
-        tasks.spawn(look_at_endpoints(setup.clone()));
-        tasks.spawn(look_at_boxes(setup.clone()));
-        Looking(tasks)
+        tasks.spawn(probe_store(setup.clone(), probe));
+        tasks.spawn(follow_config(setup.clone()));
+        tasks.spawn(follow_evacuations(setup.clone()));
+        tasks.spawn(follow_crashes(setup.clone()));
+        tasks.spawn(follow_endpoints(setup.clone()));
+        tasks.spawn(read_boxes(setup.clone()));
+        Watcher(tasks)
     }
 }
 
 /// The state of a store connection; an outage that this box already knows of goes on.
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
     let mut outage = Outage::new(what, probe, setup.recovery.clone());
-    if let Some(since) = setup.view.away_since() {
+    if let Some(since) = setup.view.unreachable_since() {
         outage.lost_since(since);
     }
     outage
 }
 
 /// Probes the store, and reports to the other tasks and to subscribers whether it answers.
-async fn look_at_store(setup: Setup, probe: Probe) {
+async fn probe_store(setup: Setup, probe: Probe) {
     let mut outage = outage(&setup, "store", probe);
     loop {
         match answers(&setup).await {
             Ok(()) => {
                 outage.answered();
-                setup.view.set_away(None);
-                tokio::time::sleep(LOOK_EVERY).await;
+                setup.view.set_unreachable(None);
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
             Err(error) => {
                 outage.failed(&error);
-                setup.view.set_away(outage.since());
+                setup.view.set_unreachable(outage.since());
                 outage.pause().await;
             }
         }
@@ -93,46 +93,46 @@
 }
 
 async fn answers(setup: &Setup) -> Result<(), Error> {
-    match setup.store.answers(BOXES, &setup.name, LOOK_WITHIN).await {
+    match setup.store.answers(BOXES, &setup.name, PROBE_TIMEOUT).await {
         Ok(()) => Ok(()),
-        Err(_) => setup.store.answers(BOXES, &setup.name, LOOK_AGAIN_WITHIN).await,
+        Err(_) => setup.store.answers(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
     }
 }
 
 /// Follows the operator's configuration.
-async fn look_at_config(setup: Setup) {
+async fn follow_config(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, suspensions) => view.config_read(&list.objects, suspensions),
-        Seen::Changes(changes) => {
-            changes.into_iter().filter_map(written).for_each(|object| view.config(&object));
+    let apply = |received| match received {
+        Received::All(list, suspensions) => view.load_config(&list.objects, suspensions),
+        Received::Changes(changes) => {
+            changes.into_iter().filter_map(written).for_each(|object| view.update_config(&object));
         }
     };
-    follow(&setup, "configuration", platform::CONFIG.0, seen).await;
+    follow(&setup, "configuration", platform::CONFIG.0, apply).await;
 }
 
 /// Follows which availability zones are evacuated.
-async fn look_at_evacuations(setup: Setup) {
+async fn follow_evacuations(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, _) => view.evacuations_read(&list.objects, list.version),
-        Seen::Changes(changes) => view.evacuations_changed(&changes),
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_evacuations(&list.objects, list.version),
+        Received::Changes(changes) => view.update_evacuations(&changes),
     };
-    follow(&setup, "evacuations", platform::EVACUATIONS, seen).await;
+    follow(&setup, "evacuations", platform::EVACUATIONS, apply).await;
 }
 
 /// Follows the reports of requests that crash endpoints.
-async fn look_at_crashes(setup: Setup) {
+async fn follow_crashes(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, _) => view.crashes_read(&list.objects),
-        Seen::Changes(changes) => view.crashes_changed(&changes),
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_crashes(&list.objects),
+        Received::Changes(changes) => view.update_crashes(&changes),
     };
-    follow(&setup, "crashes", quarantine::CRASHES, seen).await;
+    follow(&setup, "crashes", quarantine::CRASHES, apply).await;
 }
 
 /// What a list or a watch returned.
-enum Seen {
+enum Received {
     /// All objects, with the number of suspensions before the call began.
     All(List, u64),
     /// Changes since the last call.
@@ -140,7 +140,7 @@
 }
 
 /// Follows all objects of a kind, by a list and then watches.
-async fn follow(setup: &Setup, what: &'static str, kind: &str, seen: impl Fn(Seen)) {
+async fn follow(setup: &Setup, what: &'static str, kind: &str, apply: impl Fn(Received)) {
     let Setup { store, recovery, watchdog, .. } = setup;
     let mut outage = outage(setup, what, Probe::Lazy);
     loop {
@@ -155,7 +155,7 @@
         };
         outage.answered();
         let mut from = list.version;
-        seen(Seen::All(list, suspensions));
+        apply(Received::All(list, suspensions));
         loop {
             let watched = tokio::select! {
                 watched = store.changes(kind, from) => watched,
@@ -170,7 +170,7 @@
                 Ok(watch) => {
                     outage.answered();
                     from = watch.next;
-                    seen(Seen::Changes(watch.changes));
+                    apply(Received::Changes(watch.changes));
                 }
                 Err(error) => {
                     outage.failed(&error);
@@ -187,14 +187,14 @@
 }
 
 /// Follows the entries of endpoints.
-async fn look_at_endpoints(setup: Setup) {
+async fn follow_endpoints(setup: Setup) {
     let mut outage = outage(&setup, "endpoints", Probe::Lazy);
     loop {
         let suspensions = setup.watchdog.suspensions();
         match setup.store.all(platform::ENDPOINTS).await {
             Ok(list) => {
-                heard(&setup, &mut outage);
-                setup.view.endpoints_read(&list.objects, list.version, suspensions);
+                store_answered(&setup, &mut outage);
+                setup.view.load_endpoints(&list.objects, list.version, suspensions);
                 tokio::select! {
                     () = watch_endpoints(&setup, &mut outage, list.version) => {}
                     () = setup.watchdog.next_suspension(suspensions) => {}
@@ -209,18 +209,18 @@
 }
 
 /// Records an answer of the store; after a long outage, entries may have expired.
-fn heard(setup: &Setup, outage: &mut Outage) {
+fn store_answered(setup: &Setup, outage: &mut Outage) {
     let since = outage.since();
     outage.answered();
-    if let Some(since) = since.filter(|since| since.elapsed() > LAPSES_AFTER) {
+    if let Some(since) = since.filter(|since| since.elapsed() > MIN_EXPIRY_OUTAGE) {
         setup.view.store_returned(since, setup.lapse);
     }
 }
 
 async fn watch_endpoints(setup: &Setup, outage: &mut Outage, mut from: u64) {
     loop {
-        let watched = match setup.view.lenient_for() {
-            Some(rest) => tokio::time::timeout(rest, watch_once(setup, outage, from)).await,
+        let watched = match setup.view.grace_left() {
+            Some(left) => tokio::time::timeout(left, watch_once(setup, outage, from)).await,
             None => Ok(watch_once(setup, outage, from).await),
         };
         match watched {
@@ -228,7 +228,7 @@
             Err(_) => setup.view.sweep(),
             Ok(Ok(Some(next))) => {
                 from = next;
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(BATCH_DELAY).await;
             }
             Ok(Ok(None)) => return,
             Ok(Err(error)) => {
@@ -252,20 +252,20 @@
         tracing::info!(event = "watch_gap", what = "endpoints", from);
         return Ok(None);
     }
-    heard(setup, outage);
-    setup.view.endpoints_changed(watch.changes, watch.next);
+    store_answered(setup, outage);
+    setup.view.update_endpoints(watch.changes, watch.next);
     Ok(Some(watch.next))
 }
 
 /// Reads the entries of the other boxes at intervals.
-async fn look_at_boxes(setup: Setup) {
+async fn read_boxes(setup: Setup) {
     let mut outage = outage(&setup, "boxes", Probe::Lazy);
     loop {
         match setup.store.all_maybe_old(BOXES).await {
             Ok(list) => {
                 outage.answered();
-                setup.view.boxes_read(entries(&list.objects), list.version);
-                tokio::time::sleep(BOXES_EVERY).await;
+                setup.view.load_boxes(entries(&list.objects), list.version);
+                tokio::time::sleep(BOXES_INTERVAL).await;
             }
             Err(error) => {
                 outage.failed(&error);
