--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -31,8 +31,9 @@
 /// The boxes that share the rate of cold endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fleet {
+    /// Name of this box.
     pub me: Arc<str>,
-    /// All boxes but this one.
+    /// Names of all other boxes.
     pub others: Vec<Arc<str>>,
 }
 
--- a/crates/balance/src/pool/wait.rs
+++ b/crates/balance/src/pool/wait.rs
@@ -29,7 +29,7 @@
         delays.min()
     }
 
-    /// Endpoints that neither are leaving nor signaled that they leave.
+    /// Endpoints that do not leave, neither by configuration nor by their own signal.
     pub(super) fn staying(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter().filter(|endpoint| !endpoint.leaving && endpoint.departure.is_none())
     }
--- a/crates/balance/tests/back_off.rs
+++ b/crates/balance/tests/back_off.rs
@@ -7,7 +7,7 @@
 
 /// Step of the simulation, in milliseconds.
 const STEP_MS: u64 = 5;
-/// Time that an endpoint accepts for a request, in milliseconds.
+/// Time that an endpoint takes for a request, in milliseconds.
 const WORK_MS: u64 = 100;
 /// Requests that an endpoint runs at once.
 const SLOTS: usize = 64;
@@ -265,7 +265,7 @@
             pool.end(&name, None, now);
             pool.get_mut(&name).expect("in the pool").back_off.request_accepted(now - WORK_MS);
         }
-        self.running.iter_mut().for_each(|work| work.retain(|ends| *ends > now));
+        self.running.iter_mut().for_each(|work| work.retain(|end| *end > now));
         let later = self.retries.split_off(&(now + 1));
         let retries = std::mem::replace(&mut self.retries, later);
         for (at, rank) in retries.into_values().flatten() {
@@ -319,8 +319,8 @@
     for boxes in [1, 7, 75, 300] {
         let model = simulate(boxes, THIRD, false, |_| 1);
         // Less than a hundredth of the requests of the first 9 s, which include the back-off.
-        let came = model.requests * 9_000 / RUN_MS as usize;
-        assert!(model.refused * 100 < came, "{boxes} boxes: {} refused", model.refused);
+        let early = model.requests * 9_000 / RUN_MS as usize;
+        assert!(model.refused * 100 < early, "{boxes} boxes: {} refused", model.refused);
     }
 }
 
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -263,9 +263,9 @@
 fn a_prompt_follows_the_shared_part_sent_by_another_box() {
     let mut pool = pool_with_slow(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
-    let home = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
-    assert_eq!(home.held, 6_000, "nothing is known: its owner counts as holding it");
-    let other: Arc<str> = if &*home.name == "e0" { "e1".into() } else { "e0".into() };
+    let owner = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
+    assert_eq!(owner.held, 6_000, "nothing is known: its owner counts as holding it");
+    let other: Arc<str> = if &*owner.name == "e0" { "e1".into() } else { "e0".into() };
     let mut prompt =
         Prompt { endpoint: other.clone(), number: 1, size: 6_100, blocks: prefix.hashes() };
     pool.receive_prompt(&"box-2".into(), &prompt, 0);
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -100,13 +100,13 @@
     for (boxes, per_s) in [(75, 565), (75, 1_400), (16, 113), (7, 60), (295, 2_300)] {
         let engines = boxes * 2;
         let mut pools = pools(boxes, engines);
-        let zone = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
+        let is_cold = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
         for pool in &mut pools {
             for n in (0..engines).filter(|n| n % 4 == 1) {
                 pool.mark_cold(&format!("i-{n}"), Some(3_000), 1_000);
             }
         }
-        let (arrived, refused) = run(&mut pools, per_s, 2_900, zone);
+        let (arrived, refused) = run(&mut pools, per_s, 2_900, is_cold);
         let most = most_in_a_second(&arrived);
         assert!(most < TOO_MANY, "{boxes} boxes: {most} within a second");
         assert_eq!(refused, 0, "{boxes} boxes: the warm engines take the other requests");
@@ -128,8 +128,8 @@
             }
         }
     }
-    let zone = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
-    let (arrived, _) = run(&mut pools, 1_400, 2_900, zone);
+    let is_cold = |name: &str| name[2..].parse::<usize>().expect("a number") % 4 == 1;
+    let (arrived, _) = run(&mut pools, 1_400, 2_900, is_cold);
     let most = most_in_a_second(&arrived);
     assert!(most >= TOO_MANY, "the load is too low for this test: {most} within a second");
 }
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -57,12 +57,12 @@
             two,
         ),
     ];
-    for (what, answered_at, holds) in cases {
+    for (what, signals, limit) in cases {
         let mut endpoint = endpoint();
-        for signal in answered_at {
+        for signal in signals {
             endpoint.update_limit(signal);
         }
-        assert_eq!(endpoint.limit().map(Limit::as_per_s), holds, "{what}");
+        assert_eq!(endpoint.limit().map(Limit::as_per_s), limit, "{what}");
     }
 }
 
@@ -70,11 +70,11 @@
     /// In whatever order signals arrive, the answer to a request sent after all of them decides.
     #[test]
     fn the_answer_to_the_last_request_decides(
-        words in prop::collection::vec((prop::option::of(0_u32..5), 0_u64..100, 0_u64..100), 0..20),
+        signals in prop::collection::vec((prop::option::of(0_u32..5), 0_u64..100, 0_u64..100), 0..20),
         last in prop::option::of(0_u32..5),
     ) {
         let mut endpoint = endpoint();
-        for (per_s, a, b) in words {
+        for (per_s, a, b) in signals {
             endpoint.update_limit(limit_signal(per_s.map(f64::from), a.min(b), a.max(b)));
         }
         endpoint.update_limit(limit_signal(last.map(f64::from), 100, 110));
@@ -87,12 +87,12 @@
     #[test]
     fn permits_stay_below_the_bound_in_any_four_seconds(
         per_s in 0_u32..8_000,
-        sent_at in prop::collection::vec(1_u64..1_500, 1..300),
+        pauses in prop::collection::vec(1_u64..1_500, 1..300),
         changes_at in 0_usize..300,
     ) {
         let per_s = f64::from(per_s) / 1_000.0;
         let (mut permits, mut now, mut given) = (Permits::open(0), 0, Vec::new());
-        for (n, pause) in sent_at.into_iter().enumerate() {
+        for (n, pause) in pauses.into_iter().enumerate() {
             now += pause;
             if n == changes_at {
                 permits = Permits::open(now);
@@ -182,7 +182,7 @@
 
 #[test]
 fn retries_are_spaced_only_if_all_endpoints_name_limits() {
-    let closed = |limits: [Option<f64>; 3]| {
+    let retries = |limits: [Option<f64>; 3]| {
         let mut pool = pool(limits);
         for name in ["e0", "e1", "e2"] {
             pool.get_mut(name).expect("in the pool").defer_permits(400, 60_000);
@@ -192,6 +192,6 @@
     };
     // Three boxes share 2 requests per second, so each sends one every 1.5 s. Retries are at most 3
     // s later than the first.
-    assert_eq!(closed([Some(1.0), Some(0.5), Some(0.5)]), [400, 1_900, 3_400, 3_400]);
-    assert_eq!(closed([Some(1.0), None, Some(0.5)]), [0; 4], "one needs no permit");
+    assert_eq!(retries([Some(1.0), Some(0.5), Some(0.5)]), [400, 1_900, 3_400, 3_400]);
+    assert_eq!(retries([Some(1.0), None, Some(0.5)]), [0; 4], "one needs no permit");
 }
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -49,7 +49,7 @@
     /// Store version at which it was known to be removed.
     at: u64,
     /// The last known instance.
-    life: Option<Life>,
+    instance: Option<Life>,
 }
 
 impl Known {
@@ -98,17 +98,17 @@
             self.remove(&id, version);
             return false;
         }
-        let newer = known.is_none_or(|known| known.version <= version);
-        let later = known.is_none_or(|known| known.is_replaced_by(&entry));
+        let is_newer = known.is_none_or(|known| known.version <= version);
+        let replaces_known = known.is_none_or(|known| known.is_replaced_by(&entry));
         let removed = self.removed.get(&id);
         let was_removed =
-            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.life);
-        let counts = newer && later && !was_removed;
-        if counts {
+            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.instance);
+        let is_current = is_newer && replaces_known && !was_removed;
+        if is_current {
             self.removed.remove(&id);
             self.known.insert(id, Known { entry, version, missing: false });
         }
-        counts
+        is_current
     }
 
     /// Takes over all entries that another box knows, which are complete up to store version `at`.
@@ -155,9 +155,9 @@
         if known.is_some_and(|known| known.version > at) {
             return;
         }
-        let life = known.and_then(|known| known.entry.life);
+        let instance = known.and_then(|known| known.entry.life);
         self.known.remove(id);
-        self.record_removed(id.into(), Removed { at, life });
+        self.record_removed(id.into(), Removed { at, instance });
     }
 
     /// Store version at which an entry was known to be removed.
@@ -171,7 +171,7 @@
         }
         let newest = self.removed.entry(id).or_default();
         newest.at = removed.at.max(newest.at);
-        newest.life = removed.life.max(newest.life);
+        newest.instance = removed.instance.max(newest.instance);
     }
 
     /// Time until missing entries count as removed; `None` if none is missing.
--- a/crates/gateway/src/sync/subscriber.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -332,12 +332,18 @@
         &self,
         watcher: &Incarnation,
         since: Option<u64>,
-        away: bool,
+        is_store_unreachable: bool,
         wait: Duration,
     ) -> Option<Update> {
         let wait_ms = wait.as_millis() as u64;
         let config = self.setup.view.config_at();
-        let request = Subscribe { watcher: watcher.clone(), since, config, away, wait_ms };
+        let request = Subscribe {
+            watcher: watcher.clone(),
+            since,
+            config,
+            away: is_store_unreachable,
+            wait_ms,
+        };
         let timeout_margin = if since == Some(0) { SNAPSHOT_TIMEOUT } else { ANSWER_TIMEOUT };
         self.peers.listen(request, wait + timeout_margin).await
     }
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -41,6 +41,7 @@
     pub recovery: Recovery,
     /// Reports suspensions of this box, after which watches may be dead.
     pub watchdog: Watchdog,
+    /// Name of this box.
     pub name: Arc<str>,
     /// How long missing entries are kept after an outage of the store.
     pub lapse: Duration,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The state of a store connection; an outage that this box already knows of goes on.
+/// Tracks outages of the store for one task, from an outage on that this box already knows of.
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
     let mut outage = Outage::new(what, probe, setup.recovery.clone());
     if let Some(since) = setup.view.unreachable_since() {
--- a/crates/quarantine/tests/registry.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -171,9 +171,9 @@
     ) {
         let reports: Vec<Report> = reports
             .into_iter()
-            .map(|(endpoint, asked, is_end)| match is_end {
-                true => ended(&format!("i-{endpoint}"), &[asked]),
-                false => answered(&[asked]),
+            .map(|(endpoint, n, is_crash)| match is_crash {
+                true => ended(&format!("i-{endpoint}"), &[n]),
+                false => answered(&[n]),
             })
             .collect();
         let plain = registry(&reports);
