--- a/crates/gateway/src/sync/discovery.rs
+++ b/crates/gateway/src/sync/discovery.rs
@@ -1,9 +1,9 @@
-//! The boxes of the fleet, each of which keeps one object in the store that says where it is.
+//! Discovery of boxes: each box keeps one object in the store with its address.
 //!
-//! A box writes its object once a start and reads those of all others then, from copies of the store
-//! that may be old: reading those is cheap, and a list that is old costs a question to a box that is
-//! gone. From then on it hears of others with the rest of the news. A later life of a box that answers
-//! in place of an earlier one is news that needs no read at all.
+//! A box writes its object once per start and then reads those of all others. It reads from
+//! replicas, which may be out of date: that is cheap, and an outdated list costs only a request to
+//! a box that is gone. Later changes come with the other updates. If a newer incarnation of a box
+//! answers in place of an earlier one, that alone updates the list without a read.
 
 use std::time::Duration;
 
@@ -20,71 +20,71 @@
     sync::{view::View, watcher},
 };
 
-/// Time for which questions for a new list are gathered.
-const GATHER: Duration = Duration::from_millis(200);
-/// Time between two reads until a copy shows the own entry, and so those of boxes that started together.
-const TOGETHER: Duration = Duration::from_millis(700);
-/// Reads until then at most: copies are some seconds old at worst.
-const READS: usize = 8;
+/// Time over which requests for a new list are collected into one read.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
+/// Interval between two reads until a replica shows the own entry, and so those of boxes that
+/// started together.
+const READ_INTERVAL: Duration = Duration::from_millis(700);
+/// Maximum number of these reads: replicas are at most some seconds behind.
+const MAX_READS: usize = 8;
 
-/// Keeps the own entry and reads those of the others.
+/// Registers this box and reads the entries of the others.
 pub struct Discovery {
     store: Client,
-    me: Entry,
+    own_entry: Entry,
     peers: Peers,
     view: View,
     outage: Outage,
-    /// Version of the own entry, once it is written and those of others were read.
+    /// Version of the own entry, set once it is written and the others were read.
     registered: watch::Sender<Option<u64>>,
 }
 
 impl Discovery {
-    /// Nothing is written or read yet.
     pub fn new(
         store: Client,
-        me: Entry,
+        own_entry: Entry,
         peers: Peers,
         view: View,
         recovery: Recovery,
     ) -> Discovery {
         let outage = Outage::new("boxes", Probe::Lazy, recovery);
-        Discovery { store, me, peers, view, outage, registered: watch::channel(None).0 }
+        Discovery { store, own_entry, peers, view, outage, registered: watch::channel(None).0 }
     }
 
-    /// The version of the own entry, by which it is removed.
+    /// The version of the own entry, which is needed to remove it.
     pub fn registered(&self) -> watch::Receiver<Option<u64>> {
         self.registered.subscribe()
     }
 
-    /// Makes the boxes known to each other, and reads again where something shows that what is known
-    /// is old, for as long as this one runs.
+    /// Registers this box, then reads the list again whenever something shows that it is out of
+    /// date.
     pub async fn run(mut self) {
-        // Of those that run already, before the first request comes.
+        // Learns of the boxes that already run before the first request comes.
         self.read().await;
         let version = self.register().await;
         let mut greeted = Vec::new();
-        for _ in 0..READS {
+        for _ in 0..MAX_READS {
             let is_shown = self.read().await.is_some_and(|at| at >= version);
-            self.peers.greet(&self.me, version, &mut greeted);
+            self.peers.greet(&self.own_entry, version, &mut greeted);
             if is_shown {
                 break;
             }
-            tokio::time::sleep(TOGETHER).await;
+            tokio::time::sleep(READ_INTERVAL).await;
         }
         self.registered.send_replace(Some(version));
         loop {
             self.peers.unknown().await;
-            // One read answers all that is asked meanwhile.
-            tokio::time::sleep(GATHER).await;
+            // One read serves all requests made in the meantime.
+            tokio::time::sleep(BATCH_DELAY).await;
             self.read().await;
         }
     }
 
     /// Writes the own entry and returns its version.
     async fn register(&mut self) -> u64 {
-        let value = serde_json::to_string(&self.me).expect("entries always serialize");
-        let name = self.me.incarnation.box_name().to_owned();
-        // An earlier life's entry, as a copy showed it: one call instead of two.
+        let value = serde_json::to_string(&self.own_entry).expect("entries always serialize");
+        let name = self.own_entry.incarnation.box_name().to_owned();
+        // If the replica showed the entry of an earlier incarnation, one call is enough.
         let earlier = self.view.box_version(&name);
         let mut expect = earlier.map_or(Expect::Absent, Expect::Version);
         loop {
@@ -94,7 +94,8 @@
                     tracing::info!(event = "box_registered", name, version);
                     return version;
                 }
-                // An earlier life's, or this one's if an answer was lost: written over.
+                // The entry is of an earlier incarnation, or of this one if an answer was lost:
+                // overwrite it.
                 Put::Refused(Some(object)) => expect = Expect::Version(object.version),
                 Put::Refused(None) => expect = Expect::Absent,
                 Put::Failed(reason) | Put::Unknown(reason) => {
@@ -105,12 +106,12 @@
         }
     }
 
-    /// Reads a copy; returns the version of the store that it shows.
+    /// Reads a replica; returns the store version that it shows.
     async fn read(&mut self) -> Option<u64> {
         match self.store.all_maybe_old(BOXES).await {
             Ok(list) => {
                 self.outage.answered();
-                self.view.boxes_read(watcher::entries(&list.objects), list.version);
+                self.view.load_boxes(watcher::entries(&list.objects), list.version);
                 Some(list.version)
             }
             Err(error) => {
