--- /dev/null
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -0,0 +1,280 @@
+//! Requests to other boxes, and their results.
+
+use std::{
+    collections::BTreeMap,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+use balance::{Prefix, Prompt};
+use ledger::{Claim, Incarnation, Promise, Transfer, Witness};
+use quarantine::Report;
+use timeline::Stamp;
+use tokio::time::Instant;
+use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
+
+use super::{Peers, SILENT_RETRY_DELAY, STOPPING_RETRY_DELAY};
+
+/// Timeout of a loan. An answer within it is accepted even if the request that needed the tokens
+/// has ended; they would be stranded otherwise.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a promise, for which a request may be waiting: many round trips between availability
+/// zones.
+const PROMISE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of sealing a promise, at the start of a box: the boxes know each other for longer than
+/// this before they are granted tokens.
+const SEAL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a published prompt, which endpoints process in less time, and of other notifications.
+pub(super) const NOTIFY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of handing over a page of bills: some 200 KB over a slow link.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Boxes that bills are handed over to.
+const HAND_OVER_COPIES: usize = 2;
+
+/// What a witness reports of an incarnation that ended.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum WitnessReply {
+    /// Tokens that it certainly left untouched, by customer.
+    Untouched(BTreeMap<Arc<str>, u64>),
+    /// The witness has no promise, or has ended itself: nothing is known.
+    Nothing,
+    /// The witness did not answer.
+    NoAnswer,
+}
+
+impl WitnessReply {
+    /// Name for log lines.
+    pub fn as_str(&self) -> &'static str {
+        match self {
+            WitnessReply::Untouched(_) => "untouched",
+            WitnessReply::Nothing => "nothing",
+            WitnessReply::NoAnswer => "unheard",
+        }
+    }
+
+    /// Tokens left untouched, if the witness knows them.
+    pub fn untouched(&self) -> Option<&BTreeMap<Arc<str>, u64>> {
+        match self {
+            WitnessReply::Untouched(tokens) => Some(tokens),
+            WitnessReply::Nothing | WitnessReply::NoAnswer => None,
+        }
+    }
+}
+
+/// A published prompt; when dropped, it is published that the endpoint has processed the prompt.
+#[derive(Debug)]
+pub struct PromptNotice {
+    peers: Peers,
+    prompt: Prompt,
+}
+
+impl Drop for PromptNotice {
+    fn drop(&mut self) {
+        self.prompt.size = 0;
+        self.prompt.blocks = Arc::default();
+        self.peers.publish(&self.prompt);
+    }
+}
+
+/// Whether a box received a message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Delivery {
+    /// It was accepted.
+    Taken,
+    /// It was certainly not accepted; an earlier one is still in force.
+    Not,
+    /// The box is about to stop or has restarted, and has forgotten all earlier messages too.
+    Gone,
+    /// It may have been accepted.
+    Unknown,
+}
+
+/// Result of a request.
+#[derive(Debug)]
+pub(super) enum Reply {
+    /// The box answered.
+    Frame(Frame),
+    /// A later incarnation of the box answered: the one that was asked has ended.
+    Replaced,
+    /// No answer.
+    Nothing,
+}
+
+impl Peers {
+    /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
+    pub async fn listen(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
+        let watcher = listen.watcher.clone();
+        let peer = self.peer(&watcher)?;
+        match self.ask(&watcher, &peer, Frame::Subscribe(listen), timeout).await {
+            Reply::Frame(Frame::Update(update)) => Some(update),
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+        }
+    }
+
+    /// Sends usage and demand to a keeper; `None` if that incarnation of it did not answer.
+    pub async fn draw(&self, keeper: &Incarnation, draw: Draw, timeout: Duration) -> Option<Drawn> {
+        let peer = self.peer(keeper)?;
+        match self.ask(keeper, &peer, Frame::Draw(draw), timeout).await {
+            Reply::Frame(Frame::Drawn(drawn)) => {
+                if drawn.leaves {
+                    self.avoid_for(keeper, STOPPING_RETRY_DELAY);
+                }
+                Some(drawn)
+            }
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+        }
+    }
+
+    /// Publishes a large prompt that this box sent to an endpoint. Delivery is best effort. When
+    /// the returned value is dropped, it is published that the prompt was processed.
+    pub fn publish_prompt(&self, endpoint: &Arc<str>, prefix: &Prefix, size: u64) -> PromptNotice {
+        let number = self.prompts.fetch_add(1, Ordering::Relaxed);
+        let (endpoint, blocks) = (endpoint.clone(), prefix.hashes());
+        let prompt = Prompt { endpoint, number, size, blocks };
+        self.publish(&prompt);
+        PromptNotice { peers: self.clone(), prompt }
+    }
+
+    fn publish(&self, prompt: &Prompt) {
+        // Dropped after the runtime has shut down: nothing can be sent.
+        let Ok(runtime) = tokio::runtime::Handle::try_current() else { return };
+        for name in self.prompt_recipients() {
+            let Some(peer) = self.peer(&name) else { continue };
+            let (peers, frame) = (self.clone(), Frame::Prompt(prompt.clone()));
+            runtime.spawn(async move { peers.ask(&name, &peer, frame, NOTIFY_TIMEOUT).await });
+        }
+    }
+
+    /// Sends a promise to this box's witness.
+    pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Delivery {
+        let number = promise.number;
+        let Some(peer) = self.peer(witness) else { return Delivery::Not };
+        match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_TIMEOUT).await {
+            Reply::Frame(Frame::Promised { number: accepted }) if accepted == number => {
+                Delivery::Taken
+            }
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => Delivery::Gone,
+            Reply::Frame(Frame::Refused { .. }) => Delivery::Not,
+            Reply::Frame(_) | Reply::Nothing => Delivery::Unknown,
+        }
+    }
+
+    /// Hands over pages of bills to other boxes, which write them; returns those that accepted.
+    /// Each page goes to two boxes, since one may die before it reaches the store; the page is
+    /// stored once, whoever writes it first.
+    pub async fn hand_over_bills(&self, pages: &[BillPage]) -> Vec<Incarnation> {
+        let mut accepted = Vec::new();
+        for (name, peer) in self.some_reachable() {
+            let frame = Frame::HandOver { to: name.clone(), pages: pages.to_vec() };
+            if let Reply::Frame(Frame::Done) =
+                self.ask(&name, &peer, frame, HAND_OVER_TIMEOUT).await
+            {
+                accepted.push(name);
+            }
+            if accepted.len() >= HAND_OVER_COPIES {
+                break;
+            }
+        }
+        accepted
+    }
+
+    /// Asks the witness of an incarnation that ended for its last promise, and to accept no more.
+    pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> WitnessReply {
+        let Claim { witness: Witness { by, term }, at } = claim;
+        let last_known = || at.map(|address| Peer::new(address, self.source));
+        let peer = self.peer(by).or_else(|| self.current_peer(by)).or_else(last_known);
+        let Some(peer) = peer else { return WitnessReply::NoAnswer };
+        let frame = Frame::Seal { holder: holder.clone(), term: *term };
+        match self.ask(by, &peer, frame, SEAL_TIMEOUT).await {
+            Reply::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => WitnessReply::Nothing,
+            Reply::Frame(_) | Reply::Nothing => WitnessReply::NoAnswer,
+        }
+    }
+
+    /// Borrows tokens from another box.
+    pub async fn borrow(
+        &self,
+        name: &Incarnation,
+        customer: &Arc<str>,
+        tokens: u64,
+    ) -> Option<Transfer> {
+        let peer = self.peer(name)?;
+        let frame = Frame::Lend { budget: customer.clone(), tokens };
+        match self.ask(name, &peer, frame, BORROW_TIMEOUT).await {
+            Reply::Frame(Frame::Lent { transfer }) => {
+                transfer.filter(|transfer| transfer.from == *name && transfer.to == self.me)
+            }
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+        }
+    }
+
+    /// Publishes a crash report to the watchers; those that miss it read it from the store.
+    pub fn publish_crash(&self, name: &Arc<str>, report: &Report) {
+        let watchers = self.watchers();
+        for watcher in watchers.all().filter(|watcher| **watcher != self.me) {
+            let Some(peer) = self.peer(watcher) else { continue };
+            let frame = Frame::Crash { name: name.clone(), report: report.clone() };
+            let (peers, watcher) = (self.clone(), watcher.clone());
+            tokio::spawn(async move { peers.ask(&watcher, &peer, frame, NOTIFY_TIMEOUT).await });
+        }
+    }
+
+    /// Sends a request to a box and records whether it is reachable.
+    pub(super) async fn ask(
+        &self,
+        name: &Incarnation,
+        peer: &Peer,
+        frame: Frame,
+        timeout: Duration,
+    ) -> Reply {
+        let topic = frame.topic();
+        let asked = peer.ask_with_size(&self.message(frame), timeout).await;
+        let answered = asked.map(|(answer, size)| {
+            self.record_contact();
+            self.traffic.add(topic, self.is_same_zone(name), size);
+            answer
+        });
+        match answered {
+            Ok(answer) if answer.from != *name => {
+                let (peer, now) = (name.as_str(), answer.from.as_str());
+                tracing::info!(event = "peer_replaced", peer, now);
+                // A box has one incarnation at a time. An answer from a different box proves
+                // nothing about it.
+                match answer.from.box_name() == name.box_name() {
+                    true => {
+                        self.replace(name, &answer.from);
+                        Reply::Replaced
+                    }
+                    false => {
+                        self.avoid_for(name, SILENT_RETRY_DELAY);
+                        self.report_stale_list();
+                        Reply::Nothing
+                    }
+                }
+            }
+            Ok(answer) => {
+                if let Frame::Refused { reason } = &answer.frame {
+                    tracing::info!(
+                        event = "peer_refused",
+                        peer = name.as_str(),
+                        reason = &**reason
+                    );
+                }
+                Reply::Frame(answer.frame)
+            }
+            Err(error) => {
+                tracing::info!(event = "peer_silent", peer = name.as_str(), %error);
+                self.state.lock().last_unanswered = Some(Instant::now());
+                self.avoid_for(name, SILENT_RETRY_DELAY);
+                Reply::Nothing
+            }
+        }
+    }
+
+    /// Builds a message from this box.
+    pub fn message(&self, frame: Frame) -> Message {
+        // The time stamp is not used by this kind of box.
+        Message { from: self.me.clone(), stamp: Stamp::default(), frame }
+    }
+}
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,13 +1,13 @@
-//! Starting and stopping a box on the users' platform.
+//! Start and stop of a box on the users' platform.
 
 mod sockets;
 
 pub use sockets::Error;
-use sockets::{Sockets, bind_lender, few_bounds};
+use sockets::{Sockets, admin_bounds, bind_peers};
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use forward::Links;
+use forward::Connections;
 use ledger::Incarnation;
 use objects::Calls;
 use parking_lot::Mutex;
@@ -22,46 +22,46 @@
 use tokio_util::task::TaskTracker;
 
 use crate::{
-    clock::{Clock, Pulse},
-    door::{desk::Desk, pages, serve},
-    fleet::{entry::Entry, order::Place, peers::Peers},
+    clock::{Clock, Watchdog},
+    fleet::{entry::Entry, keepers::Profile, peers::Peers},
+    inbound::{admin, peer_service::PeerService, serve},
     metrics::Metrics,
-    money::{
-        bills::Bills,
-        draws::Draws,
-        funds::{Balance, Funds},
-        lending::Lending,
-        settle::{Settler, Setup},
-        witness::{Keeper, Naming},
+    outage::Recovery,
+    proxy::{
+        announcer::Announcer,
+        context::Context,
+        crashes::{Crashes, connect_prober},
+        endpoints::Endpoints,
+        link::Link,
+        permits::{self, Permits},
     },
-    news::{
-        listen::Listener,
-        look,
+    settings::Settings,
+    sync::{
+        discovery::Discovery,
         reporter::Reporter,
-        roster::Roster,
-        view::{Uses, View},
-        words,
+        signals,
+        subscriber::Subscriber,
+        view::{Consumers, View},
+        watcher,
     },
-    outage::Contact,
-    settings::Settings,
-    way::{
-        crashes::{Crashes, by_connecting},
-        endpoints::Endpoints,
-        gate::Gate,
-        link::Link,
-        teller::Teller,
-        turns::{self, Turns},
+    tokens::{
+        acquirer::Acquirer,
+        bills::Bills,
+        borrower::Borrower,
+        funds::{Balance, Funds},
+        settle::{Settler, Setup},
+        witness::{Promiser, Selector},
     },
 };
 
-/// Connections of the balancer and of scrapers at once.
-const FEW: usize = 64;
-/// Time for the last settlement of a planned stop, beyond the time for requests.
-const LEAVE: Duration = Duration::from_millis(600);
+/// Concurrent connections of the balancer, and of scrapers.
+const MAX_ADMIN_CONNECTIONS: usize = 64;
+/// Time for the last settlement of a planned stop, beyond the limit for requests.
+const FINAL_SETTLEMENT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A running box.
 pub struct Gateway {
-    gate: Arc<Gate>,
+    context: Arc<Context>,
     callers: SocketAddr,
     ready: SocketAddr,
     operators: SocketAddr,
@@ -71,100 +71,100 @@
     closing: watch::Sender<bool>,
     /// Connections of callers.
     tasks: TaskTracker,
-    /// When the last settlement is given up, once this box leaves.
-    leaving: watch::Sender<Option<Instant>>,
+    /// Deadline of the last settlement; set once the box stops.
+    settle_deadline: watch::Sender<Option<Instant>>,
     settler: Option<JoinHandle<()>>,
-    /// Answers other boxes; it ends when dropped.
-    lender: Option<wire::Server>,
-    /// Accepts callers' connections.
+    /// Serves other boxes until dropped.
+    peer_server: Option<wire::Server>,
+    /// Accepts connections of callers.
     accepting: JoinHandle<()>,
-    loops: Vec<JoinHandle<()>>,
+    background: Vec<JoinHandle<()>>,
 }
 
 impl Gateway {
-    /// Starts a box. `seed` feeds its random choices, its incarnation among them: it must be
-    /// fresh.
+    /// Starts a box. `seed` feeds its random choices, including its incarnation, and must be
+    /// different at each start.
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Gateway, Error> {
         Gateway::spawn_with(settings, seed, Clock::system()).await
     }
 
-    /// Starts a box by a clock that says for how long it was suspended.
+    /// Starts a box with a given clock.
     pub async fn spawn_with(settings: Settings, seed: u64, clock: Clock) -> Result<Gateway, Error> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&settings.box_name, random.random());
         let store = Client::open(settings.store());
         let calls = store.calls();
         let metrics = Metrics::open();
-        let contact = Contact::open();
+        let recovery = Recovery::open();
         let (in_force, table) = watch::channel(None);
         let (stopping, stops) = watch::channel(false);
         let (closing, closes) = watch::channel(false);
-        let links = Links::new(settings.links());
-        let (to_store, to_endpoints) = (store.clone(), links.clone());
-        let pulse = Pulse::open(clock.clone(), move || {
+        let connections = Connections::new(settings.connections());
+        let (to_store, to_endpoints) = (store.clone(), connections.clone());
+        let watchdog = Watchdog::open(clock.clone(), move || {
             to_store.forget_connections();
-            to_endpoints.close_resting();
+            to_endpoints.close_idle();
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
         let endpoints = Arc::new(Endpoints::new(zone, settings.cold, &clock, seed));
-        let prove = by_connecting(settings.links().connect);
+        let prober = connect_prober(settings.connections().connect_timeout);
         let (crashes, reports) =
-            Crashes::open(incarnation.clone(), settings.quarantine(), prove, &clock);
+            Crashes::open(incarnation.clone(), settings.quarantine(), prober, &clock);
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
-        let place = Place {
+        let profile = Profile {
             name: incarnation.clone(),
             zone: settings.zone.clone(),
             strength: settings.machine.strength(),
         };
-        let peers = Peers::open(place, settings.listen.peers, random.random());
+        let peers = Peers::open(profile, settings.listen.peers, random.random());
         let (in_force_settings, read_settings) = watch::channel(Arc::new(settings.clone()));
-        let lending = Lending::new(funds.clone(), peers.clone());
-        let draws =
-            Draws::new(funds.clone(), peers.clone(), lending.clone(), read_settings.clone());
-        let view = View::open(Uses {
+        let borrower = Borrower::new(funds.clone(), peers.clone());
+        let acquirer =
+            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), read_settings.clone());
+        let view = View::open(Consumers {
             in_force,
             funds: funds.clone(),
             endpoints: endpoints.clone(),
-            links: links.clone(),
+            connections: connections.clone(),
             peers: peers.clone(),
             crashes: crashes.clone(),
-            contact: contact.clone(),
-            pulse: pulse.clone(),
+            recovery: recovery.clone(),
+            watchdog: watchdog.clone(),
             started: clock.now(),
         });
-        let (teller, told) = Teller::open();
-        let turns = Turns::open(turns::Setup {
+        let (announcer, announcements) = Announcer::open();
+        let permits = Permits::open(permits::Setup {
             endpoints: endpoints.clone(),
             peers: peers.clone(),
             metrics: metrics.clone(),
             stopping: stops.clone(),
             started: clock.now(),
-            teller: teller.clone(),
+            announcer: announcer.clone(),
         });
-        let desk = Desk {
+        let peer_service = PeerService {
             me: incarnation.clone(),
             funds: funds.clone(),
             peers: peers.clone(),
-            lending,
+            borrower,
             endpoints: endpoints.clone(),
             bills: bills.clone(),
             view: view.clone(),
-            turns: turns.clone(),
+            permits: permits.clone(),
             stopping: stops.clone(),
         };
-        let lender = bind_lender(settings.listen.peers, desk, &peers).await?;
-        let gate = Arc::new(Gate {
+        let peer_server = bind_peers(settings.listen.peers, peer_service, &peers).await?;
+        let context = Arc::new(Context {
             table,
             endpoints: endpoints.clone(),
             crashes,
-            turns,
-            teller,
-            links: links.clone(),
+            permits,
+            announcer,
+            connections: connections.clone(),
             funds: funds.clone(),
             bills: bills.clone(),
             peers: peers.clone(),
-            draws: draws.clone(),
+            acquirer: acquirer.clone(),
             link: Arc::new(Link::new(settings.machine.link_mbps)),
             retries: Mutex::default(),
             metrics: metrics.clone(),
@@ -172,58 +172,61 @@
             stopping: stops,
             started: clock.now(),
             clock,
-            pulse: pulse.clone(),
+            watchdog: watchdog.clone(),
             dropped_lines: Mutex::default(),
             settings: in_force_settings,
         });
         let sockets = Sockets::bind(&settings.listen)?;
         let [callers, ready, operators] = sockets.addresses();
         let tasks = TaskTracker::new();
-        let (leaving, leaves) = watch::channel(None);
-        let roster = peers.address().map(|peer| {
+        let (settle_deadline, deadline) = watch::channel(None);
+        let discovery = peers.address().map(|peer| {
             let me = Entry {
                 incarnation: incarnation.clone(),
                 zone: settings.zone.clone(),
                 peer,
                 strength: settings.machine.strength(),
             };
-            Roster::new(store.clone(), me, peers.clone(), view.clone(), contact.clone())
+            Discovery::new(store.clone(), me, peers.clone(), view.clone(), recovery.clone())
         });
-        let registered =
-            roster.as_ref().map_or_else(|| watch::channel(None).1, |roster| roster.written());
-        let naming = Naming::open();
-        let keeper = Keeper { funds: funds.clone(), peers: peers.clone(), naming: naming.clone() };
+        let registered = discovery
+            .as_ref()
+            .map_or_else(|| watch::channel(None).1, |discovery| discovery.registered());
+        let selector = Selector::open();
+        let promiser =
+            Promiser { funds: funds.clone(), peers: peers.clone(), selector: selector.clone() };
         let setup = Setup {
             store: store.clone(),
             funds: funds.clone(),
             peers,
-            naming,
-            draws: draws.clone(),
+            selector,
+            acquirer: acquirer.clone(),
             metrics: metrics.clone(),
             registered: registered.clone(),
             bills,
             holder: incarnation.clone(),
             settings: read_settings,
         };
-        let settler = Settler::new(setup, contact.clone());
+        let settler = Settler::new(setup, recovery.clone());
         let lapse = Duration::from_millis(settings.limits.lapse_ms);
         let name = settings.box_name.clone();
         let reporter = Reporter {
             store: store.clone(),
-            peers: gate.peers.clone(),
+            peers: context.peers.clone(),
             view: view.clone(),
-            contact: contact.clone(),
+            recovery: recovery.clone(),
         };
-        let looks = look::Setup {
+        let watcher_setup = watcher::Setup {
             store: store.clone(),
             view: view.clone(),
-            contact,
-            pulse: pulse.clone(),
+            recovery,
+            watchdog: watchdog.clone(),
             name,
             lapse,
         };
-        let listener = Listener::new(gate.peers.clone(), looks, registered, random.random());
-        let (serving, bounding) = (gate.clone(), gate.clone());
+        let subscriber =
+            Subscriber::new(context.peers.clone(), watcher_setup, registered, random.random());
+        let (serving, bounding) = (context.clone(), context.clone());
         let accepting = tokio::spawn(serve::accept(
             sockets.callers,
             settings.limits.connections,
@@ -235,34 +238,39 @@
         ));
         let for_balancer = serve::accept(
             sockets.ready,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes.clone(),
             metrics.clone(),
-            pages::answer_ready(gate.clone()),
+            admin::answer_ready(context.clone()),
         );
         let for_operators = serve::accept(
             sockets.operators,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes,
             metrics,
-            pages::answer_metrics(gate.clone(), view.clone(), calls.clone()),
+            admin::answer_metrics(context.clone(), view.clone(), calls.clone()),
         );
-        let mut loops = vec![
-            tokio::spawn(listener.run()),
+        let mut background = vec![
+            tokio::spawn(subscriber.run()),
             tokio::spawn(reporter.run(reports)),
-            tokio::spawn(words::tell(view.clone(), gate.peers.clone(), endpoints.clone(), told)),
-            tokio::spawn(pulse.run()),
-            tokio::spawn(keeper.run()),
-            tokio::spawn(draws.run()),
+            tokio::spawn(signals::publish(
+                view.clone(),
+                context.peers.clone(),
+                endpoints.clone(),
+                announcements,
+            )),
+            tokio::spawn(watchdog.run()),
+            tokio::spawn(promiser.run()),
+            tokio::spawn(acquirer.run()),
             tokio::spawn(for_balancer),
             tokio::spawn(for_operators),
         ];
-        loops.extend(roster.map(|roster| tokio::spawn(roster.run())));
-        let settler = Some(tokio::spawn(settle(settler, leaves)));
+        background.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
+        let settler = Some(tokio::spawn(settle(settler, deadline)));
         tracing::info!(
             event = "started",
             incarnation = incarnation.as_str(),
@@ -271,7 +279,7 @@
             store = %settings.store.address,
         );
         Ok(Gateway {
-            gate,
+            context,
             callers,
             ready,
             operators,
@@ -280,114 +288,115 @@
             stopping,
             closing,
             tasks,
-            leaving,
+            settle_deadline,
             settler,
-            lender,
+            peer_server,
             accepting,
-            loops,
+            background,
         })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where the balancer asks whether the box takes requests.
+    /// Address for readiness checks.
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Where metrics are read.
+    /// Address for metrics.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes ask for tokens, if they may.
+    /// Address for other boxes, if this one serves them.
     pub fn peers(&self) -> Option<SocketAddr> {
-        self.lender.as_ref().map(wire::Server::address)
+        self.peer_server.as_ref().map(wire::Server::address)
     }
 
-    /// The incarnation of this start.
+    /// Incarnation of this start.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// The counters of its calls to the store.
+    /// Counters of calls to the store.
     pub fn calls(&self) -> &Calls {
         &self.calls
     }
 
-    /// What this box holds of a customer's budget.
+    /// Tokens that this box holds of a customer's budget.
     pub fn balance(&self, customer: &str) -> Balance {
-        self.gate.funds.balance(customer)
+        self.context.funds.balance(customer)
     }
 
-    /// Bills that are not written yet, with pages that other boxes handed over.
+    /// Number of bills that are not written yet, plus pages handed over by other boxes.
     pub fn bills_waiting(&self) -> usize {
-        self.gate.bills.waiting()
+        self.context.bills.waiting()
     }
 
-    /// Number of other boxes that this one can ask for tokens.
-    pub fn knows_peers(&self) -> usize {
-        self.gate.peers.len()
+    /// Number of other known boxes.
+    pub fn peer_count(&self) -> usize {
+        self.context.peers.len()
     }
 
-    /// Limits that endpoints name, by their lives, in requests a second.
+    /// Limits that endpoints name, by instance, in requests per second.
     pub fn limits(&self) -> Vec<(Arc<str>, f64)> {
-        self.gate.endpoints.limits()
+        self.context.endpoints.limits()
     }
 
-    /// Endpoints that said that they leave and are still listed.
+    /// Number of listed endpoints that announced that they leave.
     pub fn leaving(&self) -> usize {
-        self.gate.endpoints.count_leaving()
+        self.context.endpoints.count_leaving()
     }
 
-    /// Endpoints that want nothing from this box for now.
-    pub fn resting(&self) -> usize {
-        self.gate.endpoints.count_resting()
+    /// Number of endpoints in a back-off towards this box.
+    pub fn backing_off(&self) -> usize {
+        self.context.endpoints.count_backing_off()
     }
 
     /// The metrics as text.
     pub fn metrics(&self) -> String {
-        self.gate.metrics.text()
+        self.context.metrics.text()
     }
 
-    /// Tells the metrics how many log lines were dropped so far.
+    /// Sets the source of the counter of dropped log lines.
     pub fn count_dropped_lines(&self, count: impl Fn() -> usize + Send + Sync + 'static) {
-        *self.gate.dropped_lines.lock() = Some(Box::new(count));
+        *self.context.dropped_lines.lock() = Some(Box::new(count));
     }
 
-    /// Takes over settings that were read again: sizes of grants, repeats, and the times of a
-    /// planned stop are in force at once; the rest is at the next start of the process.
+    /// Applies settings that were read again. Grant sizes, retries and the times of a planned stop
+    /// take effect at once, everything else at the next start.
     pub fn reload(&self, settings: Settings) {
-        let later = self.gate.settings().read_at_start(&settings);
-        let changed = *self.gate.settings() != settings;
+        let later = self.context.settings().read_at_start(&settings);
+        let changed = *self.context.settings() != settings;
         tracing::info!(event = "settings_read_again", changed, at_next_start = later.join(","));
-        self.gate.settings.send_replace(Arc::new(settings));
+        self.context.settings.send_replace(Arc::new(settings));
     }
 
-    /// The planned stop: not ready first, then every request to its end, then all tokens returned.
+    /// Planned stop: reports not ready, finishes all requests, then returns all tokens.
     pub async fn stop(mut self) {
-        let began = self.gate.clock.now();
-        let settings = self.gate.settings();
+        let began = self.context.clock.now();
+        let settings = self.context.settings();
         let limits = &settings.limits;
         let limit = Duration::from_millis(limits.stop_ms);
         tracing::info!(event = "stopping", limit_ms = limits.stop_ms);
         self.stopping.send_replace(true);
-        self.gate.peers.forget_promises();
+        self.context.peers.stop_witnessing();
         self.tasks.close();
         let notice = Duration::from_millis(limits.notice_ms);
-        // The balancer sends connections until it has noticed; they are all served.
+        // The balancer keeps sending connections until it notices; all are served.
         tokio::time::sleep(notice.min(limit)).await;
         self.accepting.abort();
         self.closing.send_replace(true);
-        let rest = limit.saturating_sub(began.elapsed());
-        let finished = tokio::time::timeout(rest, self.tasks.wait()).await.is_ok();
-        let rest = limit.saturating_sub(began.elapsed());
-        self.leaving.send_replace(Some(Instant::now() + rest + LEAVE));
+        let remaining = limit.saturating_sub(began.elapsed());
+        let finished = tokio::time::timeout(remaining, self.tasks.wait()).await.is_ok();
+        let remaining = limit.saturating_sub(began.elapsed());
+        self.settle_deadline
+            .send_replace(Some(Instant::now() + remaining + FINAL_SETTLEMENT_TIMEOUT));
         if let Some(settler) = self.settler.take() {
-            // It bounds itself in time; a panic in it was printed already.
+            // The task bounds its own time, and a panic in it was already printed.
             let _ = settler.await;
         }
         let took_ms = began.elapsed().as_millis() as u64;
@@ -396,19 +405,19 @@
 }
 
 impl Drop for Gateway {
-    /// Ends at once, as a crash would: nothing is returned.
+    /// Ends at once, as in a crash: no tokens are returned.
     fn drop(&mut self) {
         self.accepting.abort();
-        for task in self.loops.iter().chain(&self.settler) {
+        for task in self.background.iter().chain(&self.settler) {
             task.abort();
         }
     }
 }
 
-async fn settle(mut settler: Settler, mut leaving: watch::Receiver<Option<Instant>>) {
+async fn settle(mut settler: Settler, mut deadline: watch::Receiver<Option<Instant>>) {
     let until = tokio::select! {
         () = settler.run() => None,
-        until = leaving.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
+        until = deadline.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
     };
     if let Some(until) = until {
         settler.leave(until).await;
--- /dev/null
+++ b/crates/gateway/src/proxy/admit.rs
@@ -0,0 +1,258 @@
+//! Admission of a request: finds its route and customer, reads its body and reserves its tokens.
+
+use std::{sync::Arc, time::Duration};
+
+use balance::Prefix;
+use bytes::Bytes;
+use http::{HeaderMap, Method, Request, Uri, header};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use platform::{
+    config::Route,
+    request::{self, Head},
+};
+use quarantine::{Fingerprint, Verdict};
+use tokio::{sync::OwnedSemaphorePermit, time::Instant};
+
+use crate::{
+    proxy::{
+        context::Context,
+        exchange::Exchange,
+        refusal::{CAPACITY_RETRY_DELAY, Reason, Refusal},
+    },
+    tokens::funds::Shortage,
+};
+
+/// `Retry-After` while this box lacks tokens or a configuration; a settlement or a read of the
+/// configuration has completed by then.
+const UNREADY_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// Connections to one endpoint that each box may hold, however small its share is.
+const MIN_CONNECTIONS: u64 = 4;
+/// Connections to one endpoint from all boxes, unless the configuration sets a limit.
+const DEFAULT_CONNECTIONS: u64 = 256;
+/// Bytes reserved for a body of unknown length (without `Content-Length`).
+const UNSIZED_BODY_BYTES: usize = 256 << 10;
+
+/// A request that has been read and admitted.
+pub struct AdmittedRequest {
+    pub method: Method,
+    pub target: Uri,
+    pub headers: HeaderMap,
+    pub body: Bytes,
+    /// Memory reserved for the body; released on drop.
+    _body_permit: OwnedSemaphorePermit,
+    pub head: Head,
+    pub prefix: Prefix,
+    /// Identifies requests with the same content.
+    pub fingerprint: Fingerprint,
+    pub route: Route,
+    pub service: Arc<str>,
+    /// Limit of connections from this box to one endpoint.
+    pub max_connections: usize,
+    /// Priority sent to the endpoint, if it is an engine; 0 is the most urgent.
+    pub rank: Option<u8>,
+    /// The same priority, for any service.
+    pub urgency: u8,
+}
+
+impl Context {
+    /// Resolves the route, customer and service of a request and reads its body.
+    pub async fn admit(
+        &self,
+        request: Request<Incoming>,
+        head: Head,
+        exchange: &mut Exchange,
+    ) -> Result<AdmittedRequest, Refusal> {
+        let table = self.table.borrow().clone();
+        let table = table.ok_or_else(|| {
+            Reason::NoConfig.after(UNREADY_RETRY_DELAY, "no configuration has been loaded yet")
+        })?;
+        exchange.config_version = table.version();
+        let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
+        let route = table
+            .route(host.unwrap_or_default(), request.uri().path())
+            .ok_or_else(|| Reason::NoRoute.with("no route for this host and path"))?
+            .clone();
+        exchange.route = Some(route.name.clone());
+        if let Some(timeout) = route.timeout {
+            exchange.deadline = exchange.deadline.min(exchange.arrived_at + timeout);
+        }
+        let customer = match table.needs_keys() && !route.public {
+            false => None,
+            true => {
+                let customer = head.key.as_deref().and_then(|key| table.customer(key));
+                let unknown_key = || Reason::NoCustomer.with("the key belongs to no customer");
+                Some(customer.ok_or_else(unknown_key)?)
+            }
+        };
+        exchange.customer = customer.map(|customer| customer.name.clone());
+        let paid = customer.is_some_and(|customer| customer.paid.is_some());
+        exchange.tokens = head.tokens.filter(|_| paid);
+        let id = head.id.as_deref().unwrap_or_default();
+        let service = table
+            .target(&route, id)
+            .ok_or_else(|| {
+                Reason::NoEndpoint.after(UNREADY_RETRY_DELAY, "the route has no service")
+            })?
+            .clone();
+        exchange.service = Some(service.clone());
+        let service_config = table.service(&service);
+        let engine = service_config.and_then(|service| service.engine.as_ref());
+        exchange.event_tokens = engine.map_or(1, |engine| engine.event_tokens);
+        let fleet_max = service_config
+            .and_then(|service| service.connections)
+            .map_or(DEFAULT_CONNECTIONS, u64::from);
+        let max_connections =
+            (fleet_max / self.peers.boxes()).max(MIN_CONNECTIONS.min(fleet_max)) as usize;
+        let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
+        let rank = engine.map(|_| urgency);
+        let limit = table.config().limits.body_bytes;
+        let (parts, body) = request.into_parts();
+        let body_permit = self.reserve_body(&body, limit)?;
+        let body = self.read_body(body, limit, exchange.deadline).await?;
+        self.link.request(body.len());
+        let prefix = Prefix::of_parts(head.parts.iter().map(|part| (part.id, part.tokens)));
+        let (method, target, headers) = (parts.method, parts.uri, parts.headers);
+        let fingerprint = fingerprint(exchange.customer.as_ref(), &route, &method, &target, &body);
+        exchange.fingerprint = Some(fingerprint.clone());
+        self.check_quarantine(&fingerprint, exchange.deadline).await?;
+        Ok(AdmittedRequest {
+            method,
+            target,
+            headers,
+            body,
+            _body_permit: body_permit,
+            head,
+            prefix,
+            fingerprint,
+            route,
+            service,
+            max_connections,
+            rank,
+            urgency,
+        })
+    }
+
+    /// Refuses a request that crashes endpoints. While crashes are still being verified, asks the caller
+    /// to retry after that.
+    pub async fn check_quarantine(
+        &self,
+        fingerprint: &Fingerprint,
+        deadline: Instant,
+    ) -> Result<(), Refusal> {
+        match self.crashes.verdict(fingerprint, deadline).await {
+            Verdict::Allowed | Verdict::Suspect { .. } => Ok(()),
+            Verdict::Unconfirmed { .. } => {
+                let delay = Duration::from_millis(self.settings().limits.connect_ms);
+                let detail = "connections to endpoints broke while they ran this request, and \
+                              whether the endpoints crashed is still being verified";
+                Err(Reason::Unconfirmed.after(delay, detail))
+            }
+            Verdict::Quarantined { for_s } => Err(Reason::Quarantined.after(
+                Duration::from_secs(for_s),
+                "endpoints crashed each time they ran this request",
+            )),
+        }
+    }
+
+    /// Reserves memory for a body.
+    fn reserve_body(&self, body: &Incoming, limit: usize) -> Result<OwnedSemaphorePermit, Refusal> {
+        let declared = http_body::Body::size_hint(body).exact().map(|bytes| bytes as usize);
+        if declared.is_some_and(|bytes| bytes > limit) {
+            return Err(Reason::TooLarge.with(format!("the body exceeds {limit} bytes")));
+        }
+        let bytes = declared.unwrap_or(UNSIZED_BODY_BYTES.min(limit)) as u32;
+        let permit = self.bodies.clone().try_acquire_many_owned(bytes);
+        permit.map_err(|_| {
+            Reason::Memory.after(CAPACITY_RETRY_DELAY, "the memory for request bodies is exhausted")
+        })
+    }
+
+    async fn read_body(
+        &self,
+        body: Incoming,
+        limit: usize,
+        deadline: Instant,
+    ) -> Result<Bytes, Refusal> {
+        let read = tokio::time::timeout_at(deadline, Limited::new(body, limit).collect()).await;
+        let too_late = Reason::BodyLate.with("the body did not arrive in time");
+        match read.map_err(|_| too_late)? {
+            Ok(body) => Ok(body.to_bytes()),
+            Err(error) if error.is::<LengthLimitError>() => {
+                Err(Reason::TooLarge.with(format!("the body exceeds {limit} bytes")))
+            }
+            Err(error) => Err(Reason::Malformed.with(format!("failed to read the body: {error}"))),
+        }
+    }
+
+    /// Reserves the most tokens that a request can cost: its prompt and its longest output.
+    pub async fn hold(
+        &self,
+        admitted: &AdmittedRequest,
+        exchange: &mut Exchange,
+    ) -> Result<(), Refusal> {
+        let (Some(tokens), Some(customer)) = (exchange.tokens, exchange.customer.clone()) else {
+            return Ok(());
+        };
+        let max_tokens = tokens.prompt + tokens.most_output;
+        let settings = self.settings();
+        let money = &settings.money;
+        let wait = Duration::from_millis(money.wait_ms);
+        let wait = admitted.route.target.map_or(wait, |target| wait.min(target / 2));
+        let now = Instant::now();
+        let deadline = (now + wait).min(exchange.deadline);
+        let from_store = Duration::from_millis(money.store_ms);
+        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, from_store, deadline).await {
+            exchange.set_hold(hold);
+            return Ok(());
+        }
+        Err(match self.funds.shortage(&customer, max_tokens) {
+            Shortage::Exhausted => {
+                let detail = format!("the remaining budget does not cover {max_tokens} tokens");
+                Reason::BudgetExhausted.with(detail)
+            }
+            shortage @ Shortage::Local { .. } => {
+                let detail = format!("this box lacks tokens for {max_tokens}: {shortage}");
+                Reason::TokensShort.after(UNREADY_RETRY_DELAY, detail)
+            }
+        })
+    }
+}
+
+/// Fingerprint shared by all attempts of a request. Uses the host of the route, since callers may spell it differently.
+fn fingerprint(
+    customer: Option<&Arc<str>>,
+    route: &Route,
+    method: &Method,
+    target: &Uri,
+    body: &[u8],
+) -> Fingerprint {
+    let target = target.path_and_query().map_or("", |target| target.as_str());
+    let parts = [method.as_str().as_bytes(), route.host.as_bytes(), target.as_bytes(), body];
+    Fingerprint::of(customer, parts)
+}
+
+/// Refuses heads that two HTTP parsers could interpret differently (request smuggling).
+pub fn check_head(request: &Request<Incoming>) -> Result<(), Refusal> {
+    let headers = request.headers();
+    let is_repeated = |name: &header::HeaderName| headers.get_all(name).iter().count() > 1;
+    let repeated = headers.keys().find(|name| is_repeated(name) && request::is_single(name));
+    if let Some(name) = repeated {
+        return Err(Reason::Malformed.with(format!("header `{name}` appears more than once")));
+    }
+    let has_both = headers.contains_key(header::CONTENT_LENGTH)
+        && headers.contains_key(header::TRANSFER_ENCODING);
+    if has_both {
+        return Err(Reason::Malformed.with("both Content-Length and Transfer-Encoding are present"));
+    }
+    let origin_form = request.uri().authority().is_none() && request.uri().path().starts_with('/');
+    match origin_form && request.method() != Method::CONNECT {
+        true => Ok(()),
+        false => Err(Reason::Malformed.with("the request target must be a path")),
+    }
+}
+
+/// Combined priority, 0 to 9: the customer's decides before the route's.
+fn rank(customer: u8, route: u8) -> u8 {
+    customer.saturating_mul(3).saturating_add(route.min(2)).min(9)
+}
--- /dev/null
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -0,0 +1,329 @@
+//! Detects requests that crash endpoints.
+//!
+//! A connection breaks for many reasons; only a crash of the endpoint counts against a request. After a broken
+//! connection this box therefore probes the endpoint by connecting to it: a closed port proves a crash, anything else
+//! proves nothing. While the probe runs, requests whose verdict depends on it wait, so that they are not sent to the
+//! next endpoint. Unconfirmed crashes never quarantine a request, since connections to healthy endpoints break too.
+//!
+//! If the caller disconnects or the deadline passes before the endpoint crashes, no connection of the request breaks.
+//! Abandoned requests are therefore remembered for a while, and added to the report of a crash that follows.
+
+use std::{
+    collections::{HashMap, VecDeque},
+    fmt,
+    io::ErrorKind,
+    net::SocketAddr,
+    sync::Arc,
+    time::{Duration, SystemTime, UNIX_EPOCH},
+};
+
+use futures_util::future::BoxFuture;
+use ledger::Incarnation;
+use parking_lot::Mutex;
+use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
+use tokio::{
+    net::TcpStream,
+    sync::{mpsc, watch},
+    time::{Instant, sleep, timeout, timeout_at},
+};
+
+use crate::clock::{Clock, Moment};
+
+/// Delay before the probe, so that all connections to a crashed endpoint break and one report names all its requests.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Longest wait of a request for the probe. If the endpoint's machine does not respond by then, the request is refused
+/// and its caller retries after the connect timeout.
+const PROBE_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Capacity of the queue to the task that publishes reports.
+const REPORT_QUEUE_CAPACITY: usize = 256;
+
+/// Time in milliseconds for which an abandoned request counts as running at its endpoint: some engines run a request
+/// although its connection is closed, and crash on it.
+const ABANDONED_TTL_MS: u64 = 5_000;
+/// Maximum number of abandoned requests remembered.
+const MAX_ABANDONED: usize = 1_024;
+
+/// What probing an endpoint shows.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Liveness {
+    /// The port is closed.
+    Ended,
+    /// The endpoint accepts connections.
+    Running,
+    /// The endpoint does not respond.
+    Unreachable,
+}
+
+impl Liveness {
+    /// Name in log lines.
+    fn as_str(self) -> &'static str {
+        match self {
+            Liveness::Ended => "ended",
+            Liveness::Running => "stands",
+            Liveness::Unreachable => "out_of_reach",
+        }
+    }
+}
+
+/// Probes whether an endpoint crashed.
+pub type Prober = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Liveness> + Send + Sync>;
+
+/// A prober that connects to the endpoint, with this timeout.
+pub fn connect_prober(connect_timeout: Duration) -> Prober {
+    Box::new(move |address| {
+        Box::pin(async move {
+            sleep(PROBE_DELAY).await;
+            match timeout(connect_timeout, TcpStream::connect(address)).await {
+                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
+                Ok(Err(_)) | Err(_) => Liveness::Unreachable,
+                Ok(Ok(_)) => Liveness::Running,
+            }
+        })
+    })
+}
+
+/// A report of this box and its name in the store.
+pub type NamedReport = (Arc<str>, Report);
+
+/// Requests that crash endpoints, as known to this box.
+#[derive(Debug, Clone)]
+pub struct Crashes(Arc<Shared>);
+
+struct Shared {
+    incarnation: Incarnation,
+    prober: Prober,
+    started: Moment,
+    state: Mutex<State>,
+    reports: mpsc::Sender<NamedReport>,
+    /// Counts completed probes; wakes requests that wait for one.
+    probes: watch::Sender<u64>,
+}
+
+impl fmt::Debug for Shared {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Shared").field("me", &self.incarnation).finish_non_exhaustive()
+    }
+}
+
+#[derive(Debug)]
+struct State {
+    registry: Registry,
+    /// Requests whose connections broke, by endpoint instance, until the probe completes.
+    unconfirmed: HashMap<Arc<str>, Vec<Fingerprint>>,
+    /// Abandoned requests with the time in milliseconds and the endpoint instance, oldest first.
+    abandoned: VecDeque<(u64, Arc<str>, Fingerprint)>,
+    /// Sequence number of the last report.
+    last_number: u64,
+}
+
+impl State {
+    /// Removes and returns the requests abandoned recently at a crashed endpoint instance.
+    fn take_abandoned(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
+        let since = now_ms.saturating_sub(ABANDONED_TTL_MS);
+        self.abandoned.retain(|(at, ..)| *at >= since);
+        let (matching, others): (VecDeque<_>, VecDeque<_>) =
+            self.abandoned.drain(..).partition(|(_, at_instance, _)| **at_instance == *instance);
+        self.abandoned = others;
+        matching.into_iter().map(|(.., request)| request).collect()
+    }
+}
+
+impl Crashes {
+    /// Starts without reports; reports of this box are sent to the returned receiver.
+    pub fn open(
+        incarnation: Incarnation,
+        limits: Limits,
+        prober: Prober,
+        clock: &Clock,
+    ) -> (Crashes, mpsc::Receiver<NamedReport>) {
+        let (reports, receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let (unconfirmed, abandoned) = Default::default();
+        let state =
+            State { registry: Registry::new(limits), unconfirmed, abandoned, last_number: 0 };
+        let (started, state) = (clock.now(), Mutex::new(state));
+        let probes = watch::channel(0).0;
+        (
+            Crashes(Arc::new(Shared { incarnation, prober, started, state, reports, probes })),
+            receiver,
+        )
+    }
+
+    /// Records a report of any box, with its version in the store if it has one.
+    pub fn receive_report(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
+        let (now_s, now_ms) = (unix_s(), self.now_ms());
+        let mut state = self.0.state.lock();
+        let abandoned = match &report.finding {
+            Finding::Ended { endpoint } => state.take_abandoned(endpoint, now_ms),
+            Finding::Answered => Vec::new(),
+        };
+        let finding = report.finding.clone();
+        let innocent = state.registry.take(name, version, report, now_s, now_ms);
+        drop(state);
+        if !abandoned.is_empty() {
+            self.report(finding, abandoned);
+        }
+        if !innocent.is_empty() {
+            self.report(Finding::Answered, innocent);
+        }
+    }
+
+    /// Removes a report.
+    pub fn forget(&self, name: &str) {
+        self.0.state.lock().registry.forget(name);
+    }
+
+    /// Drops expired reports; returns whether this one still counts.
+    pub fn contains(&self, name: &str) -> bool {
+        let mut state = self.0.state.lock();
+        state.registry.expire(unix_s());
+        state.registry.contains(name)
+    }
+
+    /// Whether a request may run; waits briefly if that depends on a probe in progress.
+    pub async fn verdict(&self, request: &Fingerprint, until: Instant) -> Verdict {
+        let until = until.min(Instant::now() + PROBE_WAIT_TIMEOUT);
+        let mut probes = self.0.probes.subscribe();
+        loop {
+            probes.borrow_and_update();
+            let verdict = self.verdict_now(request);
+            let is_pending = matches!(verdict, Verdict::Unconfirmed { .. });
+            if !is_pending || timeout_at(until, probes.changed()).await.is_err() {
+                return verdict;
+            }
+        }
+    }
+
+    fn verdict_now(&self, request: &Fingerprint) -> Verdict {
+        let state = self.0.state.lock();
+        let suspected = state.unconfirmed.iter().filter(|(_, requests)| requests.contains(request));
+        let instances: Vec<Arc<str>> = suspected.map(|(instance, _)| instance.clone()).collect();
+        state.registry.verdict(request, &instances, unix_s())
+    }
+
+    /// Number of reports that count, and of quarantined requests.
+    pub fn counts(&self) -> (usize, usize) {
+        let state = self.0.state.lock();
+        (state.registry.len(), state.registry.quarantined())
+    }
+
+    /// Watches a request that is sent to an endpoint.
+    pub fn watch(&self, instance: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
+        Watch {
+            crashes: self.clone(),
+            instance: instance.clone(),
+            address,
+            request: request.clone(),
+            is_resolved: false,
+            is_framed: true,
+        }
+    }
+
+    fn now_ms(&self) -> u64 {
+        self.0.started.elapsed().as_millis() as u64
+    }
+
+    /// Creates a report of this box, which takes effect here at once.
+    fn report(&self, finding: Finding, requests: Vec<Fingerprint>) {
+        let report = Report { finding, requests, at_s: unix_s() };
+        let name: Arc<str> = {
+            let mut state = self.0.state.lock();
+            state.last_number += 1;
+            format!("{}.{:06}", self.0.incarnation, state.last_number).into()
+        };
+        self.receive_report(&name, None, report.clone());
+        if let Err(error) = self.0.reports.try_send((name, report)) {
+            tracing::error!(event = "crash_report_dropped", %error);
+        }
+    }
+
+    /// Probes an endpoint, and reports a crash.
+    async fn probe(self, instance: Arc<str>, address: SocketAddr) {
+        let liveness = (self.0.prober)(address).await;
+        let requests = self.0.state.lock().unconfirmed.remove(&instance).unwrap_or_default();
+        let (count, name) = (requests.len(), liveness.as_str());
+        tracing::info!(
+            event = "connections_broke",
+            endpoint = &*instance,
+            found = name,
+            requests = count
+        );
+        if liveness == Liveness::Ended {
+            self.report(Finding::Ended { endpoint: instance }, requests);
+        }
+        self.0.probes.send_modify(|count| *count += 1);
+    }
+}
+
+/// Watches one request at an endpoint; dropped without an outcome, the request counts as abandoned.
+#[derive(Debug)]
+pub struct Watch {
+    crashes: Crashes,
+    instance: Arc<str>,
+    address: SocketAddr,
+    request: Fingerprint,
+    /// The outcome at the endpoint is known.
+    is_resolved: bool,
+    /// The end of the response is distinguishable from a broken connection.
+    is_framed: bool,
+}
+
+impl Watch {
+    /// The endpoint did not run the request, or survived it.
+    pub fn ended(&mut self) {
+        self.is_resolved = true;
+    }
+
+    /// The connection broke before the response was complete.
+    pub fn broke(&mut self) {
+        self.is_resolved = true;
+        let mut state = self.crashes.0.state.lock();
+        let requests = state.unconfirmed.entry(self.instance.clone()).or_default();
+        let is_first = requests.is_empty();
+        if !requests.contains(&self.request) {
+            requests.push(self.request.clone());
+        }
+        drop(state);
+        // There is no runtime during process shutdown.
+        if let (true, Ok(runtime)) = (is_first, tokio::runtime::Handle::try_current()) {
+            runtime.spawn(self.crashes.clone().probe(self.instance.clone(), self.address));
+        }
+    }
+
+    /// The close of the connection marks the end of the response, which looks the same as a crash.
+    pub fn unframed(&mut self) {
+        self.is_framed = false;
+    }
+
+    /// The endpoint ran the request and its response is complete.
+    pub fn answered(&mut self) {
+        if !self.is_framed {
+            return;
+        }
+        self.is_resolved = true;
+        let now_ms = self.crashes.now_ms();
+        let is_cleared = self.crashes.0.state.lock().registry.answered(&self.request, now_ms);
+        if is_cleared {
+            self.crashes.report(Finding::Answered, vec![self.request.clone()]);
+        }
+    }
+}
+
+impl Drop for Watch {
+    /// Records the request as abandoned: the endpoint may still run it.
+    fn drop(&mut self) {
+        if self.is_resolved {
+            return;
+        }
+        let now_ms = self.crashes.now_ms();
+        let mut state = self.crashes.0.state.lock();
+        state.abandoned.push_back((now_ms, self.instance.clone(), self.request.clone()));
+        if state.abandoned.len() > MAX_ABANDONED {
+            state.abandoned.pop_front();
+        }
+    }
+}
+
+fn unix_s() -> u64 {
+    // A clock set before 1970 only makes reports look expired.
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
+}
--- /dev/null
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -0,0 +1,359 @@
+//! Selection of an endpoint for each attempt, and the state learned from outcomes.
+
+mod departures;
+mod limits;
+mod signals;
+
+pub use signals::Changes;
+
+use std::{
+    collections::{BTreeMap, BTreeSet, HashMap, HashSet},
+    net::SocketAddr,
+    sync::Arc,
+    time::Duration,
+};
+
+use balance::{
+    Allowance, Candidates, Choice, Failure, Fleet, Limit, Pool, Prefix, Prompt, Weights,
+};
+use parking_lot::Mutex;
+use platform::{config::Service, endpoint::Entry};
+use rand::{SeedableRng, rngs::SmallRng};
+
+use crate::{
+    clock::{Clock, Moment},
+    settings,
+    table::Table,
+};
+
+/// Prompt tokens that count as much as one request in flight. Processing them delays all other requests of an engine
+/// by several decoding steps.
+const TOKENS_PER_REQUEST: f64 = 2_000.0;
+/// Weight of an uncached prompt token of this request, relative to one already queued at the engine. Queued tokens
+/// only cost waiting time; processing an uncached prompt also evicts other prompts from the engine's cache.
+const PREFILL_WEIGHT: f64 = 4.5;
+/// Weight of a request whose response an engine is generating; one more in a batch makes a step only slightly longer.
+const IN_FLIGHT_WEIGHT: f64 = 0.05;
+/// Penalty for another availability zone, in requests; reflects the network latency.
+const OTHER_ZONE_PENALTY: f64 = 0.02;
+/// Load of an engine, as a multiple of the mean, above which its cached prompts are ignored.
+const BOUNDED_LOAD: f64 = 3.0;
+/// Endpoints sampled at random for comparison, for services with engines.
+const RANDOM_CANDIDATES: usize = 4;
+/// Owners of a prefix: the endpoint that it hashes to, and another for when that one is busy.
+const PREFIX_OWNERS: usize = 2;
+
+/// Tokens of a shared prefix from which it is owned only by engines that are not slow: processing it pauses all streams
+/// of the engine.
+const LARGE_PREFIX_TOKENS: u64 = 2_000;
+
+/// A selected endpoint.
+#[derive(Debug, Clone)]
+pub struct Chosen {
+    /// Name of the instance, the same on all boxes.
+    pub instance: Arc<str>,
+    pub id: Arc<str>,
+    pub address: SocketAddr,
+    /// Prompt tokens that it probably has cached.
+    pub cached_tokens: u64,
+    /// Requests at the endpoint, as estimated by this box.
+    pub load: f64,
+    /// Its rate limit, if it names one.
+    pub limit: Option<Limit>,
+    /// Time since it began draining.
+    pub leaves: Option<Duration>,
+    /// Remaining back-off.
+    pub back_off: Option<Duration>,
+}
+
+/// An endpoint instance and its availability zone.
+type Located = (Arc<str>, Arc<str>);
+
+/// A listed endpoint instance.
+#[derive(Debug, Clone)]
+struct Listing {
+    id: Arc<str>,
+    address: SocketAddr,
+    /// Heartbeat from which the cold time was last read.
+    heartbeat: u64,
+}
+
+/// Name of an endpoint instance; distinct per start, so that nothing learned of an earlier one applies.
+fn instance_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
+    match entry.life {
+        Some(instance) => format!("{id} {instance}").into(),
+        None => id.clone(),
+    }
+}
+
+/// All endpoints that accept requests, by service.
+#[derive(Debug)]
+pub struct Endpoints {
+    zone: Arc<str>,
+    cold: settings::Cold,
+    started: Moment,
+    state: Mutex<State>,
+    unread: Mutex<signals::UnreadHeaders>,
+}
+
+#[derive(Debug)]
+struct State {
+    random: SmallRng,
+    services: HashMap<Arc<str>, Pool>,
+    /// Listed instances by name.
+    listed: HashMap<Arc<str>, Listing>,
+    /// Draining instances, listed or not.
+    departures: departures::Departures,
+    /// Evacuated availability zones.
+    evacuated: BTreeSet<Arc<str>>,
+    /// Request rates that cold endpoints can take, by service.
+    allowances: HashMap<Arc<str>, Allowance>,
+    /// The boxes of the fleet, once known.
+    fleet: Option<Fleet>,
+}
+
+impl State {
+    /// Marks exactly the endpoints of evacuated zones as leaving. Endpoints of a zone that is no longer evacuated count
+    /// as cold, since they may be cold without having reported it yet.
+    fn mark_leaving(&mut self, now: u64) {
+        for pool in self.services.values_mut() {
+            let restored = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
+            restored.iter().for_each(|instance| pool.mark_cold(instance, None, now));
+            pool.set_departures(|instance| {
+                self.departures.get(instance, self.listed.get(instance)?.address)
+            });
+        }
+    }
+
+    /// Passes to pools the allowances of their cold endpoints and the boxes that share these.
+    fn apply_allowances(&mut self, now: u64) {
+        for (service, pool) in &mut self.services {
+            pool.set_allowance(self.allowances.get(service).copied(), now);
+            if let Some(fleet) = &self.fleet {
+                pool.set_fleet(fleet, now);
+            }
+        }
+    }
+
+    /// Applies the cold time of an entry, once per heartbeat.
+    fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
+        let is_applied =
+            self.listed.get(instance).is_some_and(|listed| listed.heartbeat == entry.beat);
+        if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !is_applied) {
+            pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
+        }
+    }
+}
+
+impl Endpoints {
+    /// Starts without endpoints, for a box in `zone`.
+    pub fn new(zone: Arc<str>, cold: settings::Cold, clock: &Clock, seed: u64) -> Endpoints {
+        let random = SmallRng::seed_from_u64(seed);
+        let state = State {
+            random,
+            services: HashMap::new(),
+            listed: HashMap::new(),
+            departures: departures::Departures::default(),
+            evacuated: BTreeSet::new(),
+            allowances: HashMap::new(),
+            fleet: None,
+        };
+        let (state, unread) = (Mutex::new(state), Mutex::default());
+        Endpoints { zone, cold, started: clock.now(), state, unread }
+    }
+
+    fn now(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64
+    }
+
+    /// Replaces the endpoints that accept requests; returns the addresses no longer in use.
+    pub fn update<'a>(
+        &self,
+        ready: impl Iterator<Item = (&'a Arc<str>, &'a Entry)>,
+    ) -> Vec<SocketAddr> {
+        let now = self.now();
+        let mut engines: HashSet<Arc<str>> = HashSet::new();
+        let mut by_service: BTreeMap<Arc<str>, Vec<Located>> = BTreeMap::new();
+        let mut listed: HashMap<Arc<str>, Listing> = HashMap::new();
+        let mut cold: Vec<(Arc<str>, &Entry)> = Vec::new();
+        for (id, entry) in ready {
+            let instance = instance_name(id, entry);
+            let instances = by_service.entry(entry.service.clone()).or_default();
+            instances.push((instance.clone(), entry.zone.clone()));
+            if entry.cold > Duration::ZERO {
+                cold.push((instance.clone(), entry));
+            }
+            let (id, address, heartbeat) = (id.clone(), entry.address, entry.beat);
+            listed.insert(instance, Listing { id, address, heartbeat });
+            if entry.engine {
+                engines.insert(entry.service.clone());
+            }
+        }
+        let state = &mut *self.state.lock();
+        for (service, pool) in &mut state.services {
+            if !by_service.contains_key(service) {
+                pool.update([], now);
+            }
+        }
+        for (service, mut list) in by_service {
+            list.sort();
+            let engines = engines.contains(&service);
+            let fresh = || Pool::new(self.zone.clone(), weights(engines));
+            state.services.entry(service).or_insert_with(fresh).update(list, now);
+        }
+        state.apply_allowances(now);
+        for (instance, entry) in cold {
+            state.mark_cold(&instance, entry, now);
+        }
+        let previously_listed = std::mem::replace(&mut state.listed, listed);
+        let State { departures, listed, .. } = &mut *state;
+        departures.refresh(|instance| listed.contains_key(instance), now);
+        state.mark_leaving(now);
+        let is_listed = |instance: &Arc<str>, previous: &Listing| {
+            state.listed.get(instance).is_some_and(|listed| listed.address == previous.address)
+        };
+        let gone = previously_listed
+            .into_iter()
+            .filter(|(instance, previous)| !is_listed(instance, previous));
+        gone.map(|(_, listed)| listed.address).collect()
+    }
+
+    /// Applies the configuration of services.
+    pub fn configure(&self, table: &Table) {
+        let settings::Cold { factor, extra } = self.cold;
+        let allowance = |service: &Service| Allowance {
+            per_s: service.cold_per_s * factor + extra,
+            lasts_ms: (service.cold_s * 1_000.0) as u64,
+        };
+        let with_allowance =
+            table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
+        let mut state = self.state.lock();
+        state.allowances =
+            with_allowance.map(|service| (service.name.clone(), allowance(service))).collect();
+        state.apply_allowances(self.now());
+    }
+
+    /// Sets the boxes of the fleet.
+    pub fn set_fleet(&self, fleet: Fleet) {
+        let mut state = self.state.lock();
+        state.fleet = Some(fleet);
+        state.apply_allowances(self.now());
+    }
+
+    /// Number of cold endpoints.
+    pub fn count_cold(&self) -> usize {
+        let now = self.now();
+        self.state.lock().services.values().map(|pool| pool.cold(now)).sum()
+    }
+
+    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if every
+    /// endpoint is leaving.
+    pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
+        let now = self.now();
+        let state = &mut *self.state.lock();
+        let pool = state.services.get_mut(service)?;
+        pool.retry_after_ms(rank, now).map(Duration::from_millis)
+    }
+
+    /// Replaces the evacuated zones; returns whether that is a change.
+    pub fn evacuate(&self, zones: &BTreeSet<Arc<str>>) -> bool {
+        let mut state = self.state.lock();
+        let changes = state.evacuated != *zones;
+        state.evacuated = zones.clone();
+        state.mark_leaving(self.now());
+        changes
+    }
+
+    /// Number of evacuated zones.
+    pub fn evacuated(&self) -> usize {
+        self.state.lock().evacuated.len()
+    }
+
+    /// Selects an endpoint of a service that is not in `tried`.
+    pub fn choose(
+        &self,
+        service: &str,
+        candidates: Candidates,
+        prefix: &Prefix,
+        tried: &[Arc<str>],
+    ) -> Option<Chosen> {
+        let now = self.now();
+        let state = &mut *self.state.lock();
+        let pool = state.services.get_mut(service)?;
+        let choice = pool.choose_from(candidates, prefix, tried, now, &mut state.random)?;
+        let Listing { id, address, .. } = state.listed.get(&choice.name)?.clone();
+        let Choice { name: instance, held: cached_tokens, load } = choice;
+        let endpoint = pool.get(&instance)?;
+        let limit = endpoint.limit();
+        let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
+        let leaves = leaves.map(Duration::from_millis);
+        let back_off = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
+        let back_off = back_off.map(Duration::from_millis);
+        Some(Chosen { instance, id, address, cached_tokens, load, limit, leaves, back_off })
+    }
+
+    /// Counts a request that is sent to an endpoint; returns the prompt tokens that the endpoint has to process.
+    pub fn start(&self, service: &str, chosen: &Chosen, prefix: &Prefix) -> u64 {
+        let now = self.now();
+        let mut state = self.state.lock();
+        let Some(pool) = state.services.get_mut(service) else { return 0 };
+        pool.start(&chosen.instance, prefix, now);
+        pool.start_prefill(&chosen.instance, prefix, chosen.cached_tokens)
+    }
+
+    /// Accepts the announcement of a prompt by another box.
+    pub fn receive_prompt(&self, by: &Arc<str>, prompt: &Prompt) {
+        let now = self.now();
+        let services = &mut self.state.lock().services;
+        let mut pools = services.values_mut();
+        if let Some(pool) = pools.find(|pool| pool.get(&prompt.endpoint).is_some()) {
+            pool.receive_prompt(by, prompt, now);
+        }
+    }
+
+    /// The endpoint has processed a prompt: the response began, or the request ended without one.
+    pub fn finish_prefill(&self, service: &str, id: &str, missing: u64) {
+        if let Some(pool) = self.state.lock().services.get_mut(service) {
+            pool.finish_prefill(id, missing);
+        }
+    }
+
+    /// Records the time between two events of a stream.
+    pub fn record_gap(&self, service: &str, id: &str, gap: Duration) {
+        if let Some(pool) = self.state.lock().services.get_mut(service) {
+            pool.record_gap(id, gap.as_secs_f64() * 1_000.0);
+        }
+    }
+
+    /// A request at an endpoint ended.
+    pub fn end(&self, service: &str, id: &str, failure: Option<Failure>) {
+        let now = self.now();
+        if let Some(pool) = self.state.lock().services.get_mut(service) {
+            pool.end(id, failure, now);
+        }
+    }
+
+    /// Whether another endpoint of the service accepts a request now.
+    pub fn has_alternative(&self, service: &str, instance: &str) -> bool {
+        let now = self.now();
+        let state = self.state.lock();
+        state.services.get(service).is_some_and(|pool| pool.has_alternative(instance, now))
+    }
+}
+
+/// Weights for the selection: engines are compared by prompts to process, other endpoints by requests in flight.
+fn weights(engines: bool) -> Weights {
+    match engines {
+        false => Weights::default(),
+        true => Weights {
+            size_per_request: TOKENS_PER_REQUEST,
+            prefill: PREFILL_WEIGHT,
+            in_flight: IN_FLIGHT_WEIGHT,
+            other_zone: OTHER_ZONE_PENALTY,
+            bounded_load: BOUNDED_LOAD,
+            random_candidates: RANDOM_CANDIDATES,
+            prefix_owners: PREFIX_OWNERS,
+            large_prefix: LARGE_PREFIX_TOKENS,
+        },
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -0,0 +1,208 @@
+//! State of one request and its response, for its log line and its bill; settled exactly once, however it ends.
+
+use std::{sync::Arc, time::Duration};
+
+use ledger::Ended;
+use platform::request::{Head, Tokens};
+use quarantine::Fingerprint;
+use tokio::time::Instant;
+
+use crate::{
+    clock::Moment,
+    metrics::{Finished, Metrics},
+    proxy::refusal::Refusal,
+    tokens::{bills::Bills, funds::Hold},
+};
+
+/// Events that an endpoint may produce after the last one that was relayed, before it notices that its
+/// connection was closed.
+const MAX_UNRELAYED_EVENTS: u64 = 10;
+
+/// How a request ended.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Outcome {
+    /// The caller got the complete response of an endpoint.
+    Answered { status: u16 },
+    /// The box responded itself.
+    Refused(Refusal),
+    /// The response broke off after its head.
+    Broken { reason: String },
+    /// The caller disconnected before the end.
+    Disconnected,
+}
+
+/// A request and its response.
+#[derive(Debug)]
+pub struct Exchange {
+    pub id: Option<Arc<str>>,
+    pub customer: Option<Arc<str>>,
+    pub route: Option<Arc<str>>,
+    pub service: Option<Arc<str>>,
+    /// Version of the configuration that the request was routed with.
+    pub config_version: u64,
+    pub arrived_at: Instant,
+    /// The same moment on the box's clock, which also counts time in suspension.
+    arrival: Moment,
+    pub deadline: Instant,
+    pub tokens: Option<Tokens>,
+    /// Identifies requests with the same content; set once the body was read.
+    pub fingerprint: Option<Fingerprint>,
+    /// Maximum number of tokens in one event of the service's engines.
+    pub event_tokens: u64,
+    pub endpoint: Option<Arc<str>>,
+    /// Number of endpoints that it was sent to, without those that turned out to be gone.
+    pub attempts: u32,
+    /// Whether some endpoint may have run it.
+    pub may_have_run: bool,
+    /// Time until the head of the response.
+    pub time_to_head: Option<Duration>,
+    /// Longest time between two events of the stream.
+    pub longest_pause: Option<Duration>,
+    hold: Option<Hold>,
+    metrics: Metrics,
+    bills: Bills,
+    is_ended: bool,
+}
+
+impl Exchange {
+    /// Starts tracking a request whose head was read.
+    pub fn begin(
+        head: &Head,
+        arrival: Moment,
+        deadline: Instant,
+        metrics: Metrics,
+        bills: Bills,
+    ) -> Exchange {
+        metrics.in_flight.inc();
+        Exchange {
+            id: head.id.clone(),
+            customer: None,
+            route: None,
+            service: None,
+            config_version: 0,
+            arrived_at: arrival.at(),
+            arrival,
+            deadline,
+            tokens: head.tokens,
+            fingerprint: None,
+            event_tokens: 1,
+            endpoint: None,
+            attempts: 0,
+            may_have_run: false,
+            time_to_head: None,
+            longest_pause: None,
+            hold: None,
+            metrics,
+            bills,
+            is_ended: false,
+        }
+    }
+
+    /// Sets the reservation from which the request is charged.
+    pub fn set_hold(&mut self, hold: Hold) {
+        self.hold = Some(hold);
+    }
+
+    /// Time left until the deadline. Time in suspension counts, since the caller's clock kept running.
+    pub fn time_left(&self) -> Duration {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        time_left.saturating_sub(self.arrival.suspended())
+    }
+
+    /// Tokens to charge if the request ends now, after `events` relayed events.
+    ///
+    /// An incomplete stream is charged for the relayed events and those that the endpoint may have produced
+    /// before it noticed the close. Where the length of the output is unknown, the maximum is charged.
+    fn charge(&self, end: &Outcome, events: u64) -> u64 {
+        let Some(tokens) = self.tokens else { return 0 };
+        let cost = |events: u64| {
+            let output = events.saturating_mul(self.event_tokens);
+            tokens.prompt + output.min(tokens.most_output)
+        };
+        match end {
+            _ if !self.may_have_run => 0,
+            Outcome::Answered { status } if (200..300).contains(status) => cost(events),
+            Outcome::Disconnected | Outcome::Broken { .. } if self.attempts == 1 => {
+                cost(events + MAX_UNRELAYED_EVENTS)
+            }
+            _ => cost(u64::MAX),
+        }
+    }
+
+    /// Settles and logs the request; later calls have no effect.
+    pub fn end(&mut self, end: Outcome, events: u64) {
+        if std::mem::replace(&mut self.is_ended, true) {
+            return;
+        }
+        let reserved = self.hold.as_ref().map_or(0, Hold::tokens);
+        let charge = self.charge(&end, events);
+        let charged = self.hold.take().map_or(0, |hold| hold.settle(charge));
+        self.bill(&end, charged);
+        let (outcome, reason) = match &end {
+            Outcome::Answered { .. } => ("answered", "-"),
+            Outcome::Refused(refusal) if refusal.reason.is_not_run() => {
+                ("not_run", refusal.reason.as_str())
+            }
+            Outcome::Refused(refusal) => ("unknown", refusal.reason.as_str()),
+            Outcome::Broken { .. } => ("broken", "-"),
+            Outcome::Disconnected => ("left", "-"),
+        };
+        self.update_metrics(outcome, reason, charged);
+        let (status, detail) = match &end {
+            Outcome::Answered { status } => (*status, ""),
+            Outcome::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
+            Outcome::Broken { reason } => (0, &**reason),
+            Outcome::Disconnected => (0, ""),
+        };
+        tracing::info!(
+            event = "request_ended",
+            id = self.id.as_deref(),
+            customer = self.customer.as_deref(),
+            route = self.route.as_deref(),
+            service = self.service.as_deref(),
+            endpoint = self.endpoint.as_deref(),
+            fingerprint = self.fingerprint.as_ref().map(tracing::field::display),
+            config = self.config_version,
+            outcome,
+            reason,
+            status,
+            detail,
+            sent = self.attempts,
+            held = reserved,
+            charged,
+            events,
+            first_byte_ms = self.time_to_head.map(|time| time.as_millis() as u64),
+            longest_pause_ms = self.longest_pause.map(|time| time.as_millis() as u64),
+            took_ms = self.arrived_at.elapsed().as_millis() as u64,
+            left_ms = self.time_left().as_millis() as u64,
+        );
+    }
+
+    fn bill(&self, end: &Outcome, charged: u64) {
+        let ended = match end {
+            Outcome::Answered { .. } => Ended::Answered,
+            Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Disconnected => Ended::Broken,
+        };
+        match (&self.customer, &self.id) {
+            (Some(customer), Some(id)) if charged > 0 => {
+                self.bills.add(customer, id, charged, ended);
+            }
+            _ => {}
+        }
+    }
+
+    fn update_metrics(&self, outcome: &'static str, reason: &'static str, charged: u64) {
+        self.metrics.in_flight.dec();
+        self.metrics.tokens.inc_by(charged);
+        self.metrics.requests.get_or_create(&Finished { outcome, reason }).inc();
+        if let Some(time) = self.time_to_head {
+            self.metrics.first_byte.observe(time.as_secs_f64());
+        }
+    }
+}
+
+impl Drop for Exchange {
+    fn drop(&mut self) {
+        self.end(Outcome::Disconnected, 0);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/proxy/mod.rs
@@ -0,0 +1,26 @@
+//! Handling of one request, from its head to an endpoint and back to the caller.
+//!
+//! - `admit` resolves the route and the customer, reads the body and reserves tokens;
+//! - `dispatch` selects one of the `endpoints`, sends the request and retries where that is allowed;
+//! - `relay` streams the response to the caller, `exchange` settles and logs the request;
+//! - `refusal` is the response of the box itself;
+//! - `crashes` tracks requests that crash endpoints;
+//! - `permits` obtains permits for endpoints that name a rate limit;
+//! - `announcer` queues what other boxes have to learn about endpoints.
+//!
+//! They share the state in `context`.
+
+pub mod admit;
+pub mod bounds;
+pub mod crashes;
+pub mod dispatch;
+pub mod endpoints;
+pub mod context;
+pub mod link;
+pub mod event_counter;
+pub mod refusal;
+pub mod relay;
+pub mod retries;
+pub mod announcer;
+pub mod exchange;
+pub mod permits;
--- /dev/null
+++ b/crates/gateway/src/sync/change_log.rs
@@ -0,0 +1,106 @@
+//! Change log for subscribers: the newest state of each object, in the order in which this box
+//! learned of it.
+//!
+//! Changes are numbered from 1 within one incarnation of the box. A subscriber names the last
+//! number that it knows, and gets the changes since, or a full snapshot if those are no longer all
+//! known.
+
+use std::{
+    collections::{BTreeMap, HashMap},
+    sync::Arc,
+};
+
+use wire::Change;
+
+/// Maximum number of remembered deletions. Subscribers fetch them within a second, so this covers
+/// the deletions of a rolling update of all endpoints.
+const MAX_DELETIONS: usize = 1_024;
+
+type Id = (Arc<str>, Arc<str>);
+
+/// Objects by kind and name, each with the number of its last change.
+#[derive(Debug, Default)]
+pub struct ChangeLog {
+    last: u64,
+    objects: HashMap<Id, Entry>,
+    order: BTreeMap<u64, Id>,
+    deleted: BTreeMap<u64, Id>,
+    /// Some deletions up to this change number have been dropped.
+    dropped_until: u64,
+}
+
+#[derive(Debug)]
+struct Entry {
+    number: u64,
+    version: u64,
+    /// `None` if the object was deleted.
+    value: Option<Arc<str>>,
+}
+
+impl ChangeLog {
+    /// Number of the newest change.
+    pub fn last(&self) -> u64 {
+        self.last
+    }
+
+    /// Records that an object was written, or deleted if `value` is `None`; returns whether that is
+    /// new.
+    pub fn put(&mut self, kind: &str, name: &str, version: u64, value: Option<&str>) -> bool {
+        let id: Id = (kind.into(), name.into());
+        let known = self.objects.get(&id);
+        let is_new = match known {
+            Some(entry) if entry.version > version => false,
+            Some(entry) => entry.value.as_deref() != value || entry.version < version,
+            None => value.is_some(),
+        };
+        if !is_new {
+            return false;
+        }
+        if let Some(entry) = known {
+            self.order.remove(&entry.number);
+            self.deleted.remove(&entry.number);
+        }
+        self.last += 1;
+        self.order.insert(self.last, id.clone());
+        if value.is_none() {
+            self.deleted.insert(self.last, id.clone());
+        }
+        self.objects.insert(id, Entry { number: self.last, version, value: value.map(Into::into) });
+        self.drop_old_deletions();
+        true
+    }
+
+    fn drop_old_deletions(&mut self) {
+        while self.deleted.len() > MAX_DELETIONS {
+            let Some((number, id)) = self.deleted.pop_first() else { return };
+            self.order.remove(&number);
+            self.objects.remove(&id);
+            self.dropped_until = number;
+        }
+    }
+
+    /// The text of an object, unless deleted.
+    pub fn value(&self, kind: &str, name: &str) -> Option<Arc<str>> {
+        self.objects.get(&(kind.into(), name.into()))?.value.clone()
+    }
+
+    /// Names and versions of the objects of a kind, without deleted ones.
+    pub fn names(&self, kind: &str) -> Vec<(Arc<str>, u64)> {
+        let there =
+            self.objects.iter().filter(|((of, _), entry)| &**of == kind && entry.value.is_some());
+        there.map(|((_, name), entry)| (name.clone(), entry.version)).collect()
+    }
+
+    /// The changes after number `since`, and whether they are a full snapshot. That is so for 0,
+    /// and for numbers that are no longer remembered or were never assigned.
+    pub fn since(&self, since: u64) -> (Vec<Change>, bool) {
+        let whole = since == 0 || since < self.dropped_until || since > self.last;
+        let from = if whole { 0 } else { since };
+        let changes = self.order.range(from + 1..).map(|(_, id)| {
+            let entry = &self.objects[id];
+            let (kind, name) = id.clone();
+            Change { kind, name, version: entry.version, value: entry.value.clone() }
+        });
+        (changes.collect(), whole)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/sync/directory.rs
@@ -0,0 +1,213 @@
+//! Which endpoints there are, from the entries in the store.
+//!
+//! An entry that disappears while the store is reachable means that the endpoint left. Entries also
+//! expire while the store is unreachable, so entries that a list lacks shortly after an outage are
+//! kept until the platform had time to write them again. An entry whose removal a watch reports did
+//! not expire.
+//!
+//! A removed entry comes back only with a newer version; late updates about an older one are
+//! ignored. An endpoint may restart under its id: an entry of a later instance replaces that of an
+//! earlier one, never the other way round, although a write of the earlier instance may reach the
+//! store after it died. Within one instance the heartbeats are numbered, and an older one that
+//! arrives late is ignored, unless it says that the endpoint leaves.
+
+use std::{
+    collections::{HashMap, HashSet},
+    sync::Arc,
+};
+
+use platform::endpoint::{Entry, Life, State};
+
+/// Maximum number of remembered removals. Outdated updates arrive within about a second, so only
+/// recent removals matter.
+const MAX_REMOVED: usize = 4_096;
+
+/// Endpoints by id. Times are milliseconds of a monotonic clock.
+#[derive(Debug, Default)]
+pub struct Directory {
+    known: HashMap<Arc<str>, Known>,
+    /// Missing entries are kept until then.
+    grace_until: u64,
+    /// When the newest list was read.
+    listed: Option<u64>,
+    /// Removed entries.
+    removed: HashMap<Arc<str>, Removed>,
+    /// Store version up to which all entries are known.
+    at: u64,
+}
+
+#[derive(Debug)]
+struct Known {
+    entry: Entry,
+    version: u64,
+    missing: bool,
+}
+
+/// A removed entry.
+#[derive(Debug, Clone, Copy, Default)]
+struct Removed {
+    /// Store version at which it was known to be removed.
+    at: u64,
+    /// The last known instance.
+    instance: Option<Life>,
+}
+
+impl Known {
+    /// Whether a newer entry replaces this one.
+    fn is_replaced_by(&self, entry: &Entry) -> bool {
+        match (self.entry.life, entry.life) {
+            (known, new) if known == new => {
+                entry.beat >= self.entry.beat || entry.state != State::Ready
+            }
+            (known, new) => known < new,
+        }
+    }
+}
+
+impl Directory {
+    /// The store is reachable again after an outage since `lost_since`: missing entries may come
+    /// back until `until`. Has no effect if a list was read since then: that list already showed
+    /// the end of the outage, and a task that notices it later must not prolong the grace period.
+    pub fn store_returned(&mut self, lost_since: u64, until: u64) {
+        if self.listed.is_none_or(|listed| listed < lost_since) {
+            self.grace_until = until;
+        }
+    }
+
+    /// Takes over a complete list, read at store version `at`.
+    pub fn list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
+        self.seen(at);
+        let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
+        for (id, version, entry) in entries {
+            self.set(id, version, entry);
+        }
+        let removed: Vec<Arc<str>> =
+            self.known.keys().filter(|id| !listed.contains(*id)).cloned().collect();
+        for id in removed {
+            self.mark_missing(&id, at, now);
+        }
+        self.listed = Some(now);
+    }
+
+    /// Takes over an entry that was written; returns whether it is now the current one.
+    pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
+        let known = self.known.get(&id);
+        let has_instance = known.is_some_and(|known| known.entry.life.is_some());
+        if has_instance && entry.life.is_none() {
+            // Endpoints always report their start time, so this was not written by the endpoint.
+            self.remove(&id, version);
+            return false;
+        }
+        let is_newer = known.is_none_or(|known| known.version <= version);
+        let replaces_known = known.is_none_or(|known| known.is_replaced_by(&entry));
+        let removed = self.removed.get(&id);
+        let was_removed =
+            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.instance);
+        let is_current = is_newer && replaces_known && !was_removed;
+        if is_current {
+            self.removed.remove(&id);
+            self.known.insert(id, Known { entry, version, missing: false });
+        }
+        is_current
+    }
+
+    /// Takes over all entries that another box knows, which are complete up to store version `at`.
+    pub fn mirror(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
+        self.seen(at);
+        let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
+        for (id, version, entry) in entries {
+            self.set(id, version, entry);
+        }
+        let is_gone = |(id, known): (&Arc<str>, &Known)| {
+            (known.version <= at && !listed.contains(id)).then(|| id.clone())
+        };
+        for id in self.known.iter().filter_map(is_gone).collect::<Vec<_>>() {
+            self.remove(&id, at);
+        }
+    }
+
+    /// The version of a known entry.
+    pub fn version(&self, id: &str) -> Option<u64> {
+        self.known.get(id).map(|known| known.version)
+    }
+
+    /// Handles an entry that a list lacks.
+    fn mark_missing(&mut self, id: &str, at: u64, now: u64) {
+        match self.known.get_mut(id) {
+            Some(known) if now < self.grace_until => known.missing = true,
+            _ => self.remove(id, at),
+        }
+    }
+
+    /// Records that all entries up to a store version are known.
+    pub fn seen(&mut self, at: u64) {
+        self.at = self.at.max(at);
+    }
+
+    /// Store version up to which all entries are known.
+    pub fn at(&self) -> u64 {
+        self.at
+    }
+
+    /// Removes an entry that is gone at store version `at`, unless a newer version of it is known.
+    pub fn remove(&mut self, id: &str, at: u64) {
+        let known = self.known.get(id);
+        if known.is_some_and(|known| known.version > at) {
+            return;
+        }
+        let instance = known.and_then(|known| known.entry.life);
+        self.known.remove(id);
+        self.record_removed(id.into(), Removed { at, instance });
+    }
+
+    /// Store version at which an entry was known to be removed.
+    pub fn removed_at(&self, id: &str) -> Option<u64> {
+        self.removed.get(id).map(|removed| removed.at)
+    }
+
+    fn record_removed(&mut self, id: Arc<str>, removed: Removed) {
+        if self.removed.len() > MAX_REMOVED {
+            self.removed.clear();
+        }
+        let newest = self.removed.entry(id).or_default();
+        newest.at = removed.at.max(newest.at);
+        newest.instance = removed.instance.max(newest.instance);
+    }
+
+    /// Time until missing entries count as removed; `None` if none is missing.
+    pub fn grace_left(&self, now: u64) -> Option<u64> {
+        self.has_missing().then(|| self.grace_until.saturating_sub(now))
+    }
+
+    /// Removes missing entries if the grace period is over; returns whether there were any.
+    pub fn sweep(&mut self, now: u64) -> bool {
+        let before = self.known.len();
+        if now >= self.grace_until {
+            let missing = self.known.iter().filter(|(_, known)| known.missing);
+            let missing: Vec<Arc<str>> = missing.map(|(id, _)| id.clone()).collect();
+            let at = self.at;
+            missing.iter().for_each(|id| self.remove(id, at));
+        }
+        self.known.len() < before
+    }
+
+    /// Whether there are missing entries that are being kept.
+    pub fn has_missing(&self) -> bool {
+        self.known.values().any(|known| known.missing)
+    }
+
+    /// Endpoints that take new work.
+    pub fn ready(&self) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
+        let known = self.known.iter().filter(|(_, known)| known.entry.state == State::Ready);
+        known.map(|(id, known)| (id, &known.entry))
+    }
+
+    /// Number of known endpoints, whatever their state.
+    pub fn len(&self) -> usize {
+        self.known.len()
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.known.is_empty()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -0,0 +1,350 @@
+//! Chooses the source of this box's updates: the store itself if it is a watcher, else a watcher,
+//! and the store as a fallback.
+//!
+//! Endpoints and callers rely on updates within a bounded time, 2 s in the strictest deployments. A
+//! watcher that is suspended or gone is noticed after [`HEARTBEAT_INTERVAL`] plus
+//! [`ANSWER_TIMEOUT`]; one that cannot reach the store reports that itself (see `watcher`). The next
+//! watcher answers within [`ANSWER_TIMEOUT`] or is skipped. If none does, the box watches the store
+//! itself.
+
+use std::time::Duration;
+
+use ledger::Incarnation;
+use rand::{Rng, SeedableRng, rngs::SmallRng};
+use tokio::{
+    sync::watch,
+    time::{Instant, sleep, timeout},
+};
+use wire::{Subscribe, Update};
+
+use crate::{
+    clock::Dataset,
+    fleet::{entry::BOXES, peers::Peers, watchers::Watchers},
+    outage::Probe,
+    sync::watcher::{Setup, Watcher},
+};
+
+/// Time after which a watcher without updates answers anyway, as a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Additional time allowed for the answer: many times the round trip between availability zones,
+/// with a margin for a busy box.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The same for a full snapshot, which a watcher may have to send to all its subscribers at once.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause before watchers are asked again if none answered: standby watchers start to watch when
+/// they are asked, which takes a few calls to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest random delay before a box without a source watches the store itself, so that boxes that
+/// lost the same watchers do not read the store at the same moment.
+const MAX_FALLBACK_DELAY: Duration = Duration::from_millis(200);
+/// How long it watches then before it asks watchers again; up to half longer at random.
+const FALLBACK_TIME: Duration = Duration::from_secs(5);
+/// A standby watcher keeps watching for this long after the last request: longer than the other
+/// watchers of its subscribers take to restart.
+const STANDBY_TIME: Duration = Duration::from_secs(10);
+/// Interval at which a box probes the store itself while no watcher reaches it, up to half longer
+/// at random: the store may be reachable from here only. Long enough that a whole fleet may do so
+/// during an outage; each probe is a cheap read.
+const OWN_PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Timeout of that probe: twice the latency of a slow store.
+const OWN_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for a watcher to reach the store again after an outage, two of its probes. A box that finds
+/// the store first waits this long before it reads the store itself.
+const RECOVERY_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval at which a box checks whether it is a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest time that a starting box waits to learn of other boxes.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Receives the updates of this box.
+pub struct Subscriber {
+    peers: Peers,
+    setup: Setup,
+    /// Set once this box has read the list of boxes.
+    listed: watch::Receiver<Option<u64>>,
+    random: SmallRng,
+}
+
+/// State of the subscription to one watcher.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct Subscription {
+    watcher: Incarnation,
+    last: u64,
+    is_store_unreachable: bool,
+}
+
+impl Subscriber {
+    pub fn new(
+        peers: Peers,
+        setup: Setup,
+        listed: watch::Receiver<Option<u64>>,
+        seed: u64,
+    ) -> Subscriber {
+        Subscriber { peers, setup, listed, random: SmallRng::seed_from_u64(seed) }
+    }
+
+    /// Receives updates for as long as the box runs.
+    pub async fn run(mut self) {
+        self.wait_for_others().await;
+        loop {
+            if self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me()) {
+                self.watch_store("home", None).await;
+            } else if self.has_subscribers() {
+                self.watch_store("asked", None).await;
+            } else if !self.subscribe().await {
+                let time = self.jitter(FALLBACK_TIME);
+                self.watch_store("alone", Some(time)).await;
+            }
+        }
+    }
+
+    /// Waits until this box knows others or has read the list: boxes that start together know few
+    /// others at first.
+    async fn wait_for_others(&mut self) {
+        let peers = self.peers.clone();
+        let listed = async {
+            while peers.is_empty() && self.listed.borrow().is_none() {
+                let _ = timeout(RETRY_DELAY, self.listed.changed()).await;
+            }
+        };
+        let _ = timeout(DISCOVERY_TIMEOUT, listed).await;
+    }
+
+    fn has_subscribers(&self) -> bool {
+        self.setup.view.last_subscribed().is_some_and(|at| at.elapsed() < STANDBY_TIME)
+    }
+
+    /// Watches the store for as long as this box is a watcher or was asked recently, or for `time`.
+    async fn watch_store(&self, why: &str, time: Option<Duration>) {
+        tracing::info!(event = "news_from_store", why);
+        let probe = if why == "home" { Probe::Eager } else { Probe::Lazy };
+        let watcher_tasks = Watcher::spawn(&self.setup, probe);
+        let began = Instant::now();
+        loop {
+            sleep(ROLE_CHECK_INTERVAL).await;
+            let is_watcher =
+                self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me());
+            let continues = match time {
+                _ if is_watcher && probe == Probe::Lazy => false,
+                Some(time) => began.elapsed() < time || self.has_subscribers(),
+                None => is_watcher || self.has_subscribers(),
+            };
+            if !continues {
+                drop(watcher_tasks);
+                self.setup.view.reset_loaded();
+                return;
+            }
+        }
+    }
+
+    /// Subscribes to watchers until this box should watch the store itself; returns false if no
+    /// watcher answers.
+    async fn subscribe(&mut self) -> bool {
+        let mut subscription: Option<Subscription> = None;
+        let mut last_contact = Instant::now();
+        let mut next_probe = Instant::now();
+        // Whether this box probed the store itself during the outage and did not reach it either.
+        let mut probed_in_vain = false;
+        loop {
+            let watchers = self.peers.watchers();
+            if watchers.is_active(self.peers.me())
+                || self.has_subscribers()
+                || self.peers.is_empty()
+            {
+                return true;
+            }
+            let current = subscription.filter(|subscription| {
+                watchers.all().any(|watcher| *watcher == subscription.watcher)
+            });
+            subscription = match current {
+                Some(known) => self.next_updates(known).await,
+                None => self.find_watcher(&watchers).await,
+            };
+            match &subscription {
+                Some(known) if known.is_store_unreachable && next_probe <= Instant::now() => {
+                    match self.reaches_store().await {
+                        true if probed_in_vain => {
+                            subscription = self.resume_after_outage(&known.clone()).await
+                        }
+                        true => return false,
+                        false => probed_in_vain = true,
+                    }
+                    if subscription.is_none() {
+                        return false;
+                    }
+                    next_probe = Instant::now() + self.jitter(OWN_PROBE_INTERVAL);
+                    last_contact = Instant::now();
+                }
+                Some(known) => {
+                    probed_in_vain &= known.is_store_unreachable;
+                    last_contact = Instant::now();
+                }
+                None if last_contact.elapsed()
+                    > HEARTBEAT_INTERVAL + ANSWER_TIMEOUT + self.search_time() =>
+                {
+                    sleep(MAX_FALLBACK_DELAY.mul_f64(self.random.random())).await;
+                    return false;
+                }
+                None => sleep(RETRY_DELAY).await,
+            }
+        }
+    }
+
+    /// Whether the store answers this box, although no watcher reaches it.
+    async fn reaches_store(&self) -> bool {
+        let Setup { store, name, .. } = &self.setup;
+        store.answers(BOXES, name, OWN_PROBE_TIMEOUT).await.is_ok()
+    }
+
+    /// This box reached the store again before its watcher reported that. Gives the watcher time to
+    /// reach it too, and continues the subscription if it does.
+    async fn resume_after_outage(&self, subscription: &Subscription) -> Option<Subscription> {
+        sleep(RECOVERY_DELAY).await;
+        let updates = self
+            .request_updates(&subscription.watcher, Some(subscription.last), true, Duration::ZERO)
+            .await?;
+        let now = Subscription {
+            last: updates.last,
+            is_store_unreachable: updates.away_ms.is_some(),
+            ..subscription.clone()
+        };
+        self.setup.view.apply(updates);
+        (!now.is_store_unreachable).then_some(now)
+    }
+
+    /// A duration, up to half longer at random.
+    fn jitter(&mut self, time: Duration) -> Duration {
+        time.mul_f64(1.0 + self.random.random::<f64>() / 2.0)
+    }
+
+    /// How long to look for a watcher after the last one was silent. A box without a configuration
+    /// serves no requests yet, and boxes that start together have no watchers at first.
+    fn search_time(&self) -> Duration {
+        match self.setup.view.knows_config() {
+            true => RETRY_DELAY,
+            false => DISCOVERY_TIMEOUT,
+        }
+    }
+
+    /// Waits for the next updates of a watcher; `None` if it is silent.
+    async fn next_updates(&self, subscription: Subscription) -> Option<Subscription> {
+        let suspensions = self.setup.watchdog.suspensions();
+        let request = self.request_updates(
+            &subscription.watcher,
+            Some(subscription.last),
+            subscription.is_store_unreachable,
+            HEARTBEAT_INTERVAL,
+        );
+        let updates = tokio::select! {
+            updates = request => updates?,
+            // Another box asks this one to watch the store.
+            () = self.setup.view.watch_requested() => return Some(subscription),
+            // After a suspension the watcher may be gone and the connection dead.
+            () = self.setup.watchdog.next_suspension(suspensions) => return None,
+        };
+        let now = Subscription {
+            last: updates.last,
+            is_store_unreachable: updates.away_ms.is_some(),
+            ..subscription.clone()
+        };
+        let lost_store = now.is_store_unreachable && !subscription.is_store_unreachable;
+        self.setup.view.apply(updates);
+        match lost_store {
+            true => self.find_reachable(&subscription.watcher).await.or(Some(now)),
+            false => Some(now),
+        }
+    }
+
+    /// Subscribes to another watcher, one that reaches the store.
+    async fn find_reachable(&self, excluded: &Incarnation) -> Option<Subscription> {
+        let watchers = self.peers.watchers();
+        for watcher in watchers
+            .first
+            .iter()
+            .filter(|watcher| *watcher != excluded && self.peers.is_reachable(watcher))
+        {
+            match self.request_updates(watcher, None, true, Duration::ZERO).await {
+                Some(updates) if updates.away_ms.is_none() => {
+                    return self.receive_snapshot(watcher).await;
+                }
+                _ => {}
+            }
+        }
+        None
+    }
+
+    /// Subscribes to the first watcher that answers and reaches the store; if none does, to one
+    /// that answers; as a last resort to a standby watcher.
+    async fn find_watcher(&self, watchers: &Watchers) -> Option<Subscription> {
+        let is_reachable = |watcher: &&Incarnation| self.peers.is_reachable(watcher);
+        let mut cut_off = None;
+        for watcher in watchers.first.iter().filter(is_reachable) {
+            match self.request_updates(watcher, None, true, Duration::ZERO).await {
+                Some(updates) if updates.away_ms.is_none() => {
+                    return self.receive_snapshot(watcher).await;
+                }
+                Some(_) => cut_off = cut_off.or(Some(watcher)),
+                None => {}
+            }
+        }
+        if let Some(watcher) = cut_off {
+            return self.receive_snapshot(watcher).await;
+        }
+        for watcher in watchers.standby.iter().filter(is_reachable) {
+            match self.receive_snapshot(watcher).await {
+                None => {}
+                subscription => return subscription,
+            }
+        }
+        None
+    }
+
+    /// Receives a full snapshot from a watcher.
+    async fn receive_snapshot(&self, watcher: &Incarnation) -> Option<Subscription> {
+        let suspensions = self.setup.watchdog.suspensions();
+        let updates = self.request_updates(watcher, Some(0), false, Duration::ZERO).await?;
+        let subscription = self.apply_snapshot(watcher, updates);
+        if !subscription.is_store_unreachable {
+            self.setup.watchdog.read(Dataset::Config, suspensions);
+            self.setup.watchdog.read(Dataset::Endpoints, suspensions);
+        }
+        Some(subscription)
+    }
+
+    fn apply_snapshot(&self, watcher: &Incarnation, updates: Update) -> Subscription {
+        tracing::info!(
+            event = "news_from_home",
+            home = watcher.as_str(),
+            changes = updates.changes.len(),
+            whole = updates.whole,
+            away_ms = updates.away_ms,
+        );
+        let subscription = Subscription {
+            watcher: watcher.clone(),
+            last: updates.last,
+            is_store_unreachable: updates.away_ms.is_some(),
+        };
+        self.setup.view.apply(updates);
+        subscription
+    }
+
+    async fn request_updates(
+        &self,
+        watcher: &Incarnation,
+        since: Option<u64>,
+        is_store_unreachable: bool,
+        wait: Duration,
+    ) -> Option<Update> {
+        let wait_ms = wait.as_millis() as u64;
+        let config = self.setup.view.config_at();
+        let request = Subscribe {
+            watcher: watcher.clone(),
+            since,
+            config,
+            away: is_store_unreachable,
+            wait_ms,
+        };
+        let timeout_margin = if since == Some(0) { SNAPSHOT_TIMEOUT } else { ANSWER_TIMEOUT };
+        self.peers.listen(request, wait + timeout_margin).await
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/sync/view/subscribers.rs
@@ -0,0 +1,75 @@
+//! Answers to subscribers.
+
+use std::time::Duration;
+
+use tokio::time::{Instant, timeout_at};
+use wire::{Subscribe, Update};
+
+use super::View;
+
+/// Longest time that a subscriber may wait, in milliseconds: dead connections are noticed only by
+/// silence.
+const MAX_WAIT_MS: u64 = 5_000;
+
+/// Whether an answer contains anything new for a subscriber.
+fn is_new(updates: &Update, request: &Subscribe) -> bool {
+    updates.whole
+        || request.since.is_none()
+        || !updates.changes.is_empty()
+        || updates.away_ms.is_some() != request.away
+}
+
+impl View {
+    /// When another box asked for updates last.
+    pub fn last_subscribed(&self) -> Option<Instant> {
+        self.0.state.lock().last_subscribed
+    }
+
+    /// Waits until another box asks for updates while this one does not watch the store.
+    pub async fn watch_requested(&self) {
+        self.0.watch_requested.notified().await;
+    }
+
+    /// Updates for a subscriber: at once if there are any that it does not know, else when there
+    /// are, or after its waiting time. `None` while this box does not watch the store itself.
+    pub async fn updates(&self, request: &Subscribe) -> Option<Update> {
+        let until = Instant::now() + Duration::from_millis(request.wait_ms.min(MAX_WAIT_MS));
+        let mut updated = self.0.updates.subscribe();
+        self.0.state.lock().last_subscribed = Some(Instant::now());
+        loop {
+            updated.borrow_and_update();
+            let found = self.updates_now(request);
+            match found {
+                None => {
+                    self.0.watch_requested.notify_one();
+                    return None;
+                }
+                Some(updates) if is_new(&updates, request) => return Some(updates),
+                Some(_) => {}
+            }
+            if timeout_at(until, updated.changed()).await.is_err() {
+                return self.updates_now(request);
+            }
+        }
+    }
+
+    fn updates_now(&self, request: &Subscribe) -> Option<Update> {
+        let state = self.0.state.lock();
+        if !state.loaded.is_complete() {
+            return None;
+        }
+        let logged = request.since.map(|since| state.change_log.since(since));
+        let (mut changes, whole) = logged.unwrap_or_default();
+        changes.retain(|change| {
+            &*change.kind != platform::CONFIG.0 || change.version > request.config
+        });
+        Some(Update {
+            last: state.change_log.last(),
+            whole,
+            changes,
+            endpoints_at: state.directory.at(),
+            boxes_at: state.boxes_at,
+            away_ms: state.unreachable_since.map(|since| since.elapsed().as_millis() as u64),
+        })
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/sync/watcher.rs
@@ -0,0 +1,284 @@
+//! Watching the store: done by watchers for their subscribers, and by a box without a source for
+//! itself.
+
+use std::{sync::Arc, time::Duration};
+
+use objects::{Change, Error, Object};
+use platform::store::{Client, List};
+use tokio::task::JoinSet;
+
+use crate::{
+    clock::Watchdog,
+    fleet::entry::{BOXES, Entry},
+    outage::{Outage, Probe, Recovery},
+    sync::view::{self, View},
+};
+
+/// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
+/// the number of calls low when many endpoints start together.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Interval between two reads of the other boxes: as long as replica reads may be out of date.
+const BOXES_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval between two probes of the store. A waiting watch does not show whether the store is
+/// reachable, and subscribers rely on their watcher to report an outage. Even with both timeouts
+/// below, that stays under the 2 s after which a leaving endpoint must get no more work in the
+/// strictest deployments. Probes read from a replica, which is cheap.
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of a probe: twice the latency of a slow store.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of the second probe, after one that got no answer: single answers get lost.
+const SECOND_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Entries of endpoints may expire in an outage longer than this: shorter than the heartbeat
+/// interval of endpoints in any deployment.
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(900);
+
+/// What a watcher needs.
+#[derive(Clone)]
+pub struct Setup {
+    pub store: Client,
+    pub view: View,
+    pub recovery: Recovery,
+    /// Reports suspensions of this box, after which watches may be dead.
+    pub watchdog: Watchdog,
+    /// Name of this box.
+    pub name: Arc<str>,
+    /// How long missing entries are kept after an outage of the store.
+    pub lapse: Duration,
+}
+
+/// Tasks that watch the store; they end when this is dropped.
+pub struct Watcher(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
+
+impl Watcher {
+    /// Starts to watch the store.
+    pub fn spawn(setup: &Setup, probe: Probe) -> Watcher {
+        setup.view.reset_loaded();
+        let mut tasks = JoinSet::new();
+        tasks.spawn(probe_store(setup.clone(), probe));
+        tasks.spawn(follow_config(setup.clone()));
+        tasks.spawn(follow_evacuations(setup.clone()));
+        tasks.spawn(follow_crashes(setup.clone()));
+        tasks.spawn(follow_endpoints(setup.clone()));
+        tasks.spawn(read_boxes(setup.clone()));
+        Watcher(tasks)
+    }
+}
+
+/// Tracks outages of the store for one task, from an outage on that this box already knows of.
+fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
+    let mut outage = Outage::new(what, probe, setup.recovery.clone());
+    if let Some(since) = setup.view.unreachable_since() {
+        outage.lost_since(since);
+    }
+    outage
+}
+
+/// Probes the store, and reports to the other tasks and to subscribers whether it answers.
+async fn probe_store(setup: Setup, probe: Probe) {
+    let mut outage = outage(&setup, "store", probe);
+    loop {
+        match answers(&setup).await {
+            Ok(()) => {
+                outage.answered();
+                setup.view.set_unreachable(None);
+                tokio::time::sleep(PROBE_INTERVAL).await;
+            }
+            Err(error) => {
+                outage.failed(&error);
+                setup.view.set_unreachable(outage.since());
+                outage.pause().await;
+            }
+        }
+    }
+}
+
+async fn answers(setup: &Setup) -> Result<(), Error> {
+    match setup.store.answers(BOXES, &setup.name, PROBE_TIMEOUT).await {
+        Ok(()) => Ok(()),
+        Err(_) => setup.store.answers(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
+    }
+}
+
+/// Follows the operator's configuration.
+async fn follow_config(setup: Setup) {
+    let view = setup.view.clone();
+    let apply = |received| match received {
+        Received::All(list, suspensions) => view.load_config(&list.objects, suspensions),
+        Received::Changes(changes) => {
+            changes.into_iter().filter_map(written).for_each(|object| view.update_config(&object));
+        }
+    };
+    follow(&setup, "configuration", platform::CONFIG.0, apply).await;
+}
+
+/// Follows which availability zones are evacuated.
+async fn follow_evacuations(setup: Setup) {
+    let view = setup.view.clone();
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_evacuations(&list.objects, list.version),
+        Received::Changes(changes) => view.update_evacuations(&changes),
+    };
+    follow(&setup, "evacuations", platform::EVACUATIONS, apply).await;
+}
+
+/// Follows the reports of requests that crash endpoints.
+async fn follow_crashes(setup: Setup) {
+    let view = setup.view.clone();
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_crashes(&list.objects),
+        Received::Changes(changes) => view.update_crashes(&changes),
+    };
+    follow(&setup, "crashes", quarantine::CRASHES, apply).await;
+}
+
+/// What a list or a watch returned.
+enum Received {
+    /// All objects, with the number of suspensions before the call began.
+    All(List, u64),
+    /// Changes since the last call.
+    Changes(Vec<Change>),
+}
+
+/// Follows all objects of a kind, by a list and then watches.
+async fn follow(setup: &Setup, what: &'static str, kind: &str, apply: impl Fn(Received)) {
+    let Setup { store, recovery, watchdog, .. } = setup;
+    let mut outage = outage(setup, what, Probe::Lazy);
+    loop {
+        let suspensions = watchdog.suspensions();
+        let list = match store.all(kind).await {
+            Ok(list) => list,
+            Err(error) => {
+                outage.failed(&error);
+                outage.pause().await;
+                continue;
+            }
+        };
+        outage.answered();
+        let mut from = list.version;
+        apply(Received::All(list, suspensions));
+        loop {
+            let watched = tokio::select! {
+                watched = store.changes(kind, from) => watched,
+                _ = recovery.recovered() => break,
+                () = watchdog.next_suspension(suspensions) => break,
+            };
+            match watched {
+                Ok(watch) if watch.gap => {
+                    tracing::info!(event = "watch_gap", what, from);
+                    break;
+                }
+                Ok(watch) => {
+                    outage.answered();
+                    from = watch.next;
+                    apply(Received::Changes(watch.changes));
+                }
+                Err(error) => {
+                    outage.failed(&error);
+                    break;
+                }
+            }
+        }
+    }
+}
+
+fn written(change: Change) -> Option<Object> {
+    let value = change.value?;
+    Some(Object { kind: change.kind, name: change.name, version: change.version, value })
+}
+
+/// Follows the entries of endpoints.
+async fn follow_endpoints(setup: Setup) {
+    let mut outage = outage(&setup, "endpoints", Probe::Lazy);
+    loop {
+        let suspensions = setup.watchdog.suspensions();
+        match setup.store.all(platform::ENDPOINTS).await {
+            Ok(list) => {
+                store_answered(&setup, &mut outage);
+                setup.view.load_endpoints(&list.objects, list.version, suspensions);
+                tokio::select! {
+                    () = watch_endpoints(&setup, &mut outage, list.version) => {}
+                    () = setup.watchdog.next_suspension(suspensions) => {}
+                }
+            }
+            Err(error) => {
+                outage.failed(&error);
+                outage.pause().await;
+            }
+        }
+    }
+}
+
+/// Records an answer of the store; after a long outage, entries may have expired.
+fn store_answered(setup: &Setup, outage: &mut Outage) {
+    let since = outage.since();
+    outage.answered();
+    if let Some(since) = since.filter(|since| since.elapsed() > MIN_EXPIRY_OUTAGE) {
+        setup.view.store_returned(since, setup.lapse);
+    }
+}
+
+async fn watch_endpoints(setup: &Setup, outage: &mut Outage, mut from: u64) {
+    loop {
+        let watched = match setup.view.grace_left() {
+            Some(left) => tokio::time::timeout(left, watch_once(setup, outage, from)).await,
+            None => Ok(watch_once(setup, outage, from).await),
+        };
+        match watched {
+            // Entries that are still missing now are gone.
+            Err(_) => setup.view.sweep(),
+            Ok(Ok(Some(next))) => {
+                from = next;
+                tokio::time::sleep(BATCH_DELAY).await;
+            }
+            Ok(Ok(None)) => return,
+            Ok(Err(error)) => {
+                outage.failed(&error);
+                return;
+            }
+        }
+    }
+}
+
+async fn watch_once(setup: &Setup, outage: &mut Outage, from: u64) -> Result<Option<u64>, Error> {
+    let watch = tokio::select! {
+        watch = setup.store.changes(platform::ENDPOINTS, from) => watch?,
+        lost_since = setup.recovery.recovered() => {
+            // Another task noticed an outage and its end: this watch may be dead.
+            setup.view.store_returned(lost_since, setup.lapse);
+            return Ok(None);
+        }
+    };
+    if watch.gap {
+        tracing::info!(event = "watch_gap", what = "endpoints", from);
+        return Ok(None);
+    }
+    store_answered(setup, outage);
+    setup.view.update_endpoints(watch.changes, watch.next);
+    Ok(Some(watch.next))
+}
+
+/// Reads the entries of the other boxes at intervals.
+async fn read_boxes(setup: Setup) {
+    let mut outage = outage(&setup, "boxes", Probe::Lazy);
+    loop {
+        match setup.store.all_maybe_old(BOXES).await {
+            Ok(list) => {
+                outage.answered();
+                setup.view.load_boxes(entries(&list.objects), list.version);
+                tokio::time::sleep(BOXES_INTERVAL).await;
+            }
+            Err(error) => {
+                outage.failed(&error);
+                outage.pause().await;
+            }
+        }
+    }
+}
+
+/// Entries of boxes, with their versions.
+pub fn entries(objects: &[Object]) -> Vec<(Entry, u64)> {
+    let read =
+        |object: &Object| Some((view::read_box(&object.name, &object.value)?, object.version));
+    objects.iter().filter_map(read).collect()
+}
--- /dev/null
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -0,0 +1,226 @@
+//! Gets tokens for requests: from the keeper of the availability zone, or from the book if this box
+//! is the keeper itself or reaches no other.
+//!
+//! If every box wrote the book whenever it lacked tokens, their conditional writes would conflict
+//! and most of them would be refused. Through keepers only a few boxes write the book, however many
+//! there are, and a keeper answers within one round trip, whether the store is reachable or not.
+
+use std::{sync::Arc, time::Duration};
+
+use ledger::{Demand, Incarnation};
+use tokio::{sync::watch, time::Instant};
+use wire::{Draw, Drawn};
+
+use crate::{
+    fleet::peers::Peers,
+    settings::Settings,
+    tokens::{
+        borrower::Borrower,
+        funds::{Funds, Hold},
+        report,
+    },
+};
+
+/// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
+/// longer than a round trip, for boxes under load.
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
+/// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
+/// time for which a box holds tokens in reserve.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// The result of asking a keeper.
+#[derive(Debug)]
+enum Outcome {
+    Hold(Hold),
+    /// The keeper answered, but it and the boxes that it reaches have too few tokens.
+    Insufficient,
+    /// The same, and the keeper does not reach the store or is about to stop.
+    StoreUnreachable,
+    Unanswered,
+}
+
+/// Gets tokens for requests.
+#[derive(Debug, Clone)]
+pub struct Acquirer {
+    funds: Funds,
+    peers: Peers,
+    borrower: Borrower,
+    settings: watch::Receiver<Arc<Settings>>,
+}
+
+impl Acquirer {
+    pub fn new(
+        funds: Funds,
+        peers: Peers,
+        borrower: Borrower,
+        settings: watch::Receiver<Arc<Settings>>,
+    ) -> Acquirer {
+        Acquirer { funds, peers, borrower, settings }
+    }
+
+    /// Longest time for which a keeper may look for tokens.
+    fn keeper_timeout(&self) -> Duration {
+        Duration::from_millis(self.settings.borrow().money.keeper_ms)
+    }
+
+    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
+    /// the book itself, it waits for that at most for `from_store`.
+    pub async fn hold(
+        &self,
+        customer: &Arc<str>,
+        worst: u64,
+        from_store: Duration,
+        until: Instant,
+    ) -> Option<Hold> {
+        if let Some(hold) = self.funds.try_hold(customer, worst) {
+            return Some(hold);
+        }
+        let mut answered = false;
+        for keeper in self.peers.keepers() {
+            if keeper == *self.peers.me() {
+                return self.hold_from_book(customer, worst, from_store, until).await;
+            }
+            match self.hold_from_keeper(&keeper, customer, worst, until).await {
+                Outcome::Hold(hold) => return Some(hold),
+                // The other keepers write the same book and have no more.
+                Outcome::Insufficient => return None,
+                Outcome::StoreUnreachable => answered = true,
+                Outcome::Unanswered => {}
+            }
+            if self.funds.are_others_exhausted(customer, worst) || Instant::now() >= until {
+                return None;
+            }
+        }
+        match answered {
+            true => None,
+            // A box that reaches no keeper turns to the book itself.
+            false => self.hold_from_book(customer, worst, from_store, until).await,
+        }
+    }
+
+    /// Asks the book, then other keepers.
+    async fn hold_from_book(
+        &self,
+        customer: &Arc<str>,
+        worst: u64,
+        from_store: Duration,
+        until: Instant,
+    ) -> Option<Hold> {
+        let from_store = (Instant::now() + from_store).min(until);
+        match self.funds.hold(customer, worst, from_store).await {
+            Some(hold) => Some(hold),
+            None => self.borrower.hold(customer, worst, until).await,
+        }
+    }
+
+    /// Asks one keeper.
+    async fn hold_from_keeper(
+        &self,
+        keeper: &Incarnation,
+        customer: &Arc<str>,
+        worst: u64,
+        until: Instant,
+    ) -> Outcome {
+        let began = Instant::now();
+        let ask_lock = self.funds.ask_lock(customer);
+        let _keeper_wait = self.funds.waiting_for_keeper(customer, worst);
+        let attempt = async {
+            let _guard = ask_lock.lock().await;
+            // Another request may have brought enough tokens for both, or found that there are
+            // none.
+            if let Some(hold) = self.funds.try_hold(customer, worst) {
+                return Outcome::Hold(hold);
+            }
+            if self.funds.are_others_exhausted(customer, worst) {
+                return Outcome::Insufficient;
+            }
+            let demands = self.funds.demands(keeper, Some((customer, worst)));
+            let timeout =
+                self.keeper_timeout().min(until.saturating_duration_since(Instant::now()));
+            let Some(drawn) = self.draw(keeper, demands, timeout, false).await else {
+                return Outcome::Unanswered;
+            };
+            let supply = drawn.items.iter().find(|supply| supply.customer == *customer);
+            if supply.is_some_and(|supply| supply.dry) {
+                self.funds.note_others_exhausted(customer, worst);
+            }
+            match self.funds.try_hold(customer, worst) {
+                Some(hold) => Outcome::Hold(hold),
+                None if drawn.cut || drawn.leaves => Outcome::StoreUnreachable,
+                None => Outcome::Insufficient,
+            }
+        };
+        let outcome = tokio::time::timeout_at(until, attempt).await.unwrap_or(Outcome::Unanswered);
+        tracing::info!(
+            event = "tokens_drawn",
+            keeper = keeper.as_str(),
+            customer = &**customer,
+            worst,
+            held = matches!(outcome, Outcome::Hold(_)),
+            took_ms = began.elapsed().as_millis() as u64,
+        );
+        outcome
+    }
+
+    /// Sends demands to a keeper and adds the tokens that it passes on. This runs in a separate
+    /// task, so that tokens that arrive after the caller has gone are still accounted for.
+    async fn draw(
+        &self,
+        keeper: &Incarnation,
+        items: Vec<Demand>,
+        timeout: Duration,
+        leaves: bool,
+    ) -> Option<Drawn> {
+        let (this, keeper) = (self.clone(), keeper.clone());
+        let attempt = tokio::spawn(async move {
+            let within_ms = timeout.as_millis() as u64;
+            let draw = Draw { keeper: keeper.clone(), items: items.clone(), within_ms, leaves };
+            let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
+            let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
+            this.funds.drawn(&keeper, &items, &drawn.items);
+            Some(drawn)
+        });
+        // The panic hook has logged a panic in the task.
+        attempt.await.ok().flatten()
+    }
+
+    /// Reports used tokens to keepers and returns idle ones, for as long as the box runs.
+    pub async fn run(self) {
+        loop {
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            report::held(&self.funds);
+            for keeper in self.funds.keepers_to_report_to() {
+                if !self.peers.knows(&keeper) {
+                    continue;
+                }
+                let demands = self.funds.demands(&keeper, None);
+                let drawn = self.draw(&keeper, demands, Duration::ZERO, false).await;
+                if drawn.is_some_and(|drawn| drawn.leaves) {
+                    self.return_all(&keeper, false).await;
+                }
+            }
+        }
+    }
+
+    /// Reports used tokens to keepers and returns the rest, before a planned stop.
+    pub async fn leave(&self) {
+        self.funds.abandon();
+        for keeper in self.funds.keepers() {
+            if self.peers.knows(&keeper) {
+                self.return_all(&keeper, true).await;
+            }
+        }
+    }
+
+    async fn return_all(&self, keeper: &Incarnation, leaves: bool) {
+        let demands = self.funds.return_all(keeper);
+        let returned = demands.iter().map(|demand| demand.share.returned).sum::<u64>();
+        let acknowledged = self.draw(keeper, demands, Duration::ZERO, leaves).await.is_some();
+        tracing::info!(
+            event = "tokens_returned",
+            keeper = keeper.as_str(),
+            returned,
+            heard = acknowledged
+        );
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/tokens/settle.rs
@@ -0,0 +1,417 @@
+//! The task that settles this box's tokens with the book in the store.
+//!
+//! One settlement is in progress at a time. It is retried until it is known to have landed: a
+//! refused write returns the current book, and a write whose answer was lost is resolved by its
+//! number.
+
+use std::{sync::Arc, time::Duration};
+
+use ledger::{BOOK, Book, Claim, Granted, Incarnation, Policy, Settlement, Untouched, Writer};
+use objects::{Expect, Store};
+use platform::store::{Client, Put};
+use snafu::Snafu;
+use tokio::{sync::watch, time::Instant};
+
+use crate::{
+    fleet::{entry, peers::Peers},
+    metrics::Metrics,
+    outage::{Outage, Probe, Recovery},
+    settings::{SETTLEMENT_BATCH_MS, Settings},
+    tokens::{
+        acquirer::Acquirer, bills::Bills, claims, forecast::Forecast, funds::Funds,
+        participation::Participation, report, spacing, witness::Selector,
+    },
+};
+
+/// Interval of the log lines on store calls and peer traffic.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// First delay after a failed call; doubles up to [`MAX_RETRY_DELAY`].
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay between two calls while the store does not answer.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// A box that is not a keeper retires from the book once it has not passed on or requested tokens
+/// for this long. Longer than a restart of a box, during which others take over for it.
+const RETIRE_DELAY: Duration = Duration::from_secs(8);
+/// Time for the store to accept the last settlement before other boxes are asked to write the
+/// bills. Longer than a slow call of the store.
+const HAND_OVER_DELAY: Duration = Duration::from_millis(600);
+/// Longest wait for the list of boxes before the first settlement; witnesses are looked up there.
+const LIST_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Interval at which witnesses are asked that did not answer, or whose box was not known yet.
+const COLLECT_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_WITNESSES_ASKED: usize = 8;
+/// Delay before the first grants are requested, during which the other boxes register.
+const REGISTER_DELAY: Duration = Duration::from_millis(1_500);
+
+/// Why the book could not be read or written.
+#[derive(Debug, Snafu)]
+enum Fault {
+    #[snafu(display("{source}"))]
+    Store { source: objects::Error },
+    #[snafu(display("the book cannot be read: {source}"))]
+    Book { source: serde_json::Error },
+    #[snafu(display("the book is gone from the store"))]
+    Gone,
+    #[snafu(display("the write failed: {reason}"))]
+    Write { reason: String },
+}
+
+/// Dependencies of a [`Settler`].
+pub struct Setup {
+    pub store: Client,
+    pub funds: Funds,
+    pub peers: Peers,
+    pub selector: Selector,
+    pub acquirer: Acquirer,
+    pub metrics: Metrics,
+    /// Version of this box's entry in the store, once it is written.
+    pub registered: watch::Receiver<Option<u64>>,
+    pub bills: Bills,
+    pub holder: Incarnation,
+    pub settings: watch::Receiver<Arc<Settings>>,
+}
+
+/// Settles this box's tokens with the book.
+pub struct Settler {
+    setup: Setup,
+    outage: Outage,
+    recovery: Recovery,
+    /// An outage ended: the next settlement follows without the usual delay. The settlement that
+    /// ended the outage was planned before it, so only the next one reports what was used meanwhile
+    /// and returns the surplus, which should happen before anything else fails.
+    settle_at_once: bool,
+    /// The book as last read or written, with its version; version 0 if there is none in the store.
+    known: Option<(Book, u64)>,
+    /// Whether a book was ever seen; if it is missing later, no new one is created.
+    book_seen: bool,
+    forecast: Forecast,
+    write: u64,
+    /// The settlement in progress. It must land even if this task is interrupted.
+    pending: Option<Settlement>,
+    /// What the newest attempt to write it would grant, in case the answer is lost.
+    last_granted: Option<Vec<Granted>>,
+    /// Whether this box is listed as a writer in the book.
+    is_listed: bool,
+    /// Tokens that dead incarnations left unused, for the next settlement.
+    collected: Vec<Untouched>,
+    last_asked: Option<Instant>,
+}
+
+impl Settler {
+    pub fn new(setup: Setup, recovery: Recovery) -> Settler {
+        Settler {
+            setup,
+            outage: Outage::new("book", Probe::Lazy, recovery.clone()),
+            recovery,
+            settle_at_once: false,
+            known: None,
+            book_seen: false,
+            forecast: Forecast::open(Instant::now()),
+            write: 0,
+            pending: None,
+            last_granted: None,
+            is_listed: false,
+            collected: Vec::new(),
+            last_asked: None,
+        }
+    }
+
+    /// Settles as needed, for as long as the box runs.
+    pub async fn run(&mut self) {
+        let mut last_log = Instant::now();
+        self.settle_first().await;
+        self.wait(REGISTER_DELAY).await;
+        loop {
+            if self.uses_book() {
+                self.settle(self.participation()).await;
+            }
+            self.setup.bills.write(&self.setup.store, false).await;
+            if last_log.elapsed() >= LOG_INTERVAL {
+                last_log = Instant::now();
+                report::calls(&self.setup.store);
+                report::traffic(&self.setup.peers);
+            }
+            let settings = self.setup.settings.borrow().clone();
+            let spacing = Duration::from_millis(settings.money.spacing_ms);
+            let settle = Duration::from_millis(settings.money.settle_ms);
+            let began = Instant::now();
+            tokio::time::sleep(Duration::from_millis(SETTLEMENT_BATCH_MS)).await;
+            if std::mem::take(&mut self.settle_at_once) {
+                continue;
+            }
+            while !self.setup.funds.is_urgent() && began.elapsed() < self.interval(spacing, settle)
+            {
+                self.wait(spacing).await;
+                if self.collect().await {
+                    break;
+                }
+            }
+        }
+    }
+
+    /// Asks the witnesses of dead incarnations for which the book has open claims: a keeper asks
+    /// for all of them, another box for its own. Returns whether there is anything to settle.
+    async fn collect(&mut self) -> bool {
+        let is_keeper = self.setup.peers.is_keeper();
+        let Some((book, _)) = &self.known else { return false };
+        let is_own = |name: &Incarnation| name.box_name() == self.setup.holder.box_name();
+        let due = self.last_asked.is_none_or(|at| at.elapsed() >= COLLECT_INTERVAL);
+        let open = book.claims.iter().filter(|(name, _)| is_keeper || is_own(name));
+        let open: Vec<(Incarnation, Claim)> = open
+            .take(MAX_WITNESSES_ASKED)
+            .map(|(name, claim)| (name.clone(), claim.clone()))
+            .collect();
+        if open.is_empty() || !due {
+            return false;
+        }
+        self.last_asked = Some(Instant::now());
+        let collected = claims::ask(&self.setup.peers, open).await;
+        self.collected.extend(collected);
+        !self.collected.is_empty()
+    }
+
+    /// Whether this box settles with the book: it is the keeper of its availability zone, holds
+    /// tokens granted by the book, or has something to report.
+    fn uses_book(&self) -> bool {
+        let Setup { peers, funds, .. } = &self.setup;
+        let collected = !self.collected.is_empty();
+        self.is_listed
+            || self.pending.is_some()
+            || collected
+            || peers.is_keeper()
+            || funds.uses_book()
+    }
+
+    /// Whether this box goes on drawing from the book or retires from it, as another box is the
+    /// keeper now.
+    fn participation(&self) -> Participation {
+        let Setup { peers, funds, .. } = &self.setup;
+        let drawn_lately = funds.since_last_draw().is_some_and(|ago| ago < RETIRE_DELAY);
+        let retires = self.is_listed && !drawn_lately && !peers.is_keeper();
+        funds.retire(retires);
+        if retires { Participation::Retiring } else { Participation::Active }
+    }
+
+    /// Interval to the next settlement that no request waits for.
+    fn interval(&self, spacing: Duration, settle: Duration) -> Duration {
+        match self.setup.funds.is_due() || self.setup.selector.is_due(&self.setup.peers) {
+            true => spacing * spacing::interval_factor(self.writers()),
+            false => settle,
+        }
+    }
+
+    /// Number of boxes that write the book, as of the last read.
+    fn writers(&self) -> usize {
+        self.known.as_ref().map_or(0, |(book, _)| book.writers.len())
+    }
+
+    /// Settles for the earlier incarnations of this box, if the book lists any, with what their
+    /// witnesses report.
+    async fn settle_first(&mut self) {
+        let mut registered = self.setup.registered.clone();
+        let listed = registered.wait_for(Option::is_some);
+        let _ = tokio::time::timeout(LIST_TIMEOUT, listed).await;
+        let mut delay = RETRY_DELAY;
+        let book = loop {
+            match self.read().await {
+                Ok(known) => break self.known.insert(known).0.clone(),
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
+            }
+        };
+        if !book.knows_box_of(&self.setup.holder) {
+            return;
+        }
+        self.collected = claims::ask(&self.setup.peers, book.earlier(&self.setup.holder)).await;
+        self.settle(Participation::Active).await;
+    }
+
+    fn writer(&mut self) -> Writer {
+        self.write += 1;
+        let Setup { peers, selector, .. } = &self.setup;
+        let witness = selector.choose(peers, self.write);
+        let witness_at = witness.as_ref().and_then(|witness| peers.address_of(&witness.by));
+        Writer { write: self.write, peer: peers.address(), witness, witness_at }
+    }
+
+    async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
+        self.outage.failed(fault);
+        self.forecast.failed(Instant::now());
+        self.setup.funds.set_store_unreachable(true);
+        // Ends the delay as soon as any task of this box reaches the store.
+        let _ = tokio::time::timeout(*delay, self.recovery.recovered()).await;
+        *delay = (*delay * 2).min(MAX_RETRY_DELAY);
+    }
+
+    async fn wait(&self, timeout: Duration) {
+        if !self.setup.funds.is_urgent() {
+            let _ = tokio::time::timeout(timeout, self.setup.funds.wanted()).await;
+        }
+    }
+
+    /// Writes one settlement until it has landed. Cancel safe: the next call resumes it.
+    async fn settle(&mut self, participation: Participation) {
+        let settlement = match self.pending.take() {
+            Some(pending) => pending,
+            None => {
+                let writer = self.writer();
+                let earlier = std::mem::take(&mut self.collected);
+                let plan = self.setup.funds.plan(&self.setup.holder, writer, participation);
+                Settlement { earlier, ..plan }
+            }
+        };
+        self.pending = Some(settlement.clone());
+        let mut delay = RETRY_DELAY;
+        let (began, mut conflicts) = (Instant::now(), 0);
+        let granted = loop {
+            match self.attempt(&settlement).await {
+                Ok(Some(granted)) => break granted,
+                Ok(None) => conflicts += 1,
+                Err(fault) => self.wait_after_failure(&fault, &mut delay).await,
+            }
+        };
+        self.pending = None;
+        self.setup.funds.set_store_unreachable(false);
+        tracing::info!(
+            event = "settlement_landed",
+            write = settlement.writer.write,
+            met = conflicts,
+            took_ms = began.elapsed().as_millis() as u64,
+            writers = self.writers(),
+        );
+        self.outage.answered();
+        let book = self.known.as_ref().map(|(book, _)| book);
+        self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
+        self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
+        let claims = book.map_or(0, |book| book.claims.len());
+        self.setup.metrics.claims.set(claims as i64);
+        report::settled(&settlement, &granted);
+        self.setup.funds.landed(&settlement, granted);
+        self.setup.selector.landed(&settlement.writer.witness, &self.setup.funds);
+    }
+
+    /// Makes one attempt; returns `None` if another box has changed the book meanwhile.
+    async fn attempt(&mut self, settlement: &Settlement) -> Result<Option<Vec<Granted>>, Fault> {
+        let (book, version) = match self.known.take() {
+            Some(known) => known,
+            None => self.read().await?,
+        };
+        if book.has(&settlement.holder, settlement.writer.write) {
+            self.known = Some((book, version));
+            return Ok(Some(self.last_granted.take().unwrap_or_default()));
+        }
+        let mut next = book.clone();
+        self.forecast.report_outage(&mut next, Instant::now());
+        let policy = self.policy();
+        let granted = next.settle(settlement, policy);
+        self.last_granted = Some(granted.clone());
+        let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
+        match self.setup.store.replace(BOOK.0, BOOK.1, &next.to_json(), expect).await {
+            Put::Landed(version) => {
+                self.known = Some((next, version));
+                self.book_seen = true;
+                Ok(Some(granted))
+            }
+            Put::Refused(Some(object)) => {
+                self.set_known(&object)?;
+                Ok(None)
+            }
+            Put::Refused(None) => Err(Fault::Gone),
+            // Not applied: the known book may still be current.
+            Put::Failed(reason) => {
+                self.known = Some((book, version));
+                Err(Fault::Write { reason })
+            }
+            // The write may have landed, so the next attempt reads the book first.
+            Put::Unknown(reason) => Err(Fault::Write { reason }),
+        }
+    }
+
+    /// Returns the policy that sizes grants now.
+    fn policy(&self) -> Policy {
+        let policy = self.setup.settings.borrow().policy();
+        let policy = self.forecast.policy(policy, Instant::now());
+        match self.setup.peers.is_keeper() {
+            true => policy,
+            false => policy.on_demand(),
+        }
+    }
+
+    async fn read(&mut self) -> Result<(Book, u64), Fault> {
+        let found = self.setup.store.get(BOOK.0, BOOK.1).await;
+        match found.map_err(|source| Fault::Store { source })? {
+            Some(object) => {
+                self.set_known(&object)?;
+                self.known.take().ok_or(Fault::Gone)
+            }
+            None if self.book_seen => Err(Fault::Gone),
+            None => Ok((Book::default(), 0)),
+        }
+    }
+
+    fn set_known(&mut self, object: &objects::Object) -> Result<(), Fault> {
+        let book = serde_json::from_str(&object.value).map_err(|source| Fault::Book { source })?;
+        self.known = Some((book, object.version));
+        self.book_seen = true;
+        Ok(())
+    }
+
+    /// Returns all tokens before a planned stop, until `until` at the latest.
+    ///
+    /// If the store does not accept them soon, other boxes help: the witness knows that no more
+    /// tokens are used, and the bills are handed over to another box, which writes them.
+    pub async fn leave(&mut self, until: Instant) {
+        let began = Instant::now();
+        let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
+        acquirer.leave().await;
+        selector.promise_all(funds, peers).await;
+        let soon = until.min(Instant::now() + HAND_OVER_DELAY);
+        let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
+        if !done {
+            self.hand_over().await;
+            done = tokio::time::timeout_at(until, self.leave_book()).await.is_ok();
+        }
+        tracing::info!(
+            event = "funds_returned",
+            done,
+            bills_waiting = self.setup.bills.waiting(),
+            took_ms = began.elapsed().as_millis() as u64
+        );
+    }
+
+    /// Writes everything that is left. Cancel safe: the next call resumes it.
+    async fn leave_book(&mut self) {
+        self.setup.bills.write(&self.setup.store, true).await;
+        if self.pending.is_some() {
+            self.settle(Participation::Active).await;
+        }
+        if self.uses_book() {
+            self.settle(Participation::Leaving).await;
+        }
+        let mut delay = RETRY_DELAY;
+        while self.setup.bills.waiting() > 0 {
+            self.setup.bills.write(&self.setup.store, true).await;
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
+        }
+        let version = *self.setup.registered.borrow();
+        if let Some(version) = version {
+            entry::remove(&self.setup.store, &self.setup.holder, version).await;
+        }
+    }
+
+    async fn hand_over(&self) {
+        let pages = self.setup.bills.hand_over();
+        if pages.is_empty() {
+            return;
+        }
+        let count = pages.len();
+        let takers = self.setup.peers.hand_over_bills(&pages).await;
+        if takers.is_empty() {
+            tracing::warn!(event = "bills_not_handed_over", count);
+            self.setup.bills.take_over(pages);
+            return;
+        }
+        let to: Vec<&str> = takers.iter().map(Incarnation::as_str).collect();
+        tracing::info!(event = "bills_handed_over", to = to.join(","), count);
+    }
+}
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,9 +1,9 @@
-//! A request waits while it is found out whether endpoints ended under it, by an order of events that the test sets.
+//! A request waits for its verdict while probes find out whether endpoints crashed under it.
 
 use std::{net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
 use futures_util::FutureExt;
-use gateway::{Clock, Crashes, Found};
+use gateway::{Clock, Crashes, Liveness};
 use ledger::Incarnation;
 use parking_lot::Mutex;
 use quarantine::{Fingerprint, Limits, Verdict};
@@ -13,61 +13,61 @@
 };
 
 const LIMITS: Limits = Limits { ended: 3, keep_s: 86_400 };
-/// Longer than any request here may wait.
-const LONG: Duration = Duration::from_secs(10);
+/// Longer than any request here waits.
+const MAX_VERDICT_WAIT: Duration = Duration::from_secs(10);
 
-/// Proofs that wait for the test, in the order in which connections broke.
-type Proofs = Arc<Mutex<Vec<oneshot::Sender<Found>>>>;
+/// Probes whose results the test sets, in the order in which connections broke.
+type Probes = Arc<Mutex<Vec<oneshot::Sender<Liveness>>>>;
 
 fn request() -> Fingerprint {
     Fingerprint::of(None, [b"innocent".as_slice()])
 }
 
-/// A request whose connections broke at so many endpoints, and what proves whether they ended.
-async fn broken(count: u16) -> (Crashes, Proofs) {
-    let proofs = Proofs::default();
-    let opened = proofs.clone();
-    let prove = move |_: SocketAddr| {
-        let (known, found) = oneshot::channel();
-        opened.lock().push(known);
-        async move { found.await.unwrap_or(Found::OutOfReach) }.boxed()
+/// Crash records in which the connections of one request broke at `count` endpoints, and the open probes of these.
+async fn broken(count: u16) -> (Crashes, Probes) {
+    let probes = Probes::default();
+    let opened = probes.clone();
+    let probe = move |_: SocketAddr| {
+        let (sender, found) = oneshot::channel();
+        opened.lock().push(sender);
+        async move { found.await.unwrap_or(Liveness::Unreachable) }.boxed()
     };
     let me = Incarnation::new("box-1", 1);
-    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(prove), &Clock::by_hand());
-    // Whoever passes reports on is not needed here, but must be there.
+    let (crashes, reports) = Crashes::open(me, LIMITS, Box::new(probe), &Clock::manual());
+    // The receiver of reports isn't used, but must stay open.
     Box::leak(Box::new(reports));
     for n in 0..count {
         let address = SocketAddr::from(([127, 0, 0, 1], n + 1));
         crashes.watch(&format!("i-{n}").into(), address, &request()).broke();
     }
-    while proofs.lock().len() < usize::from(count) {
+    while probes.lock().len() < usize::from(count) {
         tokio::task::yield_now().await;
     }
-    (crashes, proofs)
+    (crashes, probes)
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_found_out_decides() {
-    use Found::{Ended, OutOfReach, Stands};
-    let cases: [(&[Found], Verdict); 6] = [
-        (&[Stands, Stands, Stands], Verdict::Free),
+async fn probe_results_decide_the_verdict() {
+    use Liveness::{Ended, Running, Unreachable};
+    let cases: [(&[Liveness], Verdict); 6] = [
+        (&[Running, Running, Running], Verdict::Allowed),
         (&[Ended, Ended, Ended], Verdict::Quarantined { for_s: 86_400 }),
-        (&[Ended, Ended, Stands], Verdict::Suspect { ended: 2 }),
-        (&[OutOfReach, OutOfReach, OutOfReach], Verdict::Free),
-        (&[Stands, Ended, Stands, Stands, Stands], Verdict::Suspect { ended: 1 }),
-        (&[Ended, Stands, Ended, OutOfReach, Ended], Verdict::Quarantined { for_s: 86_400 }),
+        (&[Ended, Ended, Running], Verdict::Suspect { ended: 2 }),
+        (&[Unreachable, Unreachable, Unreachable], Verdict::Allowed),
+        (&[Running, Ended, Running, Running, Running], Verdict::Suspect { ended: 1 }),
+        (&[Ended, Running, Ended, Unreachable, Ended], Verdict::Quarantined { for_s: 86_400 }),
     ];
     for (found, expected) in cases {
-        let (crashes, proofs) = broken(found.len() as u16).await;
-        let asked = request();
-        let mut verdict = pin!(crashes.verdict(&asked, Instant::now() + LONG));
-        assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: it waits");
-        let known = std::mem::take(&mut *proofs.lock());
-        for (known, found) in known.into_iter().zip(found) {
-            known.send(*found).expect("somebody waits for it");
+        let (crashes, probes) = broken(found.len() as u16).await;
+        let fingerprint = request();
+        let mut verdict = pin!(crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT));
+        assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: the verdict is pending");
+        let senders = std::mem::take(&mut *probes.lock());
+        for (sender, found) in senders.into_iter().zip(found) {
+            sender.send(*found).expect("the probe is awaited");
         }
         let verdict = verdict.await;
-        // A day, less the second that may pass meanwhile.
+        // Time passes meanwhile, so the rest of the day may be a little shorter.
         let is_expected = match (verdict, expected) {
             (Verdict::Quarantined { for_s }, Verdict::Quarantined { for_s: day }) => {
                 (day - 60..=day).contains(&for_s)
@@ -79,21 +79,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_no_longer_than_it_has_and_is_never_in_quarantine_meanwhile() {
-    for left in [Duration::from_millis(10), LONG] {
-        let (crashes, _proofs) = broken(5).await;
-        let (asked, began) = (request(), Instant::now());
-        let verdict = crashes.verdict(&asked, began + left).await;
-        assert_eq!(verdict, Verdict::Unproved { ended: 0 });
+async fn verdict_is_not_delayed_beyond_the_deadline() {
+    for left in [Duration::from_millis(10), MAX_VERDICT_WAIT] {
+        let (crashes, _probes) = broken(5).await;
+        let (fingerprint, began) = (request(), Instant::now());
+        let verdict = crashes.verdict(&fingerprint, began + left).await;
+        assert_eq!(verdict, Verdict::Unconfirmed { ended: 0 });
         assert!(began.elapsed() <= left.min(Duration::from_millis(50)));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_ends_that_are_not_proved_keep_nothing_waiting() {
-    let (crashes, _proofs) = broken(2).await;
-    let asked = request();
-    let verdict = crashes.verdict(&asked, Instant::now() + LONG).now_or_never();
-    assert_eq!(verdict, Some(Verdict::Free));
+async fn two_unconfirmed_crashes_do_not_delay_a_request() {
+    let (crashes, _probes) = broken(2).await;
+    let fingerprint = request();
+    let verdict = crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT).now_or_never();
+    assert_eq!(verdict, Some(Verdict::Allowed));
     advance(Duration::from_millis(1)).await;
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which availability zones are to be empty, heard in any order from the store and from other boxes.
+//! Which availability zones are evacuated, learned in any order from the store and from peers.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,85 +6,85 @@
 use objects::Change;
 use proptest::prelude::*;
 
-/// What happens in the store, and to two homes of news and a listener.
+/// An event in the store, at one of two watchers, or at the subscriber.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The operator wants a zone to be empty, or takes it back.
-    Write { zone: u8, empty: bool },
-    /// A home reads all.
-    List { home: usize },
-    /// A watch of a home brings some of the changes that it lacks.
-    Watch { home: usize, most: usize },
-    /// The listener hears a home.
-    Hear { home: usize },
-    /// What a home told some time ago arrives only now.
-    HearLate { home: usize, ago: usize },
+    /// The operator evacuates a zone or ends its evacuation.
+    Write { zone: u8, evacuated: bool },
+    /// A watcher lists the store.
+    List { watcher: usize },
+    /// A watcher receives some of the changes since its version.
+    Watch { watcher: usize, most: usize },
+    /// The subscriber receives the state of a watcher.
+    Receive { watcher: usize },
+    /// A state that a watcher sent earlier arrives late.
+    ReceiveLate { watcher: usize, ago: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..4u8, any::<bool>()).prop_map(|(zone, empty)| Step::Write { zone, empty }),
-        (0..2usize).prop_map(|home| Step::List { home }),
-        (0..2usize, 1..4usize).prop_map(|(home, most)| Step::Watch { home, most }),
-        (0..2usize).prop_map(|home| Step::Hear { home }),
-        (0..2usize, 0..5usize).prop_map(|(home, ago)| Step::HearLate { home, ago }),
+        (0..4u8, any::<bool>()).prop_map(|(zone, evacuated)| Step::Write { zone, evacuated }),
+        (0..2usize).prop_map(|watcher| Step::List { watcher }),
+        (0..2usize, 1..4usize).prop_map(|(watcher, most)| Step::Watch { watcher, most }),
+        (0..2usize).prop_map(|watcher| Step::Receive { watcher }),
+        (0..2usize, 0..5usize).prop_map(|(watcher, ago)| Step::ReceiveLate { watcher, ago }),
     ]
 }
 
 #[derive(Default)]
 struct Run {
     version: u64,
-    /// Which zones were to be empty at each version of the store.
-    truth: BTreeMap<u64, Zones>,
+    /// Evacuated zones at each version of the store.
+    stored: BTreeMap<u64, Zones>,
     log: Vec<Change>,
-    homes: [Evacuations; 2],
-    /// Up to which version the watch of each home came.
+    watchers: [Evacuations; 2],
+    /// Version up to which each watcher has seen changes.
     watched: [u64; 2],
-    told: [Vec<(Zones, u64)>; 2],
-    listener: Evacuations,
+    sent: [Vec<(Zones, u64)>; 2],
+    subscriber: Evacuations,
 }
 
 impl Run {
     fn now(&self) -> Zones {
-        self.truth.values().last().cloned().unwrap_or_default()
+        self.stored.values().last().cloned().unwrap_or_default()
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Write { zone, empty } => self.write(format!("z{zone}").into(), empty),
-            Step::List { home } => {
-                self.homes[home].replace(self.now(), self.version);
-                self.watched[home] = self.version;
+            Step::Write { zone, evacuated } => self.write(format!("z{zone}").into(), evacuated),
+            Step::List { watcher } => {
+                self.watchers[watcher].replace(self.now(), self.version);
+                self.watched[watcher] = self.version;
             }
-            Step::Watch { home, most } => {
-                let from = self.watched[home];
+            Step::Watch { watcher, most } => {
+                let from = self.watched[watcher];
                 let fresh = self.log.iter().filter(|change| change.version > from);
                 let fresh: Vec<Change> = fresh.take(most).cloned().collect();
-                self.homes[home].change(&fresh);
-                self.watched[home] = fresh.last().map_or(from, |change| change.version);
+                self.watchers[watcher].change(&fresh);
+                self.watched[watcher] = fresh.last().map_or(from, |change| change.version);
             }
-            Step::Hear { home } => {
-                let home_knows = &self.homes[home];
-                let told = (home_knows.zones().clone(), home_knows.at());
-                self.listener.replace(told.0.clone(), told.1);
-                self.told[home].push(told);
+            Step::Receive { watcher } => {
+                let state = &self.watchers[watcher];
+                let sent = (state.zones().clone(), state.at());
+                self.subscriber.replace(sent.0.clone(), sent.1);
+                self.sent[watcher].push(sent);
             }
-            Step::HearLate { home, ago } => {
-                let told = self.told[home].iter().rev().nth(ago).cloned();
-                if let Some((zones, at)) = told {
-                    self.listener.replace(zones, at);
+            Step::ReceiveLate { watcher, ago } => {
+                let sent = self.sent[watcher].iter().rev().nth(ago).cloned();
+                if let Some((zones, at)) = sent {
+                    self.subscriber.replace(zones, at);
                 }
             }
         }
     }
 
-    fn write(&mut self, zone: Arc<str>, empty: bool) {
+    fn write(&mut self, zone: Arc<str>, evacuated: bool) {
         let mut zones = self.now();
-        let changed = if empty { zones.insert(zone.clone()) } else { zones.remove(&zone) };
+        let changed = if evacuated { zones.insert(zone.clone()) } else { zones.remove(&zone) };
         if changed {
             self.version += 1;
-            self.truth.insert(self.version, zones);
-            let value = empty.then(|| "{}".into());
+            self.stored.insert(self.version, zones);
+            let value = evacuated.then(|| "{}".into());
             let kind = platform::EVACUATIONS.into();
             self.log.push(Change { kind, name: zone, version: self.version, value });
         }
@@ -94,44 +94,47 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Whoever hears what in whichever order knows a state that the store had, and never goes back to an
-    /// older one.
+    /// In any order of events, every box has a state that the store had at some version, and the subscriber never goes
+    /// back to an older one.
     #[test]
-    fn zones_are_those_of_a_version_that_only_grows(steps in prop::collection::vec(step(), 1..60)) {
+    fn view_is_always_a_stored_version_and_never_goes_back(steps in prop::collection::vec(step(), 1..60)) {
         let mut run = Run::default();
-        // Homes begin with a list, as their watches need a version to begin with.
-        run.step(&Step::List { home: 0 });
-        run.step(&Step::List { home: 1 });
+        // A watch needs the version of a list to start from.
+        run.step(&Step::List { watcher: 0 });
+        run.step(&Step::List { watcher: 1 });
         let mut before = 0;
         for step in &steps {
             run.step(step);
-            for known in run.homes.iter().chain([&run.listener]) {
-                let truth = run.truth.get(&known.at()).cloned().unwrap_or_default();
-                prop_assert_eq!(known.zones(), &truth, "as at version {}", known.at());
+            for view in run.watchers.iter().chain([&run.subscriber]) {
+                let stored = run.stored.get(&view.at()).cloned().unwrap_or_default();
+                prop_assert_eq!(view.zones(), &stored, "as at version {}", view.at());
             }
-            prop_assert!(run.listener.at() >= before, "it went back");
-            before = run.listener.at();
+            prop_assert!(run.subscriber.at() >= before, "the subscriber went back to an older version");
+            before = run.subscriber.at();
         }
-        run.step(&Step::List { home: 0 });
-        run.step(&Step::Hear { home: 0 });
-        prop_assert_eq!(run.listener.zones(), &run.now());
+        run.step(&Step::List { watcher: 0 });
+        run.step(&Step::Receive { watcher: 0 });
+        prop_assert_eq!(run.subscriber.zones(), &run.now());
     }
 }
 
 #[test]
-fn a_watch_that_tells_again_what_a_list_showed_changes_nothing() {
+fn replayed_changes_are_ignored() {
     let change = |version, value: Option<&str>| Change {
         kind: platform::EVACUATIONS.into(),
         name: "bornova".into(),
         version,
         value: value.map(Into::into),
     };
-    let mut known = Evacuations::default();
-    assert!(known.replace(Zones::new(), 0), "that none is to be empty is news to begin with");
-    assert!(known.change(&[change(3, Some("{}")), change(5, None)]));
-    assert!(known.replace(Zones::new(), 9));
-    assert!(!known.change(&[change(3, Some("{}"))]), "it was taken back since");
-    assert!(known.zones().is_empty());
-    assert!(known.change(&[change(11, Some("bytes that nobody can read"))]), "being there counts");
-    assert!(known.zones().contains("bornova"));
+    let mut view = Evacuations::default();
+    assert!(view.replace(Zones::new(), 0), "the first state is a change, even if it is empty");
+    assert!(view.change(&[change(3, Some("{}")), change(5, None)]));
+    assert!(view.replace(Zones::new(), 9));
+    assert!(!view.change(&[change(3, Some("{}"))]), "the evacuation has ended since");
+    assert!(view.zones().is_empty());
+    assert!(
+        view.change(&[change(11, Some("bytes that nobody can read"))]),
+        "the entry counts whatever its content"
+    );
+    assert!(view.zones().contains("bornova"));
 }
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -1,9 +1,6 @@
-//! Endpoints that say in their answers that they leave.
+//! Endpoints that signal in a response header that they are leaving.
 //!
-//! Seen: while the store was away, requests reached an engine 3,060 ms and 5,420 ms after the box that sent them had passed on an answer
-//! of that engine which said that it leaves; 2,000 ms are allowed. How it came about: the engine's entry still said that it is ready,
-//! and only the entry took it out of the choice. Cause: no box read the word in an answer, and nothing of an endpoint was known
-//! but what its entry says. Proved by the first test, which needs one box, the word, and an entry that does not change.
+//! Guards against boxes that go on sending to such an endpoint because its entry in the store still says ready.
 
 use std::{
     sync::{
@@ -18,220 +15,232 @@
 use platform::played;
 use standin::{Arrived, Reply, Scripted};
 
-use crate::world::{World, answers, call, request, until, until_served};
+use crate::harness::{Harness, answer_ok, call, request, wait_until, wait_until_served};
 
 const PAID: u64 = 1_000_000;
-/// Time after an answer that says so from which on nothing may be sent: the shortest that users ask for.
-const BOUND: Duration = Duration::from_millis(2_000);
-/// Requests after which an endpoint that got none of them is taken to get none.
-const MANY: usize = 24;
-/// Time after which a stream has begun and is far from its end.
-const STREAMING: Duration = Duration::from_millis(200);
-
-/// Says in the head of an answer that its endpoint leaves.
-fn leaves(mut headers: HeaderMap) -> HeaderMap {
+/// Longest time after the signal in which a box may still send requests to the endpoint.
+const MAX_SIGNAL_DELAY: Duration = Duration::from_millis(2_000);
+/// Requests sent to show that an endpoint receives none.
+const REQUESTS: usize = 24;
+/// Time after which a stream has begun but not ended.
+const STREAM_BEGUN: Duration = Duration::from_millis(200);
+
+/// Adds the signal that the endpoint is leaving.
+fn with_leaving_header(mut headers: HeaderMap) -> HeaderMap {
     headers.insert(played::LEAVING, HeaderValue::from_static("1"));
     headers
 }
 
-/// Whether an endpoint says that it leaves.
+/// Switch for the leaving signal of an endpoint.
 #[derive(Clone, Default)]
-struct Word(Arc<AtomicBool>);
+struct LeavingSignal(Arc<AtomicBool>);
 
-impl Word {
-    fn says(&self, leaves: bool) {
-        self.0.store(leaves, Ordering::Relaxed);
+impl LeavingSignal {
+    fn set(&self, is_leaving: bool) {
+        self.0.store(is_leaving, Ordering::Relaxed);
     }
 
-    /// Answers whole, and says so.
+    /// Answers successfully, with the signal if it is switched on.
     fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
-        let word = self.clone();
+        let signal = self.clone();
         move |arrived| {
             let headers = played::answered(&arrived.told.id, None);
-            let says = word.0.load(Ordering::Relaxed);
-            let headers = if says { leaves(headers) } else { headers };
+            let is_leaving = signal.0.load(Ordering::Relaxed);
+            let headers = if is_leaving { with_leaving_header(headers) } else { headers };
             Reply::Whole(StatusCode::OK, headers, "done".into())
         }
     }
 }
 
-/// Sends requests until one reaches an endpoint.
-async fn reach(world: &World, gateway: &Gateway, endpoint: &Scripted) {
+/// Sends requests until one reaches the endpoint.
+async fn send_until_arrival(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) {
     let before = endpoint.arrived().len();
-    until("it is reached", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    wait_until("a request reaches the endpoint", async || {
+        call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
         endpoint.arrived().len() > before
     })
     .await;
 }
 
-/// Requests of many that reach an endpoint.
-async fn arrive(world: &World, gateway: &Gateway, endpoint: &Scripted) -> usize {
+/// Sends [`REQUESTS`] requests and returns how many reach the endpoint.
+async fn count_arrivals(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) -> usize {
     let before = endpoint.arrived().len();
-    for _ in 0..MANY {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    for _ in 0..REQUESTS {
+        call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
     }
     endpoint.arrived().len() - before
 }
 
 #[tokio::test]
-async fn an_endpoint_that_says_that_it_leaves_gets_nothing_though_its_entry_says_ready() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    reach(&world, &gateway, &leaving).await;
-    world.platform.set(|faults| faults.down = true);
-    word.says(true);
-    reach(&world, &gateway, &leaving).await;
-    tokio::time::sleep(BOUND).await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "while the store is away");
+async fn leaving_signal_overrides_a_ready_entry() {
+    let harness = Harness::start(PAID, &["cancel"]).await;
+    let signal = LeavingSignal::default();
+    let leaving = harness.endpoint("i-1", "plain", signal.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", LeavingSignal::default().script()).await;
+    let gateway = harness.gateway("box-1").await;
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
+    send_until_arrival(&harness, &gateway, &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
+    signal.set(true);
+    send_until_arrival(&harness, &gateway, &leaving).await;
+    tokio::time::sleep(MAX_SIGNAL_DELAY).await;
+    assert_eq!(count_arrivals(&harness, &gateway, &leaving).await, 0, "while the store is down");
 }
 
-/// Every answer tells: a refusal, and the head of a stream long before its end.
+/// Boxes read the signal of every response: of a rejection, and of a stream as soon as its head arrives.
 #[tokio::test]
-async fn a_refusal_and_the_head_of_a_stream_say_it_as_well() {
-    let world = World::open(PAID, &["cancel", "stream"]).await;
-    let declines = world.endpoint("i-1", "plain", |arrived| {
+async fn signal_is_read_from_rejections_and_stream_heads() {
+    let harness = Harness::start(PAID, &["cancel", "stream"]).await;
+    let rejecting = harness.endpoint("i-1", "plain", |arrived| {
         let (status, headers) = played::declined(&arrived.told.id);
-        Reply::Whole(status, leaves(headers), "full".into())
+        Reply::Whole(status, with_leaving_header(headers), "full".into())
     });
-    let declines = declines.await;
-    let streams = world.endpoint("i-2", "engines", |arrived| {
-        let headers = leaves(played::answered(&arrived.told.id, None));
+    let rejecting = rejecting.await;
+    let streaming = harness.endpoint("i-2", "engines", |arrived| {
+        let headers = with_leaving_header(played::answered(&arrived.told.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
-    let streams = streams.await;
-    let _plain = world.endpoint("i-3", "plain", answers).await;
-    let _engine = world.endpoint("i-4", "engines", answers).await;
-    let gateway = world.gateway("box-1").await;
-    for (path, endpoint) in [("/cancel/x", &declines), ("/stream/x", &streams)] {
-        until_served(&world, &gateway, path).await;
-        let asked = || world.asked("key-b", 1, 1);
-        until("it is reached", async || {
-            tokio::spawn(request(gateway.callers(), path, &asked()).body("a body").send());
+    let streaming = streaming.await;
+    let _plain = harness.endpoint("i-3", "plain", answer_ok).await;
+    let _engine = harness.endpoint("i-4", "engines", answer_ok).await;
+    let gateway = harness.gateway("box-1").await;
+    for (path, endpoint) in [("/cancel/x", &rejecting), ("/stream/x", &streaming)] {
+        wait_until_served(&harness, &gateway, path).await;
+        let req = || harness.new_request("key-b", 1, 1);
+        wait_until("a request reaches the endpoint", async || {
+            tokio::spawn(request(gateway.callers(), path, &req()).body("a body").send());
             !endpoint.arrived().is_empty()
         })
         .await;
-        tokio::time::sleep(STREAMING).await;
+        tokio::time::sleep(STREAM_BEGUN).await;
         let before = endpoint.arrived().len();
-        for _ in 0..MANY {
-            call(gateway.callers(), path, &asked()).await;
+        for _ in 0..REQUESTS {
+            call(gateway.callers(), path, &req()).await;
         }
         assert_eq!(endpoint.arrived().len(), before, "{path}");
     }
 }
 
-/// The load: an endpoint tells one box of a fleet, whose store is away.
+/// The signal reaches one box while the store is down; it must spread to running boxes and to one that starts later.
 #[tokio::test]
-async fn boxes_tell_each_other_also_one_that_starts_into_it() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
+async fn signal_spreads_to_running_and_new_boxes() {
+    let harness = Harness::start(PAID, &["cancel"]).await;
+    let signal = LeavingSignal::default();
+    let leaving = harness.endpoint("i-1", "plain", signal.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", LeavingSignal::default().script()).await;
     let mut boxes = Vec::new();
     for n in 0..4 {
-        boxes.push(world.gateway(&format!("box-{n}")).await);
+        boxes.push(harness.gateway(&format!("box-{n}")).await);
     }
     for gateway in &boxes {
-        until("it knows the others", async || gateway.knows_peers() == 3).await;
-        until_served(&world, gateway, "/cancel/x").await;
+        wait_until("the boxes know each other", async || gateway.peer_count() == 3).await;
+        wait_until_served(&harness, gateway, "/cancel/x").await;
     }
-    world.platform.set(|faults| faults.down = true);
-    reach(&world, &boxes[0], &leaving).await;
-    word.says(true);
-    reach(&world, &boxes[0], &leaving).await;
+    harness.platform.set(|faults| faults.down = true);
+    send_until_arrival(&harness, &boxes[0], &leaving).await;
+    signal.set(true);
+    send_until_arrival(&harness, &boxes[0], &leaving).await;
     let knows = |gateway: &Gateway| gateway.leaving() == 1;
-    until("all know", async || boxes.iter().all(knows)).await;
-    word.says(false);
+    wait_until("all boxes know that it is leaving", async || boxes.iter().all(knows)).await;
+    signal.set(false);
     for gateway in &boxes {
-        assert_eq!(arrive(&world, gateway, &leaving).await, 0, "a box that was told by others");
+        assert_eq!(
+            count_arrivals(&harness, gateway, &leaving).await,
+            0,
+            "a box that learned it from a peer"
+        );
     }
-    world.platform.set(|faults| faults.down = false);
-    let late = world.gateway("box-late").await;
-    until_served(&world, &late, "/cancel/x").await;
-    until("it knows as well", async || late.leaving() == 1).await;
-    assert_eq!(arrive(&world, &late, &leaving).await, 0, "a box that started into it");
+    harness.platform.set(|faults| faults.down = false);
+    let late = harness.gateway("box-late").await;
+    wait_until_served(&harness, &late, "/cancel/x").await;
+    wait_until("the late box knows that it is leaving", async || late.leaving() == 1).await;
+    assert_eq!(
+        count_arrivals(&harness, &late, &leaving).await,
+        0,
+        "a box that started after the signal"
+    );
 }
 
-/// The load: all endpoints of a service say so at once, and their successors stand in a store that is away.
+/// All endpoints of a service leave at once, while the store is down and their successors cannot be seen.
 #[tokio::test]
-async fn where_all_leave_requests_are_refused_at_once_until_others_are_known() {
-    let world = World::open(PAID, &["cancel", "confirm"]).await;
-    let word = Word::default();
+async fn requests_are_refused_at_once_when_all_endpoints_leave() {
+    let harness = Harness::start(PAID, &["cancel", "confirm"]).await;
+    let signal = LeavingSignal::default();
     let mut leaving = Vec::new();
     for id in ["i-1", "i-2"] {
-        leaving.push(world.endpoint(id, "plain", word.script()).await);
+        leaving.push(harness.endpoint(id, "plain", signal.script()).await);
     }
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    world.platform.set(|faults| faults.down = true);
-    word.says(true);
-    until("all said so", async || {
-        call(gateway.callers(), "/cancel/x", &world.asked("key-b", 1, 1)).await;
+    let gateway = harness.gateway("box-1").await;
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
+    harness.platform.set(|faults| faults.down = true);
+    signal.set(true);
+    wait_until("all have signalled that they are leaving", async || {
+        call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
         gateway.leaving() == 2
     })
     .await;
-    tokio::time::sleep(BOUND).await;
+    tokio::time::sleep(MAX_SIGNAL_DELAY).await;
     let before: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
     for path in ["/cancel/x", "/confirm/x"] {
         let sent = Instant::now();
-        let got = call(gateway.callers(), path, &world.asked("key-b", 1, 1)).await;
-        assert!(sent.elapsed() < BOUND / 2, "it waited {:?}", sent.elapsed());
-        assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE, "{got:?}");
-        assert!(got.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{got:?}");
-        assert_eq!(got.headers["retry-after"], "1.000", "{got:?}");
+        let response = call(gateway.callers(), path, &harness.new_request("key-b", 1, 1)).await;
+        assert!(sent.elapsed() < MAX_SIGNAL_DELAY / 2, "the refusal took {:?}", sent.elapsed());
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE, "{response:?}");
+        assert!(response.body.as_ref().is_ok_and(|body| body.contains("not_run")), "{response:?}");
+        assert_eq!(response.headers["retry-after"], "1.000", "{response:?}");
     }
     let after: usize = leaving.iter().map(|endpoint| endpoint.arrived().len()).sum();
-    assert_eq!(after, before, "nothing reaches them");
-    let _successor = world.endpoint("i-3", "plain", Word::default().script()).await;
-    world.platform.set(|faults| faults.down = false);
-    until_served(&world, &gateway, "/cancel/x").await;
+    assert_eq!(after, before, "no request reaches the endpoints");
+    let _successor = harness.endpoint("i-3", "plain", LeavingSignal::default().script()).await;
+    harness.platform.set(|faults| faults.down = false);
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
 }
 
-/// The load: a word that an endpoint says for ever, also of a box that has lost everybody.
+/// A box without store and peers goes on avoiding the endpoint, and so it does when an entry says ready again.
 #[tokio::test]
-async fn a_box_alone_holds_to_it() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let word = Word::default();
-    let leaving = world.endpoint("i-1", "plain", word.script()).await;
-    let _stays = world.endpoint("i-2", "plain", Word::default().script()).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    word.says(true);
-    reach(&world, &gateway, &leaving).await;
+async fn isolated_box_keeps_avoiding_a_leaving_endpoint() {
+    let harness = Harness::start(PAID, &["cancel"]).await;
+    let signal = LeavingSignal::default();
+    let leaving = harness.endpoint("i-1", "plain", signal.script()).await;
+    let _stays = harness.endpoint("i-2", "plain", LeavingSignal::default().script()).await;
+    let (gateway, link) = harness.gateway_with_link("box-1").await;
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
+    signal.set(true);
+    send_until_arrival(&harness, &gateway, &leaving).await;
     link.set_cut(true);
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "cut off");
-    world.list("i-1", "plain", leaving.address(), true).await;
+    assert_eq!(count_arrivals(&harness, &gateway, &leaving).await, 0, "cut off from the store");
+    harness.write_entry("i-1", "plain", leaving.address(), true).await;
     link.set_cut(false);
-    world.configure(2, PAID, &["cancel", "open"]).await;
-    until_served(&world, &gateway, "/open/x").await;
-    assert_eq!(arrive(&world, &gateway, &leaving).await, 0, "with an entry that says ready");
+    harness.configure(2, PAID, &["cancel", "open"]).await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    assert_eq!(
+        count_arrivals(&harness, &gateway, &leaving).await,
+        0,
+        "with an entry that says ready"
+    );
 }
 
-/// Another endpoint answers at the address: what it says is not of the one that was meant.
+/// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
-async fn what_another_one_at_the_address_says_is_not_held_against_an_endpoint() {
-    let world = World::open(PAID, &["cancel"]).await;
-    let other = Word::default();
-    let says = other.clone();
-    let meant = world.endpoint("i-1", "plain", move |arrived| {
-        if !says.0.load(Ordering::Relaxed) {
-            return answers(arrived);
+async fn signals_of_misdirected_responses_are_ignored() {
+    let harness = Harness::start(PAID, &["cancel"]).await;
+    let other = LeavingSignal::default();
+    let shared_signal = other.clone();
+    let endpoint = harness.endpoint("i-1", "plain", move |arrived| {
+        if !shared_signal.0.load(Ordering::Relaxed) {
+            return answer_ok(arrived);
         }
         let (status, mut headers) = played::misdirected(&arrived.told.id);
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static("60"));
-        Reply::Whole(status, leaves(headers), "not here".into())
+        Reply::Whole(status, with_leaving_header(headers), "not here".into())
     });
-    let meant = meant.await;
-    let _stays = world.endpoint("i-2", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/cancel/x").await;
-    other.says(true);
-    reach(&world, &gateway, &meant).await;
-    other.says(false);
-    assert_eq!((gateway.leaving(), gateway.resting()), (0, 0));
-    reach(&world, &gateway, &meant).await;
+    let endpoint = endpoint.await;
+    let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
+    let gateway = harness.gateway("box-1").await;
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
+    other.set(true);
+    send_until_arrival(&harness, &gateway, &endpoint).await;
+    other.set(false);
+    assert_eq!((gateway.leaving(), gateway.backing_off()), (0, 0));
+    send_until_arrival(&harness, &gateway, &endpoint).await;
 }
--- a/crates/gateway/tests/loopback/main.rs
+++ b/crates/gateway/tests/loopback/main.rs
@@ -1,15 +1,15 @@
-//! Real gateways over loopback, between the stand-in store and scripted endpoints.
+//! End-to-end tests: real gateways on loopback, with the stand-in store and scripted endpoints.
 
-mod crash;
+mod back_off;
+mod box_crash;
 mod endpoints;
-mod fleet;
+mod harness;
+mod keepers;
 mod leaving;
-mod limit;
-mod news;
 mod outage;
-mod path;
 mod prompts;
+mod proxy;
 mod quarantine;
-mod rest;
+mod rate_limit;
 mod suspended;
-mod world;
+mod sync;
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -1,137 +1,147 @@
-//! Boxes that lose the store and find it again.
+//! Boxes that lose the connection to the store and regain it.
 
 use std::{net::IpAddr, time::Duration};
 
-use crate::world::{World, answers, call, charged, until, until_served};
+use crate::harness::{Harness, answer_ok, call, charged_tokens, wait_until, wait_until_served};
 use http::StatusCode;
 
 #[tokio::test]
-async fn a_watch_that_died_in_a_cut_is_replaced_when_the_store_is_back() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
-    // Connections that were open when the cut began never carry a byte again.
+async fn dead_watch_is_replaced_when_the_store_is_back() {
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
+    let (gateway, link) = harness.gateway_with_link("box-1").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    // Open connections stay open but carry no more bytes.
     link.lose_open();
-    world.configure(2, 1_000_000, &["open", "cancel"]).await;
+    harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
-    // Far below the 20 s after which the watch itself would end.
-    let served = until_served(&world, &gateway, "/cancel/x");
+    // Well below the time limit of the watch itself.
+    let served = wait_until_served(&harness, &gateway, "/cancel/x");
     tokio::time::timeout(Duration::from_secs(12), served)
         .await
         .expect("the new version is in force");
 }
 
 #[tokio::test]
-async fn a_box_without_the_store_serves_on_its_grants_and_borrows() {
-    let world = World::open(100_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("i-1", "plain", answers).await;
-    let _engine = world.endpoint("i-2", "engines", answers).await;
-    let one = world.gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/open/x").await;
-    until_served(&world, &two, "/open/x").await;
-    // Box 1 draws tokens, and its use makes it hold more.
-    until_served(&world, &one, "/stream/x").await;
-    until("box 1 holds tokens and both know each other", async || {
-        call(one.callers(), "/stream/x", &world.asked("key-b", 2_000, 10)).await;
-        call(two.callers(), "/stream/x", &world.asked("key-b", 1, 1)).await;
+async fn box_without_store_serves_from_grants_and_loans() {
+    let harness = Harness::start(100_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("i-1", "plain", answer_ok).await;
+    let _engine = harness.endpoint("i-2", "engines", answer_ok).await;
+    let one = harness.gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    wait_until_served(&harness, &one, "/open/x").await;
+    wait_until_served(&harness, &two, "/open/x").await;
+    // Requests make box 1 draw tokens ahead.
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until("box 1 holds tokens and both know each other", async || {
+        call(one.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
+        call(two.callers(), "/stream/x", &harness.new_request("key-b", 1, 1)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        one.balance("bornova").free > 9_000 && two.knows_peers() > 0 && one.knows_peers() > 0
+        one.balance("bornova").free > 9_000 && two.peer_count() > 0 && one.peer_count() > 0
     })
     .await;
-    world.platform.set(|faults| faults.down = true);
+    harness.platform.set(|faults| faults.down = true);
     let worst = two.balance("bornova").free + 2_000;
-    let got = call(two.callers(), "/stream/x", &world.asked("key-b", worst - 10, 10)).await;
-    assert_eq!(got.status, StatusCode::OK, "{got:?}");
+    let response =
+        call(two.callers(), "/stream/x", &harness.new_request("key-b", worst - 10, 10)).await;
+    assert_eq!(response.status, StatusCode::OK, "{response:?}");
     let all = one.balance("bornova").free + two.balance("bornova").free;
-    let got = call(two.callers(), "/stream/x", &world.asked("key-b", all + 1, 1)).await;
-    assert_eq!(got.status, StatusCode::TOO_MANY_REQUESTS, "nobody has that many: {got:?}");
-    assert!(got.headers.contains_key("retry-after"));
+    let response =
+        call(two.callers(), "/stream/x", &harness.new_request("key-b", all + 1, 1)).await;
+    assert_eq!(
+        response.status,
+        StatusCode::TOO_MANY_REQUESTS,
+        "more than both boxes hold: {response:?}"
+    );
+    assert!(response.headers.contains_key("retry-after"));
 }
 
 #[tokio::test]
-async fn a_box_that_the_store_turns_away_keeps_what_it_knows() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let _endpoint = world.endpoint("i-1", "plain", answers).await;
-    let gateway = world.gateway("box-1").await;
-    until_served(&world, &gateway, "/open/x").await;
-    let me: IpAddr = [127, 0, 0, 1].into();
-    world.platform.set(|faults| {
-        faults.turns_away.insert(me);
+async fn box_rejected_by_the_store_keeps_its_view() {
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let _endpoint = harness.endpoint("i-1", "plain", answer_ok).await;
+    let gateway = harness.gateway("box-1").await;
+    wait_until_served(&harness, &gateway, "/open/x").await;
+    let client_ip: IpAddr = [127, 0, 0, 1].into();
+    harness.platform.set(|faults| {
+        faults.turns_away.insert(client_ip);
     });
     for _ in 0..20 {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
-        assert_eq!(got.status, StatusCode::OK);
+        let response =
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
-    world.platform.set(|faults| faults.turns_away.clear());
-    world.configure(2, 1_000_000, &["open", "cancel"]).await;
-    until_served(&world, &gateway, "/cancel/x").await;
+    harness.platform.set(|faults| faults.turns_away.clear());
+    harness.configure(2, 1_000_000, &["open", "cancel"]).await;
+    wait_until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_store_settle_every_token_once() {
+async fn lost_store_responses_settle_every_token_once() {
     for late in [Duration::ZERO, Duration::from_millis(400)] {
-        let world = World::open(1_000_000, &["stream"]).await;
-        let _engine = world.endpoint("i-1", "engines", answers).await;
-        let gateway = world.gateway("box-1").await;
-        until_served(&world, &gateway, "/stream/x").await;
-        world.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
+        let harness = Harness::start(1_000_000, &["stream"]).await;
+        let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
+        let gateway = harness.gateway("box-1").await;
+        wait_until_served(&harness, &gateway, "/stream/x").await;
+        harness.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
         for _ in 0..40 {
-            call(gateway.callers(), "/stream/x", &world.asked("key-b", 1_000, 10)).await;
+            call(gateway.callers(), "/stream/x", &harness.new_request("key-b", 1_000, 10)).await;
         }
-        world.platform.set(|faults| faults.lose_answers = 0.0);
-        let charged = charged(&gateway);
+        harness.platform.set(|faults| faults.lose_answers = 0.0);
+        let charged_tokens = charged_tokens(&gateway);
         gateway.stop().await;
-        until("the last settlement landed", async || {
-            let book = world.book().await;
-            let of = &book.ledgers["bornova"];
-            of.statement.tokens == charged && of.spent == charged && of.grants.is_empty()
+        wait_until("the last settlement is in the book", async || {
+            let book = harness.book().await;
+            let ledger = &book.ledgers["bornova"];
+            ledger.statement.tokens == charged_tokens
+                && ledger.spent == charged_tokens
+                && ledger.grants.is_empty()
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn a_box_that_never_had_a_configuration_says_so() {
-    let world = World::open(1_000, &["open"]).await;
-    world.platform.set(|faults| faults.down = true);
-    let gateway = world.gateway("box-1").await;
-    let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(got.body.expect("a body").contains("no_config"));
+async fn box_without_configuration_reports_it() {
+    let harness = Harness::start(1_000, &["open"]).await;
+    harness.platform.set(|faults| faults.down = true);
+    let gateway = harness.gateway("box-1").await;
+    let response = call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.body.expect("a body").contains("no_config"));
     let ready = reqwest::get(format!("http://{}/ready", gateway.ready())).await.expect("an answer");
     assert_eq!(ready.status(), StatusCode::SERVICE_UNAVAILABLE);
 }
 
 #[tokio::test]
-async fn an_endpoint_that_was_heard_to_leave_gets_nothing_while_the_store_is_away() {
-    let world = World::open(1_000_000, &["open"]).await;
-    let leaving = world.endpoint("i-1", "plain", answers).await;
-    let stays = world.endpoint("i-2", "plain", answers).await;
-    let (gateway, link) = world.cut_gateway("box-1").await;
-    until("both are used", async || {
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+async fn draining_endpoint_stays_excluded_during_an_outage() {
+    let harness = Harness::start(1_000_000, &["open"]).await;
+    let leaving = harness.endpoint("i-1", "plain", answer_ok).await;
+    let stays = harness.endpoint("i-2", "plain", answer_ok).await;
+    let (gateway, link) = harness.gateway_with_link("box-1").await;
+    wait_until("both endpoints are in use", async || {
+        call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         !leaving.arrived().is_empty() && !stays.arrived().is_empty()
     })
     .await;
-    world.list("i-1", "plain", leaving.address(), false).await;
+    harness.write_entry("i-1", "plain", leaving.address(), false).await;
     let mut quiet = 0;
-    until("the box heard of it", async || {
+    wait_until("the box sends nothing more to the leaving endpoint", async || {
         let before = leaving.arrived().len();
-        call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
+        call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         quiet = if leaving.arrived().len() == before { quiet + 1 } else { 0 };
         quiet > 20
     })
     .await;
     link.set_cut(true);
     let before = leaving.arrived().len();
-    // Until after the calls that are under way have failed.
+    // Long enough for calls in flight to fail.
     let cut = tokio::time::Instant::now();
     while cut.elapsed() < Duration::from_secs(2) {
-        let got = call(gateway.callers(), "/open/x", &world.asked("key-b", 1, 1)).await;
-        assert_eq!(got.status, StatusCode::OK);
+        let response =
+            call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
     assert_eq!(leaving.arrived().len(), before);
 }
