--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -1,54 +1,60 @@
-//! What boxes tell each other of prompts.
+//! Boxes announce long prompts to each other, so that all of them avoid a busy engine.
 
-use crate::world::{World, answers, call, shared, until, until_served};
+use crate::harness::{Harness, answer_ok, call, shared, wait_until, wait_until_served};
 use platform::request::Part;
 use standin::{Arrived, Reply, Scripted};
 
-/// Requests in a row that would hardly all go to one of two engines by chance.
-const IN_A_ROW: usize = 20;
+/// Consecutive requests that hardly all go to the same one of two engines by chance.
+const CONSECUTIVE_REQUESTS: usize = 20;
 
-fn long(engine: &Scripted) -> bool {
+fn received_long_prompt(engine: &Scripted) -> bool {
     engine.arrived().iter().any(|arrived| arrived.line.contains("/stream/long"))
 }
 
 #[tokio::test]
-async fn a_box_passes_over_an_engine_that_reads_a_long_prompt_of_another_box() {
-    let world = World::open(10_000_000, &["stream", "open"]).await;
-    let _plain = world.endpoint("p-1", "plain", answers).await;
-    // An engine that reads a long prompt says nothing until it has.
+async fn boxes_avoid_an_engine_that_reads_a_long_prompt_of_another_box() {
+    let harness = Harness::start(10_000_000, &["stream", "open"]).await;
+    let _plain = harness.endpoint("p-1", "plain", answer_ok).await;
+    // An engine sends nothing while it reads a long prompt.
     let script = shared(|arrived: &Arrived| match arrived.line.contains("/stream/long") {
         true => Reply::Silent,
-        false => answers(arrived),
+        false => answer_ok(arrived),
     });
     let engines = [
-        world.endpoint("e-1", "engines", script.clone()).await,
-        world.endpoint("e-2", "engines", script).await,
+        harness.endpoint("e-1", "engines", script.clone()).await,
+        harness.endpoint("e-2", "engines", script).await,
     ];
-    let one = world.gateway("box-1").await;
-    let two = world.gateway("box-2").await;
-    until_served(&world, &one, "/stream/x").await;
-    until_served(&world, &two, "/stream/x").await;
-    until("both know each other and both engines", async || {
-        call(two.callers(), "/stream/x", &world.asked("key-b", 10, 1)).await;
+    let one = harness.gateway("box-1").await;
+    let two = harness.gateway("box-2").await;
+    wait_until_served(&harness, &one, "/stream/x").await;
+    wait_until_served(&harness, &two, "/stream/x").await;
+    wait_until("both boxes know each other and both engines", async || {
+        call(two.callers(), "/stream/x", &harness.new_request("key-b", 10, 1)).await;
         let known = engines.iter().all(|engine| !engine.arrived().is_empty());
-        known && one.knows_peers() > 0 && two.knows_peers() > 0
+        known && one.peer_count() > 0 && two.peer_count() > 0
     })
     .await;
-    let mut asked = world.asked("key-b", 50_000, 10);
-    asked.parts = vec![Part { id: 1, tokens: 50_000 }];
+    let mut req = harness.new_request("key-b", 50_000, 10);
+    req.parts = vec![Part { id: 1, tokens: 50_000 }];
     let callers = one.callers();
-    let waits = tokio::spawn(async move { call(callers, "/stream/long", &asked).await });
-    until("an engine has it", async || engines.iter().any(long)).await;
-    let other = engines.iter().find(|engine| !long(engine)).expect("one has it");
-    until("box 2 uses the other engine alone", async || {
+    let pending = tokio::spawn(async move { call(callers, "/stream/long", &req).await });
+    wait_until("an engine receives the long prompt", async || {
+        engines.iter().any(received_long_prompt)
+    })
+    .await;
+    let other = engines
+        .iter()
+        .find(|engine| !received_long_prompt(engine))
+        .expect("only one engine received the long prompt");
+    wait_until("box 2 uses only the other engine", async || {
         let before = other.arrived().len();
-        for id in 0..IN_A_ROW as u64 {
-            let mut asked = world.asked("key-b", 10, 1);
-            asked.parts = vec![Part { id: 100 + id, tokens: 10 }];
-            call(two.callers(), "/stream/x", &asked).await;
+        for id in 0..CONSECUTIVE_REQUESTS as u64 {
+            let mut req = harness.new_request("key-b", 10, 1);
+            req.parts = vec![Part { id: 100 + id, tokens: 10 }];
+            call(two.callers(), "/stream/x", &req).await;
         }
-        other.arrived().len() == before + IN_A_ROW
+        other.arrived().len() == before + CONSECUTIVE_REQUESTS
     })
     .await;
-    waits.abort();
+    pending.abort();
 }
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -1,24 +1,26 @@
-//! Whom boxes ask for tokens.
+//! The order in which a box asks keepers for tokens.
 
 use std::collections::BTreeSet;
 
-use gateway::{Place, order, times_apart};
+use gateway::{Profile, interval_factor, keepers};
 use ledger::Incarnation;
 
-fn place(name: &str, zone: &str, strength: u64) -> Place {
-    Place { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, strength: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
-fn asked(fleet: &[Place], me: usize) -> Vec<String> {
-    let others: Vec<Place> = fleet.iter().filter(|place| **place != fleet[me]).cloned().collect();
-    order(&fleet[me], &others).iter().map(|name| name.box_name().to_owned()).collect()
+fn asked(fleet: &[Profile], index: usize) -> Vec<String> {
+    let others: Vec<Profile> =
+        fleet.iter().filter(|profile| **profile != fleet[index]).cloned().collect();
+    keepers(&fleet[index], &others).iter().map(|name| name.box_name().to_owned()).collect()
 }
 
-/// Zones of so many boxes each, the first box of each zone the strongest.
-fn fleet(zones: &[(&str, usize)]) -> Vec<Place> {
+/// A fleet with this number of boxes in each zone; the first box of a zone is the strongest.
+fn fleet(zones: &[(&str, usize)]) -> Vec<Profile> {
     let boxes = zones.iter().flat_map(|(zone, count)| {
-        (0..*count).map(move |n| place(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
+        (0..*count)
+            .map(move |n| profile(&format!("{zone}-{n}"), zone, if n == 0 { 50 } else { 10 }))
     });
     boxes.collect()
 }
@@ -26,43 +28,42 @@
 #[test]
 fn the_strongest_box_of_the_zone_comes_first() {
     let fleet = fleet(&[("bornova", 19), ("buca", 16), ("cigli", 18)]);
-    for me in 0..fleet.len() {
-        let asked = asked(&fleet, me);
-        assert_eq!(asked[0], format!("{}-0", fleet[me].zone), "{}", fleet[me].name);
+    for index in 0..fleet.len() {
+        let asked = asked(&fleet, index);
+        assert_eq!(asked[0], format!("{}-0", fleet[index].zone), "{}", fleet[index].name);
     }
 }
 
 #[test]
 fn boxes_of_a_zone_agree_and_the_other_zones_come_last() {
     let fleet = fleet(&[("bornova", 19), ("buca", 16), ("cigli", 18)]);
-    let of_buca = |me: &usize| &*fleet[*me].zone == "buca";
+    let of_buca = |index: &usize| &*fleet[*index].zone == "buca";
     let orders: BTreeSet<Vec<String>> =
-        (0..fleet.len()).filter(of_buca).map(|me| asked(&fleet, me)).collect();
+        (0..fleet.len()).filter(of_buca).map(|index| asked(&fleet, index)).collect();
     assert_eq!(orders.len(), 1, "{orders:?}");
-    let order = orders.first().expect("one");
+    let keepers = orders.first().expect("one");
     let zones: Vec<&str> =
-        order.iter().map(|name| name.split('-').next().expect("a zone")).collect();
+        keepers.iter().map(|name| name.split('-').next().expect("a zone")).collect();
     assert_eq!(zones[..3], ["buca"; 3]);
     assert_eq!(zones[3..].iter().collect::<BTreeSet<_>>().len(), 2, "{zones:?}");
 }
 
-/// The load: 18 boxes in six zones, of which 12 wrote the book in turn when each zone had a keeper, and
-/// every second write met another one.
+/// With a keeper in each zone, a small fleet in many zones would have too many writers of the book.
 #[test]
-fn keepers_grow_with_boxes_and_not_with_zones() {
+fn number_of_keepers_depends_on_boxes_not_zones() {
     for (boxes, zones, count) in [(7, 3, 3), (23, 6, 3), (89, 4, 3), (295, 6, 6), (300, 2, 2)] {
         let zone = ["a", "b", "c", "d", "e", "f"];
-        let fleet: Vec<Place> =
-            (0..boxes).map(|n| place(&format!("box-{n}"), zone[n % zones], 10)).collect();
-        let asked: Vec<Vec<String>> = (0..boxes).map(|me| asked(&fleet, me)).collect();
+        let fleet: Vec<Profile> =
+            (0..boxes).map(|n| profile(&format!("box-{n}"), zone[n % zones], 10)).collect();
+        let asked: Vec<Vec<String>> = (0..boxes).map(|index| asked(&fleet, index)).collect();
         let first: BTreeSet<&String> = asked.iter().map(|asked| &asked[0]).collect();
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
-        for (me, asked) in asked.iter().enumerate() {
-            let name = fleet[me].name.box_name();
-            let keeps = first.iter().any(|first| **first == name);
-            assert_eq!(keeps, asked[0] == name, "a keeper is its own first choice");
+        for (index, asked) in asked.iter().enumerate() {
+            let name = fleet[index].name.box_name();
+            let is_keeper = first.iter().any(|first| **first == name);
+            assert_eq!(is_keeper, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
-            assert!(first.is_subset(&tried), "all keepers are tried: {asked:?}");
+            assert!(first.is_subset(&tried), "all keepers are asked: {asked:?}");
         }
     }
 }
@@ -74,16 +75,16 @@
         (vec![("a", 2)], 1, vec!["a-0", "a-1"]),
         (vec![("a", 1), ("b", 1)], 1, vec!["b-0", "a-0"]),
     ];
-    for (zones, me, want) in cases {
-        assert_eq!(asked(&fleet(&zones), me), want, "{zones:?}");
+    for (zones, index, want) in cases {
+        assert_eq!(asked(&fleet(&zones), index), want, "{zones:?}");
     }
 }
 
 #[test]
-fn boxes_that_are_alike_share_the_work_over_zones() {
-    // Names decide: the first box by name is not the keeper of every zone.
+fn equal_boxes_share_the_work_across_zones() {
+    // The same box name must not become the keeper in every zone.
     let boxes =
-        |zone: &str| (0..8).map(|n| place(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
+        |zone: &str| (0..8).map(|n| profile(&format!("box-{n}"), zone, 10)).collect::<Vec<_>>();
     let firsts: BTreeSet<String> = ["a", "b", "c", "d", "e", "f"]
         .into_iter()
         .map(|zone| asked(&boxes(zone), 0)[0].clone())
@@ -91,10 +92,10 @@
     assert!(firsts.len() > 1, "{firsts:?}");
 }
 
-/// The load: six keepers of a large fleet and those that stood in for them, all of whom write one book.
+/// Guards against contention when the keepers of a large fleet and their standbys all write the one book.
 #[test]
-fn many_that_write_the_book_settle_no_more_often_together_than_few() {
+fn settlement_interval_grows_with_the_number_of_writers() {
     for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(times_apart(writers), times, "{writers} boxes write");
+        assert_eq!(interval_factor(writers), times, "{writers} writers");
     }
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -1,13 +1,13 @@
-//! How tasks of a box find the store again, on a paused clock.
+//! Probing for the store during an outage, on a paused clock.
 
 use std::time::Duration;
 
-use gateway::{Contact, Outage, Probe};
+use gateway::{Outage, Probe, Recovery};
 use tokio::time::Instant;
 
-/// The longest of many pauses of a task that finds nothing.
+/// The longest pause between many failed attempts of one task.
 async fn longest(probe: Probe) -> Duration {
-    let mut outage = Outage::new("store", probe, Contact::open());
+    let mut outage = Outage::new("store", probe, Recovery::open());
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
         outage.failed(&"no answer");
@@ -19,49 +19,49 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_task_looks_often_and_the_others_seldom() {
-    // What is missing from the first list after an outage counts as lapsed, not as gone: the list
-    // must follow the return closely.
-    assert!(longest(Probe::First).await <= Duration::from_millis(301));
-    assert!(longest(Probe::Later).await >= Duration::from_millis(1_000));
+async fn eager_task_probes_often_and_lazy_tasks_seldom() {
+    // Entries that are missing from the first list after an outage count as lapsed, not as removed, so the list
+    // must be read soon after the store is back.
+    assert!(longest(Probe::Eager).await <= Duration::from_millis(301));
+    assert!(longest(Probe::Lazy).await >= Duration::from_millis(1_000));
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_the_store_wakes_the_others() {
-    let contact = Contact::open();
-    let mut first = Outage::new("first", Probe::First, contact.clone());
-    let mut later = Outage::new("later", Probe::Later, contact);
-    first.failed(&"no answer");
-    let waits = tokio::spawn(async move {
+async fn first_success_wakes_the_other_tasks() {
+    let recovery = Recovery::open();
+    let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut lazy = Outage::new("later", Probe::Lazy, recovery);
+    eager.failed(&"no answer");
+    let waiting = tokio::spawn(async move {
         for _ in 0..10 {
-            later.failed(&"no answer");
-            later.pause().await;
+            lazy.failed(&"no answer");
+            lazy.pause().await;
         }
-        // The eleventh pause is at its longest.
+        // By the eleventh pause the back-off is at its maximum.
         let began = Instant::now();
-        later.pause().await;
+        lazy.pause().await;
         began.elapsed()
     });
     tokio::time::sleep(Duration::from_millis(10_050)).await;
-    assert!(first.answered().is_some());
-    let waited = waits.await.expect("no panic");
+    assert!(eager.answered().is_some());
+    let waited = waiting.await.expect("no panic");
     assert!(waited < Duration::from_millis(1_200), "woken after {waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_the_store_late_tells_how_old_its_outage_is() {
-    let contact = Contact::open();
-    let mut first = Outage::new("first", Probe::First, contact.clone());
-    let mut later = Outage::new("later", Probe::Later, contact.clone());
-    later.failed(&"no answer");
-    first.failed(&"no answer");
+async fn late_recovery_reports_the_start_of_its_outage() {
+    let recovery = Recovery::open();
+    let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
+    let mut lazy = Outage::new("later", Probe::Lazy, recovery.clone());
+    lazy.failed(&"no answer");
+    eager.failed(&"no answer");
     tokio::time::sleep(Duration::from_secs(8)).await;
-    assert!(first.answered().is_some());
-    // Others read anew now. What the later one says after that is about the time before.
+    assert!(eager.answered().is_some());
+    // The other tasks read the store again now; the later task reports the same outage after that.
     let read = Instant::now();
-    let told = tokio::spawn(async move { contact.regained().await });
+    let reported = tokio::spawn(async move { recovery.recovered().await });
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert!(later.answered().is_some());
-    let lost_since = told.await.expect("no panic");
-    assert!(lost_since < read, "it tells of an outage that began after the others had read");
+    assert!(lazy.answered().is_some());
+    let lost_since = reported.await.expect("no panic");
+    assert!(lost_since < read, "the outage is dated after the others have read the store again");
 }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings: what is read, and what a mistake is answered with.
+//! Parsing, validation and reloading of settings.
 
 use gateway::{Settings, settings::Cold};
 
-const GOOD: &str = r#"{
+const MINIMAL: &str = r#"{
   // As the platform renders it.
   "box": "front-bornova-1",
   "zone": "bornova",
@@ -13,19 +13,19 @@
 }"#;
 
 #[test]
-fn the_least_settings_are_enough() {
-    let settings = Settings::read(GOOD).expect("valid");
+fn minimal_settings_are_valid() {
+    let settings = Settings::read(MINIMAL).expect("valid");
     assert_eq!(&*settings.box_name, "front-bornova-1");
     assert_eq!(settings.listen.peers, None);
 }
 
 #[test]
-fn a_mistake_is_named_with_its_line() {
+fn errors_name_field_and_line() {
     let cases = [
         (r#""zone": "bornova""#, r#""zone": 7"#, "line 4: `zone`"),
         (r#""store": {"#, r#""store": { "timeout_ms": 1,"#, "`store.timeout_ms`: must be between"),
         (r#""store": {"#, r#""money": { "shar": 3 }, "store": {"#, "unknown field `shar`"),
-        // A request would give up before the settlement that is made for it.
+        // A request would give up before the settlement made for it.
         (
             r#""store": {"#,
             r#""money": { "store_ms": 40 }, "store": {"#,
@@ -34,13 +34,13 @@
         (r#"127.0.0.1:7000"#, r#"nowhere"#, "`store.address`: invalid socket address"),
     ];
     for (from, to, want) in cases {
-        let error = Settings::read(&GOOD.replace(from, to)).expect_err(to).to_string();
+        let error = Settings::read(&MINIMAL.replace(from, to)).expect_err(to).to_string();
         assert!(error.contains(want), "{to}: {error}");
     }
 }
 
 #[test]
-fn what_a_reload_leaves_to_the_next_start_is_named() {
+fn reload_names_settings_that_need_a_restart() {
     let cases = [
         (r#""zone": "bornova""#, r#""zone": "buca""#, vec!["zone"]),
         (
@@ -53,32 +53,32 @@
         (r#""store": {"#, r#""money": { "share": 100 }, "store": {"#, vec![]),
         (r#""store": {"#, r#""log": { "level": "warn" }, "store": {"#, vec!["log"]),
     ];
-    let before = Settings::read(GOOD).expect("valid");
+    let before = Settings::read(MINIMAL).expect("valid");
     for (from, to, want) in cases {
-        let after = Settings::read(&GOOD.replace(from, to)).expect("valid");
+        let after = Settings::read(&MINIMAL.replace(from, to)).expect("valid");
         assert_ne!(before, after);
         assert_eq!(before.read_at_start(&after), want, "{to}");
     }
 }
 
 #[test]
-fn the_example_is_valid_and_says_the_defaults() {
+fn example_is_valid_and_has_the_defaults() {
     let text = include_str!("../../../examples/gateway.jsonc");
     let example = Settings::read(text).expect("valid");
     assert_eq!(example.money, gateway::settings::Money::default());
     assert_eq!(example.store.timeout_ms, 1_000);
 }
 
-/// A part of the template that stands only where a value is given, without or with its marks.
+/// Renders an optional section of the template: drops its markers, and its content unless a value is given.
 fn section(text: &str, value: &str, given: bool) -> String {
     let (opens, closes) = (format!("{{{{#{value}}}}}"), format!("{{{{/{value}}}}}"));
-    let (before, rest) = text.split_once(&opens).expect("the part begins");
-    let (part, after) = rest.split_once(&closes).expect("and ends");
+    let (before, rest) = text.split_once(&opens).expect("the section opens");
+    let (part, after) = rest.split_once(&closes).expect("the section closes");
     [before, if given { part } else { "" }, after].concat()
 }
 
 #[test]
-fn the_template_renders_to_valid_settings() {
+fn template_renders_to_valid_settings() {
     let template = include_str!("../../../deploy/settings.jsonc");
     let fields = [
         ("{{node_name|json}}", "\"front-1\""),
@@ -93,16 +93,16 @@
         ("{{bounds.cold_overage|json}}", "1.5"),
         ("{{bounds.cold_slack|json}}", "5"),
     ];
-    let rendered = fields.iter().fold(template.to_owned(), |text, (gap, value)| {
-        assert!(text.contains(gap), "{gap} is not used any more");
-        text.replace(gap, value)
+    let rendered = fields.iter().fold(template.to_owned(), |text, (placeholder, value)| {
+        assert!(text.contains(placeholder), "{placeholder} is not in the template");
+        text.replace(placeholder, value)
     });
     for (given, cold) in [(true, Cold { factor: 1.5, extra: 5.0 }), (false, Cold::default())] {
         let rendered = section(&rendered, "bounds.cold_overage", given);
-        assert!(!rendered.contains("{{"), "a gap is not filled: {rendered}");
+        assert!(!rendered.contains("{{"), "a placeholder is left: {rendered}");
         let settings = Settings::read(&rendered).expect("valid");
         assert_eq!(settings.listen.peers.map(|address| address.port()), Some(7340));
-        assert_eq!(settings.machine.strength(), 20, "the link is the least of what the box has");
+        assert_eq!(settings.machine.strength(), 20, "the link is the scarcest resource");
         assert_eq!(settings.cold, cold);
     }
 }
--- /dev/null
+++ b/crates/quarantine/src/registry.rs
@@ -0,0 +1,220 @@
+//! All crash reports that a box knows, and the verdicts that follow from them.
+
+use std::{
+    collections::{BTreeSet, HashMap},
+    sync::Arc,
+};
+
+use crate::{Finding, Fingerprint, Report, answered::RecentAnswers};
+
+/// Maximum number of reports kept. Those that keep a request in quarantine are dropped last, so
+/// that many unrelated crashes do not free it.
+const MAX_REPORTS: usize = 1_024;
+/// Maximum number of requests that are read from one report; more than an endpoint runs at once.
+const MAX_REPORT_REQUESTS: usize = 256;
+/// How long a complete answer clears a request, in milliseconds: longer than callers wait and
+/// retry.
+const ANSWER_TTL_MS: u64 = 60_000;
+/// Order of a report that the store has not confirmed yet: later than all that it has.
+const NOT_STORED: u64 = u64::MAX;
+
+/// When a request is quarantined.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Limits {
+    /// Number of crashed endpoints from which on a request is quarantined.
+    pub ended: usize,
+    /// How long each crash counts, in seconds.
+    pub keep_s: u64,
+}
+
+/// Whether a request may be run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Verdict {
+    /// It may be run.
+    Allowed,
+    /// It may be run, although `ended` endpoints crashed with it.
+    Suspect { ended: usize },
+    /// It depends on possible crashes that are not confirmed yet, in addition to `ended` confirmed
+    /// ones.
+    Unconfirmed { ended: usize },
+    /// It must not be run for `for_s` seconds.
+    Quarantined { for_s: u64 },
+}
+
+#[derive(Debug)]
+struct Entry {
+    report: Report,
+    /// Version in the store, then order of arrival: the order in which things happened.
+    order: (u64, u64),
+}
+
+/// All crash reports that a box knows.
+#[derive(Debug)]
+pub struct Registry {
+    limits: Limits,
+    reports: HashMap<Arc<str>, Entry>,
+    /// Names of the reports that name a request.
+    by_request: HashMap<Fingerprint, BTreeSet<Arc<str>>>,
+    answered: RecentAnswers,
+    arrivals: u64,
+}
+
+impl Registry {
+    pub fn new(limits: Limits) -> Registry {
+        let (reports, by_request, answered) = Default::default();
+        Registry { limits, reports, by_request, answered, arrivals: 0 }
+    }
+
+    /// Adds a report, with its version if it comes from the store. Returns the requests in it that
+    /// this box knows to be innocent, each only once: the caller has to report them as answered.
+    pub fn take(
+        &mut self,
+        name: &Arc<str>,
+        version: Option<u64>,
+        mut report: Report,
+        now_s: u64,
+        now_ms: u64,
+    ) -> Vec<Fingerprint> {
+        self.expire(now_s);
+        if is_expired(&report, self.limits.keep_s, now_s) {
+            return Vec::new();
+        }
+        match self.reports.get_mut(name) {
+            Some(entry) => {
+                entry.order.0 = version.unwrap_or(entry.order.0);
+                return Vec::new();
+            }
+            None => self.arrivals += 1,
+        }
+        report.requests.truncate(MAX_REPORT_REQUESTS);
+        for request in &report.requests {
+            self.by_request.entry(request.clone()).or_default().insert(name.clone());
+        }
+        let requests = report.requests.clone();
+        let order = (version.unwrap_or(NOT_STORED), self.arrivals);
+        self.reports.insert(name.clone(), Entry { report, order });
+        self.trim();
+        requests.into_iter().filter(|request| self.take_clearance(request, now_ms)).collect()
+    }
+
+    /// Records that an endpoint answered a request completely. Returns whether the caller has to
+    /// report that, because the request is in quarantine or about to be.
+    pub fn answered(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
+        self.answered.add(request, now_ms);
+        self.take_clearance(request, now_ms)
+    }
+
+    /// Whether to clear a request that is in quarantine, or would be after one more crash. True
+    /// only once per answer.
+    fn take_clearance(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
+        let is_near_quarantine = self.by_request.contains_key(request)
+            && self.crashed_with(request).len() + 1 >= self.limits.ended;
+        is_near_quarantine && self.answered.take(request, now_ms.saturating_sub(ANSWER_TTL_MS))
+    }
+
+    /// Endpoint instances that crashed with a request since it was last answered completely, with
+    /// the second of the report.
+    fn crashed_with(&self, request: &Fingerprint) -> HashMap<&Arc<str>, u64> {
+        let names = self.by_request.get(request).into_iter().flatten();
+        let entries: Vec<&Entry> = names.filter_map(|name| self.reports.get(name)).collect();
+        let answers = entries.iter().filter(|entry| entry.report.finding == Finding::Answered);
+        let cleared = answers.map(|entry| entry.order).max().unwrap_or_default();
+        let since = entries.iter().filter(|entry| entry.order > cleared);
+        let crashes = since.filter_map(|entry| match &entry.report.finding {
+            Finding::Ended { endpoint } => Some((endpoint, entry.report.at_s)),
+            Finding::Answered => None,
+        });
+        crashes.collect()
+    }
+
+    /// Whether a request may be run. `unconfirmed` are endpoint instances that may have crashed with
+    /// it. They never put it in quarantine, because a quarantine lasts long and they are confirmed
+    /// within milliseconds.
+    pub fn verdict(&self, request: &Fingerprint, unconfirmed: &[Arc<str>], now_s: u64) -> Verdict {
+        let keep_s = self.limits.keep_s;
+        let mut ended = self.crashed_with(request);
+        ended.retain(|_, at| *at + keep_s > now_s);
+        let confirmed = ended.len();
+        let pending: BTreeSet<_> =
+            unconfirmed.iter().filter(|instance| !ended.contains_key(instance)).collect();
+        match confirmed {
+            _ if confirmed >= self.limits.ended => {
+                let mut seconds: Vec<u64> = ended.into_values().collect();
+                seconds.sort_unstable();
+                // The quarantine ends when so many crashes have expired that one fewer than needed
+                // is left.
+                let last = seconds[confirmed - self.limits.ended];
+                Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
+            }
+            _ if confirmed + pending.len() >= self.limits.ended => {
+                Verdict::Unconfirmed { ended: confirmed }
+            }
+            0 => Verdict::Allowed,
+            _ => Verdict::Suspect { ended: confirmed },
+        }
+    }
+
+    /// Whether a report is known.
+    pub fn contains(&self, name: &str) -> bool {
+        self.reports.contains_key(name)
+    }
+
+    pub fn len(&self) -> usize {
+        self.reports.len()
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.reports.is_empty()
+    }
+
+    /// Number of quarantined requests.
+    pub fn quarantined(&self) -> usize {
+        self.by_request.keys().filter(|request| self.is_quarantined(request)).count()
+    }
+
+    fn is_quarantined(&self, request: &Fingerprint) -> bool {
+        self.crashed_with(request).len() >= self.limits.ended
+    }
+
+    /// Removes expired reports.
+    pub fn expire(&mut self, now_s: u64) {
+        let keep_s = self.limits.keep_s;
+        let expired =
+            self.reports.iter().filter(|(_, entry)| is_expired(&entry.report, keep_s, now_s));
+        let expired: Vec<Arc<str>> = expired.map(|(name, _)| name.clone()).collect();
+        expired.iter().for_each(|name| self.forget(name));
+    }
+
+    /// Removes a report.
+    pub fn forget(&mut self, name: &str) {
+        let Some(entry) = self.reports.remove(name) else { return };
+        for request in &entry.report.requests {
+            if let Some(names) = self.by_request.get_mut(request) {
+                names.remove(name);
+            }
+            if self.by_request.get(request).is_some_and(BTreeSet::is_empty) {
+                self.by_request.remove(request);
+            }
+        }
+    }
+
+    /// Drops a quarter of the reports once there are too many, so that this happens rarely.
+    fn trim(&mut self) {
+        if self.reports.len() <= MAX_REPORTS {
+            return;
+        }
+        let keeps_quarantine =
+            |entry: &Entry| entry.report.requests.iter().any(|it| self.is_quarantined(it));
+        let rank = |entry: &Entry| (keeps_quarantine(entry), entry.order);
+        let ranked = self.reports.iter().map(|(name, entry)| (rank(entry), name.clone()));
+        let mut ranked: Vec<((bool, _), Arc<str>)> = ranked.collect();
+        ranked.sort();
+        ranked.iter().take(MAX_REPORTS / 4).for_each(|(_, name)| self.forget(name));
+    }
+}
+
+/// Whether a report is expired. One from far in the future counts as expired, because it would
+/// not expire in time.
+fn is_expired(report: &Report, keep_s: u64, now_s: u64) -> bool {
+    report.at_s + keep_s <= now_s || report.at_s > now_s + keep_s
+}
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames survive the trip; everything else is a typed error, never a panic.
+//! Messages survive encoding and decoding; malformed input gives a typed error, never a panic.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -10,8 +10,8 @@
 use proptest::prelude::*;
 use timeline::Stamp;
 use wire::{
-    Answer, Error, Frame, MAX_BYTES, Message, NEWEST, OLDEST, Peer, Question, Server, Told, decode,
-    encode,
+    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, Question,
+    Server, Status, decode, encode,
 };
 
 fn message(frame: Frame) -> Message {
@@ -28,7 +28,7 @@
             let (kind, name) = (kind.into(), name.into());
             Frame::Call(Question::Put { kind, name, value: "{}".into(), version })
         }),
-        any::<u64>().prop_map(|newest| Frame::Tell(Told {
+        any::<u64>().prop_map(|newest| Frame::Status(Status {
             in_flight: vec![("pool".into(), Vec::new())],
             newest,
             versions: 1,
@@ -42,20 +42,20 @@
 
 proptest! {
     #[test]
-    fn frames_survive_in_every_format(frame in frame(), format in OLDEST..=NEWEST) {
+    fn messages_round_trip_in_every_format(frame in frame(), format in OLDEST_FORMAT..=NEWEST_FORMAT) {
         let sent = message(frame);
         let bytes = encode(&sent, format).unwrap();
         prop_assert_eq!(decode(&bytes).unwrap(), (sent, format));
     }
 
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 
     #[test]
     fn a_flipped_byte_never_panics(frame in frame(), at in any::<usize>(), with in any::<u8>()) {
-        let mut bytes = encode(&message(frame), NEWEST).unwrap();
+        let mut bytes = encode(&message(frame), NEWEST_FORMAT).unwrap();
         let at = at % bytes.len();
         bytes[at] = with;
         let _ = decode(&bytes);
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn newer_formats_and_large_messages_are_refused_by_name() {
-    let mut bytes = encode(&message(Frame::Done), NEWEST).unwrap();
-    bytes[0] = (NEWEST + 1) as u8;
-    assert!(matches!(decode(&bytes), Err(Error::Format { format }) if format == NEWEST + 1));
-    assert!(matches!(decode(&vec![0; MAX_BYTES + 1]), Err(Error::TooLarge { .. })));
-    let large = Frame::Refused { reason: "x".repeat(MAX_BYTES).into() };
-    assert!(encode(&message(large), NEWEST).is_err());
+fn newer_formats_and_large_messages_are_typed_errors() {
+    let mut bytes = encode(&message(Frame::Done), NEWEST_FORMAT).unwrap();
+    bytes[0] = (NEWEST_FORMAT + 1) as u8;
+    assert!(matches!(decode(&bytes), Err(Error::Format { format }) if format == NEWEST_FORMAT + 1));
+    assert!(matches!(decode(&vec![0; MAX_MESSAGE_BYTES + 1]), Err(Error::TooLarge { .. })));
+    let large = Frame::Refused { reason: "x".repeat(MAX_MESSAGE_BYTES).into() };
+    assert!(encode(&message(large), NEWEST_FORMAT).is_err());
 }
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
@@ -84,20 +84,20 @@
 }
 
 #[tokio::test]
-async fn old_and_new_boxes_understand_each_other() {
+async fn all_supported_formats_are_answered() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
-    for format in OLDEST..=NEWEST {
-        let peer = Peer::new(server.address(), LOOPBACK).speaking(format);
+    for format in OLDEST_FORMAT..=NEWEST_FORMAT {
+        let peer = Peer::new(server.address(), LOOPBACK).with_format(format);
         let answer = peer.ask(&message(Frame::Accepted), Duration::from_secs(5)).await.unwrap();
         assert_eq!(answer.frame, Frame::Accepted);
     }
-    let newer = Peer::new(server.address(), LOOPBACK).speaking(NEWEST + 1);
+    let newer = Peer::new(server.address(), LOOPBACK).with_format(NEWEST_FORMAT + 1);
     let refused = newer.ask(&message(Frame::Done), Duration::from_secs(5)).await;
     assert!(matches!(refused, Err(Error::Malformed { .. })), "{refused:?}");
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_is_a_typed_error() {
+async fn a_stopped_peer_is_a_typed_error() {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), Arc::new(Echo)).await.unwrap();
     let peer = Peer::new(server.address(), LOOPBACK);
     peer.ask(&message(Frame::Done), Duration::from_secs(5)).await.unwrap();
@@ -107,13 +107,14 @@
     assert!(gone.is_err(), "{gone:?}");
 }
 
-/// Forwards to `target`, but for connections that were open when `lost` last grew: they stay open
-/// and carry nothing more.
+/// Forwards connections to `target`. Those opened before `lost` last grew stay open but forward no
+/// more data.
 async fn lossy_link(
     target: std::net::SocketAddr,
     lost: tokio::sync::watch::Receiver<u64>,
 ) -> std::net::SocketAddr {
-    let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+    let listener =
+        tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     tokio::spawn(async move {
         while let Ok((mut near, _)) = listener.accept().await {
@@ -128,7 +129,7 @@
                     silent = silent => silent,
                 };
                 if silent {
-                    // Both ends stay open.
+                    // Keeps both ends open.
                     std::future::pending::<()>().await;
                 }
             });
@@ -138,14 +139,14 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_went_silent_is_replaced() {
+async fn a_half_open_connection_is_replaced() {
     let server =
-        Server::bind((Ipv4Addr::LOCALHOST, 0).into(), Arc::new(Echo)).await.expect("a port");
+        Server::bind((Ipv4Addr::LOCALHOST, 0).into(), Arc::new(Echo)).await.expect("a free port");
     let (lose, lost) = tokio::sync::watch::channel(0);
     let peer = Peer::new(lossy_link(server.address(), lost).await, IpAddr::V4(Ipv4Addr::LOCALHOST));
     let ask = async |within| peer.ask(&message(Frame::Done), Duration::from_millis(within)).await;
     assert!(ask(5_000).await.is_ok());
     lose.send_replace(1);
-    assert!(matches!(ask(100).await, Err(Error::Late)), "it went silent");
-    assert!(ask(5_000).await.is_ok(), "a new one is opened");
+    assert!(matches!(ask(100).await, Err(Error::Timeout)), "the connection is half-open");
+    assert!(ask(5_000).await.is_ok(), "a new connection replaces it");
 }
