--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -1,4 +1,4 @@
-//! One box's handle on one budget.
+//! State of one budget in a session.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::usage::Usage;
 
-/// A ledger write whose answer was lost.
+/// A ledger write whose outcome is unknown.
 #[derive(Debug, Clone)]
 pub struct Pending {
     pub expected: u64,
@@ -17,7 +17,7 @@
     pub write: u64,
 }
 
-/// What is known of the ledger object.
+/// Last known state of the ledger object.
 #[derive(Debug, Default)]
 pub struct Book {
     pub version: u64,
@@ -28,7 +28,7 @@
     pub read_at: Option<Instant>,
 }
 
-/// Account, usage and ledger of one budget; one ledger write at a time.
+/// Account, usage and ledger of one budget. The lock on `book` allows one ledger write at a time.
 pub struct Entry {
     pub budget: Arc<str>,
     pub account: Mutex<Account>,
--- a/crates/session/src/carry.rs
+++ b/crates/session/src/carry.rs
@@ -1,8 +1,8 @@
-//! Carrying other boxes' records while the platform is out of reach.
+//! Replicas of other boxes' journal entries, for while the platform is unreachable.
 //!
-//! Peers that carry agree on nothing: they keep a record in memory and hand it in once its
-//! journal is sealed, when the box that wrote it can no longer do so itself. Handing in again, or
-//! beside the box itself, changes nothing.
+//! Replicas are kept in memory, without any agreement between peers. Once the journal of an
+//! incarnation is sealed, so that it can no longer write its entries itself, its peers hand them in.
+//! This is idempotent: several peers and the box itself may do it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,25 +13,25 @@
 use objects::{Expect, Store, Write};
 use parking_lot::Mutex;
 
-/// Most records carried for others.
+/// Maximum number of entries kept for other incarnations.
 const MOST: usize = 50_000;
-/// Conflicts after which a hand-in is left for later.
+/// Write conflicts after which a hand-in is postponed.
 const TRIES: u32 = 6;
 
-/// Other boxes in reach, as the money side needs them.
+/// Calls to the other boxes that are reachable.
 #[async_trait::async_trait]
 pub trait Peers: Send + Sync {
-    /// Gives an entry of the journal of `by` to peers that carry it; returns how many took it.
+    /// Sends an entry of the journal of `by` to peers, which keep a replica; returns how many accepted it.
     async fn carry(&self, by: &Incarnation, entry: &Entry) -> usize;
 
-    /// Asks peers to return what they can spare to the ledger; true if any did.
+    /// Asks peers to return surplus tokens to the ledger; true if any did.
     async fn spare(&self, budget: &Arc<str>, tokens: u64) -> bool;
 
-    /// Asks peers for offline tokens; the giver has debited itself already.
+    /// Asks peers for offline tokens; the lender debits its own account first.
     async fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer>;
 }
 
-/// What is carried for one incarnation.
+/// Replicated entries of one incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Load {
     records: BTreeMap<u64, Record>,
@@ -50,7 +50,7 @@
 
     fn take(&mut self, entry: Entry) {
         match entry {
-            // An outcome replaces its intent; a late intent never replaces an outcome.
+            // An outcome replaces its intent, but a late intent must not replace an outcome.
             Entry::Record(record) => {
                 if self.records.get(&record.n).is_none_or(Record::is_open) {
                     self.records.insert(record.n, record);
@@ -67,18 +67,18 @@
             }
         }
         for record in self.records.values() {
-            // What does not fit any more was folded before.
+            // A record that the journal rejects has been folded already.
             let _ = journal.hand_in(record.clone(), Evidence::Carried);
         }
     }
 }
 
-/// Entries carried for other incarnations.
+/// Replicated journal entries of other incarnations.
 #[derive(Debug, Default)]
 pub struct Carried(Mutex<BTreeMap<Incarnation, Load>>);
 
 impl Carried {
-    /// Takes an entry; false if too much is carried already.
+    /// Stores an entry; false if the maximum is reached.
     pub fn take(&self, by: Incarnation, entry: Entry) -> bool {
         let mut carried = self.0.lock();
         let total: usize = carried.values().map(Load::len).sum();
@@ -89,7 +89,7 @@
         true
     }
 
-    /// Incarnations that entries are carried for.
+    /// Incarnations of which there are entries.
     pub fn whose(&self) -> Vec<Incarnation> {
         self.0.lock().keys().cloned().collect()
     }
@@ -98,10 +98,10 @@
         self.0.lock().get(by).cloned().unwrap_or_default()
     }
 
-    /// Hands in what is carried for a sealed incarnation; true once nothing is left to hand in.
+    /// Hands in the entries of a sealed incarnation; true once none is left.
     ///
-    /// An incarnation that never reached the platform has no journal. If peers lent it tokens its
-    /// grants show that, and the journal is made for it, sealed from the start.
+    /// An incarnation that never reached the platform has no journal. If it may have used tokens, a
+    /// sealed journal is created for it.
     pub async fn hand_in(&self, store: &dyn Store, by: &Incarnation, me: &Incarnation) -> bool {
         let load = self.of(by);
         for _ in 0..TRIES {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Whether an incarnation without a journal may have spent anything.
+/// Whether an incarnation without a journal may have spent tokens: peers lent it some, or it has a grant.
 async fn holds_grant(store: &dyn Store, by: &Incarnation, load: &Load) -> bool {
     if load.transfers.iter().any(|(_, transfer)| transfer.to == *by) {
         return true;
--- a/crates/session/src/draw.rs
+++ b/crates/session/src/draw.rs
@@ -1,8 +1,8 @@
-//! What a box draws from and returns to a ledger in its next write.
+//! How much a box draws from and returns to a ledger in its next write.
 
 use ledger::{Draw, Ledger, Target};
 
-/// What a box has free, and what it needs at once.
+/// Free tokens of a box, and tokens that it needs at once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Free {
     /// Free online tokens.
@@ -13,10 +13,10 @@
     pub need: u64,
 }
 
-/// What to draw, given what the ledger has left.
+/// Tokens to draw, limited by what the ledger has left.
 ///
-/// A need comes first; then the online part is filled, then the offline part. A box that cannot
-/// meet its need says what it lacks, so that others return their surplus.
+/// The need comes first, then the online part is filled, then the offline part. If the need cannot be
+/// met, the draw asks for the missing tokens instead, so that other boxes return their surplus.
 pub fn wish(ledger: &Ledger, target: Target, free: Free) -> Draw {
     let left = ledger.left();
     let missing = free.need.saturating_sub(free.online);
@@ -25,7 +25,7 @@
     }
     let online = target.online.saturating_sub(free.online).max(missing).min(left);
     let offline = target.offline.saturating_sub(free.offline).min(left - online);
-    // Small top-ups wait until they are worth a write.
+    // A top-up waits until it is at least half of the target, to save writes.
     let worth = |wish: u64, target: u64| if wish * 2 >= target { wish } else { 0 };
     Draw {
         online: if missing > 0 { online } else { worth(online, target.online) },
@@ -34,7 +34,7 @@
     }
 }
 
-/// What a box holds beyond twice its target, or beyond its target while others lack tokens.
+/// Tokens to return: those above the target if the box holds more than twice as many, or if others lack tokens.
 pub fn surplus(target: Target, free: Free, wanted_by_others: u64) -> Draw {
     let over = |free: u64, target: u64| match wanted_by_others > 0 {
         true => free.saturating_sub(target),
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -1,4 +1,4 @@
-//! Drawing from, returning to and folding into the ledgers.
+//! Tokens of a session: drawing from the ledgers, returning to them, and folding outcomes into them.
 
 use std::{
     collections::BTreeMap,
@@ -23,42 +23,42 @@
     draw::{Free, surplus, wish},
 };
 
-/// Conflicts after which a ledger write gives up for now.
+/// Attempts of a ledger write before it is given up for now.
 const TRIES: u32 = 12;
-/// Longest wait for the journal before a ledger write.
+/// Longest wait for journal writes before a ledger write.
 const FLUSH: Duration = Duration::from_secs(2);
-/// Age up to which a ledger that lacks tokens is believed without reading it again.
+/// Age up to which a cached ledger without enough tokens is used without reading it again.
 const SHORT_MEMORY: Duration = Duration::from_millis(200);
 
-/// How a box sizes what it holds.
+/// How the tokens that a box holds are sized.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Seconds of use the online part covers.
+    /// Seconds of usage that the online part covers.
     pub online_horizon: u64,
-    /// Seconds of use the offline part covers at most.
+    /// Seconds of usage that the offline part covers at most.
     pub offline_horizon: u64,
-    /// Boxes that may hold a part, as this box believes.
+    /// Number of boxes that may hold tokens, as known to this box.
     pub boxes: u64,
 }
 
 /// Why tokens could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Denial {
-    /// The budget has not enough left.
+    /// Not enough tokens are left in the budget.
     #[snafu(display("the budget has not enough tokens left"))]
     Exhausted,
     /// The ledger did not answer in time.
     #[snafu(display("the ledger did not answer in time"))]
     Unreachable,
-    /// No such budget is accepted.
+    /// There is no accepted budget of this name.
     #[snafu(display("the budget does not exist"))]
     Missing,
-    /// Another incarnation sealed the journal.
+    /// The journal was sealed by another incarnation.
     #[snafu(display("this incarnation's journal is sealed"))]
     Sealed,
 }
 
-/// Everything a session holds of all budgets.
+/// The tokens that a session holds of all budgets.
 pub struct Funds {
     recorder: Recorder,
     store: Arc<dyn Store>,
@@ -70,7 +70,7 @@
     log: timeline::Log,
 }
 
-/// While it lives, its session takes tokens from a peer and is not idle.
+/// Guard of a transfer from a peer; its session is not idle until this is dropped.
 pub struct Borrowing<'a>(&'a AtomicUsize);
 
 impl Drop for Borrowing<'_> {
@@ -80,16 +80,16 @@
 }
 
 enum Purpose {
-    /// A request waits for this many tokens.
+    /// Draw this many tokens for a waiting request.
     Need(u64),
-    /// The regular fold, top-up and return.
+    /// Regular maintenance: fold outcomes, top up and return surplus.
     Keep,
-    /// Others lack tokens now: return all but what one request here needs.
+    /// Others lack tokens: return all but what one request here needs.
     Spare,
 }
 
 impl Funds {
-    /// Funds of the recorder's incarnation.
+    /// Creates the funds of the recorder's incarnation.
     pub fn new(
         recorder: Recorder,
         store: Arc<dyn Store>,
@@ -122,40 +122,40 @@
         entries.entry(budget.clone()).or_insert_with(fresh).clone()
     }
 
-    /// Budgets that this session has touched.
+    /// Budgets that this session has used.
     pub fn budgets(&self) -> Vec<Arc<str>> {
         self.entries.lock().keys().cloned().collect()
     }
 
-    /// Tokens given, charged and reserved of one part of one budget.
+    /// Tokens given, charged and reserved in one part of a budget.
     pub fn tokens(&self, budget: &Arc<str>, part: Part) -> ledger::Tokens {
         self.entry(budget).account.lock().tokens(part)
     }
 
-    /// The number of boxes that may hold a part.
+    /// Sets the number of boxes that may hold tokens.
     pub fn set_boxes(&self, boxes: u64) {
         self.options.lock().boxes = boxes;
     }
 
-    /// Says that tokens of a peer are on their way to this session.
+    /// Marks the start of a transfer from a peer to this session.
     pub fn borrow(&self) -> Borrowing<'_> {
         self.borrowing.fetch_add(1, Ordering::AcqRel);
         Borrowing(&self.borrowing)
     }
 
-    /// Whether nothing is reserved in any budget, and nothing on its way here.
+    /// Whether no tokens are reserved in any budget, and none are being transferred here.
     pub fn is_idle(&self) -> bool {
         self.borrowing.load(Ordering::Acquire) == 0
             && self.entries.lock().values().all(|entry| entry.account.lock().is_idle())
     }
 
-    /// Gets ready for requests of a budget that has not been used here yet.
+    /// Prepares for requests of up to `largest` tokens in a budget that has not been used here yet.
     pub fn expect(&self, budget: &Arc<str>, largest: u64) {
         self.entry(budget).usage.lock().expect(largest);
     }
 
-    /// Takes offline tokens out for a peer: what it asks for, or a quarter of what is free if that
-    /// is more. `None` if it cannot have what it asks for.
+    /// Debits offline tokens for a peer: the requested number, or a quarter of the free ones if that
+    /// is more. `None` if fewer are free than requested.
     pub fn take_offline(&self, budget: &Arc<str>, tokens: u64) -> Option<u64> {
         let entry = self.entry(budget);
         let mut account = entry.account.lock();
@@ -164,12 +164,12 @@
         (free >= tokens && tokens > 0).then(|| account.take(Part::Offline, wished))
     }
 
-    /// Adds offline tokens that a peer passed on.
+    /// Credits offline tokens that a peer passed on.
     pub fn give_offline(&self, budget: &Arc<str>, tokens: u64) {
         self.entry(budget).account.lock().add(Part::Offline, tokens);
     }
 
-    /// Returns what this box can spare of a budget that others lack; true if anything returned.
+    /// Returns surplus tokens of a budget that other boxes lack; true if any were returned.
     pub async fn spare(&self, budget: &Arc<str>) -> bool {
         let entry = self.entry(budget);
         let before = entry.free(Part::Online) + entry.free(Part::Offline);
@@ -178,7 +178,7 @@
         written.is_ok() && after < before
     }
 
-    /// Takes all free tokens out of the accounts: nothing more is reserved from them.
+    /// Debits all free tokens, so that no more can be reserved.
     pub fn drain(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
@@ -192,7 +192,7 @@
         self.entry(budget).reserve(Part::Offline, tokens).ok()
     }
 
-    /// Reserves tokens of the online part, drawing if it must.
+    /// Reserves tokens of the online part, drawing from the ledger if needed.
     pub async fn reserve_online(
         self: &Arc<Self>,
         budget: &Arc<str>,
@@ -205,7 +205,7 @@
             if let Ok(reservation) = entry.reserve(Part::Online, tokens) {
                 return Ok(reservation);
             }
-            // The draw goes on when its waiter gives up: its answer must not be lost.
+            // Spawned, so that the result of the draw is processed even if the caller stops waiting.
             let (funds, drawn) = (self.clone(), entry.clone());
             let draw =
                 tokio::spawn(async move { funds.update(&drawn, Purpose::Need(tokens)).await });
@@ -217,7 +217,7 @@
         Err(Denial::Unreachable)
     }
 
-    /// Folds, tops up and returns surplus of one budget.
+    /// Maintains one budget: folds outcomes, tops up and returns surplus.
     pub async fn keep(&self, budget: &Arc<str>) -> Result<(), Denial> {
         self.update(&self.entry(budget), Purpose::Keep).await
     }
@@ -238,7 +238,7 @@
             }
             let planned = self.plan(entry, &book, &purpose).await;
             if planned.is_err() {
-                // What was believed of the ledger may be too old to fit this box's journal.
+                // The cached ledger may be too old for this box's journal.
                 book.ledger = None;
             }
             let Some((next, draw)) = planned? else { return Ok(()) };
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Whether the ledger as it is believed is too old for all of the journal to be folded.
+    /// Whether the cached ledger is too old to fold the whole journal into it.
     fn is_stuck(&self, entry: &Entry, book: &Book) -> bool {
         let old = book.read_at.is_none_or(|at| at.elapsed() > SHORT_MEMORY);
         let believed = book.ledger.clone().filter(|_| old);
@@ -266,7 +266,7 @@
         believed.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
     }
 
-    /// A shortage may be over: it is believed only for a moment.
+    /// Drops a cached ledger that shows a shortage, if it is old: the shortage may be over.
     fn forget_shortage(&self, book: &mut Book, purpose: &Purpose) {
         let Purpose::Need(tokens) = purpose else { return };
         let short = book.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
@@ -276,8 +276,8 @@
         }
     }
 
-    /// The journal names a budget before the ledger grants from it, so that whoever seals the
-    /// journal knows where grants may be.
+    /// Lists a budget in the journal before drawing from its ledger, so that whoever seals the journal
+    /// knows which ledgers may have grants.
     async fn list_drawn(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
         if !book.listed {
             self.recorder.add(Work::Draw(entry.budget.clone()));
@@ -310,7 +310,7 @@
         Ok(())
     }
 
-    /// The ledger after this write, or `None` if there is nothing to write.
+    /// Computes the ledger to write and its draw; `None` if there is nothing to write.
     async fn plan(
         &self,
         entry: &Arc<Entry>,
@@ -379,7 +379,8 @@
         }
     }
 
-    /// Debits what is returned, then waits until the journal no longer holds it.
+    /// Debits tokens to be returned, then waits until the queued journal writes are done. If they take too
+    /// long, nothing is returned.
     async fn take_back(&self, entry: &Entry, back: Draw) -> Draw {
         let taken = {
             let mut account = entry.account.lock();
@@ -412,8 +413,8 @@
 
     /// Moves full pages of bills out of the ledger.
     ///
-    /// Only bills that have landed go on a page: their order is settled, so whoever writes the
-    /// page writes the same one.
+    /// Only bills of a ledger version that is stored go on a page: their order is final, so all
+    /// writers of a page write the same bills.
     async fn write_pages(&self, entry: &Entry, landed: &Ledger, next: &mut Ledger) {
         for (number, page) in landed.full_pages() {
             let name = ledger::page_name(&entry.budget, number);
@@ -425,14 +426,14 @@
         }
     }
 
-    /// Whether another write would fold or page more.
+    /// Whether another write would fold more outcomes or write another page.
     fn has_more(&self, entry: &Entry, book: &Book) -> bool {
         let Some(mut ledger) = book.ledger.clone() else { return false };
         let paged = ledger.statement.recent.len() >= ledger::BILLS_PER_PAGE;
         paged || ledger.fold(&entry.budget, &self.recorder.journal()).outcomes > 0
     }
 
-    /// Writes the ledger; true if it landed, false if another write came first.
+    /// Writes the ledger; true if the write took effect, false if another one came first.
     async fn write(
         &self,
         entry: &Arc<Entry>,
@@ -470,8 +471,7 @@
         }
     }
 
-    /// Finds out whether a write whose answer was lost has landed, sending it again if it still
-    /// could.
+    /// Determines whether a write with unknown outcome took effect, repeating it while it still may.
     async fn settle_pending(&self, entry: &Arc<Entry>, book: &mut Book) -> Result<(), Denial> {
         for _ in 0..TRIES {
             let Some(pending) = book.pending.clone() else { return Ok(()) };
@@ -527,16 +527,16 @@
         (book.version, book.ledger) = (version, Some(next));
     }
 
-    /// Tokens taken for a return that did not land are free again.
+    /// Credits the tokens again that were debited for a return which did not take effect.
     fn undo(&self, entry: &Entry, draw: Draw) {
         let mut account = entry.account.lock();
         account.add(Part::Online, draw.return_online);
         account.add(Part::Offline, draw.return_offline);
     }
 
-    /// Ends this session's grant of one budget by its own word: folds what is left, then returns
-    /// the rest. Only correct once the journal is sealed or closed, nothing is reserved and the
-    /// recorder is flushed.
+    /// Ends this session's own grant of one budget: folds the remaining outcomes, then returns the
+    /// remaining tokens. Only correct once the journal is sealed or closed, nothing is reserved and
+    /// the recorder is flushed.
     pub async fn surrender(&self, budget: &Arc<str>) -> Result<(), Denial> {
         let entry = self.entry(budget);
         let mut book = entry.book.lock().await;
@@ -547,7 +547,7 @@
             let mut next = ledger.clone();
             let journal = self.recorder.journal();
             if !next.fold(budget, &journal).whole {
-                // It waits for a transfer that another journal holds.
+                // A transfer that another journal records has to be folded first.
                 return Err(Denial::Unreachable);
             }
             if !next.grants.contains_key(self.me()) {
@@ -563,7 +563,7 @@
             }
             if self.write(&entry, &mut book, next, Draw::default()).await? {
                 self.recorder.folded(budget, position);
-                // Folding made room for hand-ins that still wait.
+                // Folding made room in the journal for hand-ins that are still queued.
                 return if last { Ok(()) } else { Err(Denial::Unreachable) };
             }
         }
--- a/crates/session/src/health.rs
+++ b/crates/session/src/health.rs
@@ -1,14 +1,14 @@
-//! Whether the platform answers, as far as this box can tell.
+//! Whether the platform is reachable from this box.
 
 use std::sync::Arc;
 
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-/// Failed calls in a row after which the platform counts as unreachable.
+/// Consecutive failed calls after which the platform counts as unreachable.
 const LOST_AFTER: u32 = 3;
 
-/// Shared verdict on the platform, fed by every call.
+/// Shared state of the platform's reachability, updated by the result of each call.
 #[derive(Debug, Clone)]
 pub struct Health {
     up: Arc<watch::Sender<bool>>,
@@ -17,17 +17,17 @@
 }
 
 impl Health {
-    /// Opens with the platform taken for reachable.
+    /// Starts with the platform considered reachable.
     pub fn open(log: timeline::Log) -> Health {
         Health { up: Arc::new(watch::channel(true).0), failures: Arc::default(), log }
     }
 
-    /// Whether calls are worth waiting for.
+    /// Whether the platform is considered reachable.
     pub fn is_up(&self) -> bool {
         *self.up.borrow()
     }
 
-    /// A call was answered.
+    /// Records a call that was answered.
     pub fn answered(&self) {
         *self.failures.lock() = 0;
         let changed = self.up.send_if_modified(|up| !std::mem::replace(up, true));
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A call was not answered.
+    /// Records a call that was not answered.
     pub fn failed(&self) {
         let failures = {
             let mut failures = self.failures.lock();
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,9 +1,10 @@
-//! The money side of a running box: one [`Session`] for each incarnation.
+//! Journal and tokens of a running box: one [`Session`] for each incarnation.
 //!
-//! A session turns the decisions of the `ledger` library into conditional updates: its
-//! [`Recorder`] writes the journal in groups, its [`Funds`] draw from, return to and fold into
-//! the ledgers. When a session finds its journal sealed it dispatches nothing more; the box opens
-//! another session and goes on, and the old one only hands in what it still owes.
+//! A session applies the decisions of the `ledger` crate to the store by conditional updates. Its
+//! [`Recorder`] writes the journal by group commit; its [`Funds`] draw tokens from the ledgers, return
+//! them and fold the journal's outcomes into the ledgers. When the journal of a session is found sealed,
+//! the session dispatches no more requests: the box opens a new session, and the old one only hands in
+//! outcomes and returns tokens.
 
 mod account;
 mod carry;
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -1,8 +1,8 @@
 //! Group commit of a journal.
 //!
-//! Requests that come while a write is in flight share the next one. Everything queued is applied
-//! to the newest journal read; since every application is idempotent by record number, a write
-//! whose answer was lost is simply read back and applied again where it did not land.
+//! Operations that arrive while a write is in flight share the next write. All queued operations are
+//! applied to the latest known journal. They are idempotent by record number: after a write with unknown
+//! outcome, the journal is read back and the operations are applied again.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -18,40 +18,40 @@
 
 use crate::Health;
 
-/// First wait after a failed write; doubles up to [`BACKOFF_MOST`].
+/// Delay after the first failed write; doubled with each further one, up to [`BACKOFF_MOST`].
 const BACKOFF: Duration = Duration::from_millis(50);
-/// Outcomes alone wait this long for an intent to share a write with.
+/// Time for which a write without intents is delayed, so that it can be shared with an intent.
 const LAZY: Duration = Duration::from_millis(250);
-/// Records that a journal holds at the most before hand-ins wait: a value holds 1 MB.
+/// Number of records in a journal from which hand-ins have to wait, since an object is limited to 1 MB.
 const MOST_RECORDS: usize = 3_000;
-/// Records above that which intents may still add.
+/// Number of records above that limit that intents may add.
 const ROOM_FOR_INTENTS: usize = 500;
-/// Longest wait after a failed write.
+/// Longest delay after a failed write.
 const BACKOFF_MOST: Duration = Duration::from_secs(2);
 
-/// Why an intent did not land.
+/// Why an intent was not recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Failure {
-    /// The journal is sealed: this incarnation dispatches nothing more from it.
+    /// The journal is sealed: the request must not be dispatched.
     #[snafu(display("the journal is sealed"))]
     Sealed,
-    /// Not known in time.
-    #[snafu(display("the intent is in doubt"))]
+    /// The outcome of the write was not known in time.
+    #[snafu(display("it is not known whether the intent was recorded"))]
     InDoubt,
 }
 
-/// Something to write into the journal.
+/// An operation on the journal.
 #[derive(Debug, Clone)]
 pub enum Work {
-    /// An intent.
+    /// Records the intent to dispatch a request.
     Intend(Record),
-    /// An outcome of a recorded intent.
+    /// Records the outcome of an intent.
     Finish { n: u64, charged: u64, ended: Ended, evidence: Evidence },
-    /// Offline work that ended.
+    /// Hands in the record of an offline request that ended.
     HandIn(Record, Evidence),
-    /// A budget that will be drawn from.
+    /// Lists a budget that will be drawn from.
     Draw(Arc<str>),
-    /// An offline transfer given or received.
+    /// Records an offline transfer, sent or received.
     Transfer(Arc<str>, Transfer),
 }
 
@@ -63,7 +63,7 @@
     folded: BTreeMap<Arc<str>, u64>,
     next: u64,
     number: u64,
-    /// Somebody waits for what is queued.
+    /// Whether a caller waits for queued operations.
     urgent: bool,
 }
 
@@ -92,8 +92,8 @@
 impl Recorder {
     /// Creates the journal of a new incarnation and starts its writer.
     ///
-    /// The journal need not have landed yet: its creation is the recorder's first write.
-    /// `spacing` is the least time between two writes.
+    /// The journal is created by the recorder's first write, after this returns. `spacing` is the least
+    /// time between two writes.
     pub fn spawn(
         incarnation: Incarnation,
         store: Arc<dyn Store>,
@@ -129,7 +129,7 @@
         &self.0.incarnation
     }
 
-    /// A record number never given before.
+    /// Returns a new record number.
     pub fn number(&self) -> u64 {
         let mut queue = self.0.queue.lock();
         queue.number += 1;
@@ -146,12 +146,12 @@
         let _ = self.0.sealed.subscribe().wait_for(|sealed| *sealed).await;
     }
 
-    /// The newest journal known to have landed.
+    /// The latest version of the journal that is known to be stored.
     pub fn journal(&self) -> Arc<Journal> {
         self.0.base.lock().journal.clone()
     }
 
-    /// Records an intent and waits until it landed. After an error nothing may be dispatched.
+    /// Records an intent and waits until it is stored. After an error the request must not be dispatched.
     pub async fn intend(&self, record: Record, within: Duration) -> Result<(), Failure> {
         let n = record.n;
         let (sender, receiver) = oneshot::channel();
@@ -176,14 +176,14 @@
         }
     }
 
-    /// Own word that an intent in doubt is never dispatched.
+    /// Records that a request whose intent may have been stored was not dispatched.
     fn withdraw(&self, n: u64) {
         self.0.queue.lock().waiters.remove(&n);
         let evidence = Evidence::Recorded;
         self.add(Work::Finish { n, charged: 0, ended: Ended::NotRun, evidence });
     }
 
-    /// Queues something that nobody waits for.
+    /// Queues an operation without waiting for it.
     pub fn add(&self, work: Work) {
         let mut queue = self.0.queue.lock();
         let first = queue.work.is_empty();
@@ -199,13 +199,13 @@
         self.add(Work::Finish { n, charged, ended, evidence: Evidence::Recorded });
     }
 
-    /// Outcomes up to `position` are folded into the ledger of `budget` and may be dropped.
+    /// Marks outcomes up to `position` as folded into the ledger of `budget`; the journal may drop them.
     pub fn folded(&self, budget: &Arc<str>, position: u64) {
         self.0.queue.lock().folded.insert(budget.clone(), position);
     }
 
-    /// Waits until everything queued so far has landed, except hand-ins: those only spend what
-    /// the ledger holds for them anyway, and may have to wait for folds.
+    /// Waits until everything queued so far is stored, except hand-ins: they only spend tokens that the
+    /// ledger holds for them anyway, and may have to wait for folds.
     pub async fn flush(&self) {
         let upto = {
             let mut queue = self.0.queue.lock();
@@ -221,17 +221,17 @@
         }
     }
 
-    /// Like [`Recorder::flush`], but gives up; false if something may not have landed.
+    /// Like [`Recorder::flush`], with a timeout; false if something may not be stored.
     pub async fn flush_within(&self, within: Duration) -> bool {
         tokio::time::timeout(within, self.flush()).await.is_ok()
     }
 
-    /// Number of queued pieces of work that have not landed.
+    /// Number of queued operations that are not stored yet.
     pub fn backlog(&self) -> usize {
         self.0.queue.lock().work.len()
     }
 
-    /// Closes the journal after its last outcome; false if something is open or it is sealed.
+    /// Closes the journal; false if a record is open, the journal is sealed, or the write fails.
     pub async fn close(&self) -> bool {
         self.flush().await;
         let base = self.0.base.lock().clone();
@@ -246,7 +246,7 @@
     }
 }
 
-/// Withdraws an intent unless it was disarmed, also when its waiter is dropped.
+/// Withdraws an intent on drop unless disarmed, also if the waiting future is cancelled.
 struct Withdrawal<'a> {
     recorder: &'a Recorder,
     n: Option<u64>,
@@ -350,7 +350,7 @@
         }
     }
 
-    /// The journal with everything queued that it has room for, and which pieces those are.
+    /// The journal with all queued operations that it has room for, and their numbers.
     fn candidate(&self, base: &Journal) -> (Journal, BTreeSet<u64>) {
         let mut queue = self.queue.lock();
         queue.urgent = false;
@@ -414,7 +414,7 @@
         Step::Again
     }
 
-    /// A journal that was removed had nothing left to take: it counts as sealed and complete.
+    /// Handles a journal that was removed: it counts as sealed, with nothing left to record.
     fn gone(&self) -> Base {
         let mut base = self.base.lock().clone();
         let mut journal = (*base.journal).clone();
@@ -428,7 +428,7 @@
         base
     }
 
-    /// Fails every waiting intent; each withdraws itself by its own word, which is handed in.
+    /// Fails all waiting intents, and records that their requests were not dispatched.
     fn seal(&self) {
         let waiters = {
             let mut queue = self.queue.lock();
@@ -446,7 +446,7 @@
 }
 
 fn apply(journal: &mut Journal, work: &Work) {
-    // A refusal means that the piece can never land: its intent did not, or was folded before.
+    // The journal refuses an operation if its intent was never stored or has been folded already.
     let _: Result<(), Refusal> = match work.clone() {
         Work::Intend(record) => journal.intend(record),
         Work::Finish { n, charged, ended, evidence } => {
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a box: its journal and what it holds of each budget.
+//! One incarnation of a box: its journal and the tokens that it holds of each budget.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,18 +7,18 @@
 
 use crate::{Denial, Failure, Funds, Peers, Recorder, Setup, Work, account};
 
-/// Longest wait for carriers before offline work is dispatched.
+/// Longest wait for replicas before an offline request is dispatched.
 const CARRY: Duration = Duration::from_millis(50);
 
-/// Budget and transfer of tokens that a peer lent.
+/// A transfer from a peer, and its budget.
 type Borrowed = (Arc<str>, Transfer);
 
-/// Handle on one session.
+/// Handle to one session.
 #[derive(Clone)]
 pub struct Session {
-    /// Its journal.
+    /// Writer of its journal.
     pub recorder: Recorder,
-    /// What it holds of each budget.
+    /// Tokens that it holds of each budget.
     pub funds: Arc<Funds>,
     peers: Option<Arc<dyn Peers>>,
     borrowed: Arc<Mutex<Vec<Borrowed>>>,
@@ -33,12 +33,12 @@
         Session { recorder, funds: Arc::new(funds), peers, borrowed: Arc::default() }
     }
 
-    /// Whose session this is.
+    /// The incarnation of this session.
     pub fn incarnation(&self) -> &Incarnation {
         self.recorder.incarnation()
     }
 
-    /// Reserves the worst case online and records the intent; after this it may be dispatched.
+    /// Reserves the maximum cost of a request online and records the intent; then it may be dispatched.
     pub async fn hold_online(
         &self,
         mut record: Record,
@@ -55,7 +55,7 @@
         Ok(Hold::new(self.clone(), entry, guard.keep(), record))
     }
 
-    /// Reserves the worst case of the offline part; nothing is recorded before it ends.
+    /// Reserves the maximum cost of a request in the offline part. Nothing is recorded before it ends.
     pub fn hold_offline(&self, mut record: Record) -> Option<Hold> {
         let budget = record.budget.clone();
         let reservation = self.funds.reserve_offline(&budget, record.reserved)?;
@@ -64,7 +64,7 @@
         Some(Hold::new(self.clone(), self.funds.entry(&budget), reservation, record))
     }
 
-    /// A transfer is carried before its tokens are spent, as offline work is before it runs.
+    /// Replicates a transfer; done before its tokens are used.
     async fn carry_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
         if let Some(peers) = &self.peers {
             let entry = Entry::Transfer(budget.clone(), transfer.clone());
@@ -73,7 +73,8 @@
         }
     }
 
-    /// A record with the transfers that may have paid for it: whoever carries one carries all.
+    /// A record with the transfers that may have paid for it. They are replicated together, since a record
+    /// cannot be folded without its transfers.
     fn entries(&self, record: &Record) -> Vec<Entry> {
         let borrowed = self.borrowed.lock();
         let paid = borrowed.iter().filter(|(budget, _)| *budget == record.budget);
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Passes offline tokens on to another incarnation: debited here first, recorded, then sent.
-    /// A message that is lost strands them; it never doubles them.
+    /// Passes offline tokens on to another incarnation: debits them, then queues the transfer for the
+    /// journal. If the message is lost, nobody can use the tokens, but they are never used twice.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
         let taken = self.funds.take_offline(budget, tokens)?;
         let n = self.recorder.number();
@@ -103,7 +104,7 @@
         Some(transfer)
     }
 
-    /// Takes over offline tokens that another incarnation passed on to this one.
+    /// Accepts offline tokens that another incarnation passed on to this one.
     pub async fn receive(&self, budget: &Arc<str>, transfer: Transfer) {
         if transfer.to != *self.incarnation() {
             return;
@@ -115,7 +116,7 @@
         self.funds.give_offline(budget, tokens);
     }
 
-    /// Ends a sealed session by its own word, once none of its requests is under way.
+    /// Ends the grants of a sealed or closed session that has no requests in progress.
     pub async fn surrender(&self) -> Result<(), Denial> {
         self.recorder.flush().await;
         let mut last = Ok(());
@@ -126,16 +127,16 @@
     }
 }
 
-/// Why tokens could not be held online.
+/// Why a request could not be admitted online.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldError {
-    /// No reservation.
+    /// The tokens could not be reserved.
     Denied(Denial),
-    /// No intent.
+    /// The intent was not recorded.
     Failed(Failure),
 }
 
-/// Frees a reservation whose intent did not land, also when its waiter is dropped.
+/// Releases a reservation whose intent was not recorded, also if the waiting future is cancelled.
 struct Guard {
     entry: Arc<account::Entry>,
     reservation: Option<Reservation>,
@@ -157,7 +158,7 @@
 
 /// Tokens held for one request that may be dispatched.
 ///
-/// Dropped without an outcome it says "not run", so whoever dispatches must finish it.
+/// If it is dropped, the request counts as not run, so [`Hold::finish`] must be called after a dispatch.
 pub struct Hold {
     session: Session,
     entry: Arc<account::Entry>,
@@ -180,18 +181,18 @@
         &self.record
     }
 
-    /// Unique id of this attempt, sent to the endpoint.
+    /// Unique id of this attempt, which is sent to the endpoint.
     pub fn dispatch(&self) -> String {
         format!("{}-{}", self.session.incarnation(), self.record.n)
     }
 
-    /// Whether the tokens are of the offline part.
+    /// Whether the tokens belong to the offline part.
     pub fn is_offline(&self) -> bool {
         self.record.part == Part::Offline
     }
 
-    /// Gives the record of offline work to carriers in reach, before it is dispatched. With none
-    /// in reach the box alone remembers it.
+    /// Replicates the record of an offline request to reachable peers, before it is dispatched. If there
+    /// are none, only this box knows of it.
     pub(crate) async fn carry(&self) {
         if let Some(peers) = &self.session.peers {
             let entries = self.session.entries(&self.record);
@@ -205,12 +206,12 @@
         }
     }
 
-    /// Whether the journal is known to be sealed: then nothing more is dispatched from it.
+    /// Whether the journal is known to be sealed, so that the request must not be dispatched.
     pub fn is_sealed(&self) -> bool {
         !self.is_offline() && self.session.recorder.is_sealed()
     }
 
-    /// Ends the request; returns the tokens charged, at most those held.
+    /// Ends the request; returns the charged tokens, which are at most those held.
     pub fn finish(mut self, charged: u64, ended: Ended) -> u64 {
         self.end(charged, ended)
     }
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -1,4 +1,4 @@
-//! All sessions of one box: the current one, and former ones that still owe something.
+//! All sessions of one box: the current one, and former ones that have not returned all tokens yet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,46 +14,46 @@
 
 use crate::{Denial, Failure, Health, Hold, HoldError, Options, Peers, Session};
 
-/// Sessions tried for one request when the box finds its journal sealed.
+/// Attempts for one request, each with a new session if the journal of the previous one is sealed.
 const TRIES: u32 = 4;
-/// Longest wait for a peer's tokens.
+/// Longest wait for tokens of a peer.
 const BORROW: Duration = Duration::from_millis(300);
 
-/// What all sessions of a box have in common.
+/// What all sessions of a box share.
 #[derive(Clone)]
 pub struct Setup {
     /// Name of the box.
     pub box_name: Arc<str>,
-    /// The platform.
+    /// Store of the platform.
     pub store: Arc<dyn Store>,
-    /// Whether the platform answers.
+    /// Whether the platform is reachable.
     pub health: Health,
     /// Configuration in force.
     pub config: watch::Receiver<Arc<Snapshot>>,
-    /// How parts are sized.
+    /// How the tokens that it holds are sized.
     pub options: Options,
-    /// Least time between two journal writes.
+    /// Minimum time between two journal writes.
     pub spacing: Duration,
-    /// The time line.
+    /// Log of events.
     pub log: Log,
-    /// Other boxes in reach, if it takes peers.
+    /// Other boxes; `None` if the box works without them.
     pub peers: Option<Arc<dyn Peers>>,
 }
 
-/// Why a request gets no tokens. It did not run.
+/// Why a request gets no tokens. The request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Denied {
-    /// The budget has not enough left.
-    #[snafu(display("the budget has not enough tokens left for the worst case"))]
+    /// Not enough tokens are left in the budget.
+    #[snafu(display("the budget has not enough tokens left for the maximum cost of the request"))]
     Exhausted,
-    /// No such budget is accepted.
-    #[snafu(display("the budget of this key does not exist"))]
+    /// There is no accepted budget of this name.
+    #[snafu(display("the budget of this API key does not exist"))]
     Missing,
-    /// The platform is out of reach and the offline part is used up.
-    #[snafu(display("the platform is out of reach and this box's offline part is used up"))]
+    /// The platform is unreachable and the offline part is exhausted.
+    #[snafu(display("the platform is unreachable and this box's offline tokens are exhausted"))]
     OfflineExhausted,
-    /// The box was taken for gone again and again.
-    #[snafu(display("this box was taken for gone and is starting anew"))]
+    /// Other boxes sealed the journals of this box repeatedly.
+    #[snafu(display("this box was considered dead by others and is starting a new session"))]
     Replaced,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Sessions {
-    /// Opens the first session; `seed` must be fresh, since it names the incarnations.
+    /// Opens the first session. `seed` must be new at each start, since the names of incarnations derive from it.
     pub fn open(setup: Setup, seed: u64) -> Sessions {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&setup.box_name, random.random());
@@ -85,12 +85,12 @@
         self.current.read().incarnation().clone()
     }
 
-    /// Sessions whose journals were sealed and that still owe something.
+    /// Sessions whose journals were sealed and that have not returned all tokens yet.
     pub fn former(&self) -> Vec<Session> {
         self.former.lock().clone()
     }
 
-    /// Goes on as a new incarnation if `sealed` is still the current one.
+    /// Opens a session for a new incarnation if `sealed` is still the current one.
     pub fn renew(&self, sealed: &Incarnation) -> bool {
         let mut current = self.current.write();
         if current.incarnation() != sealed {
@@ -104,8 +104,8 @@
         true
     }
 
-    /// Holds the worst case of a request: online if the platform answers within `patience`,
-    /// otherwise from the offline part.
+    /// Holds tokens for the maximum cost of a request: online if the platform answers within
+    /// `patience`, otherwise from the offline part.
     pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Denied> {
         let mut asked = false;
         for _ in 0..TRIES {
@@ -134,14 +134,14 @@
         Err(Denied::Replaced)
     }
 
-    /// Peers return what they can spare, before a budget counts as exhausted.
+    /// Asks peers to return surplus tokens, before a budget counts as exhausted.
     async fn spare(&self, record: &Record, patience: Duration) -> bool {
         let Some(peers) = &self.setup.peers else { return false };
         let asking = peers.spare(&record.budget, record.reserved);
         tokio::time::timeout(patience, asking).await.unwrap_or(false)
     }
 
-    /// Former sessions come first: what they hold is of no other use.
+    /// Tries former sessions first, since their tokens have no other use.
     async fn hold_offline(&self, record: Record) -> Result<Hold, Denied> {
         for session in self.former().into_iter().chain([self.current()]) {
             if let Some(hold) = session.hold_offline(record.clone()) {
@@ -152,7 +152,7 @@
         self.borrow(record).await
     }
 
-    /// Offline tokens of a peer in reach.
+    /// Borrows offline tokens from a reachable peer.
     async fn borrow(&self, record: Record) -> Result<Hold, Denied> {
         let session = self.current();
         let Some(peers) = &self.setup.peers else { return Err(Denied::OfflineExhausted) };
@@ -170,13 +170,13 @@
         Ok(hold)
     }
 
-    /// Passes offline tokens on to another incarnation, if this box can spare them.
+    /// Passes offline tokens on to another incarnation, if enough are free here.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
         self.current().lend(budget, tokens, to)
     }
 
-    /// Folds, tops up and returns for every budget; returns former incarnations that owe nothing
-    /// any more.
+    /// Maintains all budgets: folds outcomes, tops up and returns surplus. Returns the former
+    /// incarnations that have returned everything.
     pub async fn keep(&self) -> Vec<Incarnation> {
         let session = self.current();
         if session.recorder.is_sealed() {
@@ -184,17 +184,17 @@
         }
         let session = self.current();
         for budget in session.funds.budgets() {
-            // What fails now is tried again at the next turn.
+            // Failures are retried in the next round.
             let _ = session.funds.keep(&budget).await;
         }
         self.settle_former().await
     }
 
-    /// Hands in and returns what sealed sessions still owe, once nothing of theirs is under way.
+    /// Hands in the outcomes and returns the tokens of former sessions that have no requests in progress.
     async fn settle_former(&self) -> Vec<Incarnation> {
         let mut settled = Vec::new();
         for former in self.former() {
-            // Debited first, so that no request gets tokens that are being returned.
+            // Drained first, so that no request gets tokens that are being returned.
             former.funds.drain();
             if former.funds.is_idle() && former.surrender().await.is_ok() {
                 settled.push(former.incarnation().clone());
@@ -204,8 +204,8 @@
         settled
     }
 
-    /// The end of a planned stop: folds, returns all tokens and closes the journal. Returns the
-    /// incarnations that owe nothing any more.
+    /// Ends all sessions at a planned stop: folds outcomes, returns all tokens and closes the journal.
+    /// Returns the incarnations that have returned everything.
     pub async fn leave(&self) -> Vec<Incarnation> {
         let session = self.current();
         session.funds.drain();
@@ -217,7 +217,7 @@
         settled
     }
 
-    /// Whether no session holds tokens for work under way.
+    /// Whether no session holds tokens for requests in progress.
     pub fn is_idle(&self) -> bool {
         let idle = |session: &Session| session.funds.is_idle();
         idle(&self.current()) && self.former().iter().all(idle)
--- a/crates/session/src/usage.rs
+++ b/crates/session/src/usage.rs
@@ -1,13 +1,13 @@
-//! How fast a box draws on one budget.
+//! Token usage of a box in one budget.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Half-life of the observed rate.
+/// Half-life of the rate and of the largest recent reservation.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// A decaying rate of tokens charged, and the largest reservation lately.
+/// Exponentially decaying rate of charged tokens and size of the largest recent reservation.
 #[derive(Debug)]
 pub struct Usage {
     rate: f64,
@@ -31,26 +31,26 @@
         self.at = Instant::now();
     }
 
-    /// A request reserved `tokens`.
+    /// Records a reservation.
     pub fn reserved(&mut self, tokens: u64) {
         self.decay();
         self.largest = self.largest.max(tokens as f64);
         self.expect(tokens);
     }
 
-    /// Requests of up to `tokens` may come.
+    /// Prepares for requests of up to `tokens`.
     pub fn expect(&mut self, tokens: u64) {
         self.peak = self.peak.max(tokens);
     }
 
-    /// A request was charged `tokens`.
+    /// Records a charge.
     pub fn charged(&mut self, tokens: u64) {
         self.decay();
         let per_second = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         self.rate += tokens as f64 * per_second;
     }
 
-    /// Tokens a second, the largest reservation lately, and the largest ever.
+    /// Tokens per second, the largest recent reservation, and the largest one ever expected.
     pub fn read(&mut self) -> (u64, u64, u64) {
         self.decay();
         (self.rate.round() as u64, self.largest.round() as u64, self.peak)
--- a/crates/session/src/windup.rs
+++ b/crates/session/src/windup.rs
@@ -1,43 +1,44 @@
-//! Winding up an incarnation that seems dead: seal its journal, resolve, fold, free.
+//! Recovery of an incarnation that seems dead: seals its journal, resolves open records, folds the
+//! outcomes and frees its grants.
 //!
-//! Any box may do any step at any time, and more than one may do it at once: every step is a
-//! conditional update that changes nothing when it is repeated.
+//! Any box may take any step at any time, also concurrently with others: each step is an idempotent
+//! conditional update.
 
 use std::sync::Arc;
 
 use ledger::{Closing, Ended, Evidence, Incarnation, Journal, Ledger};
 use objects::{Expect, Store, Write};
 
-/// Conflicts after which a step is left for the next look.
+/// Write conflicts after which a step is left for the next round.
 const TRIES: u32 = 6;
 
 /// An outcome found for an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finding {
-    /// Number of the record.
+    /// Number of the open record.
     pub n: u64,
     /// Tokens charged.
     pub charged: u64,
     /// How the request ended.
     pub ended: Ended,
-    /// What the finding rests on.
+    /// How the outcome is known.
     pub evidence: Evidence,
 }
 
-/// What became of a seal.
+/// Result of sealing a journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Sealed {
     /// This call sealed it.
     Now(Journal),
-    /// It was sealed or closed before.
+    /// It had been sealed or closed already.
     Before(Journal),
-    /// There is no journal: nothing was ever recorded, or all is wound up.
+    /// There is no journal: nothing was ever recorded, or the recovery is complete.
     Missing,
-    /// The platform did not say.
+    /// The platform was unreachable, the journal is malformed, or there were too many conflicts.
     Unknown,
 }
 
-/// Seals the journal of `name`; the first sealer stands.
+/// Seals the journal of `name`; if several boxes do, the first seal counts.
 pub async fn seal(store: &dyn Store, name: &Incarnation, by: &Incarnation) -> Sealed {
     for _ in 0..TRIES {
         let Ok(found) = store.get("journal", name.as_str()).await else { return Sealed::Unknown };
@@ -57,7 +58,7 @@
     Sealed::Unknown
 }
 
-/// Adds findings to a sealed journal; returns it as it stands after that, with how many were new.
+/// Adds findings to a sealed journal; returns the journal, and how many findings were new.
 pub async fn resolve(
     store: &dyn Store,
     journal: Journal,
@@ -87,10 +88,10 @@
     None
 }
 
-/// Folds a sealed journal into one ledger and frees what its holder can no longer use.
+/// Folds a sealed journal into one ledger and frees the tokens that its incarnation can no longer use.
 ///
-/// `journal` must have been read after it was sealed. True once the ledger holds nothing for its
-/// incarnation.
+/// `journal` must have been read after it was sealed. Returns whether the ledger holds nothing more
+/// for the incarnation.
 pub async fn close_grant(
     store: &dyn Store,
     budget: &Arc<str>,
@@ -105,7 +106,7 @@
         let mut next = ledger.clone();
         let whole = next.fold(budget, journal).whole;
         let Some(_) = next.grants.get(holder) else { return whole };
-        // What is not folded yet still needs its grant.
+        // Outcomes that are not folded yet still need the grant.
         if whole {
             next.close(budget, journal, closing);
         }
@@ -121,7 +122,7 @@
     false
 }
 
-/// Forgets the empty grant of an incarnation whose journal is gone.
+/// Removes the empty grant of an incarnation whose journal has been deleted.
 pub async fn forget(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
     for _ in 0..TRIES {
         let Ok(Some(object)) = store.get("ledger", budget).await else { return };
@@ -136,7 +137,7 @@
     }
 }
 
-/// Budgets in whose ledgers the incarnation of a journal may hold something.
+/// Budgets in whose ledgers the incarnation of a journal may have a grant.
 pub fn budgets(journal: &Journal) -> Vec<Arc<str>> {
     let recorded = journal.records.iter().map(|record| record.budget.clone());
     let mut budgets: Vec<Arc<str>> = journal.drawn.iter().cloned().chain(recorded).collect();
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -1,4 +1,4 @@
-//! An hour's offline work is more than one journal object holds: it is handed in by parts.
+//! Records of a long outage exceed the size of a journal object, so they are handed in in batches.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/session/tests/interleavings.rs
+++ b/crates/session/tests/interleavings.rs
@@ -1,14 +1,14 @@
-//! Random interleavings of everything that goes wrong, against real sessions.
+//! Sessions under random interleavings of requests and faults.
 //!
-//! Seeds are fixed, the clock is paused. `FLINTSTALL_CASES=2000 cargo test -p session --test
-//! interleavings` runs longer.
+//! Seeds are fixed and the clock is paused. `FLINTSTALL_CASES=2000 cargo test -p session --test
+//! interleavings` runs more cases.
 
 mod world;
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use world::{Step, Variant, World};
 
-/// Interleavings in the regular run.
+/// Number of interleavings in a regular run.
 const CASES: u32 = 64;
 
 fn step() -> impl Strategy<Value = Step> {
@@ -71,8 +71,8 @@
     }
 }
 
-/// Found by the `outage` experiment: a page of bills was written from a fold that had not landed,
-/// so another box's bills were lost and its own came twice.
+/// Regression test: a page of bills was written from a fold that had not been stored, so that bills of
+/// another box were lost and its own were written twice.
 #[test]
 fn every_bill_is_on_one_page() {
     let ask = |nth: usize| Step::Request { at: nth % 3, worst: 2, retry: false };
@@ -89,8 +89,8 @@
     }
 }
 
-/// Found by a longer run: a box that borrowed tokens kept a ledger too old to show them, and never
-/// folded again.
+/// Regression test: a box that had borrowed tokens kept a cached ledger that was too old to show them,
+/// and could not fold any more.
 #[test]
 fn a_borrower_with_an_old_ledger_reads_it_again() {
     let ask = |at, worst| Step::Request { at, worst, retry: false };
@@ -125,8 +125,8 @@
     assert_eq!(run(2_582_376_846_811_021_081, 0.4, Variant::Whole, &steps), None);
 }
 
-/// Found by a longer run: a record was carried by a box that lived, the transfer that paid for it
-/// only by boxes that died, so it could never be folded.
+/// Regression test: a record was replicated to a box that survived, but the transfer that paid for it
+/// only to boxes that died, so that the record could not be folded.
 #[test]
 fn a_record_is_carried_with_the_transfers_that_pay_for_it() {
     let ask = |at, worst| Step::Request { at, worst, retry: false };
@@ -145,7 +145,7 @@
     assert_eq!(run(12_440_283_306_550_285_785, 0.4, Variant::Whole, &steps), None);
 }
 
-/// Whether any of the same interleavings shows that a broken variant breaks a promise.
+/// Whether any interleaving detects a faulty variant.
 fn is_caught(variant: Variant) -> bool {
     let mut runner = proptest::test_runner::TestRunner::new(config(400));
     let strategy = (any::<u64>(), prop::collection::vec(step(), 5..60));
--- a/crates/session/tests/world/faulty.rs
+++ b/crates/session/tests/world/faulty.rs
@@ -1,4 +1,4 @@
-//! A store with one box's faults in front of it.
+//! A store client that simulates the faults of one box.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,23 +9,22 @@
 use standin::Memory;
 use tokio::sync::watch;
 
-/// How a box is off.
+/// Condition of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It runs.
     Running,
-    /// It is frozen and may wake up.
+    /// Suspended; it may resume.
     Frozen,
-    /// It is gone: nothing it does goes on.
+    /// Crashed; its tasks never continue.
     Dead,
 }
 
-/// One box's way to the platform.
+/// Store client of one box.
 pub struct Faulty {
     pub memory: Memory,
     pub condition: watch::Sender<Condition>,
     pub cut: Mutex<bool>,
-    /// Share of writes whose answer is lost.
+    /// Share of writes whose response is lost.
     pub lossy: f64,
     random: Mutex<ChaCha8Rng>,
 }
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Stands still while the box is frozen, forever once it is dead.
+    /// Waits while the box is frozen, and forever once it is dead.
     pub async fn stand(&self) {
         let mut condition = self.condition.subscribe();
         let _ = condition.wait_for(|now| *now == Condition::Running).await;
@@ -81,7 +80,7 @@
         }
         let fate = self.draw();
         if fate < self.lossy / 2.0 {
-            // It lands late, after its writer was told nothing.
+            // The write takes effect late, after the writer got no response.
             let late = Duration::from_millis((self.draw() * 400.0) as u64);
             let (memory, kind, name) = (self.memory.clone(), kind.to_owned(), name.to_owned());
             tokio::spawn(async move {
--- a/crates/session/tests/world/mod.rs
+++ b/crates/session/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Boxes with real sessions, endpoints that count the truth, and everything that goes wrong.
+//! Simulated boxes with real sessions, and the faults that they are subject to. What endpoints ran is
+//! counted apart, to be compared with ledgers and bills.
 
 pub mod faulty;
 
@@ -30,16 +31,15 @@
 const BOXES: usize = 3;
 const PATIENCE: Duration = Duration::from_millis(300);
 
-/// Rules that a broken variant of the box ignores.
+/// Faulty variants of the box, which the tests must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
     Whole,
-    /// Dispatches whatever it holds, also once it was told that its journal is sealed, and
-    /// without having recorded an intent.
+    /// Dispatches each request without a recorded intent.
     DispatchUnrecorded,
-    /// Frees the offline part of whoever was sealed.
+    /// Frees the offline part of an incarnation whose journal is sealed.
     FreeOffline,
-    /// Takes "never saw it" for "did not run".
+    /// Assumes that a request did not run if endpoints have not seen it.
     BelieveNeverSeen,
 }
 
@@ -50,18 +50,18 @@
     ended: bool,
 }
 
-/// What endpoints counted.
+/// What endpoints ran, independent of ledgers and journals.
 #[derive(Default)]
 pub struct Truth {
     runs: BTreeMap<String, Run>,
     refused: BTreeSet<Arc<str>>,
     paid_at_most: u64,
-    /// Who remembers offline work, by dispatch: the box itself and its carriers.
+    /// Boxes that know of an offline request, by attempt: its own box and those with a replica.
     carriers: BTreeMap<String, Vec<Way>>,
 }
 
 impl Truth {
-    /// Whether everyone who knew of an offline run has died before handing it in.
+    /// Whether all boxes that knew of an offline request have died.
     fn is_forgotten(&self, id: &str) -> bool {
         let dead = |way: &Way| *way.condition.borrow() == Condition::Dead;
         self.carriers.get(id).is_some_and(|ways| ways.iter().all(dead))
@@ -76,10 +76,10 @@
     config: watch::Sender<Arc<Snapshot>>,
 }
 
-/// What one box is to the others.
+/// One box, as the others use it.
 type Peer = (Way, Arc<Carried>, Arc<Sessions>);
 
-/// Peers of one box: they take records while they run, whatever the platform does.
+/// Peers of one box: they accept entries while they run, whether or not the platform is reachable.
 struct Peers {
     me: usize,
     all: Arc<Mutex<Vec<Peer>>>,
@@ -115,7 +115,7 @@
     async fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
         let mut others = self.others().into_iter();
         let transfer = others.find_map(|(_, _, peer)| peer.lend(budget, tokens, to))?;
-        // Every fifth message is lost after its giver debited itself.
+        // Every fifth message is lost after the lender has debited its account.
         (transfer.n % 5 != 4).then_some(transfer)
     }
 }
@@ -149,7 +149,7 @@
     starts: u64,
 }
 
-/// One thing that happens.
+/// One event of an interleaving.
 #[derive(Debug, Clone)]
 pub enum Step {
     Request { at: usize, worst: u64, retry: bool },
@@ -301,7 +301,7 @@
                     return;
                 }
             };
-            // Anything may happen between the landed intent and the dispatch.
+            // Leaves time for faults between the recorded intent and the dispatch.
             tokio::time::sleep(pause).await;
             way.stand().await;
             if hold.is_sealed() {
@@ -322,7 +322,7 @@
         });
     }
 
-    /// Heals everything, winds up the dead, and waits until all is folded.
+    /// Ends all faults, recovers dead incarnations, and waits until all outcomes are folded.
     pub async fn finish(&mut self) {
         for at in 0..BOXES {
             self.boxes[at].way.condition.send_replace(Condition::Running);
@@ -367,7 +367,7 @@
         found.map(|object| serde_json::from_str(&object.value).unwrap()).unwrap_or_default()
     }
 
-    /// Everything that was written, for whoever looks into a failure.
+    /// All journals and ledgers, for the message of a failure.
     async fn books(&self) -> String {
         let mut text = String::new();
         for kind in ["journal", "ledger"] {
@@ -387,7 +387,7 @@
         bills
     }
 
-    /// What must always hold; the first thing that does not.
+    /// Checks all invariants and returns the first violation.
     pub async fn fault(&self) -> Option<String> {
         let (ledger, bills, books) = (self.ledger().await, self.bills().await, self.books().await);
         let truth = self.truth.lock();
