--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -85,7 +85,7 @@
     spacing: Duration,
 }
 
-/// Handle on the recorder of one journal.
+/// Handle to the recorder of one journal.
 #[derive(Clone)]
 pub struct Recorder(Arc<Shared>);
 
@@ -124,7 +124,7 @@
         Recorder(shared)
     }
 
-    /// Whose journal this is.
+    /// The incarnation whose journal this is.
     pub fn incarnation(&self) -> &Incarnation {
         &self.0.incarnation
     }
--- a/crates/session/tests/world/faulty.rs
+++ b/crates/session/tests/world/faulty.rs
@@ -110,5 +110,5 @@
     }
 }
 
-/// Shared handle.
+/// Shared handle to the store client of one box.
 pub type Way = Arc<Faulty>;
