--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -7,7 +7,7 @@
 //! outcomes and returns tokens.
 
 mod account;
-mod carry;
+mod replicas;
 mod draw;
 mod funds;
 mod health;
@@ -15,11 +15,11 @@
 mod session;
 mod sessions;
 mod usage;
-pub mod windup;
+pub mod recovery;
 
-pub use carry::{Carried, Peers};
+pub use replicas::{Replicas, Peers};
 pub use funds::{Denial, Funds, Options};
 pub use health::Health;
 pub use recorder::{Failure, Recorder, Work};
 pub use session::{Hold, HoldError, Session};
-pub use sessions::{Denied, Sessions, Setup};
+pub use sessions::{Rejection, Sessions, Setup};
--- a/crates/session/src/windup.rs
+++ b/crates/session/src/windup.rs
@@ -59,7 +59,7 @@
 }
 
 /// Adds findings to a sealed journal; returns the journal, and how many findings were new.
-pub async fn resolve(
+pub async fn add_findings(
     store: &dyn Store,
     journal: Journal,
     findings: &[Finding],
