--- a/crates/cli-args/src/lib.rs
+++ b/crates/cli-args/src/lib.rs
@@ -1,16 +1,15 @@
-//! Reading the command line, alike in all programs.
+//! Command line parsing, the same for all programs.
 //!
-//! A wrong flag or value is the user's to mend, so it ends with a code of its own, as a wrong setting does: 1 would
-//! say that the program tried and failed.
+//! A usage error has an exit code of its own, to be told apart from a run that failed (code 1).
 
 use std::{env, process};
 
 use argh::{EarlyExit, TopLevelCommand};
 
-/// Exit code of a command line that is wrong.
+/// Exit code for a usage error.
 pub const USAGE: i32 = 2;
 
-/// Reads the command line of this process; ends it where that is wrong or asks for help.
+/// Parses the command line of this process; exits on a usage error and after `--help`.
 pub fn parse<T: TopLevelCommand>() -> T {
     let args: Vec<String> = env::args().collect();
     let path = args.first().map_or("", String::as_str);
--- a/crates/flintstall/src/apply.rs
+++ b/crates/flintstall/src/apply.rs
@@ -1,4 +1,4 @@
-//! Writing and deleting resources, conditionally on what was read.
+//! Writes and deletes resources, conditionally on the version that was read.
 
 use objects::{Expect, Store, Write};
 use platform::store::Client;
@@ -14,7 +14,7 @@
     paint::{Tone, paint},
 };
 
-/// Checks a file offline.
+/// Validates a resource file without the platform.
 pub fn check(check: &Check) -> Result<Code, Error> {
     let documents = documents(&check.file)?;
     println!("{}: {} resources are valid", check.file.display(), documents.len());
@@ -26,7 +26,7 @@
     resource::read(&text).context(ContentSnafu { path })
 }
 
-/// Writes all resources of a file, in the order that references need.
+/// Writes all resources of a file, each after those that it refers to.
 pub async fn apply(client: &Client, apply: &Apply) -> Result<Code, Error> {
     let mut documents = documents(&apply.file)?;
     documents.sort_by_key(|document| Kind::ALL.iter().position(|kind| *kind == document.kind));
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Reads back a write whose answer was lost.
+/// Reads the resource back to find out whether a write without an answer took effect.
 async fn resolve(client: &Client, document: &Document) -> Result<(), Error> {
     let (kind, name) = (document.kind.as_str(), &*document.name);
     let read = client.get(kind, name).await.context(PlatformSnafu)?;
--- a/crates/flintstall/src/audit.rs
+++ b/crates/flintstall/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of a gateway fleet's book and bills.
+//! Audits the book and the bills of a gateway fleet.
 
 use std::sync::Arc;
 
@@ -17,16 +17,16 @@
     table::Table,
 };
 
-/// The audit, and what the operator wants of endpoints.
+/// JSON output: the audit and the evacuated availability zones.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(flatten)]
     audit: &'a ledger::Audit,
-    /// Availability zones whose endpoints are to get no more work.
+    /// Availability zones whose endpoints get no new requests.
     evacuated_zones: &'a [Arc<str>],
 }
 
-/// Prints the audit; fails if something does not fit.
+/// Prints the audit; the exit code is a failure if there are findings.
 pub async fn audit(client: &Client, form: Form) -> Result<Code, Error> {
     let found = client.get(BOOK.0, BOOK.1).await.context(PlatformSnafu)?;
     let Some(object) = found else {
@@ -74,9 +74,9 @@
                 format!("{customer} is overspent by {by} tokens")
             }
             Finding::BilledTwice { customer, key } => {
-                format!("request {key} of {customer} stands on two bills")
+                format!("request {key} of {customer} is on two bills")
             }
-            Finding::NumberTwice { by, n } => format!("{by} gave the bill number {n} twice"),
+            Finding::NumberTwice { by, n } => format!("{by} used the bill number {n} twice"),
         };
         println!("{}", paint(Tone::Bad, &text));
     }
@@ -85,9 +85,9 @@
         println!("{tokens} tokens of {holder} wait for the word of {witness}");
     }
     if !zones.is_empty() {
-        println!("no more work goes to endpoints in: {}", zones.join(", "));
+        println!("evacuated zones, whose endpoints get no new requests: {}", zones.join(", "));
     }
     if audit.findings.is_empty() {
-        println!("everything fits");
+        println!("no discrepancies found");
     }
 }
--- a/crates/flintstall/src/cli.rs
+++ b/crates/flintstall/src/cli.rs
@@ -1,4 +1,4 @@
-//! All flags of the client.
+//! Command line of the client.
 
 use std::path::PathBuf;
 
@@ -6,16 +6,16 @@
 
 use crate::output::Form;
 
-/// Drives a flintstall fleet by writing and watching its resources.
+/// Operates a flintstall fleet by writing and watching its resources.
 ///
-/// The client speaks to the platform's object API alone and never to a box.
+/// The client uses the platform's object API only and never connects to a box.
 #[derive(Debug, FromArgs)]
 pub struct Options {
-    /// address of the platform's object API; the environment variable FLINTSTALL_PLATFORM is used where the flag is not given
+    /// address of the platform's object API; defaults to the environment variable FLINTSTALL_PLATFORM
     #[argh(option)]
     pub platform: Option<String>,
 
-    /// form of the output: `table` for people, which is the default, or `json` for programs
+    /// output format: `table`, the default, or `json`
     #[argh(option, default = "Form::Table")]
     pub output: Form,
 
@@ -27,7 +27,7 @@
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// Subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -45,8 +45,8 @@
 
 /// Writes the resources of a file to the platform.
 ///
-/// Each resource is written conditionally on the version that was read, so two operators cannot
-/// overwrite each other unseen. The whole file is checked before anything is written.
+/// Each resource is written conditionally on the version that was read, so that concurrent
+/// changes by another operator are not overwritten. The whole file is validated first.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
@@ -54,20 +54,20 @@
     #[argh(option, short = 'f')]
     pub file: PathBuf,
 
-    /// show what would change, and write nothing
+    /// show what would change without writing it
     #[argh(switch)]
     pub dry_run: bool,
 }
 
-/// Proves that what the boxes of a gateway fleet spent, hold and billed fits what was paid.
+/// Verifies that the tokens a gateway fleet spent, holds and billed match what was paid.
 ///
-/// It reads the book of all budgets and the pages of bills from the platform, and nothing else.
-/// The exit code says whether everything fits.
+/// Reads the book of all budgets and the pages of bills from the platform.
+/// The exit code is 1 if there are discrepancies.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "audit")]
 pub struct Audit {}
 
-/// Checks a file of resources without reaching the platform.
+/// Validates a resource file without connecting to the platform.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
@@ -89,7 +89,7 @@
     pub name: Option<String>,
 }
 
-/// Shows a resource, what of it is accepted, and on which boxes it is in force.
+/// Shows a resource, which version of it is accepted, and on which boxes it is in force.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "describe")]
 pub struct Describe {
@@ -110,7 +110,7 @@
     #[argh(positional)]
     pub kind: Option<String>,
 
-    /// end after this many seconds; 0, the default, goes on until interrupted
+    /// stop after this many seconds; 0, the default, continues until interrupted
     #[argh(option, default = "0")]
     pub seconds: u64,
 }
@@ -128,7 +128,7 @@
     pub name: String,
 }
 
-/// Prints the balance of a budget, who holds what of it, and its bills.
+/// Prints the balance of a budget, the incarnations that hold its tokens, and its bills.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "statement")]
 pub struct Statement {
@@ -136,18 +136,18 @@
     #[argh(positional)]
     pub budget: String,
 
-    /// most bills to print, newest first; 20 is the default
+    /// maximum number of bills to print, newest first; 20 is the default
     #[argh(option, default = "20")]
     pub bills: usize,
 }
 
 /// Merges the events of all processes in causal order.
 ///
-/// The events are read from collected log lines: from the files named, or from standard input.
+/// Reads the events from collected log lines, in files or on standard input.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub struct Timeline {
-    /// files of log lines; standard input if there are none
+    /// log files; standard input if there are none
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 
@@ -164,14 +164,14 @@
     pub box_name: Option<String>,
 }
 
-/// Runs a whole fleet on loopback, sends it requests, and shows that everything adds up.
+/// Runs a fleet on loopback, sends it requests, and verifies answers and bills.
 ///
-/// Nothing else needs to be installed: the platform, two model endpoints and a plain service are
-/// small stand-ins in the same process, and the three routers are the real ones.
+/// Nothing else needs to be installed: the three routers are real; the platform, two model
+/// endpoints and a plain service are small stand-ins in the same process.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "try")]
 pub struct Try {
-    /// keep the fleet running and print `curl` lines that reach it
+    /// keep the fleet running and print `curl` commands that reach it
     #[argh(switch)]
     pub serve: bool,
 
--- a/crates/flintstall/src/decode.rs
+++ b/crates/flintstall/src/decode.rs
@@ -1,4 +1,4 @@
-//! Reading what commands are given: words, files, stored objects.
+//! Reads the input of commands: kinds, files and stored objects.
 
 use std::{io::Read, path::Path};
 
@@ -7,17 +7,17 @@
 
 use crate::error::{Error, FileSnafu};
 
-/// The kind of a word.
+/// Parses a kind from the command line.
 pub fn kind(word: &str) -> Result<Kind, Error> {
     word.parse().map_err(|reason| Error::Word { reason })
 }
 
-/// Reads a stored object.
+/// Decodes the JSON value of a stored object.
 pub fn decode<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Error> {
     serde_json::from_str(text).map_err(|error| Error::Stored { reason: error.to_string() })
 }
 
-/// Text of a file, or of standard input for `-`.
+/// Reads a file, or standard input for `-`.
 pub fn text_of(path: &Path) -> Result<String, Error> {
     let context = FileSnafu { path };
     if path == Path::new("-") {
--- a/crates/flintstall/src/error.rs
+++ b/crates/flintstall/src/error.rs
@@ -1,4 +1,4 @@
-//! Why commands fail, and the exit code of each reason.
+//! Errors of commands and their exit codes.
 
 use std::path::PathBuf;
 
@@ -11,34 +11,36 @@
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// No command was given.
-    #[snafu(display("a command is needed; `flintstall --help` lists them"))]
+    #[snafu(display("a command is required; `flintstall --help` lists them"))]
     NoCommand,
-    /// Nobody said where the platform is.
-    #[snafu(display("where is the platform? give `--platform http://ADDRESS:PORT`"))]
+    /// The platform's address is missing.
+    #[snafu(display("`--platform http://ADDRESS:PORT` or FLINTSTALL_PLATFORM is required"))]
     NoPlatform,
     /// A file cannot be read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     File { path: PathBuf, source: std::io::Error },
-    /// A file is wrong.
+    /// A resource file is invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Content { path: PathBuf, source: resource::Error },
-    /// A kind or name is wrong.
+    /// A kind on the command line is unknown.
     #[snafu(display("{reason}"))]
     Word { reason: String },
     /// The resource does not exist.
     #[snafu(display("there is no {kind} `{name}`"))]
     Missing { kind: String, name: String },
-    /// Another write came first.
-    #[snafu(display("{kind} `{name}` was changed by someone else meanwhile; look at it again"))]
+    /// The resource was changed after it was read.
+    #[snafu(display("{kind} `{name}` was changed concurrently; read it again and retry"))]
     Conflict { kind: String, name: String },
-    /// The platform did not answer.
+    /// A call to the platform failed.
     #[snafu(display("{source}"))]
     Platform { source: objects::Error },
-    /// A write's answer was lost.
-    #[snafu(display("it is not known whether {kind} `{name}` was written; read it again"))]
+    /// No answer to a write or deletion arrived, so it may have taken effect or not.
+    #[snafu(display(
+        "it is unknown whether the change of {kind} `{name}` took effect; read it again"
+    ))]
     InDoubt { kind: String, name: String },
-    /// A stored object was not understood.
-    #[snafu(display("a stored object was not understood: {reason}"))]
+    /// A stored object cannot be decoded.
+    #[snafu(display("cannot decode a stored object: {reason}"))]
     Stored { reason: String },
     /// The runtime did not start.
     #[snafu(display("cannot start the runtime: {source}"))]
--- a/crates/flintstall/src/events.rs
+++ b/crates/flintstall/src/events.rs
@@ -1,4 +1,4 @@
-//! The merged time line of collected log lines.
+//! Prints the timeline merged from collected log lines.
 
 use timeline::{Event, Filter, merge, parse, render};
 
--- a/crates/flintstall/src/exit.rs
+++ b/crates/flintstall/src/exit.rs
@@ -2,18 +2,18 @@
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// Exit code of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// It did what was asked.
+    /// The command succeeded.
     Success = 0,
-    /// It could not, or what must hold does not.
+    /// The command failed, or an audit has findings.
     Failure = 1,
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid.
     Usage = 2,
-    /// Another operator's write came first.
+    /// The resource was changed concurrently.
     Conflict = 3,
-    /// The platform did not answer.
+    /// The platform did not answer, or a write is in doubt.
     Unreachable = 4,
 }
 
--- a/crates/flintstall/src/main.rs
+++ b/crates/flintstall/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client: it writes and watches resources in the platform, never a box.
+//! The operators' client: writes and watches resources in the platform; never connects to a box.
 
 mod apply;
 mod audit;
--- a/crates/flintstall/src/output.rs
+++ b/crates/flintstall/src/output.rs
@@ -1,11 +1,11 @@
-//! The two forms of output.
+//! Output formats.
 
 use std::str::FromStr;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
-    /// Tables for people.
+    /// Aligned text for people.
     Table,
     /// JSON for programs.
     Json,
@@ -18,7 +18,7 @@
         match text {
             "table" => Ok(Form::Table),
             "json" => Ok(Form::Json),
-            _ => Err(format!("`{text}` is not a form of output; use `table` or `json`")),
+            _ => Err(format!("`{text}` is not an output format; use `table` or `json`")),
         }
     }
 }
--- a/crates/flintstall/src/paint.rs
+++ b/crates/flintstall/src/paint.rs
@@ -1,13 +1,13 @@
-//! Colour, only where a person looks at a terminal.
+//! Coloured output on terminals.
 
 use std::io::IsTerminal;
 
-/// How a piece of text is meant.
+/// Meaning of a coloured text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tone {
-    /// As it should be.
+    /// As expected.
     Good,
-    /// Needs a look.
+    /// Needs attention.
     Bad,
     /// Less important.
     Faint,
--- a/crates/flintstall/src/read.rs
+++ b/crates/flintstall/src/read.rs
@@ -1,4 +1,4 @@
-//! Listing and describing resources.
+//! Lists and describes resources.
 
 use config::{Accepted, object_name};
 use member::Member;
@@ -57,7 +57,7 @@
     })
 }
 
-/// Shows a resource, what is accepted of it and where it is in force.
+/// Shows a resource, its accepted version and the boxes where that is in force.
 pub async fn describe(client: &Client, describe: &Describe, form: Form) -> Result<Code, Error> {
     let kind = kind(&describe.kind)?;
     let name = &describe.name;
--- a/crates/flintstall/src/run.rs
+++ b/crates/flintstall/src/run.rs
@@ -1,4 +1,4 @@
-//! From options to a command.
+//! Runs the command that the options name.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
     read, statement, try_out, watch,
 };
 
-/// Bound on each platform call.
+/// Timeout of a platform call other than a watch.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// How long one watch waits.
+/// How long the platform holds one watch call open without changes.
 const WATCH: Duration = Duration::from_secs(10);
 
-/// Runs the command of the options.
+/// Runs the command and returns its exit code.
 pub fn run(options: &Options) -> Result<Code, Error> {
     if options.version {
         println!("flintstall {}", env!("CARGO_PKG_VERSION"));
--- a/crates/flintstall/src/statement.rs
+++ b/crates/flintstall/src/statement.rs
@@ -1,4 +1,4 @@
-//! The balance and the bills of a budget.
+//! Prints the balance and the bills of a budget.
 
 use ledger::{BILLS, Bill, Ledger, Page, page_name};
 use objects::Store;
@@ -40,7 +40,7 @@
     Ok(Code::Success)
 }
 
-/// The newest bills first, from the ledger and then from its pages.
+/// Up to `most` bills, newest first: those in the ledger, then those on its pages.
 async fn newest(
     client: &Client,
     name: &str,
@@ -60,7 +60,7 @@
     Ok(bills)
 }
 
-/// Prints balance, grants and bills for people.
+/// Prints balance, grants and bills as tables.
 pub fn print(name: &str, ledger: &Ledger, bills: &[Bill]) {
     println!("budget {name}, in tokens");
     println!("  paid      {:>12}", ledger.paid);
--- a/crates/flintstall/src/table.rs
+++ b/crates/flintstall/src/table.rs
@@ -1,13 +1,13 @@
-//! Plain tables with aligned columns.
+//! Text tables with aligned columns.
 
-/// Rows under a head.
+/// A header row and the rows below it.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a head.
+    /// A table with these column headers.
     pub fn new(head: &[&str]) -> Table {
         Table { rows: vec![head.iter().map(|cell| (*cell).to_owned()).collect()] }
     }
@@ -17,7 +17,7 @@
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table as lines, each column as wide as its widest cell.
+    /// Formats the table, each column as wide as its widest cell.
     pub fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in one process, with a story that must add up.
+//! Runs a fleet in one process and verifies a scripted series of requests and its bills.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
     statement,
 };
 
-/// Tokens paid for the sample budget.
+/// Prepaid tokens of the sample budget.
 const PAID: u64 = 600;
-/// Longest wait for the books to settle.
+/// How long to wait until all requests are billed.
 const SETTLE: Duration = Duration::from_secs(20);
 
 struct Step {
@@ -23,7 +23,7 @@
     want: Outcome,
 }
 
-/// Runs the story; succeeds only if it all adds up.
+/// Runs the script; succeeds only if all answers and the audit are as expected.
 pub async fn try_out(choice: &Try) -> Code {
     let customers = vec![("dental".to_owned(), vec![("bornova".to_owned(), PAID)])];
     let fleet = Fleet::spawn(Plan { customers, offline_share: Some(30), ..Plan::default() }).await;
--- a/crates/flintstall/src/watch.rs
+++ b/crates/flintstall/src/watch.rs
@@ -1,4 +1,4 @@
-//! Printing changes as they happen.
+//! Prints changes of resources as they happen.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     output::Form,
 };
 
-/// Prints changes until the time is over.
+/// Prints changes until the time limit, if there is one.
 pub async fn watch(client: &Client, watch: &Watch, form: Form) -> Result<Code, Error> {
     let mut kinds = match &watch.kind {
         Some(word) => vec![kind(word)?.as_str()],
--- a/crates/flintstall/tests/cli.rs
+++ b/crates/flintstall/tests/cli.rs
@@ -1,10 +1,10 @@
-//! The client as an operator uses it, through one small helper.
+//! Runs the client against a stand-in platform and checks output and exit codes.
 
 use std::process::Command;
 
 use standin::Platform;
 
-/// A platform, a scratch file, and the client.
+/// A stand-in platform and a scratch file for the client.
 struct Env {
     platform: Platform,
     file: std::path::PathBuf,
@@ -26,7 +26,7 @@
         std::fs::write(&self.file, text).unwrap();
     }
 
-    /// Runs `flintstall` with these words; FILE stands for the scratch file.
+    /// Runs `flintstall` with these arguments; FILE is replaced by the scratch file's path.
     async fn run(&self, words: &str) -> Ran {
         let file = self.file.to_string_lossy().into_owned();
         let words: Vec<String> = words.split(' ').map(|w| w.replace("FILE", &file)).collect();
--- a/crates/flintstalld/src/cli.rs
+++ b/crates/flintstalld/src/cli.rs
@@ -1,25 +1,25 @@
-//! All flags of the daemon.
+//! Command line of the daemon.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Runs the flintstall router on an entry box.
+/// Runs the flintstall daemon on an entry box.
 ///
 /// The daemon stands between callers and endpoints. It takes everything but its own addresses
-/// from the platform, keeps nothing on the box, and stops by plan when it receives SIGTERM:
-/// requests under way are finished and all tokens it holds are returned.
+/// from the platform and keeps nothing on the box. On SIGTERM it shuts down gracefully: it
+/// finishes requests in flight and returns all tokens that it holds.
 #[derive(Debug, FromArgs)]
 pub struct Options {
-    /// path of the settings file, which is JSON with comments
+    /// path of the settings file, in JSON with comments
     #[argh(option)]
     pub settings: Option<PathBuf>,
 
-    /// serve plain requests on the users' platform: the settings are those of a gateway
+    /// run as a gateway on the users' platform instead of as a router; the settings are a gateway's
     #[argh(switch)]
     pub gateway: bool,
 
-    /// validate the settings, say what is wrong with them, and exit without listening
+    /// validate the settings, print what is wrong with them, and exit
     #[argh(switch)]
     pub check: bool,
 
--- a/crates/flintstalld/src/exit.rs
+++ b/crates/flintstalld/src/exit.rs
@@ -2,14 +2,14 @@
 
 use std::process::ExitCode;
 
-/// How the daemon ended.
+/// Exit code of the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// It stopped by plan, or the check passed.
+    /// Graceful shutdown, or valid settings with `--check`.
     Success = 0,
-    /// It could not start or go on.
+    /// The daemon could not start.
     Failure = 1,
-    /// The command line or the settings are wrong.
+    /// The command line or the settings are invalid.
     Usage = 2,
 }
 
--- a/crates/flintstalld/src/logs.rs
+++ b/crates/flintstalld/src/logs.rs
@@ -1,10 +1,10 @@
-//! Setting up `tracing` from the settings.
+//! Sets up logging with `tracing`.
 
 use router::{LogFormat, LogSettings};
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::{EnvFilter, fmt};
 
-/// Starts logging to standard output; time line events are always part of it.
+/// Starts logging to standard output; timeline events are logged at every level.
 pub fn open(settings: &LogSettings) {
     let filter = EnvFilter::new(format!("{},timeline=info,hyper=warn,h2=warn", settings.level));
     let lines = fmt().with_env_filter(filter);
@@ -14,12 +14,12 @@
     }
 }
 
-/// Lines that wait to be written; more are dropped, and counted.
+/// Lines buffered for writing; lines beyond that are dropped and counted.
 const LINES: usize = 4_096;
 
-/// Logs JSON lines from a gateway without ever waiting for whoever reads them.
+/// Starts logging JSON lines to standard output without blocking on a slow reader.
 ///
-/// The lines are flushed when the guard is dropped.
+/// Buffered lines are flushed when the guard is dropped.
 pub fn open_bounded(level: &str) -> (WorkerGuard, ErrorCounter) {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
--- a/crates/flintstalld/src/main.rs
+++ b/crates/flintstalld/src/main.rs
@@ -1,4 +1,4 @@
-//! The router daemon: reads its settings, runs a router, stops it by plan on SIGTERM.
+//! The daemon: reads its settings, runs a router or a gateway, shuts down gracefully on SIGTERM.
 
 mod cli;
 mod exit;
--- a/crates/flintstalld/src/run.rs
+++ b/crates/flintstalld/src/run.rs
@@ -1,4 +1,4 @@
-//! From options to a running router and its planned stop.
+//! Runs a router or a gateway until a signal stops it.
 
 use std::path::{Path, PathBuf};
 
@@ -10,16 +10,16 @@
 
 use crate::{cli::Options, exit::Code, logs};
 
-/// Why the daemon ended.
+/// Why the daemon failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The flag is missing.
-    #[snafu(display("`--settings FILE` is needed; `--help` says more"))]
+    /// `--settings` is missing.
+    #[snafu(display("`--settings FILE` is required; see `--help`"))]
     NoSettings,
     /// The settings file cannot be read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     Read { path: PathBuf, source: std::io::Error },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Settings { path: PathBuf, source: jsonc::Error },
     /// The router did not start.
@@ -28,7 +28,7 @@
     /// The gateway did not start.
     #[snafu(display("{source}"))]
     Gateway { source: gateway::Error },
-    /// The operating system refused something.
+    /// A call to the operating system failed.
     #[snafu(display("{what}: {source}"))]
     System { what: &'static str, source: std::io::Error },
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until SIGTERM or SIGINT.
 pub fn run(options: &Options) -> Result<(), Error> {
     if options.version {
         println!("flintstalld {}", env!("CARGO_PKG_VERSION"));
@@ -72,7 +72,7 @@
         return Ok(());
     }
     let (_flushed, dropped) = logs::open_bounded(&settings.log.level);
-    // One thread: a box has a fraction of one processor, and every wake-up counts.
+    // A box has a fraction of one processor; a single thread avoids wake-ups between threads.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// Reads the settings again. A file that is wrong leaves those in force as they are.
+/// Reloads the settings. If the file is unreadable or invalid, the current ones stay in force.
 fn reread(path: &Path, gateway: &Gateway) {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
@@ -129,7 +129,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    tracing::info!("stopping by plan");
+    tracing::info!("shutting down gracefully");
     router.stop().await;
     tracing::info!("stopped");
     Ok(())
--- a/crates/flintstalld/tests/circles.rs
+++ b/crates/flintstalld/tests/circles.rs
@@ -1,8 +1,7 @@
-//! No two files of a crate need each other, and no two of its folders.
+//! The modules of a crate have no import cycles, neither between files nor between folders.
 //!
-//! A file that imports another, which in turn needs the first, can only be understood and changed
-//! together with it. Found by parsing all sources of the workspace: an edge is a path that begins
-//! with `crate::` and names another file of the same crate.
+//! Parses all sources of the workspace: an edge is a path that begins with `crate::` and names
+//! another file of the same crate.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,7 +11,7 @@
 
 use syn::{UseTree, visit::Visit};
 
-/// Paths into its own crate that a file names, as segments after `crate`.
+/// Paths into its own crate that a file uses, as segments after `crate`.
 #[derive(Default)]
 struct Paths(Vec<Vec<String>>);
 
@@ -57,10 +56,10 @@
     }
 }
 
-/// Files by module path, such as `["witness"]`, below a folder of sources.
+/// Collects the files below a source folder by module path, such as `["witness"]`.
 fn modules(folder: &Path, module: &[String], found: &mut BTreeMap<Vec<String>, PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder of sources is readable") {
-        let path = entry.expect("an entry of a folder is readable").path();
+    for entry in fs::read_dir(folder).expect("a source folder is readable") {
+        let path = entry.expect("a folder entry is readable").path();
         let stem = path.file_stem().expect("files have names").to_string_lossy().to_string();
         let mut name = module.to_vec();
         match path.extension() {
@@ -81,14 +80,14 @@
 
 type Edges = BTreeMap<Vec<String>, BTreeSet<Vec<String>>>;
 
-/// Which files of a crate need which.
+/// Which files of a crate import which.
 fn edges(sources: &Path) -> Edges {
     let mut files = BTreeMap::new();
     modules(sources, &[], &mut files);
     let needs = |module: &Vec<String>, path: &PathBuf| {
-        let text = fs::read_to_string(path).expect("a source is readable");
+        let text = fs::read_to_string(path).expect("a source file is readable");
         let mut paths = Paths::default();
-        paths.visit_file(&syn::parse_file(&text).expect("a source that compiles parses"));
+        paths.visit_file(&syn::parse_file(&text).expect("a source file that compiles parses"));
         let targets = paths.0.into_iter().filter_map(|path| {
             let prefixes = (1..=path.len()).rev().map(|length| path[..length].to_vec());
             prefixes.into_iter().find(|prefix| files.contains_key(prefix))
@@ -98,7 +97,7 @@
     files.iter().map(|(module, path)| (module.clone(), needs(module, path))).collect()
 }
 
-/// Files that can be reached from one.
+/// Modules that `from` imports, directly or indirectly.
 fn reach(edges: &Edges, from: &Vec<String>) -> BTreeSet<Vec<String>> {
     let mut seen = BTreeSet::new();
     let mut open = vec![from];
@@ -112,7 +111,7 @@
     seen
 }
 
-/// Which folders of a crate need which; files at its top stand for themselves.
+/// Which top-level folders of a crate import which; a top-level file counts as a folder.
 fn rooms(edges: &Edges) -> Edges {
     let room = |module: &Vec<String>| module[..1].to_vec();
     let mut rooms = Edges::new();
@@ -128,7 +127,7 @@
     in_circle.map(|module| module.join("::")).collect()
 }
 
-/// Crates in whose sources a circle is found, with what is in it.
+/// Crates with import cycles, and the modules in them.
 fn circles(seen_as: impl Fn(Edges) -> Edges) -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let crates = fs::read_dir(root.join("crates")).expect("the workspace has crates");
@@ -141,20 +140,20 @@
             circles.push(format!("{}: {}", folder.display(), found.join(", ")));
         }
     }
-    assert!(folders.len() > 10, "all crates are looked at");
+    assert!(folders.len() > 10, "all crates are searched");
     circles
 }
 
 #[test]
 fn no_files_of_a_crate_need_each_other() {
     let found = circles(|edges| edges);
-    assert!(found.is_empty(), "files that need each other: {found:#?}");
+    assert!(found.is_empty(), "files that import each other: {found:#?}");
 }
 
 #[test]
 fn no_folders_of_a_crate_need_each_other() {
     let found = circles(|edges| rooms(&edges));
-    assert!(found.is_empty(), "folders that need each other: {found:#?}");
+    assert!(found.is_empty(), "folders that import each other: {found:#?}");
 }
 
 #[test]
--- a/crates/flintstalld/tests/soak.rs
+++ b/crates/flintstalld/tests/soak.rs
@@ -1,14 +1,14 @@
-//! A short soak with fixed seeds, and every seed that ever failed.
+//! Short soak runs: fixed seeds, and all seeds that failed before.
 
 use std::{path::PathBuf, time::Duration};
 
-/// A seed that once failed, the load with which it did, and the cause.
+/// A soak run, with the cause of its failure if it failed before.
 struct Case {
     seed: u64,
     seconds: u64,
-    /// Whether endpoints name limits.
+    /// Whether endpoints announce rate limits.
     limits: bool,
-    /// Whether endpoints say that they leave, and ask for rest.
+    /// Whether endpoints announce that they leave and ask for back-off.
     words: bool,
     cause: &'static str,
 }
@@ -20,46 +20,46 @@
         seconds: 12,
         limits: false,
         words: false,
-        cause: "bills lost with a planned stop while the store was away",
+        cause: "bills lost in a graceful shutdown while the store was unreachable",
     },
     Case {
         seed: 3,
         seconds: 12,
         limits: false,
         words: false,
-        cause: "the same, with all boxes killed before",
+        cause: "bills lost in a graceful shutdown, after all boxes had been killed",
     },
     Case {
         seed: 5,
         seconds: 13,
         limits: false,
         words: false,
-        cause: "bills lost that came after the lost answer to a page",
+        cause: "bills lost that were added after the answer to a page's write was lost",
     },
     Case { seed: 101, seconds: 12, limits: true, words: false, cause: "never failed" },
     Case { seed: 401, seconds: 12, limits: true, words: true, cause: "never failed" },
 ];
 
-/// Seeds with bills of boxes that stopped by plan without the store.
+/// Boxes shut down while the store is unreachable and hand their bills to other boxes.
 const HANDED_OVER: [Case; 2] = [
     Case {
         seed: 35,
         seconds: 15,
         limits: false,
         words: false,
-        cause: "the one box that took them was killed",
+        cause: "the only box that received the bills was killed",
     },
     Case {
         seed: 36,
         seconds: 15,
         limits: false,
         words: false,
-        cause: "the others did not know the box yet",
+        cause: "the other boxes did not know the box yet",
     },
 ];
 
-/// A box that registers first is cut off from the store before it reads of another one, and stops by plan. It had nowhere to leave
-/// its bills; those that register after it greet it since.
+/// The first box to register loses the store before it learns of other boxes, and shuts down. It
+/// can hand over its bills only because boxes that register later contact it.
 const ALONE: [Case; 1] = [Case {
     seed: 34,
     seconds: 13,
@@ -68,12 +68,12 @@
     cause: "the box knew no other box",
 }];
 
-/// A box stops by plan while the store is away, and all boxes are killed at the end. The run waited for the box
-/// before it let the store come back, for which the box waited: the store was away until the box had given up.
+/// A box shuts down while the store is unreachable, and all boxes are killed at the end. The store
+/// must return before the run waits for the box, because the box waits for the store.
 const HELD_UP: [Case; 3] = [
-    Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box held the run up" },
-    Case { seed: 248, seconds: 15, limits: true, words: true, cause: "the same" },
-    Case { seed: 432, seconds: 15, limits: true, words: true, cause: "the same, with two boxes" },
+    Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
+    Case { seed: 248, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
+    Case { seed: 432, seconds: 15, limits: true, words: true, cause: "two boxes delayed the run" },
 ];
 
 #[tokio::test]
@@ -107,8 +107,8 @@
             limits: *limits,
             words: *words,
         };
-        let report = soak::run(*seed, &options).await.expect("it can be played");
-        assert!(report.calls.1 > 100, "seed {seed} served little: {report:?}");
+        let report = soak::run(*seed, &options).await.expect("the soak run completes");
+        assert!(report.calls.1 > 100, "seed {seed}: too few requests were served: {report:?}");
         assert!(report.breaches.is_empty(), "seed {seed} ({cause}): {:#?}", report.breaches);
     }
 }
--- a/crates/jsonc/src/lib.rs
+++ b/crates/jsonc/src/lib.rs
@@ -1,4 +1,4 @@
-//! JSON with comments, read into typed values with errors that name the key and its line.
+//! Reads JSON with comments into typed values. Errors name the key and its line.
 
 mod error;
 mod lines;
@@ -8,17 +8,17 @@
 
 use serde::de::DeserializeOwned;
 
-/// Largest file read, in bytes.
+/// Maximum size of a file, in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// Reads a value of type `T` from JSON with comments.
+/// Parses JSON with comments and decodes it into a `T`.
 pub fn read<T: DeserializeOwned>(text: &str) -> Result<(T, Lines), Error> {
     let (value, lines) = parse(text)?;
     let typed = decode(value, &lines, "")?;
     Ok((typed, lines))
 }
 
-/// Parses JSON with comments into a plain value and the lines of its keys.
+/// Parses JSON with comments into an untyped value and the lines of its keys.
 pub fn parse(text: &str) -> Result<(serde_json::Value, Lines), Error> {
     if text.len() > MAX_BYTES {
         return Err(Error::TooLarge { bytes: text.len() });
@@ -29,7 +29,7 @@
     Ok((value, lines))
 }
 
-/// Decodes a part of a parsed file that stands at `path`.
+/// Decodes `value`, the part of a parsed file that is found at `path`.
 pub fn decode<T: DeserializeOwned>(
     value: serde_json::Value,
     lines: &Lines,
--- a/crates/jsonc/src/lines.rs
+++ b/crates/jsonc/src/lines.rs
@@ -1,4 +1,4 @@
-//! On which line each key of a file stands.
+//! Line numbers of the keys of a file.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{Error, join, options};
 
-/// Lines of keys by path, such as `peers[1].address`.
+/// Lines of keys and array elements by path, such as `peers[1].address`.
 #[derive(Debug, Clone, Default)]
 pub struct Lines {
     by_path: BTreeMap<String, usize>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The line of a key, or of the nearest key round it; 1 for the file itself.
+    /// The line of a key, or of its nearest enclosing key if the file lacks it; else 1.
     pub fn line(&self, path: &str) -> usize {
         let mut path = path;
         loop {
--- a/crates/jsonc/tests/read.rs
+++ b/crates/jsonc/tests/read.rs
@@ -1,4 +1,4 @@
-//! Errors name the key and its line, and no text makes the reader panic.
+//! Errors name the key and its line; no input makes the parser panic.
 
 use proptest::prelude::*;
 use serde::Deserialize;
--- a/crates/resource/src/budget.rs
+++ b/crates/resource/src/budget.rs
@@ -7,41 +7,41 @@
 
 use crate::{Violation, is_name};
 
-/// Rule for a request of which nobody can tell how it ended.
+/// How a request whose outcome is unknown is billed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unresolved {
-    /// Charge its worst case.
+    /// Bills the tokens that were reserved for it.
     #[default]
     ChargeReserved,
-    /// Bill nothing; the tokens are spent all the same, since the request may have run.
+    /// Bills nothing; the tokens count as spent, because the request may have run.
     BillNothing,
 }
 
-/// What was paid, in total, and how the fleet treats it.
+/// Prepaid tokens of a customer and the policies for spending them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Customer that it belongs to.
+    /// Customer that paid.
     pub customer: Arc<str>,
-    /// All tokens ever paid for; a top-up raises it.
+    /// Total of all tokens ever paid for; a top-up raises it.
     pub paid: u64,
-    /// Preference when the platform is out of reach.
+    /// Whether to serve or to conserve tokens while the platform is unreachable.
     #[serde(default)]
     pub prefer: Prefer,
-    /// Share held offline by the whole fleet, in thousandths of what is left; overrides `prefer`.
+    /// Tokens that the whole fleet holds offline, in thousandths of what is left; overrides `prefer`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub offline_share: Option<u64>,
-    /// Rule for requests that nobody can account for.
+    /// Billing of requests whose outcome is unknown.
     #[serde(default)]
     pub unresolved: Unresolved,
 }
 
-/// Largest amount of tokens, so that sums cannot overflow.
+/// Largest `paid`; keeps sums of tokens from overflowing.
 const MOST_PAID: u64 = 1 << 50;
 
 impl Budget {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         if self.paid > MOST_PAID {
@@ -56,7 +56,7 @@
         found
     }
 
-    /// Share that the fleet holds offline, in thousandths.
+    /// Tokens that the whole fleet holds offline, in thousandths of what is left.
     pub fn share(&self) -> u64 {
         self.offline_share.unwrap_or_else(|| self.prefer.offline_share())
     }
--- a/crates/resource/src/customer.rs
+++ b/crates/resource/src/customer.rs
@@ -6,16 +6,16 @@
 
 use crate::{Violation, is_name};
 
-/// Who calls, with which keys, and how much at once.
+/// A customer with its API keys and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// API keys by name.
     pub keys: BTreeMap<Arc<str>, Key>,
-    /// Share against other customers where work queues up.
+    /// Weight in fair queueing against other customers.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Requests under way at once on one box.
+    /// Limit of concurrent requests on one box.
     #[serde(default = "most")]
     pub max_in_flight: u32,
 }
@@ -26,7 +26,7 @@
 pub struct Key {
     /// SHA-256 of the secret, in hexadecimal.
     pub sha256: String,
-    /// Budget that pays for calls with this key.
+    /// Budget that is charged for calls with this key.
     pub budget: Arc<str>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Customer {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: String, allowed: &str| {
--- a/crates/resource/src/destroyed.rs
+++ b/crates/resource/src/destroyed.rs
@@ -1,4 +1,4 @@
-//! An operator's word that an incarnation is gone for good.
+//! An operator's declaration that an incarnation is gone for good.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Destroyed {
-    /// Whole name of the incarnation, as `flintstall statement` shows it.
+    /// Full name of the incarnation, as `flintstall statement` shows it.
     pub incarnation: Arc<str>,
-    /// Who says so and why, for the record.
+    /// Who declares it and why; only stored.
     pub reason: String,
 }
 
 impl Destroyed {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         if !self.incarnation.contains('.') || self.incarnation.len() > 128 {
--- a/crates/resource/src/file.rs
+++ b/crates/resource/src/file.rs
@@ -1,4 +1,4 @@
-//! Files of resources: JSON with comments, one resource or an array of them.
+//! Resource files: JSON with comments that holds one resource or an array of them.
 
 use std::sync::Arc;
 
@@ -6,21 +6,21 @@
 
 use crate::{Kind, Spec, Violation, check_name};
 
-/// One resource of a file.
+/// A resource as read from a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
     /// Kind of the resource.
     pub kind: Kind,
     /// Name within the kind.
     pub name: Arc<str>,
-    /// What it says.
+    /// Spec of that kind.
     pub spec: Spec,
 }
 
-/// Why a file was refused.
+/// Why a file was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// A syntax error, an unknown or missing key, a wrong type, a value out of range.
+    /// Invalid syntax, an unknown or missing key, a wrong type or a value out of range.
     #[snafu(display("{source}"))]
     File { source: jsonc::Error },
     /// Neither an object nor an array of objects.
@@ -36,7 +36,7 @@
     spec: serde_json::Value,
 }
 
-/// Reads all resources of a file; the first fault refuses the whole file.
+/// Reads all resources of a file; the first error rejects the whole file.
 pub fn read(text: &str) -> Result<Vec<Document>, Error> {
     let (value, lines) = jsonc::parse(text).context(FileSnafu)?;
     match value {
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -5,18 +5,18 @@
 
 use crate::{Key, is_name};
 
-/// An API key as a caller sends it, split but not yet checked.
+/// An API key as a caller sends it: split into its parts, not yet verified.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Secret<'a> {
-    /// Customer that the key claims to belong to.
+    /// Name of the customer that the key claims to belong to.
     pub customer: &'a str,
-    /// Name of the key on the customer.
+    /// Name of the key among the customer's keys.
     pub key: &'a str,
     secret: &'a str,
 }
 
 impl<'a> Secret<'a> {
-    /// Splits an API key; `None` if it is not one.
+    /// Splits an API key; `None` if `text` does not have the form of one.
     pub fn parse(text: &'a str) -> Option<Secret<'a>> {
         let (customer, rest) = text.split_once('.')?;
         let (key, secret) = rest.split_once('.')?;
@@ -24,14 +24,14 @@
         fits.then_some(Secret { customer, key, secret })
     }
 
-    /// Whether this is the key whose hash is stored, in constant time.
+    /// Whether the secret has the stored hash; compares in constant time.
     pub fn matches(&self, stored: &Key) -> bool {
         let hash = hash_secret(self.secret);
         hash.as_bytes().ct_eq(stored.sha256.as_bytes()).into()
     }
 }
 
-/// SHA-256 of the secret part, in lower-case hexadecimal.
+/// SHA-256 of the secret part of an API key, in lower-case hexadecimal.
 pub fn hash_secret(secret: &str) -> String {
     let digest = Sha256::digest(secret.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/resource/src/kind.rs
+++ b/crates/resource/src/kind.rs
@@ -1,31 +1,31 @@
-//! Kinds of objects in the platform.
+//! Kinds of resources.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// A kind that operators write.
+/// A kind of resource that operators write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Who calls.
+    /// See [`Customer`](crate::Customer).
     Customer,
-    /// What was paid.
+    /// See [`Budget`](crate::Budget).
     Budget,
-    /// Where calls go and under which limits.
+    /// See [`Route`](crate::Route).
     Route,
-    /// Endpoints that serve the same model or service.
+    /// See [`Pool`](crate::Pool).
     Pool,
-    /// Declares that an incarnation or box is gone for good.
+    /// See [`Destroyed`](crate::Destroyed).
     Destroyed,
 }
 
 impl Kind {
-    /// All kinds that operators write, in the order they are applied.
+    /// All kinds, in the order in which they are applied.
     pub const ALL: [Kind; 5] =
         [Kind::Budget, Kind::Customer, Kind::Pool, Kind::Route, Kind::Destroyed];
 
-    /// The name used in files and in the platform.
+    /// The name used in files and in the platform's store.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Customer => "customer",
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,8 +1,7 @@
-//! The resources that operators write: their kinds, names, specs and checks.
+//! The resources that operators write: kinds, names, specs and validation.
 //!
-//! Everything here works offline, so that `flintstall check` and the fleet's own validation give
-//! the same verdict. References between resources are checked where all of them are known, in
-//! the `config` library.
+//! Validation needs no platform, so `flintstall check` and the fleet give the same result.
+//! References between resources are checked in the `config` crate, which knows all of them.
 
 mod budget;
 mod customer;
--- a/crates/resource/src/name.rs
+++ b/crates/resource/src/name.rs
@@ -1,9 +1,9 @@
-//! Names of resources.
+//! Resource names.
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 63;
 
-/// Whether `text` is a name: lower-case letters, digits and inner hyphens.
+/// Whether `text` is a valid name: lower-case letters, digits and inner hyphens.
 pub fn is_name(text: &str) -> bool {
     let bytes = text.as_bytes();
     let inner = |byte: &u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
@@ -11,7 +11,7 @@
     ends && bytes.len() <= MAX_NAME && bytes.iter().all(|byte| inner(byte) || *byte == b'-')
 }
 
-/// Refuses what is not a name, saying what one looks like.
+/// Returns an error that describes valid names if `text` is not one.
 pub fn check_name(text: &str) -> Result<(), String> {
     match is_name(text) {
         true => Ok(()),
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of endpoints.
+//! Endpoint pools.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -10,26 +10,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Serves {
-    /// A model engine that batches continuously.
+    /// A model engine with continuous batching.
     Model(Engine),
-    /// A plain service; each call costs a fixed number of tokens.
+    /// A plain HTTP service; each call costs a fixed number of tokens.
     Service {
-        /// Tokens charged for a call that ran.
+        /// Tokens charged for each call that ran.
         cost: u64,
     },
 }
 
-/// What the router must know of a model engine.
+/// Properties of a model engine that routing and billing depend on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Fewest bytes of text that one token of its tokenizer stands for; 1 is always safe.
+    /// Lower bound of the bytes of text for each token; 1 holds for any tokenizer.
     #[serde(default = "one")]
     pub bytes_per_token: u64,
-    /// Requests one endpoint batches at once.
+    /// Requests that one endpoint batches at once.
     #[serde(default = "slots")]
     pub slots: u32,
-    /// Whether its endpoints refuse orders with an older fence.
+    /// Whether its endpoints reject orders with an outdated fencing token.
     #[serde(default)]
     pub checks_orders: bool,
 }
@@ -38,24 +38,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Name, unique over all pools.
+    /// Name, unique across all pools.
     pub name: Arc<str>,
     /// Address with port, such as `10.0.3.7:8000`.
     pub address: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Gets no new work.
+    /// Whether it gets no new requests.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
 
-/// Endpoints that serve the same thing.
+/// Endpoints that serve the same model or service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// What they serve.
     pub serves: Serves,
-    /// The endpoints.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -68,7 +67,7 @@
 }
 
 impl Pool {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: String, allowed: &str| {
@@ -99,7 +98,7 @@
         found
     }
 
-    /// Cost of the prompt of a request with `bytes` of text, never too little.
+    /// Upper bound of the prompt tokens in `bytes` of text.
     pub fn prompt_bound(&self, bytes: u64) -> u64 {
         match &self.serves {
             Serves::Model(engine) => bytes.div_ceil(engine.bytes_per_token),
--- a/crates/resource/src/route.rs
+++ b/crates/resource/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: the name that callers use, the pool behind it, and its limits.
+//! Routes: the pool and the limits behind a name that callers use.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 
 use crate::{Violation, is_name};
 
-/// Kinds of work that never wait behind each other.
+/// Priority class of requests. Each class may fill a different share of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Someone waits at a desk: confirmations, pings, short answers.
+    /// Short answers that a person waits for.
     Interactive,
-    /// A streamed answer that someone reads as it comes.
+    /// Streamed answers that a person reads as they arrive.
     Streaming,
-    /// Long prompts whose answer may take its time.
+    /// Long prompts whose answers are not urgent.
     Long,
 }
 
@@ -22,7 +22,7 @@
     /// All classes, the most urgent first.
     pub const ALL: [Class; 3] = [Class::Interactive, Class::Streaming, Class::Long];
 
-    /// Priority sent to the engine; smaller is sooner.
+    /// Priority sent to the engine; lower values run first.
     pub fn priority(self) -> u8 {
         match self {
             Class::Interactive => 0,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The name used in files, metrics and headers.
+    /// The name used in files and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Interactive => "interactive",
@@ -41,31 +41,31 @@
     }
 }
 
-/// Where calls by one name go. For models the name is the model's, for services the path's.
+/// Routes calls to a pool. Its name is a model, or a service under the path `/services/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Pool that serves it.
     pub pool: Arc<str>,
-    /// Kind of work.
+    /// Priority class.
     #[serde(default = "streaming")]
     pub class: Class,
-    /// Whether a request may run again after a lost answer.
+    /// Whether a request may run again after its answer was lost.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Most output tokens of one answer; a request may ask for fewer.
+    /// Maximum output tokens of one answer; a request may ask for fewer.
     #[serde(default = "output")]
     pub max_output: u64,
-    /// How long a caller waits for the first byte, in milliseconds.
+    /// Time limit for the first byte of the answer, in milliseconds.
     #[serde(default = "deadline")]
     pub deadline_ms: u64,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "body")]
     pub max_body: u64,
-    /// Requests under way at once on one box.
+    /// Limit of concurrent requests on one box.
     #[serde(default = "in_flight")]
     pub max_in_flight: u32,
-    /// Customers that may use it; empty means all.
+    /// Customers that may use it; all if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Arc<str>>,
 }
@@ -95,7 +95,7 @@
 }
 
 impl Route {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         let ranges = [
--- a/crates/resource/src/spec.rs
+++ b/crates/resource/src/spec.rs
@@ -4,7 +4,7 @@
 
 use crate::{Budget, Customer, Destroyed, Kind, Pool, Route, Violation};
 
-/// A spec of one kind.
+/// The spec of a resource; untagged, because the kind is stored next to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(untagged)]
 pub enum Spec {
@@ -21,7 +21,7 @@
 }
 
 impl Spec {
-    /// Decodes the spec of a kind that stands at `path` of a file.
+    /// Decodes the spec of a resource of `kind`, found at `path` in a file.
     pub fn decode(
         kind: Kind,
         value: serde_json::Value,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Reads a spec from JSON text, as it stands in the platform.
+    /// Reads and validates a spec from the JSON text in the platform's store.
     pub fn from_json(kind: Kind, text: &str) -> Result<Spec, jsonc::Error> {
         let (value, lines) = jsonc::parse(text)?;
         let spec = Spec::decode(kind, value, &lines, "")?;
@@ -47,7 +47,6 @@
         }
     }
 
-    /// The kind of the resource.
     pub fn kind(&self) -> Kind {
         match self {
             Spec::Customer(_) => Kind::Customer,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
         match self {
             Spec::Customer(spec) => spec.check(),
@@ -69,7 +68,7 @@
         }
     }
 
-    /// JSON text for the platform.
+    /// JSON text for the platform's store.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("specs always serialize")
     }
--- a/crates/resource/tests/file.rs
+++ b/crates/resource/tests/file.rs
@@ -1,4 +1,4 @@
-//! Resource files: faults are named with key and line, and nothing makes the reader panic.
+//! Resource files: errors name the key and its line; no input makes the parser panic.
 
 use proptest::prelude::*;
 use resource::{Kind, Secret, hash_secret, read};
--- a/crates/timeline/src/clock.rs
+++ b/crates/timeline/src/clock.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment: wall-clock milliseconds and a counter that keeps causal order.
+/// Hybrid logical timestamp: wall-clock milliseconds and a counter that keeps causal order.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Milliseconds since 1970, as far as the clocks agree.
+    /// Milliseconds since the Unix epoch, of the most advanced wall clock seen.
     pub ms: u64,
-    /// Order within the millisecond.
+    /// Orders timestamps with the same `ms`.
     pub count: u32,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// The clock of one process.
+/// Hybrid logical clock of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Clock {
     last: Stamp,
 }
 
 impl Clock {
-    /// A stamp later than all before it.
+    /// Returns a timestamp later than all issued or observed before.
     pub fn tick(&mut self, wall_ms: u64) -> Stamp {
         self.last = match wall_ms > self.last.ms {
             true => Stamp { ms: wall_ms, count: 0 },
@@ -46,7 +46,7 @@
         self.last
     }
 
-    /// Takes over a stamp that came with a message.
+    /// Advances the clock past the timestamp of a received message.
     pub fn observe(&mut self, seen: Stamp, wall_ms: u64) {
         self.last = self.last.max(seen);
         self.tick(wall_ms);
--- a/crates/timeline/src/event.rs
+++ b/crates/timeline/src/event.rs
@@ -1,4 +1,4 @@
-//! Typed events.
+//! Events of the timeline.
 
 use std::sync::Arc;
 
@@ -6,74 +6,74 @@
 
 use crate::Stamp;
 
-/// What happened.
+/// What happened, with its details.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
     /// A process started as a new incarnation.
     Started,
-    /// A planned stop began.
+    /// A graceful shutdown began.
     Stopping,
-    /// The last request ended and the journal closed.
+    /// A graceful shutdown ended: no requests are left and the journal is closed.
     Stopped,
-    /// A request was read and its caller known.
+    /// A request was read and its caller authenticated.
     Received,
-    /// Its worst case was reserved, in tokens.
+    /// Tokens for its highest possible cost were reserved.
     Reserved { tokens: u64, offline: bool },
-    /// Its intent landed in the journal.
+    /// Its record was written to the journal.
     Recorded,
     /// It was sent to an endpoint.
     Dispatched { endpoint: Arc<str> },
-    /// Its caller got the whole answer.
+    /// Its caller received the complete answer.
     Answered { tokens: u64 },
-    /// It was refused and did not run.
+    /// It was rejected and did not run.
     Refused { reason: Arc<str> },
-    /// It was dispatched, but no whole answer came.
+    /// It was dispatched, but no complete answer arrived.
     Unknown { reason: Arc<str> },
-    /// It was answered from a recorded outcome or joined to a running request.
+    /// It was answered from a recorded outcome or joined a running request with the same key.
     Replayed,
     /// Tokens were drawn from or returned to a ledger.
     Drawn { online: u64, offline: u64, returned: u64 },
-    /// Outcomes were folded into a statement.
+    /// Outcomes were merged into a statement as bills.
     Folded { bills: u64 },
-    /// A journal was sealed.
+    /// A journal was sealed: its incarnation can write no more to it.
     Sealed { incarnation: Arc<str> },
-    /// This process found its own journal sealed and went on as another incarnation.
+    /// This process found its own journal sealed and continues as a new incarnation.
     Renewed { incarnation: Arc<str> },
-    /// An open record of a sealed journal got an outcome.
+    /// An open record of a sealed journal was given an outcome.
     Resolved { incarnation: Arc<str>, tokens: u64 },
-    /// Entries carried for another incarnation reached its journal.
+    /// Entries kept on behalf of another incarnation were written to its journal.
     HandedIn { incarnation: Arc<str> },
-    /// Offline tokens went to another incarnation.
+    /// Offline tokens were transferred to another incarnation.
     Transferred { to: Arc<str>, tokens: u64 },
-    /// A version of a resource is in force here.
+    /// A version of a resource came into force in this process.
     Applied { object: Arc<str>, version: u64 },
-    /// A resource was not accepted.
+    /// A resource failed validation.
     Invalid { object: Arc<str>, reason: Arc<str> },
-    /// An endpoint gets no new work.
+    /// An endpoint gets no new requests.
     Leaving { endpoint: Arc<str> },
-    /// An endpoint is passed over after failures.
+    /// An endpoint was ejected after failures.
     Ejected { endpoint: Arc<str> },
-    /// The platform stopped answering.
+    /// The platform became unreachable.
     PlatformLost,
-    /// The platform answers again.
+    /// The platform is reachable again.
     PlatformBack,
-    /// A peer stopped answering.
+    /// A peer became unreachable.
     PeerLost { peer: Arc<str> },
-    /// A peer answers again.
+    /// A peer is reachable again.
     PeerBack { peer: Arc<str> },
-    /// An order reached an endpoint.
+    /// An order was delivered to an endpoint.
     Ordered { endpoint: Arc<str>, version: u64 },
 }
 
-/// One event of one process.
+/// An event of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Hybrid logical time.
     pub at: Stamp,
-    /// Incarnation that saw it.
+    /// Incarnation that recorded it.
     pub by: Arc<str>,
-    /// Number among that process's events, from 1.
+    /// Sequence number among the events of that process, from 1.
     pub seq: u64,
     /// What happened.
     pub what: What,
@@ -86,7 +86,7 @@
 }
 
 impl Event {
-    /// The name of the box.
+    /// Name of the box that recorded it.
     pub fn box_name(&self) -> &str {
         self.by.rsplit_once('.').map_or(&self.by, |(name, _)| name)
     }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,8 +1,8 @@
-//! A time line of events over all processes.
+//! A causally ordered timeline of the events of all processes.
 //!
-//! Each process stamps its events with a hybrid logical clock that travels in frames and request
-//! headers, so that merged events never show an effect before its cause, whatever the wall clocks
-//! say. Stamps order what people read; no decision rests on them.
+//! Each process timestamps its events with a hybrid logical clock. Timestamps travel in messages
+//! and request headers, so no event is ordered before its cause even if wall clocks disagree.
+//! They only order what is displayed; no decision depends on them.
 
 mod clock;
 mod event;
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -1,4 +1,4 @@
-//! The events of one process: stamped, rendered by `tracing`, the newest kept in a ring.
+//! Event log of one process: writes events through `tracing` and keeps the newest in memory.
 
 use std::{
     collections::VecDeque,
@@ -10,7 +10,7 @@
 
 use crate::{Clock, Event, Stamp, What};
 
-/// Events kept in memory.
+/// Number of events kept in memory.
 const RING: usize = 4_096;
 
 struct State {
@@ -20,7 +20,7 @@
     ring: VecDeque<Event>,
 }
 
-/// Handle on the event log of one process.
+/// Handle to the event log of one process.
 #[derive(Clone)]
 pub struct Log(Arc<Mutex<State>>);
 
@@ -37,12 +37,12 @@
         Log(Arc::new(Mutex::new(state)))
     }
 
-    /// Goes on under another incarnation's name.
+    /// Sets the incarnation that later events are recorded under.
     pub fn rename(&self, by: impl Into<Arc<str>>) {
         self.0.lock().by = by.into();
     }
 
-    /// Adds an event of the process itself.
+    /// Adds an event that belongs to no request or budget.
     pub fn add(&self, what: What) {
         self.push(what, None, None);
     }
@@ -72,17 +72,17 @@
         state.ring.push_back(event);
     }
 
-    /// The stamp to send along with a message.
+    /// Returns a new timestamp, to be sent with a message.
     pub fn stamp(&self) -> Stamp {
         self.0.lock().clock.tick(wall_ms())
     }
 
-    /// Takes over the stamp of a message that came in.
+    /// Advances the clock past the timestamp of a received message.
     pub fn observe(&self, seen: Stamp) {
         self.0.lock().clock.observe(seen, wall_ms());
     }
 
-    /// The newest events, oldest first.
+    /// The events kept in memory, oldest first.
     pub fn events(&self) -> Vec<Event> {
         self.0.lock().ring.iter().cloned().collect()
     }
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -1,8 +1,8 @@
-//! Merging the collected lines of many processes into one time line.
+//! Merges the log lines of many processes into one timeline.
 
 use crate::Event;
 
-/// Which events to show; empty shows all.
+/// Selects events; criteria that are `None` match all.
 #[derive(Debug, Clone, Default)]
 pub struct Filter {
     /// Only events of this request.
@@ -14,7 +14,7 @@
 }
 
 impl Filter {
-    /// Whether the event passes.
+    /// Whether an event meets all criteria.
     pub fn passes(&self, event: &Event) -> bool {
         let fits = |want: &Option<String>, has: Option<&str>| {
             want.as_deref().is_none_or(|want| has == Some(want))
@@ -25,7 +25,7 @@
     }
 }
 
-/// The event of one log line: the bare event, or a JSON log line that carries one.
+/// Parses a line that is an event, or a JSON log line with an event in its `event` field.
 pub fn parse(line: &str) -> Option<Event> {
     if let Ok(event) = serde_json::from_str(line) {
         return Some(event);
@@ -35,7 +35,7 @@
     serde_json::from_str(carried.as_str()?).ok()
 }
 
-/// Orders events causally and drops those seen twice.
+/// Orders the selected events causally and removes duplicates.
 pub fn merge(events: impl IntoIterator<Item = Event>, filter: &Filter) -> Vec<Event> {
     let mut kept: Vec<Event> = events.into_iter().filter(|event| filter.passes(event)).collect();
     kept.sort_by(|a, b| (a.at, &a.by, a.seq).cmp(&(b.at, &b.by, b.seq)));
@@ -43,7 +43,7 @@
     kept
 }
 
-/// One line for people.
+/// Formats an event as one line of text.
 pub fn render(event: &Event) -> String {
     let what = match serde_json::to_value(&event.what) {
         Ok(serde_json::Value::String(name)) => name,
