--- a/crates/cli-args/src/lib.rs
+++ b/crates/cli-args/src/lib.rs
@@ -7,26 +7,26 @@
 use argh::{EarlyExit, TopLevelCommand};
 
 /// Exit code for a usage error.
-pub const USAGE: i32 = 2;
+pub const USAGE_EXIT_CODE: i32 = 2;
 
 /// Parses the command line of this process; exits on a usage error and after `--help`.
 pub fn parse<T: TopLevelCommand>() -> T {
     let args: Vec<String> = env::args().collect();
     let path = args.first().map_or("", String::as_str);
     let name = path.rsplit('/').next().unwrap_or(path);
-    let rest: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
-    T::from_args(&[name], &rest).unwrap_or_else(|exit| leave(name, &exit))
+    let flags: Vec<&str> = args.iter().skip(1).map(String::as_str).collect();
+    T::from_args(&[name], &flags).unwrap_or_else(|early_exit| exit_early(name, &early_exit))
 }
 
-fn leave(name: &str, exit: &EarlyExit) -> ! {
-    match exit.status {
+fn exit_early(name: &str, early_exit: &EarlyExit) -> ! {
+    match early_exit.status {
         Ok(()) => {
-            println!("{}", exit.output);
+            println!("{}", early_exit.output);
             process::exit(0)
         }
         Err(()) => {
-            eprintln!("{}\nRun {name} --help for more information.", exit.output.trim_end());
-            process::exit(USAGE)
+            eprintln!("{}\nRun {name} --help for more information.", early_exit.output.trim_end());
+            process::exit(USAGE_EXIT_CODE)
         }
     }
 }
--- a/crates/jsonc/src/error.rs
+++ b/crates/jsonc/src/error.rs
@@ -5,8 +5,11 @@
 /// Why a file was rejected. Lines count from 1.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The file exceeds [`MAX_BYTES`](crate::MAX_BYTES).
-    #[snafu(display("the file has {bytes} bytes, more than the {} allowed", crate::MAX_BYTES))]
+    /// The file exceeds [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES).
+    #[snafu(display(
+        "the file has {bytes} bytes, more than the {} allowed",
+        crate::MAX_FILE_BYTES
+    ))]
     TooLarge { bytes: usize },
     /// The text is not JSON with comments.
     #[snafu(display("line {line}: {reason}"))]
@@ -31,7 +34,7 @@
     }
 
     /// Converts it to an error with the line of the key.
-    pub fn error(&self, lines: &crate::Lines) -> Error {
+    pub fn error(&self, lines: &crate::LineIndex) -> Error {
         Error::Key {
             line: lines.line(&self.path),
             path: self.path.clone(),
--- a/crates/jsonc/src/lib.rs
+++ b/crates/jsonc/src/lib.rs
@@ -1,30 +1,30 @@
 //! Reads JSON with comments into typed values. Errors name the key and its line.
 
 mod error;
-mod lines;
+mod line_index;
 
 pub use error::{Error, Violation};
-pub use lines::Lines;
+pub use line_index::LineIndex;
 
 use serde::de::DeserializeOwned;
 
 /// Maximum size of a file, in bytes.
-pub const MAX_BYTES: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 
 /// Parses JSON with comments and decodes it into a `T`.
-pub fn read<T: DeserializeOwned>(text: &str) -> Result<(T, Lines), Error> {
+pub fn read<T: DeserializeOwned>(text: &str) -> Result<(T, LineIndex), Error> {
     let (value, lines) = parse(text)?;
     let typed = decode(value, &lines, "")?;
     Ok((typed, lines))
 }
 
 /// Parses JSON with comments into an untyped value and the lines of its keys.
-pub fn parse(text: &str) -> Result<(serde_json::Value, Lines), Error> {
-    if text.len() > MAX_BYTES {
+pub fn parse(text: &str) -> Result<(serde_json::Value, LineIndex), Error> {
+    if text.len() > MAX_FILE_BYTES {
         return Err(Error::TooLarge { bytes: text.len() });
     }
-    let lines = Lines::of(text)?;
-    let value = jsonc_parser::parse_to_serde_value::<serde_json::Value>(text, &options())
+    let lines = LineIndex::new(text)?;
+    let value = jsonc_parser::parse_to_serde_value::<serde_json::Value>(text, &parse_options())
         .map_err(|error| Error::Syntax { line: error.line_display(), reason: error.to_string() })?;
     Ok((value, lines))
 }
@@ -32,13 +32,17 @@
 /// Decodes `value`, the part of a parsed file that is found at `path`.
 pub fn decode<T: DeserializeOwned>(
     value: serde_json::Value,
-    lines: &Lines,
+    lines: &LineIndex,
     path: &str,
 ) -> Result<T, Error> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let inner = error.path().to_string();
-        let at = join(path, if inner == "." { "" } else { &inner });
-        Error::Key { line: lines.line(&at), reason: error.inner().to_string(), path: at }
+        let full_path = join(path, if inner == "." { "" } else { &inner });
+        Error::Key {
+            line: lines.line(&full_path),
+            reason: error.inner().to_string(),
+            path: full_path,
+        }
     })
 }
 
@@ -51,7 +55,7 @@
     }
 }
 
-pub(crate) fn options() -> jsonc_parser::ParseOptions {
+pub(crate) fn parse_options() -> jsonc_parser::ParseOptions {
     jsonc_parser::ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
--- a/crates/resource/src/budget.rs
+++ b/crates/resource/src/budget.rs
@@ -38,22 +38,22 @@
 }
 
 /// Largest `paid`; keeps sums of tokens from overflowing.
-const MOST_PAID: u64 = 1 << 50;
+const MAX_PAID_TOKENS: u64 = 1 << 50;
 
 impl Budget {
     /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
-        if self.paid > MOST_PAID {
-            found.push(Violation::new("paid", format!("at most {MOST_PAID} tokens")));
+        let mut violations = Vec::new();
+        if self.paid > MAX_PAID_TOKENS {
+            violations.push(Violation::new("paid", format!("at most {MAX_PAID_TOKENS} tokens")));
         }
         if self.offline_share.is_some_and(|share| share > 1_000) {
-            found.push(Violation::new("offline_share", "between 0 and 1000 thousandths"));
+            violations.push(Violation::new("offline_share", "between 0 and 1000 thousandths"));
         }
         if !is_name(&self.customer) {
-            found.push(Violation::new("customer", "the name of a customer"));
+            violations.push(Violation::new("customer", "the name of a customer"));
         }
-        found
+        violations
     }
 
     /// Tokens that the whole fleet holds offline, in thousandths of what is left.
--- a/crates/resource/src/customer.rs
+++ b/crates/resource/src/customer.rs
@@ -13,10 +13,10 @@
     /// API keys by name.
     pub keys: BTreeMap<Arc<str>, Key>,
     /// Weight in fair queueing against other customers.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: u32,
     /// Limit of concurrent requests on one box.
-    #[serde(default = "most")]
+    #[serde(default = "default_max_in_flight")]
     pub max_in_flight: u32,
 }
 
@@ -30,36 +30,36 @@
     pub budget: Arc<str>,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-fn most() -> u32 {
+fn default_max_in_flight() -> u32 {
     1_000
 }
 
 impl Customer {
     /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
-        let mut need = |fits: bool, path: String, allowed: &str| {
-            if !fits {
-                found.push(Violation::new(path, allowed));
+        let mut violations = Vec::new();
+        let mut require = |is_valid: bool, path: String, allowed: &str| {
+            if !is_valid {
+                violations.push(Violation::new(path, allowed));
             }
         };
-        need((1..=1_000).contains(&self.weight), "weight".into(), "between 1 and 1000");
-        need(
+        require((1..=1_000).contains(&self.weight), "weight".into(), "between 1 and 1000");
+        require(
             (1..=100_000).contains(&self.max_in_flight),
             "max_in_flight".into(),
             "between 1 and 100000",
         );
         for (name, key) in &self.keys {
-            let hex = key.sha256.len() == 64
+            let is_hex = key.sha256.len() == 64
                 && key.sha256.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-            need(hex, format!("keys.{name}.sha256"), "64 lower-case hexadecimal digits");
-            need(is_name(name), format!("keys.{name}"), "a name");
-            need(is_name(&key.budget), format!("keys.{name}.budget"), "the name of a budget");
+            require(is_hex, format!("keys.{name}.sha256"), "64 lower-case hexadecimal digits");
+            require(is_name(name), format!("keys.{name}"), "a name");
+            require(is_name(&key.budget), format!("keys.{name}.budget"), "the name of a budget");
         }
-        found
+        violations
     }
 }
--- a/crates/resource/src/destroyed.rs
+++ b/crates/resource/src/destroyed.rs
@@ -19,13 +19,13 @@
 impl Destroyed {
     /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         if !self.incarnation.contains('.') || self.incarnation.len() > 128 {
-            found.push(Violation::new("incarnation", "a box name, a dot and a suffix"));
+            violations.push(Violation::new("incarnation", "a box name, a dot and a suffix"));
         }
         if self.reason.trim().is_empty() {
-            found.push(Violation::new("reason", "a few words"));
+            violations.push(Violation::new("reason", "a few words"));
         }
-        found
+        violations
     }
 }
--- a/crates/resource/src/file.rs
+++ b/crates/resource/src/file.rs
@@ -22,10 +22,10 @@
 pub enum Error {
     /// Invalid syntax, an unknown or missing key, a wrong type or a value out of range.
     #[snafu(display("{source}"))]
-    File { source: jsonc::Error },
+    Invalid { source: jsonc::Error },
     /// Neither an object nor an array of objects.
     #[snafu(display("line 1: a resource or an array of resources is expected"))]
-    Shape,
+    NotResources,
 }
 
 #[derive(serde::Deserialize)]
@@ -38,7 +38,7 @@
 
 /// Reads all resources of a file; the first error rejects the whole file.
 pub fn read(text: &str) -> Result<Vec<Document>, Error> {
-    let (value, lines) = jsonc::parse(text).context(FileSnafu)?;
+    let (value, lines) = jsonc::parse(text).context(InvalidSnafu)?;
     match value {
         serde_json::Value::Array(items) => items
             .into_iter()
@@ -46,23 +46,27 @@
             .map(|(index, item)| document(item, &lines, &format!("[{index}]")))
             .collect(),
         object @ serde_json::Value::Object(_) => Ok(vec![document(object, &lines, "")?]),
-        _ => Err(Error::Shape),
+        _ => Err(Error::NotResources),
     }
 }
 
-fn document(item: serde_json::Value, lines: &jsonc::Lines, path: &str) -> Result<Document, Error> {
-    let envelope: Envelope = jsonc::decode(item, lines, path).context(FileSnafu)?;
-    let fault = |key: &str, reason: String| {
+fn document(
+    item: serde_json::Value,
+    lines: &jsonc::LineIndex,
+    path: &str,
+) -> Result<Document, Error> {
+    let envelope: Envelope = jsonc::decode(item, lines, path).context(InvalidSnafu)?;
+    let key_error = |key: &str, reason: String| {
         let path = jsonc::join(path, key);
-        Error::File { source: jsonc::Error::Key { line: lines.line(&path), path, reason } }
+        Error::Invalid { source: jsonc::Error::Key { line: lines.line(&path), path, reason } }
     };
-    let kind: Kind = envelope.kind.parse().map_err(|reason| fault("kind", reason))?;
-    check_name(&envelope.name).map_err(|reason| fault("name", reason))?;
-    let at = jsonc::join(path, "spec");
-    let spec = Spec::decode(kind, envelope.spec, lines, &at).context(FileSnafu)?;
+    let kind: Kind = envelope.kind.parse().map_err(|reason| key_error("kind", reason))?;
+    check_name(&envelope.name).map_err(|reason| key_error("name", reason))?;
+    let spec_path = jsonc::join(path, "spec");
+    let spec = Spec::decode(kind, envelope.spec, lines, &spec_path).context(InvalidSnafu)?;
     if let Some(violation) = spec.check().into_iter().next() {
-        let placed = Violation { path: jsonc::join(&at, &violation.path), ..violation };
-        return Err(Error::File { source: placed.error(lines) });
+        let located = Violation { path: jsonc::join(&spec_path, &violation.path), ..violation };
+        return Err(Error::Invalid { source: located.error(lines) });
     }
     Ok(Document { kind, name: envelope.name.into(), spec })
 }
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -20,8 +20,8 @@
     pub fn parse(text: &'a str) -> Option<Secret<'a>> {
         let (customer, rest) = text.split_once('.')?;
         let (key, secret) = rest.split_once('.')?;
-        let fits = is_name(customer) && is_name(key) && (8..=128).contains(&secret.len());
-        fits.then_some(Secret { customer, key, secret })
+        let is_valid = is_name(customer) && is_name(key) && (8..=128).contains(&secret.len());
+        is_valid.then_some(Secret { customer, key, secret })
     }
 
     /// Whether the secret has the stored hash; compares in constant time.
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -21,7 +21,7 @@
 pub use jsonc::Violation;
 pub use key::{Secret, hash_secret};
 pub use kind::Kind;
-pub use name::{MAX_NAME, check_name, is_name};
+pub use name::{MAX_NAME_BYTES, check_name, is_name};
 pub use pool::{Endpoint, Engine, Pool, Serves};
 pub use route::{Class, Route};
 pub use spec::Spec;
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -24,10 +24,10 @@
 #[serde(deny_unknown_fields)]
 pub struct Engine {
     /// Lower bound of the bytes of text for each token; 1 holds for any tokenizer.
-    #[serde(default = "one")]
+    #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: u64,
     /// Requests that one endpoint batches at once.
-    #[serde(default = "slots")]
+    #[serde(default = "default_slots")]
     pub slots: u32,
     /// Whether its endpoints reject orders with an outdated fencing token.
     #[serde(default)]
@@ -58,44 +58,44 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-fn one() -> u64 {
+fn default_bytes_per_token() -> u64 {
     1
 }
 
-fn slots() -> u32 {
+fn default_slots() -> u32 {
     32
 }
 
 impl Pool {
     /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
-        let mut need = |fits: bool, path: String, allowed: &str| {
-            if !fits {
-                found.push(Violation::new(path, allowed));
+        let mut violations = Vec::new();
+        let mut require = |is_valid: bool, path: String, allowed: &str| {
+            if !is_valid {
+                violations.push(Violation::new(path, allowed));
             }
         };
         match &self.serves {
             Serves::Model(engine) => {
                 let bytes = (1..=16).contains(&engine.bytes_per_token);
-                need(bytes, "serves.model.bytes_per_token".into(), "between 1 and 16");
+                require(bytes, "serves.model.bytes_per_token".into(), "between 1 and 16");
                 let slots = (1..=4_096).contains(&engine.slots);
-                need(slots, "serves.model.slots".into(), "between 1 and 4096");
+                require(slots, "serves.model.slots".into(), "between 1 and 4096");
             }
             Serves::Service { cost } => {
-                need(*cost <= 1 << 30, "serves.service.cost".into(), "at most 1073741824");
+                require(*cost <= 1 << 30, "serves.service.cost".into(), "at most 1073741824");
             }
         }
         let mut names = BTreeSet::new();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             let at = |key: &str| format!("endpoints[{index}].{key}");
-            need(is_name(&endpoint.name), at("name"), "a name");
-            need(names.insert(&endpoint.name), at("name"), "unique in the pool");
-            need(is_name(&endpoint.zone), at("zone"), "the name of an availability zone");
+            require(is_name(&endpoint.name), at("name"), "a name");
+            require(names.insert(&endpoint.name), at("name"), "unique in the pool");
+            require(is_name(&endpoint.zone), at("zone"), "the name of an availability zone");
             let address = endpoint.address.parse::<std::net::SocketAddr>().is_ok();
-            need(address, at("address"), "an IP number with a port");
+            require(address, at("address"), "an IP number with a port");
         }
-        found
+        violations
     }
 
     /// Upper bound of the prompt tokens in `bytes` of text.
--- a/crates/resource/src/route.rs
+++ b/crates/resource/src/route.rs
@@ -48,75 +48,76 @@
     /// Pool that serves it.
     pub pool: Arc<str>,
     /// Priority class.
-    #[serde(default = "streaming")]
+    #[serde(default = "default_class")]
     pub class: Class,
     /// Whether a request may run again after its answer was lost.
-    #[serde(default = "yes")]
+    #[serde(default = "default_repeatable")]
     pub repeatable: bool,
     /// Maximum output tokens of one answer; a request may ask for fewer.
-    #[serde(default = "output")]
+    #[serde(default = "default_max_output")]
     pub max_output: u64,
     /// Time limit for the first byte of the answer, in milliseconds.
-    #[serde(default = "deadline")]
+    #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
     /// Maximum size of a request body, in bytes.
-    #[serde(default = "body")]
+    #[serde(default = "default_max_body")]
     pub max_body: u64,
     /// Limit of concurrent requests on one box.
-    #[serde(default = "in_flight")]
+    #[serde(default = "default_max_in_flight")]
     pub max_in_flight: u32,
     /// Customers that may use it; all if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub customers: Vec<Arc<str>>,
 }
 
-fn streaming() -> Class {
+fn default_class() -> Class {
     Class::Streaming
 }
 
-fn yes() -> bool {
+fn default_repeatable() -> bool {
     true
 }
 
-fn output() -> u64 {
+fn default_max_output() -> u64 {
     1_024
 }
 
-fn deadline() -> u64 {
+fn default_deadline_ms() -> u64 {
     10_000
 }
 
-fn body() -> u64 {
+fn default_max_body() -> u64 {
     1 << 20
 }
 
-fn in_flight() -> u32 {
+fn default_max_in_flight() -> u32 {
     10_000
 }
 
 impl Route {
     /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         let ranges = [
             ("max_output", self.max_output, 1, 1 << 20),
             ("deadline_ms", self.deadline_ms, 10, 3_600_000),
             ("max_body", self.max_body, 1, 64 << 20),
             ("max_in_flight", self.max_in_flight.into(), 1, 1_000_000),
         ];
-        for (path, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                found.push(Violation::new(path, format!("between {least} and {most}")));
+        for (path, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                violations.push(Violation::new(path, format!("between {min} and {max}")));
             }
         }
         if !is_name(&self.pool) {
-            found.push(Violation::new("pool", "the name of a pool"));
+            violations.push(Violation::new("pool", "the name of a pool"));
         }
         for (index, customer) in self.customers.iter().enumerate() {
             if !is_name(customer) {
-                found.push(Violation::new(format!("customers[{index}]"), "the name of a customer"));
+                violations
+                    .push(Violation::new(format!("customers[{index}]"), "the name of a customer"));
             }
         }
-        found
+        violations
     }
 }
--- a/crates/resource/src/spec.rs
+++ b/crates/resource/src/spec.rs
@@ -25,7 +25,7 @@
     pub fn decode(
         kind: Kind,
         value: serde_json::Value,
-        lines: &jsonc::Lines,
+        lines: &jsonc::LineIndex,
         path: &str,
     ) -> Result<Spec, jsonc::Error> {
         Ok(match kind {
--- a/crates/timeline/src/clock.rs
+++ b/crates/timeline/src/clock.rs
@@ -47,8 +47,8 @@
     }
 
     /// Advances the clock past the timestamp of a received message.
-    pub fn observe(&mut self, seen: Stamp, wall_ms: u64) {
-        self.last = self.last.max(seen);
+    pub fn observe(&mut self, received: Stamp, wall_ms: u64) {
+        self.last = self.last.max(received);
         self.tick(wall_ms);
     }
 }
@@ -61,10 +61,10 @@
 
     proptest! {
         #[test]
-        fn effects_come_after_causes(walls in prop::collection::vec((0u64..50, 0usize..3), 1..60)) {
+        fn effects_are_ordered_after_causes(readings in prop::collection::vec((0u64..50, 0usize..3), 1..60)) {
             let mut clocks = vec![Clock::default(); 3];
             let mut last = Stamp::default();
-            for (wall, at) in walls {
+            for (wall, at) in readings {
                 clocks[at].observe(last, wall);
                 let next = clocks[at].tick(wall);
                 prop_assert!(next > last);
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -11,13 +11,13 @@
 use crate::{Clock, Event, Stamp, What};
 
 /// Number of events kept in memory.
-const RING: usize = 4_096;
+const MAX_EVENTS_KEPT: usize = 4_096;
 
 struct State {
     clock: Clock,
     seq: u64,
     by: Arc<str>,
-    ring: VecDeque<Event>,
+    recent: VecDeque<Event>,
 }
 
 /// Handle to the event log of one process.
@@ -33,7 +33,8 @@
 impl Log {
     /// Opens a log for the incarnation `by`.
     pub fn open(by: impl Into<Arc<str>>) -> Log {
-        let state = State { clock: Clock::default(), seq: 0, by: by.into(), ring: VecDeque::new() };
+        let state =
+            State { clock: Clock::default(), seq: 0, by: by.into(), recent: VecDeque::new() };
         Log(Arc::new(Mutex::new(state)))
     }
 
@@ -66,10 +67,10 @@
             let line = serde_json::to_string(&event).expect("events always serialize");
             tracing::info!(target: "timeline", event = %line);
         }
-        if state.ring.len() == RING {
-            state.ring.pop_front();
+        if state.recent.len() == MAX_EVENTS_KEPT {
+            state.recent.pop_front();
         }
-        state.ring.push_back(event);
+        state.recent.push_back(event);
     }
 
     /// Returns a new timestamp, to be sent with a message.
@@ -78,13 +79,13 @@
     }
 
     /// Advances the clock past the timestamp of a received message.
-    pub fn observe(&self, seen: Stamp) {
-        self.0.lock().clock.observe(seen, wall_ms());
+    pub fn observe(&self, received: Stamp) {
+        self.0.lock().clock.observe(received, wall_ms());
     }
 
     /// The events kept in memory, oldest first.
     pub fn events(&self) -> Vec<Event> {
-        self.0.lock().ring.iter().cloned().collect()
+        self.0.lock().recent.iter().cloned().collect()
     }
 }
 
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -15,13 +15,13 @@
 
 impl Filter {
     /// Whether an event meets all criteria.
-    pub fn passes(&self, event: &Event) -> bool {
-        let fits = |want: &Option<String>, has: Option<&str>| {
+    pub fn matches(&self, event: &Event) -> bool {
+        let field_matches = |want: &Option<String>, has: Option<&str>| {
             want.as_deref().is_none_or(|want| has == Some(want))
         };
-        fits(&self.request, event.request.as_deref())
-            && fits(&self.budget, event.budget.as_deref())
-            && fits(&self.box_name, Some(event.box_name()))
+        field_matches(&self.request, event.request.as_deref())
+            && field_matches(&self.budget, event.budget.as_deref())
+            && field_matches(&self.box_name, Some(event.box_name()))
     }
 }
 
@@ -31,25 +31,27 @@
         return Some(event);
     }
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
-    let carried = value.get("fields").unwrap_or(&value).get("event")?;
-    serde_json::from_str(carried.as_str()?).ok()
+    let embedded = value.get("fields").unwrap_or(&value).get("event")?;
+    serde_json::from_str(embedded.as_str()?).ok()
 }
 
 /// Orders the selected events causally and removes duplicates.
 pub fn merge(events: impl IntoIterator<Item = Event>, filter: &Filter) -> Vec<Event> {
-    let mut kept: Vec<Event> = events.into_iter().filter(|event| filter.passes(event)).collect();
-    kept.sort_by(|a, b| (a.at, &a.by, a.seq).cmp(&(b.at, &b.by, b.seq)));
-    kept.dedup_by(|a, b| (a.at, &a.by, a.seq) == (b.at, &b.by, b.seq));
-    kept
+    let mut selected: Vec<Event> =
+        events.into_iter().filter(|event| filter.matches(event)).collect();
+    selected.sort_by(|a, b| (a.at, &a.by, a.seq).cmp(&(b.at, &b.by, b.seq)));
+    selected.dedup_by(|a, b| (a.at, &a.by, a.seq) == (b.at, &b.by, b.seq));
+    selected
 }
 
 /// Formats an event as one line of text.
 pub fn render(event: &Event) -> String {
     let what = match serde_json::to_value(&event.what) {
         Ok(serde_json::Value::String(name)) => name,
-        Ok(serde_json::Value::Object(object)) => {
-            object.iter().map(|(name, fields)| format!("{name} {}", fields_of(fields))).collect()
-        }
+        Ok(serde_json::Value::Object(object)) => object
+            .iter()
+            .map(|(name, fields)| format!("{name} {}", format_fields(fields)))
+            .collect(),
         _ => String::new(),
     };
     let request = event.request.as_deref().unwrap_or("-");
@@ -57,7 +59,7 @@
     format!("{:<18} {:<28} {request:<24} {budget:<14} {what}", event.at.to_string(), event.by)
 }
 
-fn fields_of(fields: &serde_json::Value) -> String {
+fn format_fields(fields: &serde_json::Value) -> String {
     let Some(fields) = fields.as_object() else { return String::new() };
     let parts: Vec<String> = fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
     parts.join(" ")
@@ -74,10 +76,10 @@
     }
 
     #[test]
-    fn merged_lines_are_ordered_and_single() {
+    fn merged_events_are_ordered_without_duplicates() {
         let bare = serde_json::to_string(&event(2, "a.1", 2)).unwrap();
-        let carried = serde_json::json!({"fields": {"event": bare}}).to_string();
-        let lines = [bare.clone(), carried, "not json".to_owned()];
+        let embedded = serde_json::json!({"fields": {"event": bare}}).to_string();
+        let lines = [bare.clone(), embedded, "not json".to_owned()];
         let read = lines.iter().filter_map(|line| parse(line)).chain([event(1, "b.1", 9)]);
         let merged = merge(read, &Filter::default());
         assert_eq!(merged, vec![event(1, "b.1", 9), event(2, "a.1", 2)]);
