--- a/crates/flintstall/src/apply.rs
+++ b/crates/flintstall/src/apply.rs
@@ -8,9 +8,9 @@
 
 use crate::{
     cli::{Apply, Check, Delete},
-    decode::{kind, text_of},
-    error::{ConflictSnafu, ContentSnafu, Error, InDoubtSnafu, MissingSnafu, PlatformSnafu},
+    error::{ConflictSnafu, Error, InDoubtSnafu, InvalidFileSnafu, MissingSnafu, PlatformSnafu},
     exit::Code,
+    input::{parse_kind, read_text},
     paint::{Tone, paint},
 };
 
@@ -22,8 +22,8 @@
 }
 
 fn documents(path: &std::path::Path) -> Result<Vec<Document>, Error> {
-    let text = text_of(path)?;
-    resource::read(&text).context(ContentSnafu { path })
+    let text = read_text(path)?;
+    resource::read(&text).context(InvalidFileSnafu { path })
 }
 
 /// Writes all resources of a file, each after those that it refers to.
@@ -47,20 +47,20 @@
     }
     if dry_run {
         println!("{kind} {name}: would change");
-        show_difference(found.as_ref().map(|object| &*object.value), &document.spec.to_json());
+        print_diff(found.as_ref().map(|object| &*object.value), &document.spec.to_json());
         return Ok(());
     }
     let expect = found.map_or(Expect::Absent, |object| Expect::Version(object.version));
     match client.put(kind, name, document.spec.to_json(), expect).await {
         Write::Landed(version) => println!("{kind} {name}: written as version {version}"),
         Write::Refused => return ConflictSnafu { kind, name }.fail(),
-        Write::Failed | Write::Unknown => resolve(client, document).await?,
+        Write::Failed | Write::Unknown => check_landed(client, document).await?,
     }
     Ok(())
 }
 
 /// Reads the resource back to find out whether a write without an answer took effect.
-async fn resolve(client: &Client, document: &Document) -> Result<(), Error> {
+async fn check_landed(client: &Client, document: &Document) -> Result<(), Error> {
     let (kind, name) = (document.kind.as_str(), &*document.name);
     let read = client.get(kind, name).await.context(PlatformSnafu)?;
     let landed = read.and_then(|object| {
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-fn show_difference(before: Option<&str>, after: &str) {
+fn print_diff(before: Option<&str>, after: &str) {
     let lines = |text: Option<&str>| -> Vec<String> {
         let value: Option<Value> = text.and_then(|text| serde_json::from_str(text).ok());
         let pretty = value.and_then(|value| serde_json::to_string_pretty(&value).ok());
@@ -91,7 +91,7 @@
 
 /// Deletes a resource.
 pub async fn delete(client: &Client, delete: &Delete) -> Result<Code, Error> {
-    let kind = kind(&delete.kind)?.as_str();
+    let kind = parse_kind(&delete.kind)?.as_str();
     let name = &*delete.name;
     let found = client.get(kind, name).await.context(PlatformSnafu)?;
     let Some(object) = found else { return MissingSnafu { kind, name }.fail() };
--- a/crates/flintstall/src/audit.rs
+++ b/crates/flintstall/src/audit.rs
@@ -9,10 +9,10 @@
 use snafu::ResultExt;
 
 use crate::{
-    decode::decode,
     error::{Error, MissingSnafu, PlatformSnafu},
     exit::Code,
-    output::Form,
+    input::parse_object,
+    output::Format,
     paint::{Tone, paint},
     table::Table,
 };
@@ -27,25 +27,25 @@
 }
 
 /// Prints the audit; the exit code is a failure if there are findings.
-pub async fn audit(client: &Client, form: Form) -> Result<Code, Error> {
+pub async fn audit(client: &Client, format: Format) -> Result<Code, Error> {
     let found = client.get(BOOK.0, BOOK.1).await.context(PlatformSnafu)?;
     let Some(object) = found else {
         return MissingSnafu { kind: BOOK.0, name: BOOK.1 }.fail();
     };
-    let book: Book = decode(&object.value)?;
+    let book: Book = parse_object(&object.value)?;
     let pages = client.list(BILLS, "").await.context(PlatformSnafu)?;
     let mut bills: Vec<Bill> = Vec::new();
     for page in &pages {
-        bills.extend(decode::<Page>(&page.value)?.bills);
+        bills.extend(parse_object::<Page>(&page.value)?.bills);
     }
     let audit = ledger::audit(&book, &bills);
     let zones = client.list(platform::EVACUATIONS, "").await.context(PlatformSnafu)?;
     let zones: Vec<Arc<str>> = zones.into_iter().map(|object| object.name).collect();
-    match form {
-        Form::Json => {
+    match format {
+        Format::Json => {
             println!("{}", serde_json::json!(Report { audit: &audit, evacuated_zones: &zones }))
         }
-        Form::Table => print(&audit, &zones),
+        Format::Table => print(&audit, &zones),
     }
     Ok(if audit.findings.is_empty() { Code::Success } else { Code::Failure })
 }
--- a/crates/flintstall/src/cli.rs
+++ b/crates/flintstall/src/cli.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 
-use crate::output::Form;
+use crate::output::Format;
 
 /// Operates a flintstall fleet by writing and watching its resources.
 ///
@@ -16,8 +16,8 @@
     pub platform: Option<String>,
 
     /// output format: `table`, the default, or `json`
-    #[argh(option, default = "Form::Table")]
-    pub output: Form,
+    #[argh(option, default = "Format::Table")]
+    pub output: Format,
 
     /// print the version and exit
     #[argh(switch)]
--- a/crates/flintstall/src/error.rs
+++ b/crates/flintstall/src/error.rs
@@ -21,10 +21,10 @@
     File { path: PathBuf, source: std::io::Error },
     /// A resource file is invalid.
     #[snafu(display("{}: {source}", path.display()))]
-    Content { path: PathBuf, source: resource::Error },
+    InvalidFile { path: PathBuf, source: resource::Error },
     /// A kind on the command line is unknown.
     #[snafu(display("{reason}"))]
-    Word { reason: String },
+    UnknownKind { reason: String },
     /// The resource does not exist.
     #[snafu(display("there is no {kind} `{name}`"))]
     Missing { kind: String, name: String },
@@ -41,7 +41,7 @@
     InDoubt { kind: String, name: String },
     /// A stored object cannot be decoded.
     #[snafu(display("cannot decode a stored object: {reason}"))]
-    Stored { reason: String },
+    Decode { reason: String },
     /// The runtime did not start.
     #[snafu(display("cannot start the runtime: {source}"))]
     Runtime { source: std::io::Error },
@@ -54,9 +54,9 @@
             Error::NoCommand
             | Error::NoPlatform
             | Error::File { .. }
-            | Error::Content { .. }
-            | Error::Word { .. } => Code::Usage,
-            Error::Missing { .. } | Error::Stored { .. } | Error::Runtime { .. } => Code::Failure,
+            | Error::InvalidFile { .. }
+            | Error::UnknownKind { .. } => Code::Usage,
+            Error::Missing { .. } | Error::Decode { .. } | Error::Runtime { .. } => Code::Failure,
             Error::Conflict { .. } => Code::Conflict,
             Error::Platform { .. } | Error::InDoubt { .. } => Code::Unreachable,
         }
--- a/crates/flintstall/src/events.rs
+++ b/crates/flintstall/src/events.rs
@@ -2,25 +2,25 @@
 
 use timeline::{Event, Filter, merge, parse, render};
 
-use crate::{cli::Timeline, decode::text_of, error::Error, exit::Code, output::Form};
+use crate::{cli::Timeline, error::Error, exit::Code, input::read_text, output::Format};
 
 /// Prints the events of all processes in causal order.
-pub fn timeline(wanted: &Timeline, form: Form) -> Result<Code, Error> {
+pub fn timeline(args: &Timeline, format: Format) -> Result<Code, Error> {
     let mut events: Vec<Event> = Vec::new();
-    let standard = ["-".into()];
-    let files = if wanted.files.is_empty() { &standard[..] } else { &wanted.files };
+    let standard_input = ["-".into()];
+    let files = if args.files.is_empty() { &standard_input[..] } else { &args.files };
     for file in files {
-        events.extend(text_of(file)?.lines().filter_map(parse));
+        events.extend(read_text(file)?.lines().filter_map(parse));
     }
     let filter = Filter {
-        request: wanted.request.clone(),
-        budget: wanted.budget.clone(),
-        box_name: wanted.box_name.clone(),
+        request: args.request.clone(),
+        budget: args.budget.clone(),
+        box_name: args.box_name.clone(),
     };
     for event in merge(events, &filter) {
-        match form {
-            Form::Json => println!("{}", serde_json::to_string(&event).unwrap_or_default()),
-            Form::Table => println!("{}", render(&event)),
+        match format {
+            Format::Json => println!("{}", serde_json::to_string(&event).unwrap_or_default()),
+            Format::Table => println!("{}", render(&event)),
         }
     }
     Ok(Code::Success)
--- a/crates/flintstall/src/decode.rs
+++ b/crates/flintstall/src/input.rs
@@ -8,17 +8,17 @@
 use crate::error::{Error, FileSnafu};
 
 /// Parses a kind from the command line.
-pub fn kind(word: &str) -> Result<Kind, Error> {
-    word.parse().map_err(|reason| Error::Word { reason })
+pub fn parse_kind(word: &str) -> Result<Kind, Error> {
+    word.parse().map_err(|reason| Error::UnknownKind { reason })
 }
 
 /// Decodes the JSON value of a stored object.
-pub fn decode<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Error> {
-    serde_json::from_str(text).map_err(|error| Error::Stored { reason: error.to_string() })
+pub fn parse_object<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Error> {
+    serde_json::from_str(text).map_err(|error| Error::Decode { reason: error.to_string() })
 }
 
 /// Reads a file, or standard input for `-`.
-pub fn text_of(path: &Path) -> Result<String, Error> {
+pub fn read_text(path: &Path) -> Result<String, Error> {
     let context = FileSnafu { path };
     if path == Path::new("-") {
         let mut text = String::new();
--- a/crates/flintstall/src/main.rs
+++ b/crates/flintstall/src/main.rs
@@ -3,7 +3,7 @@
 mod apply;
 mod audit;
 mod cli;
-mod decode;
+mod input;
 mod error;
 mod events;
 mod exit;
--- a/crates/flintstall/src/read.rs
+++ b/crates/flintstall/src/read.rs
@@ -10,17 +10,17 @@
 
 use crate::{
     cli::{Describe, Get},
-    decode::kind,
     error::{Error, MissingSnafu, PlatformSnafu},
     exit::Code,
-    output::Form,
+    input::parse_kind,
+    output::Format,
     paint::{Tone, paint},
     table::Table,
 };
 
 /// Lists the resources of a kind, or shows one.
-pub async fn get(client: &Client, get: &Get, form: Form) -> Result<Code, Error> {
-    let kind = kind(&get.kind)?;
+pub async fn get(client: &Client, get: &Get, format: Format) -> Result<Code, Error> {
+    let kind = parse_kind(&get.kind)?;
     let objects = match &get.name {
         None => client.list(kind.as_str(), "").await.context(PlatformSnafu)?,
         Some(name) => {
@@ -29,12 +29,12 @@
             vec![found.ok_or_else(|| missing.build())?]
         }
     };
-    match form {
-        Form::Json => {
-            let items: Vec<Value> = objects.iter().map(as_json).collect();
+    match format {
+        Format::Json => {
+            let items: Vec<Value> = objects.iter().map(to_json).collect();
             println!("{}", Value::Array(items));
         }
-        Form::Table => {
+        Format::Table => {
             let mut table = Table::new(&["NAME", "VERSION", "SPEC"]);
             for object in &objects {
                 let cells = [object.name.to_string(), object.version.to_string()];
@@ -50,7 +50,7 @@
     serde_json::from_str(&object.value).unwrap_or_default()
 }
 
-fn as_json(object: &Object) -> Value {
+fn to_json(object: &Object) -> Value {
     json!({
         "kind": object.kind, "name": object.name, "version": object.version,
         "spec": value_of(object),
@@ -58,8 +58,8 @@
 }
 
 /// Shows a resource, its accepted version and the boxes where that is in force.
-pub async fn describe(client: &Client, describe: &Describe, form: Form) -> Result<Code, Error> {
-    let kind = kind(&describe.kind)?;
+pub async fn describe(client: &Client, describe: &Describe, format: Format) -> Result<Code, Error> {
+    let kind = parse_kind(&describe.kind)?;
     let name = &describe.name;
     let id = object_name(kind, name);
     let source = client.get(kind.as_str(), name).await.context(PlatformSnafu)?;
@@ -69,10 +69,10 @@
     if source.is_none() && accepted.is_none() {
         return MissingSnafu { kind: kind.as_str(), name }.fail();
     }
-    let report = Report::of(source.as_ref(), accepted.as_ref(), status.as_ref(), &members);
-    match form {
-        Form::Json => println!("{}", report.as_json(source.as_ref())),
-        Form::Table => report.print(kind, name, source.as_ref()),
+    let report = Report::new(source.as_ref(), accepted.as_ref(), status.as_ref(), &members);
+    match format {
+        Format::Json => println!("{}", report.to_json(source.as_ref())),
+        Format::Table => report.print(kind, name, source.as_ref()),
     }
     Ok(Code::Success)
 }
@@ -82,18 +82,18 @@
     accepted: u64,
     invalid: Option<String>,
     in_force: Vec<String>,
-    not_heard: Vec<String>,
+    not_in_force: Vec<String>,
 }
 
 impl Report {
-    fn of(
+    fn new(
         source: Option<&Object>,
         accepted: Option<&Object>,
         status: Option<&Object>,
         members: &[Object],
     ) -> Report {
         let version = source.map_or(0, |object| object.version);
-        let from = accepted
+        let accepted_source = accepted
             .and_then(|object| serde_json::from_str::<Accepted>(&object.value).ok())
             .map_or(0, |accepted| accepted.source);
         let status = status.map(value_of).unwrap_or_default();
@@ -102,24 +102,24 @@
         let needed = accepted.map_or(u64::MAX, |object| object.version);
         let known: Vec<Member> =
             members.iter().filter_map(|object| serde_json::from_str(&object.value).ok()).collect();
-        let (there, missing): (Vec<_>, Vec<_>) =
+        let (in_force, not_in_force): (Vec<_>, Vec<_>) =
             known.into_iter().partition(|member| member.watched >= needed);
         let names = |members: Vec<Member>| -> Vec<String> {
             members.into_iter().map(|member| member.incarnation.to_string()).collect()
         };
         Report {
             source: version,
-            accepted: from,
+            accepted: accepted_source,
             invalid,
-            in_force: names(there),
-            not_heard: names(missing),
+            in_force: names(in_force),
+            not_in_force: names(not_in_force),
         }
     }
 
-    fn as_json(&self, source: Option<&Object>) -> Value {
+    fn to_json(&self, source: Option<&Object>) -> Value {
         json!({
             "version": self.source, "accepted": self.accepted, "invalid": self.invalid,
-            "in_force": self.in_force, "not_heard": self.not_heard,
+            "in_force": self.in_force, "not_heard": self.not_in_force,
             "spec": source.map(value_of),
         })
     }
@@ -138,8 +138,8 @@
             self.in_force.len(),
             self.in_force.join(", ")
         );
-        if !self.not_heard.is_empty() {
-            let line = format!("  not heard from      {}", self.not_heard.join(", "));
+        if !self.not_in_force.is_empty() {
+            let line = format!("  not in force on     {}", self.not_in_force.join(", "));
             println!("{}", paint(Tone::Bad, &line));
         }
         if let Some(object) = source {
--- a/crates/flintstall/src/run.rs
+++ b/crates/flintstall/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use platform::store::{Client, Options as Reach};
+use platform::store::{Client, Options as StoreOptions};
 use snafu::{OptionExt, ResultExt};
 
 use crate::{
@@ -15,9 +15,9 @@
 };
 
 /// Timeout of a platform call other than a watch.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long the platform holds one watch call open without changes.
-const WATCH: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs the command and returns its exit code.
 pub fn run(options: &Options) -> Result<Code, Error> {
@@ -31,24 +31,24 @@
 }
 
 async fn dispatch(options: &Options, command: &Command) -> Result<Code, Error> {
-    let form = options.output;
+    let format = options.output;
     match command {
         Command::Check(check) => apply::check(check),
-        Command::Timeline(timeline) => events::timeline(timeline, form),
-        Command::Try(choice) => Ok(try_out::try_out(choice).await),
-        Command::Audit(_) => audit::audit(&client(options)?, form).await,
+        Command::Timeline(timeline) => events::timeline(timeline, format),
+        Command::Try(args) => Ok(try_out::try_out(args).await),
+        Command::Audit(_) => audit::audit(&client(options)?, format).await,
         Command::Apply(apply) => apply::apply(&client(options)?, apply).await,
-        Command::Get(get) => read::get(&client(options)?, get, form).await,
-        Command::Describe(describe) => read::describe(&client(options)?, describe, form).await,
-        Command::Watch(watch) => watch::watch(&client(options)?, watch, form).await,
+        Command::Get(get) => read::get(&client(options)?, get, format).await,
+        Command::Describe(describe) => read::describe(&client(options)?, describe, format).await,
+        Command::Watch(watch) => watch::watch(&client(options)?, watch, format).await,
         Command::Delete(delete) => apply::delete(&client(options)?, delete).await,
-        Command::Statement(wanted) => statement::statement(&client(options)?, wanted, form).await,
+        Command::Statement(args) => statement::statement(&client(options)?, args, format).await,
     }
 }
 
 fn client(options: &Options) -> Result<Client, Error> {
-    let named = options.platform.clone().or_else(|| std::env::var("FLINTSTALL_PLATFORM").ok());
-    let address = named.context(NoPlatformSnafu)?;
+    let configured = options.platform.clone().or_else(|| std::env::var("FLINTSTALL_PLATFORM").ok());
+    let address = configured.context(NoPlatformSnafu)?;
     let address = address.trim_end_matches('/').to_owned();
-    Ok(Client::open(Reach { address, timeout: TIMEOUT, watch: WATCH }))
+    Ok(Client::open(StoreOptions { address, timeout: CALL_TIMEOUT, watch: WATCH_TIMEOUT }))
 }
--- a/crates/flintstall/src/statement.rs
+++ b/crates/flintstall/src/statement.rs
@@ -8,23 +8,23 @@
 
 use crate::{
     cli::Statement,
-    decode::decode,
     error::{Error, MissingSnafu, PlatformSnafu},
     exit::Code,
-    output::Form,
+    input::parse_object,
+    output::Format,
     paint::{Tone, paint},
     table::Table,
 };
 
 /// Prints the statement of a budget.
-pub async fn statement(client: &Client, wanted: &Statement, form: Form) -> Result<Code, Error> {
-    let name = &*wanted.budget;
+pub async fn statement(client: &Client, args: &Statement, format: Format) -> Result<Code, Error> {
+    let name = &*args.budget;
     let found = client.get("ledger", name).await.context(PlatformSnafu)?;
     let Some(object) = found else { return MissingSnafu { kind: "ledger", name }.fail() };
-    let ledger: Ledger = decode(&object.value)?;
-    let bills = newest(client, name, &ledger, wanted.bills).await?;
-    match form {
-        Form::Json => {
+    let ledger: Ledger = parse_object(&object.value)?;
+    let bills = newest_bills(client, name, &ledger, args.bills).await?;
+    match format {
+        Format::Json => {
             let value = json!({
                 "budget": name, "paid": ledger.paid, "paid_wanted": ledger.paid_wanted,
                 "spent": ledger.spent, "absorbed": ledger.absorbed,
@@ -35,28 +35,28 @@
             });
             println!("{value}");
         }
-        Form::Table => print(name, &ledger, &bills),
+        Format::Table => print(name, &ledger, &bills),
     }
     Ok(Code::Success)
 }
 
-/// Up to `most` bills, newest first: those in the ledger, then those on its pages.
-async fn newest(
+/// Up to `max_bills` bills, newest first: those in the ledger, then those on its pages.
+async fn newest_bills(
     client: &Client,
     name: &str,
     ledger: &Ledger,
-    most: usize,
+    max_bills: usize,
 ) -> Result<Vec<Bill>, Error> {
     let mut bills: Vec<Bill> = ledger.statement.recent.iter().rev().cloned().collect();
     let mut page = ledger.statement.pages;
-    while bills.len() < most && page > 0 {
+    while bills.len() < max_bills && page > 0 {
         page -= 1;
         let found = client.get(BILLS, &page_name(name, page)).await.context(PlatformSnafu)?;
         let Some(object) = found else { break };
-        let older: Page = decode(&object.value)?;
+        let older: Page = parse_object(&object.value)?;
         bills.extend(older.bills.into_iter().rev());
     }
-    bills.truncate(most);
+    bills.truncate(max_bills);
     Ok(bills)
 }
 
@@ -84,20 +84,20 @@
     print!("{}", grants.render());
     let mut table = Table::new(&["  REQUEST", "TOKENS", "PART", "ENDED", "EVIDENCE", "BOX"]);
     for bill in bills {
-        let words = [
+        let cells = [
             format!("  {}", bill.key),
             bill.tokens.to_string(),
-            word(&bill.part),
-            word(&bill.ended),
-            word(&bill.evidence),
+            variant_name(&bill.part),
+            variant_name(&bill.ended),
+            variant_name(&bill.evidence),
             bill.by.box_name().to_owned(),
         ];
-        table.row(words);
+        table.row(cells);
     }
     print!("{}", table.render());
 }
 
-fn word<T: serde::Serialize>(value: &T) -> String {
+fn variant_name<T: serde::Serialize>(value: &T) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -12,77 +12,77 @@
 };
 
 /// Prepaid tokens of the sample budget.
-const PAID: u64 = 600;
+const PAID_TOKENS: u64 = 600;
 /// How long to wait until all requests are billed.
-const SETTLE: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Step {
-    said: &'static str,
+    description: &'static str,
     to: usize,
     ask: Ask,
-    want: Outcome,
+    expected: Outcome,
 }
 
 /// Runs the script; succeeds only if all answers and the audit are as expected.
-pub async fn try_out(choice: &Try) -> Code {
-    let customers = vec![("dental".to_owned(), vec![("bornova".to_owned(), PAID)])];
+pub async fn try_out(args: &Try) -> Code {
+    let customers = vec![("dental".to_owned(), vec![("bornova".to_owned(), PAID_TOKENS)])];
     let fleet = Fleet::spawn(Plan { customers, offline_share: Some(30), ..Plan::default() }).await;
     println!("A stand-in platform, 2 model endpoints, 1 plain service and 3 routers are running.");
-    println!("Budget `bornova` has {PAID} prepaid tokens.\n");
-    let mut as_told = true;
-    for step in story() {
+    println!("Budget `bornova` has {PAID_TOKENS} prepaid tokens.\n");
+    let mut as_expected = true;
+    for step in script() {
         let got = fleet.caller.ask(fleet.to(step.to), &step.ask).await;
-        as_told &= got.outcome == step.want;
-        report(&step, &got);
+        as_expected &= got.outcome == step.expected;
+        print_step(&step, &got);
     }
-    let settled = fleet.settle(SETTLE).await;
+    let settled = fleet.settle(SETTLE_TIMEOUT).await;
     let figures = fleet.audit().await;
     println!();
     let ledger = fleet.ledger("bornova").await;
     let bills: Vec<_> = ledger.statement.recent.iter().rev().cloned().collect();
     statement::print("bornova", &ledger, &bills);
-    let sound = settled && as_told && figures.is_sound();
-    verdict(sound, &figures);
-    if choice.json {
+    let passed = settled && as_expected && figures.is_sound();
+    print_verdict(passed, &figures);
+    if args.json {
         println!("{}", serde_json::to_string(&figures).unwrap_or_default());
     }
-    if choice.serve {
+    if args.serve {
         serve(&fleet).await;
     }
-    if sound { Code::Success } else { Code::Failure }
+    if passed { Code::Success } else { Code::Failure }
 }
 
-fn story() -> Vec<Step> {
+fn script() -> Vec<Step> {
     let chat =
         |key: &str| Ask { output: 12, max_tokens: 20, ..Ask::chat("dental", "bornova", key) };
     let cancel = || Ask::service("dental", "bornova", "cancel", "cancel-chair-7");
     vec![
         Step {
-            said: "a streamed answer",
+            description: "a streamed answer",
             to: 0,
             ask: chat("recall-note"),
-            want: Outcome::Answered,
+            expected: Outcome::Answered,
         },
         Step {
-            said: "a plain answer, through another router",
+            description: "a plain answer, through another router",
             to: 1,
             ask: Ask { stream: false, ..chat("patient-message") },
-            want: Outcome::Answered,
+            expected: Outcome::Answered,
         },
         Step {
-            said: "an unrepeatable cancellation",
+            description: "an unrepeatable cancellation",
             to: 2,
             ask: cancel(),
-            want: Outcome::Answered,
+            expected: Outcome::Answered,
         },
         Step {
-            said: "its retry, which must not run again",
+            description: "its retry, which must not run again",
             to: 2,
             ask: cancel(),
-            want: Outcome::Answered,
+            expected: Outcome::Answered,
         },
         Step {
-            said: "a week's calendar, past the budget",
+            description: "a week's calendar, past the budget",
             to: 0,
             ask: Ask {
                 route: "calendar".into(),
@@ -90,24 +90,24 @@
                 prompt: "Draft the week. ".repeat(40),
                 ..chat("calendar")
             },
-            want: Outcome::NotRun,
+            expected: Outcome::NotRun,
         },
     ]
 }
 
-fn report(step: &Step, got: &Got) {
-    let told = match got.outcome {
+fn print_step(step: &Step, got: &Got) {
+    let text = match got.outcome {
         Outcome::Answered if got.tokens > 0 => format!("answered, {} tokens", got.tokens),
         Outcome::Answered => format!("answered: {}", got.body),
         Outcome::NotRun => format!("refused, not run: {}", got.reason),
         Outcome::Unknown => format!("unknown: {}", got.reason),
         Outcome::Nothing => "no answer".to_owned(),
     };
-    let tone = if got.outcome == step.want { Tone::Good } else { Tone::Bad };
-    println!("  {:<40} {}", step.said, paint(tone, &told));
+    let tone = if got.outcome == step.expected { Tone::Good } else { Tone::Bad };
+    println!("  {:<40} {}", step.description, paint(tone, &text));
 }
 
-fn verdict(sound: bool, figures: &Figures) {
+fn print_verdict(passed: bool, figures: &Figures) {
     let line = format!(
         "{} requests: {} answered, {} refused and not run, {} unknown; \
          overspent {}, unbilled {}, billed twice {}, run twice {}",
@@ -121,7 +121,7 @@
         figures.ran_twice,
     );
     println!("\n{line}");
-    match sound {
+    match passed {
         true => println!("{}", paint(Tone::Good, "It all adds up.")),
         false => println!("{}", paint(Tone::Bad, "It does not add up.")),
     }
--- a/crates/flintstall/tests/cli.rs
+++ b/crates/flintstall/tests/cli.rs
@@ -5,21 +5,21 @@
 use standin::Platform;
 
 /// A stand-in platform and a scratch file for the client.
-struct Env {
+struct TestEnv {
     platform: Platform,
     file: std::path::PathBuf,
 }
 
-struct Ran {
+struct Output {
     code: i32,
     out: String,
     err: String,
 }
 
-impl Env {
-    async fn open(name: &str) -> Env {
+impl TestEnv {
+    async fn open(name: &str) -> TestEnv {
         let file = std::env::temp_dir().join(format!("flintstall-{}-{name}", std::process::id()));
-        Env { platform: Platform::spawn(1).await, file }
+        TestEnv { platform: Platform::spawn(1).await, file }
     }
 
     fn write(&self, text: &str) {
@@ -27,21 +27,21 @@
     }
 
     /// Runs `flintstall` with these arguments; FILE is replaced by the scratch file's path.
-    async fn run(&self, words: &str) -> Ran {
+    async fn run(&self, args: &str) -> Output {
         let file = self.file.to_string_lossy().into_owned();
-        let words: Vec<String> = words.split(' ').map(|w| w.replace("FILE", &file)).collect();
+        let args: Vec<String> = args.split(' ').map(|w| w.replace("FILE", &file)).collect();
         let mut command = Command::new(env!("CARGO_BIN_EXE_flintstall"));
-        command.args(words).env("FLINTSTALL_PLATFORM", self.platform.address());
-        let ran = tokio::task::spawn_blocking(move || command.output()).await.unwrap().unwrap();
-        Ran {
-            code: ran.status.code().unwrap_or(-1),
-            out: String::from_utf8_lossy(&ran.stdout).replace(&file, "FILE"),
-            err: String::from_utf8_lossy(&ran.stderr).replace(&file, "FILE"),
+        command.args(args).env("FLINTSTALL_PLATFORM", self.platform.address());
+        let output = tokio::task::spawn_blocking(move || command.output()).await.unwrap().unwrap();
+        Output {
+            code: output.status.code().unwrap_or(-1),
+            out: String::from_utf8_lossy(&output.stdout).replace(&file, "FILE"),
+            err: String::from_utf8_lossy(&output.stderr).replace(&file, "FILE"),
         }
     }
 }
 
-impl Drop for Env {
+impl Drop for TestEnv {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.file);
     }
@@ -52,7 +52,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_get_and_delete() {
-    let env = Env::open("apply").await;
+    let env = TestEnv::open("apply").await;
     env.write(BUDGET);
     let check = env.run("check -f FILE").await;
     insta::assert_snapshot!(check.out, @"FILE: 1 resources are valid");
@@ -71,8 +71,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn mistakes_are_told_plainly() {
-    let env = Env::open("mistakes").await;
+async fn errors_name_the_cause_and_set_the_exit_code() {
+    let env = TestEnv::open("mistakes").await;
     env.write(&BUDGET.replace("1000", "-5"));
     let file = env.run("apply -f FILE").await;
     assert_eq!(file.code, 2);
--- a/crates/flintstalld/src/logs.rs
+++ b/crates/flintstalld/src/logging.rs
@@ -5,28 +5,28 @@
 use tracing_subscriber::{EnvFilter, fmt};
 
 /// Starts logging to standard output; timeline events are logged at every level.
-pub fn open(settings: &LogSettings) {
+pub fn init(settings: &LogSettings) {
     let filter = EnvFilter::new(format!("{},timeline=info,hyper=warn,h2=warn", settings.level));
-    let lines = fmt().with_env_filter(filter);
+    let builder = fmt().with_env_filter(filter);
     match settings.format {
-        LogFormat::Human => lines.init(),
-        LogFormat::Json => lines.json().init(),
+        LogFormat::Human => builder.init(),
+        LogFormat::Json => builder.json().init(),
     }
 }
 
 /// Lines buffered for writing; lines beyond that are dropped and counted.
-const LINES: usize = 4_096;
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Starts logging JSON lines to standard output without blocking on a slow reader.
 ///
 /// Buffered lines are flushed when the guard is dropped.
-pub fn open_bounded(level: &str) -> (WorkerGuard, ErrorCounter) {
+pub fn init_non_blocking(level: &str) -> (WorkerGuard, ErrorCounter) {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
-    let dropped = writer.error_counter();
+    let dropped_lines = writer.error_counter();
     let filter = EnvFilter::new(format!("{level},hyper=warn,reqwest=warn"));
     fmt().json().flatten_event(true).with_env_filter(filter).with_writer(writer).init();
-    (guard, dropped)
+    (guard, dropped_lines)
 }
--- a/crates/flintstalld/src/main.rs
+++ b/crates/flintstalld/src/main.rs
@@ -2,7 +2,7 @@
 
 mod cli;
 mod exit;
-mod logs;
+mod logging;
 mod run;
 
 use std::process::ExitCode;
--- a/crates/flintstalld/src/run.rs
+++ b/crates/flintstalld/src/run.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing_appender::non_blocking::ErrorCounter;
 
-use crate::{cli::Options, exit::Code, logs};
+use crate::{cli::Options, exit::Code, logging};
 
 /// Why the daemon failed.
 #[derive(Debug, Snafu)]
@@ -29,8 +29,8 @@
     #[snafu(display("{source}"))]
     Gateway { source: gateway::Error },
     /// A call to the operating system failed.
-    #[snafu(display("{what}: {source}"))]
-    System { what: &'static str, source: std::io::Error },
+    #[snafu(display("{action}: {source}"))]
+    System { action: &'static str, source: std::io::Error },
 }
 
 impl Error {
@@ -59,9 +59,9 @@
         println!("{}: the settings of box `{}` are valid", path.display(), settings.box_name);
         return Ok(());
     }
-    logs::open(&settings.log);
-    let runtime =
-        tokio::runtime::Runtime::new().context(SystemSnafu { what: "cannot start the runtime" })?;
+    logging::init(&settings.log);
+    let runtime = tokio::runtime::Runtime::new()
+        .context(SystemSnafu { action: "cannot start the runtime" })?;
     runtime.block_on(serve(settings))
 }
 
@@ -71,31 +71,31 @@
         println!("{}: the settings of box `{}` are valid", path.display(), settings.box_name);
         return Ok(());
     }
-    let (_flushed, dropped) = logs::open_bounded(&settings.log.level);
+    let (_flush_guard, dropped_lines) = logging::init_non_blocking(&settings.log.level);
     // A box has a fraction of one processor; a single thread avoids wake-ups between threads.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context(SystemSnafu { what: "cannot start the runtime" })?;
-    runtime.block_on(serve_gateway(path, settings, dropped))
+        .context(SystemSnafu { action: "cannot start the runtime" })?;
+    runtime.block_on(serve_gateway(path, settings, dropped_lines))
 }
 
 async fn serve_gateway(
     path: &Path,
     settings: gateway::Settings,
-    dropped: ErrorCounter,
+    dropped_lines: ErrorCounter,
 ) -> Result<(), Error> {
-    let failed = SystemSnafu { what: "cannot listen for signals" };
-    let mut terminate = signal(SignalKind::terminate()).context(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).context(failed)?;
-    let mut reload = signal(SignalKind::hangup()).context(failed)?;
+    let signal_context = SystemSnafu { action: "cannot listen for signals" };
+    let mut terminate = signal(SignalKind::terminate()).context(signal_context)?;
+    let mut interrupt = signal(SignalKind::interrupt()).context(signal_context)?;
+    let mut reload = signal(SignalKind::hangup()).context(signal_context)?;
     let gateway = Gateway::spawn(settings, rand::random()).await.context(GatewaySnafu)?;
-    gateway.count_dropped_lines(move || dropped.dropped_lines());
+    gateway.count_dropped_lines(move || dropped_lines.dropped_lines());
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = reload.recv() => reread(path, &gateway),
+            _ = reload.recv() => reload_settings(path, &gateway),
         }
     }
     gateway.stop().await;
@@ -103,7 +103,7 @@
 }
 
 /// Reloads the settings. If the file is unreadable or invalid, the current ones stay in force.
-fn reread(path: &Path, gateway: &Gateway) {
+fn reload_settings(path: &Path, gateway: &Gateway) {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
@@ -122,9 +122,9 @@
 async fn serve(settings: Settings) -> Result<(), Error> {
     let router = Router::spawn(settings, rand::random()).await.context(StartSnafu)?;
     tracing::info!(callers = %router.callers(), operators = %router.operators(), "listening");
-    let failed = SystemSnafu { what: "cannot listen for signals" };
-    let mut terminate = signal(SignalKind::terminate()).context(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).context(failed)?;
+    let signal_context = SystemSnafu { action: "cannot listen for signals" };
+    let mut terminate = signal(SignalKind::terminate()).context(signal_context)?;
+    let mut interrupt = signal(SignalKind::interrupt()).context(signal_context)?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/flintstalld/tests/circles.rs
+++ b/crates/flintstalld/tests/circles.rs
@@ -13,35 +13,35 @@
 
 /// Paths into its own crate that a file uses, as segments after `crate`.
 #[derive(Default)]
-struct Paths(Vec<Vec<String>>);
+struct CratePaths(Vec<Vec<String>>);
 
-impl Paths {
-    fn follow(&mut self, tree: &UseTree, mut so_far: Vec<String>) {
+impl CratePaths {
+    fn collect(&mut self, tree: &UseTree, mut prefix: Vec<String>) {
         match tree {
             UseTree::Path(path) => {
-                so_far.push(path.ident.to_string());
-                self.follow(&path.tree, so_far);
+                prefix.push(path.ident.to_string());
+                self.collect(&path.tree, prefix);
             }
             UseTree::Name(name) => {
-                so_far.push(name.ident.to_string());
-                self.0.push(so_far);
+                prefix.push(name.ident.to_string());
+                self.0.push(prefix);
             }
             UseTree::Rename(rename) => {
-                so_far.push(rename.ident.to_string());
-                self.0.push(so_far);
+                prefix.push(rename.ident.to_string());
+                self.0.push(prefix);
             }
-            UseTree::Glob(_) => self.0.push(so_far),
+            UseTree::Glob(_) => self.0.push(prefix),
             UseTree::Group(group) => {
-                group.items.iter().for_each(|item| self.follow(item, so_far.clone()));
+                group.items.iter().for_each(|item| self.collect(item, prefix.clone()));
             }
         }
     }
 }
 
-impl Visit<'_> for Paths {
+impl Visit<'_> for CratePaths {
     fn visit_use_tree(&mut self, tree: &UseTree) {
         match tree {
-            UseTree::Path(path) if path.ident == "crate" => self.follow(&path.tree, Vec::new()),
+            UseTree::Path(path) if path.ident == "crate" => self.collect(&path.tree, Vec::new()),
             _ => {}
         }
     }
@@ -57,7 +57,7 @@
 }
 
 /// Collects the files below a source folder by module path, such as `["witness"]`.
-fn modules(folder: &Path, module: &[String], found: &mut BTreeMap<Vec<String>, PathBuf>) {
+fn collect_modules(folder: &Path, module: &[String], found: &mut BTreeMap<Vec<String>, PathBuf>) {
     for entry in fs::read_dir(folder).expect("a source folder is readable") {
         let path = entry.expect("a folder entry is readable").path();
         let stem = path.file_stem().expect("files have names").to_string_lossy().to_string();
@@ -65,9 +65,9 @@
         match path.extension() {
             None => {
                 name.push(stem);
-                modules(&path, &name, found);
+                collect_modules(&path, &name, found);
             }
-            Some(kind) if kind == "rs" && stem != "lib" && stem != "main" => {
+            Some(extension) if extension == "rs" && stem != "lib" && stem != "main" => {
                 if stem != "mod" {
                     name.push(stem);
                 }
@@ -83,10 +83,10 @@
 /// Which files of a crate import which.
 fn edges(sources: &Path) -> Edges {
     let mut files = BTreeMap::new();
-    modules(sources, &[], &mut files);
-    let needs = |module: &Vec<String>, path: &PathBuf| {
+    collect_modules(sources, &[], &mut files);
+    let imports = |module: &Vec<String>, path: &PathBuf| {
         let text = fs::read_to_string(path).expect("a source file is readable");
-        let mut paths = Paths::default();
+        let mut paths = CratePaths::default();
         paths.visit_file(&syn::parse_file(&text).expect("a source file that compiles parses"));
         let targets = paths.0.into_iter().filter_map(|path| {
             let prefixes = (1..=path.len()).rev().map(|length| path[..length].to_vec());
@@ -94,77 +94,77 @@
         });
         targets.filter(|target| target != module).collect()
     };
-    files.iter().map(|(module, path)| (module.clone(), needs(module, path))).collect()
+    files.iter().map(|(module, path)| (module.clone(), imports(module, path))).collect()
 }
 
 /// Modules that `from` imports, directly or indirectly.
-fn reach(edges: &Edges, from: &Vec<String>) -> BTreeSet<Vec<String>> {
-    let mut seen = BTreeSet::new();
-    let mut open = vec![from];
-    while let Some(module) = open.pop() {
+fn reachable(edges: &Edges, from: &Vec<String>) -> BTreeSet<Vec<String>> {
+    let mut visited = BTreeSet::new();
+    let mut pending = vec![from];
+    while let Some(module) = pending.pop() {
         for next in &edges[module] {
-            if seen.insert(next.clone()) {
-                open.push(next);
+            if visited.insert(next.clone()) {
+                pending.push(next);
             }
         }
     }
-    seen
+    visited
 }
 
 /// Which top-level folders of a crate import which; a top-level file counts as a folder.
-fn rooms(edges: &Edges) -> Edges {
-    let room = |module: &Vec<String>| module[..1].to_vec();
-    let mut rooms = Edges::new();
-    for (module, needs) in edges {
-        let others = needs.iter().map(room).filter(|other| *other != room(module));
-        rooms.entry(room(module)).or_default().extend(others);
+fn folder_edges(edges: &Edges) -> Edges {
+    let folder_of = |module: &Vec<String>| module[..1].to_vec();
+    let mut folder_edges = Edges::new();
+    for (module, imports) in edges {
+        let others = imports.iter().map(folder_of).filter(|other| *other != folder_of(module));
+        folder_edges.entry(folder_of(module)).or_default().extend(others);
     }
-    rooms
+    folder_edges
 }
 
-fn circle(edges: &Edges) -> Vec<String> {
-    let in_circle = edges.keys().filter(|module| reach(edges, module).contains(*module));
-    in_circle.map(|module| module.join("::")).collect()
+fn modules_in_cycles(edges: &Edges) -> Vec<String> {
+    let in_cycles = edges.keys().filter(|module| reachable(edges, module).contains(*module));
+    in_cycles.map(|module| module.join("::")).collect()
 }
 
 /// Crates with import cycles, and the modules in them.
-fn circles(seen_as: impl Fn(Edges) -> Edges) -> Vec<String> {
+fn crates_with_cycles(view: impl Fn(Edges) -> Edges) -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let crates = fs::read_dir(root.join("crates")).expect("the workspace has crates");
     let mut folders: Vec<PathBuf> = crates.map(|entry| entry.unwrap().path()).collect();
     folders.push(root.join("platform"));
-    let mut circles = Vec::new();
+    let mut crates_with_cycles = Vec::new();
     for folder in &folders {
-        let found = circle(&seen_as(edges(&folder.join("src"))));
+        let found = modules_in_cycles(&view(edges(&folder.join("src"))));
         if !found.is_empty() {
-            circles.push(format!("{}: {}", folder.display(), found.join(", ")));
+            crates_with_cycles.push(format!("{}: {}", folder.display(), found.join(", ")));
         }
     }
     assert!(folders.len() > 10, "all crates are searched");
-    circles
+    crates_with_cycles
 }
 
 #[test]
-fn no_files_of_a_crate_need_each_other() {
-    let found = circles(|edges| edges);
+fn files_have_no_import_cycles() {
+    let found = crates_with_cycles(|edges| edges);
     assert!(found.is_empty(), "files that import each other: {found:#?}");
 }
 
 #[test]
-fn no_folders_of_a_crate_need_each_other() {
-    let found = circles(|edges| rooms(&edges));
+fn folders_have_no_import_cycles() {
+    let found = crates_with_cycles(|edges| folder_edges(&edges));
     assert!(found.is_empty(), "folders that import each other: {found:#?}");
 }
 
 #[test]
-fn a_circle_is_found() {
+fn cycles_are_detected() {
     let module = |name: &str| vec![name.to_owned()];
-    let needs = |names: &[&str]| names.iter().map(|name| module(name)).collect();
+    let imports = |names: &[&str]| names.iter().map(|name| module(name)).collect();
     let edges = Edges::from([
-        (module("a"), needs(&["b"])),
-        (module("b"), needs(&["c"])),
-        (module("c"), needs(&["a"])),
-        (module("d"), needs(&["a"])),
+        (module("a"), imports(&["b"])),
+        (module("b"), imports(&["c"])),
+        (module("c"), imports(&["a"])),
+        (module("d"), imports(&["a"])),
     ]);
-    assert_eq!(circle(&edges), ["a", "b", "c"]);
+    assert_eq!(modules_in_cycles(&edges), ["a", "b", "c"]);
 }
--- a/crates/flintstalld/tests/soak.rs
+++ b/crates/flintstalld/tests/soak.rs
@@ -41,7 +41,7 @@
 ];
 
 /// Boxes shut down while the store is unreachable and hand their bills to other boxes.
-const HANDED_OVER: [Case; 2] = [
+const BILLS_HANDED_OVER: [Case; 2] = [
     Case {
         seed: 35,
         seconds: 15,
@@ -60,7 +60,7 @@
 
 /// The first box to register loses the store before it learns of other boxes, and shuts down. It
 /// can hand over its bills only because boxes that register later contact it.
-const ALONE: [Case; 1] = [Case {
+const NO_KNOWN_PEERS: [Case; 1] = [Case {
     seed: 34,
     seconds: 13,
     limits: false,
@@ -70,33 +70,33 @@
 
 /// A box shuts down while the store is unreachable, and all boxes are killed at the end. The store
 /// must return before the run waits for the box, because the box waits for the store.
-const HELD_UP: [Case; 3] = [
+const WAITING_FOR_STORE: [Case; 3] = [
     Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
     Case { seed: 248, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
     Case { seed: 432, seconds: 15, limits: true, words: true, cause: "two boxes delayed the run" },
 ];
 
 #[tokio::test]
-async fn no_promise_is_broken_under_random_faults() {
-    play(&CASES).await;
+async fn guarantees_hold_under_random_faults() {
+    run_cases(&CASES).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_without_the_store() {
-    play(&HANDED_OVER).await;
+async fn bills_survive_a_shutdown_without_the_store() {
+    run_cases(&BILLS_HANDED_OVER).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_before_it_knows_another() {
-    play(&ALONE).await;
+async fn bills_survive_a_shutdown_without_known_peers() {
+    run_cases(&NO_KNOWN_PEERS).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_before_the_store_is_back() {
-    play(&HELD_UP).await;
+async fn bills_survive_a_shutdown_until_the_store_returns() {
+    run_cases(&WAITING_FOR_STORE).await;
 }
 
-async fn play(cases: &[Case]) {
+async fn run_cases(cases: &[Case]) {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_flintstalld"));
     for Case { seed, seconds, limits, words, cause } in cases {
         let options = soak::Options {
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -48,10 +48,9 @@
 pub fn render(event: &Event) -> String {
     let what = match serde_json::to_value(&event.what) {
         Ok(serde_json::Value::String(name)) => name,
-        Ok(serde_json::Value::Object(object)) => object
-            .iter()
-            .map(|(name, fields)| format!("{name} {}", format_fields(fields)))
-            .collect(),
+        Ok(serde_json::Value::Object(object)) => {
+            object.iter().map(|(name, fields)| format!("{name} {}", join_fields(fields))).collect()
+        }
         _ => String::new(),
     };
     let request = event.request.as_deref().unwrap_or("-");
@@ -59,7 +58,7 @@
     format!("{:<18} {:<28} {request:<24} {budget:<14} {what}", event.at.to_string(), event.by)
 }
 
-fn format_fields(fields: &serde_json::Value) -> String {
+fn join_fields(fields: &serde_json::Value) -> String {
     let Some(fields) = fields.as_object() else { return String::new() };
     let parts: Vec<String> = fields.iter().map(|(name, value)| format!("{name}={value}")).collect();
     parts.join(" ")
