--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -1,96 +1,97 @@
-//! What a cold endpoint bears, shared by all boxes with no word exchanged.
+//! Rate limiting of cold endpoints, shared by all boxes without coordination.
 //!
-//! An endpoint that just started, or that was empty for a while, bears so few requests a second that a fleet
-//! must share them: each box sees only its own. As many boxes as the endpoint may get requests in a second
-//! send it one a second each, chosen by rendezvous hashing, so that all boxes agree on them and each cold
-//! endpoint has others. In a fleet of fewer boxes than that, all do, each its part.
+//! An endpoint that just started, or that was idle for a while, can handle only a few requests per
+//! second, and each box sees only its own. So the allowed rate is divided: as many boxes as the
+//! endpoint may get requests per second send it up to one per second each. They are chosen by
+//! rendezvous hashing, so that all boxes agree on them and different cold endpoints have different
+//! senders. In a smaller fleet all boxes send, each at an equal part of the rate.
 //!
-//! The load: a quarter of 140 engines comes back at once, and each of 75 boxes sees 35 idle engines that win
-//! every comparison of load.
+//! Without this, endpoints that restart together attract all boxes at once, because they are idle
+//! and win every comparison of load.
 
 use std::sync::Arc;
 
-/// Requests of a box are so much further apart than its part asks for, as a factor: two that leave a second
-/// apart may arrive closer.
-const APART: f64 = 1.1;
+/// Factor by which a box stretches the interval between its requests: two requests may arrive
+/// closer together than they were sent.
+const INTERVAL_FACTOR: f64 = 1.1;
 
-/// Part of what a cold endpoint may get in a second that boxes send it: the rest is for requests that were
-/// on their way when it turned cold, and for boxes that know another fleet. With half of that used, days on which
-/// many cold engines meet a burst had a mean worth of 0.379, with this 0.391, with no bound at all 0.418 (four
-/// plays each; two of one day differ by 0.05).
-const USED: f64 = 0.85;
+/// Part of the allowed rate that boxes use. The rest is left for requests that were in flight when
+/// the endpoint turned cold, and for boxes that know a different fleet.
+const USED_FRACTION: f64 = 0.85;
 
-/// What a cold endpoint bears.
+/// The rate that a cold endpoint can handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Most requests that it may get within any second, from all boxes together.
+    /// Maximum number of requests within any second, from all boxes together.
     pub per_s: f64,
-    /// Milliseconds for which an endpoint is cold that does not say it itself.
+    /// How long an endpoint stays cold that does not report it itself, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// The boxes that share what cold endpoints bear.
+/// The boxes that share the rate of cold endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// This box.
+    /// Name of this box.
     pub me: Arc<str>,
-    /// The others.
+    /// Names of all other boxes.
     pub others: Vec<Arc<str>>,
 }
 
 impl Allowance {
-    /// Milliseconds between two requests of this box to a cold endpoint; `None` if others send them.
-    pub fn every_ms(self, fleet: &Fleet, endpoint: &str) -> Option<u64> {
+    /// Milliseconds between two requests of this box to a cold endpoint; `None` if only other boxes
+    /// send to it.
+    pub fn interval_ms(self, fleet: &Fleet, endpoint: &str) -> Option<u64> {
         let boxes = fleet.others.len() as f64 + 1.0;
-        let per_s = self.per_s * USED;
+        let per_s = self.per_s * USED_FRACTION;
         let senders = per_s.floor().clamp(1.0, boxes);
-        let mine = member::weight(endpoint, &fleet.me);
-        let before =
-            |other: &Arc<str>| (member::weight(endpoint, other), other) > (mine, &fleet.me);
-        let rank = fleet.others.iter().filter(|other| before(other)).count();
-        let each_per_s = (per_s / senders).min(if senders < boxes { 1.0 } else { f64::MAX });
-        ((rank as f64) < senders).then(|| (1_000.0 * APART / each_per_s).ceil() as u64)
+        let own_weight = member::weight(endpoint, &fleet.me);
+        let ranks_above =
+            |other: &Arc<str>| (member::weight(endpoint, other), other) > (own_weight, &fleet.me);
+        let rank = fleet.others.iter().filter(|other| ranks_above(other)).count();
+        let sender_per_s = (per_s / senders).min(if senders < boxes { 1.0 } else { f64::MAX });
+        ((rank as f64) < senders).then(|| (1_000.0 * INTERVAL_FACTOR / sender_per_s).ceil() as u64)
     }
 }
 
-/// When a box may send a cold endpoint its next request.
+/// Rate limiter of one box for one cold endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Cold {
-    /// It is cold until then.
+pub struct Throttle {
+    /// The endpoint is cold until then.
     until: u64,
     /// Milliseconds between two requests; `None` if this box sends none.
-    every: Option<u64>,
-    next: u64,
+    interval_ms: Option<u64>,
+    next_at: u64,
 }
 
-impl Cold {
-    /// Cold from `now` until `until`, with so much time between two requests.
-    pub fn extend(&mut self, now: u64, until: u64, every: Option<u64>) {
+impl Throttle {
+    /// Marks the endpoint cold from `now` until `until`, with `interval_ms` milliseconds between two
+    /// requests.
+    pub fn extend(&mut self, now: u64, until: u64, interval_ms: Option<u64>) {
         if self.until <= now {
-            self.next = self.next.max(now);
+            self.next_at = self.next_at.max(now);
         }
         self.until = until;
-        self.every = every;
+        self.interval_ms = interval_ms;
     }
 
-    /// From now on so much time is between two requests.
-    pub fn share(&mut self, every: Option<u64>) {
-        self.every = every;
+    /// Changes the interval between two requests.
+    pub fn set_interval(&mut self, interval_ms: Option<u64>) {
+        self.interval_ms = interval_ms;
     }
 
-    /// Whether it is cold.
-    pub fn holds(&self, now: u64) -> bool {
+    /// Whether the endpoint is cold.
+    pub fn is_active(&self, now: u64) -> bool {
         now < self.until
     }
 
-    /// Milliseconds until this box may send it a request.
+    /// Milliseconds until this box may send a request to the endpoint.
     pub fn wait_ms(&self, now: u64) -> u64 {
-        let next = self.every.map_or(self.until, |_| self.next.min(self.until));
-        next.saturating_sub(now)
+        let next_at = self.interval_ms.map_or(self.until, |_| self.next_at.min(self.until));
+        next_at.saturating_sub(now)
     }
 
-    /// A request was sent.
-    pub fn sent(&mut self, now: u64) {
-        self.next = now + self.every.unwrap_or_default();
+    /// Records a request that was sent.
+    pub fn record_sent(&mut self, now: u64) {
+        self.next_at = now + self.interval_ms.unwrap_or_default();
     }
 }
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -1,9 +1,9 @@
-//! Which endpoint probably holds which part of a prompt in its cache.
+//! Index of which endpoints probably hold which prompt prefixes in their cache.
 //!
-//! Cache events come late and with gaps, so they are hints; what this box sent where is known at
-//! once. Prompts are cut into blocks, and each block's hash covers all that comes before it. The
-//! size of a block is in whatever unit the caller counts in: bytes of text, or tokens of a named
-//! part.
+//! Cache events come late and incomplete, so they are only hints; the prompts that this box sent
+//! are recorded at once. Prompts are cut into blocks, and the hash of a block covers all blocks
+//! before it. Sizes of blocks are in whatever unit the caller uses: bytes of text, or tokens of a
+//! named part.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,15 +12,14 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt in one block.
+/// Bytes of prompt text in one block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of a prompt that are looked at.
-const BLOCKS: usize = 256;
+/// Maximum number of blocks of a prompt that are considered.
+const MAX_BLOCKS: usize = 256;
 
-/// One block of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Block {
-    /// Covers this block and all before it.
+    /// Hash of this block and all before it.
     hash: u64,
     /// Size of this block alone.
     size: u32,
@@ -35,8 +34,8 @@
     pub fn of<'a>(texts: impl IntoIterator<Item = &'a str>) -> Prefix {
         let mut bytes = Vec::with_capacity(BLOCK_BYTES * 8);
         for text in texts {
-            let room = (BLOCKS * BLOCK_BYTES).saturating_sub(bytes.len());
-            bytes.extend_from_slice(&text.as_bytes()[..text.len().min(room)]);
+            let remaining = (MAX_BLOCKS * BLOCK_BYTES).saturating_sub(bytes.len());
+            bytes.extend_from_slice(&text.as_bytes()[..text.len().min(remaining)]);
         }
         let mut seed = 0;
         let blocks = bytes.chunks_exact(BLOCK_BYTES).map(|block| {
@@ -46,7 +45,7 @@
         Prefix(blocks.collect())
     }
 
-    /// A prompt whose parts are named: the id and size of each, in order.
+    /// A prompt made of named parts, given as id and size of each in order.
     pub fn of_parts(parts: impl IntoIterator<Item = (u64, u32)>) -> Prefix {
         let mut seed = 0;
         let blocks = parts.into_iter().map(|(id, size)| {
@@ -56,17 +55,17 @@
         Prefix(blocks.collect())
     }
 
-    /// Size of all blocks together.
+    /// Total size of the blocks.
     pub fn size(&self) -> u64 {
         self.0.iter().map(|block| u64::from(block.size)).sum()
     }
 
-    /// The hashes of all blocks.
+    /// Hashes of the blocks.
     pub fn hashes(&self) -> Arc<[u64]> {
         self.0.iter().map(|block| block.hash).collect()
     }
 
-    /// The part that other prompts may share, all but the last block: its hash and size.
+    /// Hash and size of the part that other prompts may share: all blocks but the last.
     pub fn shared(&self) -> Option<(u64, u64)> {
         let (_, shared) = self.0.split_last()?;
         let size = shared.iter().map(|block| u64::from(block.size)).sum();
@@ -74,28 +73,28 @@
     }
 }
 
-/// A bounded map from blocks to the endpoints that probably hold them.
+/// A bounded index from blocks to the endpoints that probably hold them.
 #[derive(Debug)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     holders: HashMap<u64, Vec<Arc<str>>>,
     order: VecDeque<u64>,
     capacity: usize,
 }
 
-impl Prefixes {
-    /// Remembers up to `capacity` blocks.
-    pub fn new(capacity: usize) -> Prefixes {
-        Prefixes { holders: HashMap::new(), order: VecDeque::new(), capacity }
+impl PrefixIndex {
+    /// An empty index for up to `capacity` blocks.
+    pub fn new(capacity: usize) -> PrefixIndex {
+        PrefixIndex { holders: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
-    /// A prompt was sent to an endpoint, which will hold it soon.
-    pub fn sent(&mut self, prefix: &Prefix, endpoint: &Arc<str>) {
+    /// Records a prompt that was sent to an endpoint, which will cache its blocks.
+    pub fn insert(&mut self, prefix: &Prefix, endpoint: &Arc<str>) {
         for block in &prefix.0 {
             self.add(block.hash, endpoint);
         }
     }
 
-    /// An endpoint published that it holds a block.
+    /// Records that an endpoint holds a block.
     pub fn add(&mut self, block: u64, endpoint: &Arc<str>) {
         let holders = self.holders.entry(block).or_insert_with(|| {
             self.order.push_back(block);
@@ -115,7 +114,7 @@
         self.holders.get(&block).is_some_and(|holders| !holders.is_empty())
     }
 
-    /// An endpoint published that it dropped a block.
+    /// Records that an endpoint dropped a block.
     pub fn remove(&mut self, block: u64, endpoint: &str) {
         if let Some(holders) = self.holders.get_mut(&block) {
             holders.retain(|name| &**name != endpoint);
@@ -131,15 +130,15 @@
         prefix.0.iter().take_while(holds).map(|block| u64::from(block.size)).sum()
     }
 
-    /// Endpoints that hold the longest known part, longest first, at most `most`.
-    pub fn best(&self, prefix: &Prefix, most: usize) -> Vec<Arc<str>> {
+    /// Up to `limit` endpoints that hold the longest known prefix, longest first.
+    pub fn best(&self, prefix: &Prefix, limit: usize) -> Vec<Arc<str>> {
         let mut found: Vec<Arc<str>> = Vec::new();
         let known = prefix.0.partition_point(|block| self.holders.contains_key(&block.hash));
         for block in prefix.0[..known].iter().rev() {
             for name in self.holders.get(&block.hash).into_iter().flatten() {
                 match found.contains(name) {
                     true => {}
-                    false if found.len() < most => found.push(name.clone()),
+                    false if found.len() < limit => found.push(name.clone()),
                     false => return found,
                 }
             }
--- a/crates/gateway/src/inbound/mod.rs
+++ b/crates/gateway/src/inbound/mod.rs
@@ -1,7 +1,7 @@
-//! Who comes in: callers, the balancer, operators and other boxes.
+//! Inbound connections: callers, the balancer, operators and other boxes.
 //!
-//! `serve` accepts connections, `handle` takes a request from its head to the last byte of its answer,
-//! `admin` answers the balancer and scrapers, and `peer_service` answers other boxes.
+//! `serve` accepts connections, `handle` serves the requests of callers, `admin` serves readiness
+//! checks and metrics, and `peer_service` serves other boxes.
 
 pub mod peer_service;
 pub mod handle;
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -1,4 +1,4 @@
-//! The body of an endpoint's answer on its way to the caller.
+//! Streams the body of an endpoint's response to the caller.
 
 use std::{
     pin::Pin,
@@ -24,41 +24,41 @@
     },
 };
 
-/// Tokens of a prompt that are to be read from which on other boxes are told: an engine of the
-/// deployments takes some 50 ms for them, a tenth of what callers may wait.
-const TOLD_FROM: u64 = 2_000;
+/// Smallest number of uncached prompt tokens that is announced to other boxes; smaller ones hardly
+/// delay an engine.
+const MIN_ANNOUNCED_TOKENS: u64 = 2_000;
 
-/// Why a body breaks off. The connection to the caller is closed then, so that what arrived does
-/// not look whole.
+/// Why a body breaks off. The error closes the connection to the caller, so that a truncated body does
+/// not look complete.
 #[derive(Debug, Snafu)]
-pub enum Broken {
-    /// The endpoint's answer broke off.
+pub enum BodyError {
+    /// The endpoint's response broke off.
     #[snafu(display("{source}"))]
     Endpoint { source: forward::Fault },
-    /// The time of the request is over.
-    #[snafu(display("the time of the request is over"))]
+    /// The deadline of the request passed.
+    #[snafu(display("the deadline of the request passed"))]
     Timeout,
 }
 
-/// A request that an endpoint has: counted there while this lives.
+/// A request at an endpoint; counted as load of the endpoint until dropped.
 #[derive(Debug)]
 pub struct InFlight {
     endpoints: Arc<Endpoints>,
     service: Arc<str>,
     endpoint: Arc<str>,
-    /// What of its prompt the endpoint has to read, until the answer begins.
-    unread: Option<u64>,
-    /// Other boxes were told of its prompt.
-    told: Option<PromptNotice>,
-    /// When its last event came.
-    paced: Option<Instant>,
+    /// Prompt tokens that the endpoint has to process; taken when the response begins.
+    prefill_tokens: Option<u64>,
+    /// Announcement of the prompt to other boxes; withdrawn on drop.
+    prompt_notice: Option<PromptNotice>,
+    /// When the last event arrived.
+    last_event_at: Option<Instant>,
     failure: Option<Failure>,
-    /// Whether the endpoint ends under it.
+    /// Detects whether the endpoint crashes on the request.
     watch: Watch,
 }
 
 impl InFlight {
-    /// Counts a request at an endpoint, and tells other boxes if its prompt is large.
+    /// Counts a request at an endpoint, and announces it to other boxes if its prompt is large.
     pub fn start(
         endpoints: Arc<Endpoints>,
         service: Arc<str>,
@@ -67,49 +67,58 @@
         peers: &Peers,
         watch: Watch,
     ) -> InFlight {
-        let unread = endpoints.start(&service, chosen, prefix);
-        let told =
-            (unread >= TOLD_FROM).then(|| peers.publish_prompt(&chosen.instance, prefix, unread));
+        let prefill_tokens = endpoints.start(&service, chosen, prefix);
+        let prompt_notice = (prefill_tokens >= MIN_ANNOUNCED_TOKENS)
+            .then(|| peers.publish_prompt(&chosen.instance, prefix, prefill_tokens));
         let endpoint = chosen.instance.clone();
-        let unread = Some(unread);
-        InFlight { endpoints, service, endpoint, unread, told, paced: None, failure: None, watch }
+        let prefill_tokens = Some(prefill_tokens);
+        InFlight {
+            endpoints,
+            service,
+            endpoint,
+            prefill_tokens,
+            prompt_notice,
+            last_event_at: None,
+            failure: None,
+            watch,
+        }
     }
 
-    /// Its answer began.
+    /// The response began.
     pub fn begin(&mut self) {
-        if let Some(unread) = self.unread.take() {
-            self.endpoints.finish_prefill(&self.service, &self.endpoint, unread);
-            self.told.take();
+        if let Some(prefill_tokens) = self.prefill_tokens.take() {
+            self.endpoints.finish_prefill(&self.service, &self.endpoint, prefill_tokens);
+            self.prompt_notice.take();
         }
     }
 
-    /// So many events of its stream arrived together; returns the time since the ones before.
-    fn pace(&mut self, events: u64) -> Option<Duration> {
+    /// Records events that arrived together; returns the time since the previous ones.
+    fn record_events(&mut self, events: u64) -> Option<Duration> {
         let now = Instant::now();
-        let pause = now.saturating_duration_since(self.paced.replace(now)?);
-        let each = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
-        self.endpoints.record_gap(&self.service, &self.endpoint, each);
+        let pause = now.saturating_duration_since(self.last_event_at.replace(now)?);
+        let gap = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
+        self.endpoints.record_gap(&self.service, &self.endpoint, gap);
         Some(pause)
     }
 
-    /// Its connection broke before the whole answer was there.
+    /// The connection broke before the response was complete.
     pub fn broke(&mut self) {
         self.failure = Some(Failure::Broken);
         self.watch.broke();
     }
 
-    /// It failed there.
+    /// The attempt failed, which counts against the endpoint.
     pub fn fail(&mut self, failure: Failure) {
         self.failure = Some(failure);
         self.watch.ended();
     }
 
-    /// Its answer ends with its connection.
+    /// The close of the connection marks the end of the response.
     pub fn unframed(&mut self) {
         self.watch.unframed();
     }
 
-    /// It did not get there, or failed there without harm to the endpoint.
+    /// The attempt ended in a way that does not count against the endpoint.
     pub fn ended(&mut self) {
         self.watch.ended();
     }
@@ -122,7 +131,7 @@
     }
 }
 
-/// An answer's body, passed on as it comes.
+/// Body of a response, relayed as it arrives.
 pub struct Relay {
     body: forward::Body,
     event_counter: EventCounter,
@@ -134,7 +143,7 @@
 }
 
 impl Relay {
-    /// Passes on the body of an answer with this status.
+    /// Relays the body of a response with this status.
     pub fn new(
         body: forward::Body,
         status: u16,
@@ -142,7 +151,7 @@
         exchange: Exchange,
         link: Arc<Link>,
     ) -> Relay {
-        let timeout = Box::pin(tokio::time::sleep_until(exchange.until));
+        let timeout = Box::pin(tokio::time::sleep_until(exchange.deadline));
         let mut relay = Relay {
             body,
             event_counter: EventCounter::default(),
@@ -167,9 +176,9 @@
         self.exchange.end(Outcome::Answered { status: self.status }, self.event_counter.events());
     }
 
-    /// So many events arrived together.
-    fn pace(&mut self, events: u64) {
-        let pause = (events > 0).then(|| self.in_flight.pace(events)).flatten();
+    /// Records events that arrived together.
+    fn record_events(&mut self, events: u64) {
+        let pause = (events > 0).then(|| self.in_flight.record_events(events)).flatten();
         self.exchange.longest_pause = self.exchange.longest_pause.max(pause);
     }
 
@@ -179,26 +188,26 @@
 }
 
 impl Drop for Relay {
-    /// The caller went away first, unless it has ended.
+    /// The caller disconnected, unless the request has already ended.
     fn drop(&mut self) {
-        self.exchange.end(Outcome::Left, self.event_counter.events());
+        self.exchange.end(Outcome::Disconnected, self.event_counter.events());
     }
 }
 
 impl Body for Relay {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
                 ready!(self.timeout.as_mut().poll(context));
-                self.break_off("the time of the request is over".into());
-                return Poll::Ready(Some(Err(Broken::Timeout)));
+                self.break_off("the deadline of the request passed".into());
+                return Poll::Ready(Some(Err(BodyError::Timeout)));
             }
         };
         match frame {
@@ -212,7 +221,7 @@
                     let before = self.event_counter.events();
                     self.event_counter.feed(data);
                     let events = self.event_counter.events() - before;
-                    self.pace(events);
+                    self.record_events(events);
                 }
                 self.end_if_whole();
                 Poll::Ready(Some(Ok(frame)))
@@ -220,7 +229,7 @@
             Some(Err(source)) => {
                 self.in_flight.broke();
                 self.break_off(source.to_string());
-                Poll::Ready(Some(Err(Broken::Endpoint { source })))
+                Poll::Ready(Some(Err(BodyError::Endpoint { source })))
             }
         }
     }
--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -1,12 +1,9 @@
-//! Getting tokens for requests: from the keeper of the availability zone, or from the book where
-//! this box is the keeper itself or reaches no other.
+//! Gets tokens for requests: from the keeper of the availability zone, or from the book if this box
+//! is the keeper itself or reaches no other.
 //!
-//! A box that wrote the book itself whenever a request came for which it held nothing would meet
-//! all others there: of 73 boxes that did so, one in 0.2 s got through, and half of all requests
-//! were refused for want of tokens that lay elsewhere. A keeper answers within a way there and
-//! back, with the store in reach or not, and the book is written by a few boxes however many there
-//! are: the calm day of 73 boxes took 16,000 calls of the store before, and refused half of what
-//! came (counted on the callers' side).
+//! If every box wrote the book whenever it lacked tokens, their conditional writes would conflict
+//! and most of them would be refused. Through keepers only a few boxes write the book, however many
+//! there are, and a keeper answers within one round trip, whether the store is reachable or not.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,24 +21,22 @@
     },
 };
 
-/// Time for the answer to come besides: many times the way there and back, with room for a box
-/// that is busy.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
-/// Time between two rounds in which keepers are told what was used and given back what lies idle:
-/// shorter than the use that a box keeps.
-const TELL: Duration = Duration::from_millis(1_000);
+/// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
+/// longer than a round trip, for boxes under load.
+const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
+/// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
+/// time for which a box holds tokens in reserve.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What came of asking a keeper.
+/// The result of asking a keeper.
 #[derive(Debug)]
-enum Drew {
-    /// The tokens of the request.
+enum Outcome {
     Hold(Hold),
-    /// An answer, and too few tokens in reach of that keeper.
-    TooLittle,
-    /// The same, and the keeper does not reach the store.
-    Cut,
-    /// No answer in time.
-    Nothing,
+    /// The keeper answered, but it and the boxes that it reaches have too few tokens.
+    Insufficient,
+    /// The same, and the keeper does not reach the store or is about to stop.
+    StoreUnreachable,
+    Unanswered,
 }
 
 /// Gets tokens for requests.
@@ -50,12 +45,10 @@
     funds: Funds,
     peers: Peers,
     borrower: Borrower,
-    /// The settings in force.
     settings: watch::Receiver<Arc<Settings>>,
 }
 
 impl Acquirer {
-    /// For this box's accounts.
     pub fn new(
         funds: Funds,
         peers: Peers,
@@ -65,13 +58,13 @@
         Acquirer { funds, peers, borrower, settings }
     }
 
-    /// Longest time that a keeper may look for tokens.
-    fn keeper_within(&self) -> Duration {
+    /// Longest time for which a keeper may look for tokens.
+    fn keeper_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.borrow().money.keeper_ms)
     }
 
-    /// Holds the worst case of a request, waiting until `until` for the tokens; the book is waited
-    /// for until `from_store` where this box asks it itself.
+    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
+    /// the book itself, it waits for that at most for `from_store`.
     pub async fn hold(
         &self,
         customer: &Arc<str>,
@@ -85,28 +78,28 @@
         let mut answered = false;
         for keeper in self.peers.keepers() {
             if keeper == *self.peers.me() {
-                return self.hold_self(customer, worst, from_store, until).await;
+                return self.hold_from_book(customer, worst, from_store, until).await;
             }
-            match self.hold_by(&keeper, customer, worst, until).await {
-                Drew::Hold(hold) => return Some(hold),
-                // Others write the same book.
-                Drew::TooLittle => return None,
-                Drew::Cut => answered = true,
-                Drew::Nothing => {}
+            match self.hold_from_keeper(&keeper, customer, worst, until).await {
+                Outcome::Hold(hold) => return Some(hold),
+                // The other keepers write the same book and have no more.
+                Outcome::Insufficient => return None,
+                Outcome::StoreUnreachable => answered = true,
+                Outcome::Unanswered => {}
             }
-            if self.funds.are_others_dry(customer, worst) || Instant::now() >= until {
+            if self.funds.are_others_exhausted(customer, worst) || Instant::now() >= until {
                 return None;
             }
         }
         match answered {
             true => None,
-            // Whoever reaches no other box is on its own.
-            false => self.hold_self(customer, worst, from_store, until).await,
+            // A box that reaches no keeper turns to the book itself.
+            false => self.hold_from_book(customer, worst, from_store, until).await,
         }
     }
 
-    /// From the book, then from other keepers.
-    async fn hold_self(
+    /// Asks the book, then other keepers.
+    async fn hold_from_book(
         &self,
         customer: &Arc<str>,
         worst: u64,
@@ -120,86 +113,88 @@
         }
     }
 
-    /// From one keeper.
-    async fn hold_by(
+    /// Asks one keeper.
+    async fn hold_from_keeper(
         &self,
         keeper: &Incarnation,
         customer: &Arc<str>,
         worst: u64,
         until: Instant,
-    ) -> Drew {
+    ) -> Outcome {
         let began = Instant::now();
-        let asking = self.funds.asking(customer);
-        let _lacking = self.funds.lacking(customer, worst);
-        let asked = async {
-            let _one_at_a_time = asking.lock().await;
-            // Another request may have brought enough for both, or shown that there is nothing.
+        let ask_lock = self.funds.ask_lock(customer);
+        let _keeper_wait = self.funds.waiting_for_keeper(customer, worst);
+        let attempt = async {
+            let _guard = ask_lock.lock().await;
+            // Another request may have brought enough tokens for both, or found that there are
+            // none.
             if let Some(hold) = self.funds.try_hold(customer, worst) {
-                return Drew::Hold(hold);
+                return Outcome::Hold(hold);
             }
-            if self.funds.are_others_dry(customer, worst) {
-                return Drew::TooLittle;
+            if self.funds.are_others_exhausted(customer, worst) {
+                return Outcome::Insufficient;
             }
-            let told = self.funds.demands(keeper, Some((customer, worst)));
-            let within = self.keeper_within().min(until.saturating_duration_since(Instant::now()));
-            let Some(drawn) = self.draw(keeper, told, within, false).await else {
-                return Drew::Nothing;
+            let demands = self.funds.demands(keeper, Some((customer, worst)));
+            let timeout =
+                self.keeper_timeout().min(until.saturating_duration_since(Instant::now()));
+            let Some(drawn) = self.draw(keeper, demands, timeout, false).await else {
+                return Outcome::Unanswered;
             };
-            let given = drawn.items.iter().find(|given| given.customer == *customer);
-            if given.is_some_and(|given| given.dry) {
-                self.funds.note_others_dry(customer, worst);
+            let supply = drawn.items.iter().find(|supply| supply.customer == *customer);
+            if supply.is_some_and(|supply| supply.dry) {
+                self.funds.note_others_exhausted(customer, worst);
             }
             match self.funds.try_hold(customer, worst) {
-                Some(hold) => Drew::Hold(hold),
-                None if drawn.cut || drawn.leaves => Drew::Cut,
-                None => Drew::TooLittle,
+                Some(hold) => Outcome::Hold(hold),
+                None if drawn.cut || drawn.leaves => Outcome::StoreUnreachable,
+                None => Outcome::Insufficient,
             }
         };
-        let drew = tokio::time::timeout_at(until, asked).await.unwrap_or(Drew::Nothing);
+        let outcome = tokio::time::timeout_at(until, attempt).await.unwrap_or(Outcome::Unanswered);
         tracing::info!(
             event = "tokens_drawn",
             keeper = keeper.as_str(),
             customer = &**customer,
             worst,
-            held = matches!(drew, Drew::Hold(_)),
+            held = matches!(outcome, Outcome::Hold(_)),
             took_ms = began.elapsed().as_millis() as u64,
         );
-        drew
+        outcome
     }
 
-    /// One question to a keeper. What arrives is taken over also if the request that asked has
-    /// gone: it would lie with nobody otherwise.
+    /// Sends demands to a keeper and adds the tokens that it passes on. This runs in a separate
+    /// task, so that tokens that arrive after the caller has gone are still accounted for.
     async fn draw(
         &self,
         keeper: &Incarnation,
         items: Vec<Demand>,
-        within: Duration,
+        timeout: Duration,
         leaves: bool,
     ) -> Option<Drawn> {
         let (this, keeper) = (self.clone(), keeper.clone());
-        let asked = tokio::spawn(async move {
-            let within_ms = within.as_millis() as u64;
+        let attempt = tokio::spawn(async move {
+            let within_ms = timeout.as_millis() as u64;
             let draw = Draw { keeper: keeper.clone(), items: items.clone(), within_ms, leaves };
-            let most = within.max(this.keeper_within()) + ON_THE_WAY;
-            let drawn = this.peers.draw(&keeper, draw, most).await?;
+            let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
+            let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
             this.funds.drawn(&keeper, &items, &drawn.items);
             Some(drawn)
         });
-        // A panic in it was printed already.
-        asked.await.ok().flatten()
+        // The panic hook has logged a panic in the task.
+        attempt.await.ok().flatten()
     }
 
-    /// Tells keepers what was used, and gives back what lies idle, for as long as the box runs.
+    /// Reports used tokens to keepers and returns idle ones, for as long as the box runs.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(TELL).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             report::held(&self.funds);
-            for keeper in self.funds.keepers_to_tell() {
+            for keeper in self.funds.keepers_to_report_to() {
                 if !self.peers.knows(&keeper) {
                     continue;
                 }
-                let told = self.funds.demands(&keeper, None);
-                let drawn = self.draw(&keeper, told, Duration::ZERO, false).await;
+                let demands = self.funds.demands(&keeper, None);
+                let drawn = self.draw(&keeper, demands, Duration::ZERO, false).await;
                 if drawn.is_some_and(|drawn| drawn.leaves) {
                     self.return_all(&keeper, false).await;
                 }
@@ -207,9 +202,9 @@
         }
     }
 
-    /// Before this box ends: keepers are told what was used, and get back the rest.
+    /// Reports used tokens to keepers and returns the rest, before a planned stop.
     pub async fn leave(&self) {
-        self.funds.give_up();
+        self.funds.abandon();
         for keeper in self.funds.keepers() {
             if self.peers.knows(&keeper) {
                 self.return_all(&keeper, true).await;
@@ -218,9 +213,14 @@
     }
 
     async fn return_all(&self, keeper: &Incarnation, leaves: bool) {
-        let told = self.funds.return_all(keeper);
-        let returned = told.iter().map(|told| told.share.returned).sum::<u64>();
-        let heard = self.draw(keeper, told, Duration::ZERO, leaves).await.is_some();
-        tracing::info!(event = "tokens_returned", keeper = keeper.as_str(), returned, heard);
+        let demands = self.funds.return_all(keeper);
+        let returned = demands.iter().map(|demand| demand.share.returned).sum::<u64>();
+        let acknowledged = self.draw(keeper, demands, Duration::ZERO, leaves).await.is_some();
+        tracing::info!(
+            event = "tokens_returned",
+            keeper = keeper.as_str(),
+            returned,
+            heard = acknowledged
+        );
     }
 }
