--- a/crates/balance/src/back_off.rs
+++ b/crates/balance/src/back_off.rs
@@ -56,7 +56,7 @@
     }
 
     /// Milliseconds until the back-off ends.
-    pub fn left_ms(&self, now: u64) -> u64 {
+    pub fn remaining_ms(&self, now: u64) -> u64 {
         self.until.saturating_sub(now)
     }
 
--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -25,7 +25,7 @@
     /// Maximum number of requests within any second, from all boxes together.
     pub per_s: f64,
     /// How long an endpoint stays cold that does not report it itself, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// The boxes that share the rate of cold endpoints.
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -193,7 +193,7 @@
 
     /// Whether it gets no request now, not even one that was already assigned to it.
     pub fn refuses_requests(&self, now: u64) -> bool {
-        self.has_left(now) || self.back_off.left_ms(now) > 0
+        self.has_left(now) || self.back_off.remaining_ms(now) > 0
     }
 
     /// Milliseconds until its back-off lets this box send a request.
@@ -288,7 +288,7 @@
     }
 
     /// Takes over the number of requests that a peer has in flight there.
-    pub fn peer(&mut self, peer: &Arc<str>, in_flight: u32, now: u64) {
+    pub fn receive_peer_load(&mut self, peer: &Arc<str>, in_flight: u32, now: u64) {
         match self.peers.iter_mut().find(|(name, ..)| name == peer) {
             Some(known) => (known.1, known.2) = (in_flight, now),
             None => self.peers.push((peer.clone(), in_flight, now)),
--- a/crates/balance/src/permits.rs
+++ b/crates/balance/src/permits.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permit {
     /// A request may be sent at once.
-    Given,
+    Granted,
     /// None is left; ask again after `ms` milliseconds.
     After { ms: u64 },
 }
@@ -60,7 +60,7 @@
         if self.saved >= 1.0 || now >= self.issued_at + PROBE_INTERVAL_MS {
             self.saved = (self.saved - 1.0).max(0.0);
             self.issued_at = now;
-            return Permit::Given;
+            return Permit::Granted;
         }
         // When the next permit is saved up, or the endpoint is due for a request in any case. With
         // a limit of zero, nothing is ever saved up.
--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -53,7 +53,7 @@
 pub struct Choice {
     pub name: Arc<str>,
     /// Size of the prompt's leading blocks that it probably holds.
-    pub held: u64,
+    pub cached: u64,
     /// Estimated number of requests there.
     pub load: f64,
 }
@@ -180,6 +180,6 @@
         let cost = (load + 1.0) * self.weights.in_flight * endpoint.slow_start(now)
             + (missing as f64 * self.weights.prefill + backlog) / self.weights.size_per_request
             + zone_cost;
-        (cost, Choice { name: endpoint.name.clone(), held, load })
+        (cost, Choice { name: endpoint.name.clone(), cached: held, load })
     }
 }
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -79,9 +79,9 @@
             };
             self.endpoints.push(endpoint);
         }
-        self.back_offs.retain(|_, back_off| back_off.left_ms(now) > 0);
+        self.back_offs.retain(|_, back_off| back_off.remaining_ms(now) > 0);
         let active_back_offs =
-            known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
+            known.into_iter().filter(|endpoint| endpoint.back_off.remaining_ms(now) > 0);
         self.back_offs.extend(
             active_back_offs.take(MAX_BACK_OFFS).map(|endpoint| (endpoint.name, endpoint.back_off)),
         );
@@ -148,22 +148,22 @@
         }
     }
 
-    /// Marks an endpoint cold for `lasts_ms`, or for the default time if it did not report one.
-    pub fn mark_cold(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
-        let lasts_ms =
-            lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
+    /// Marks an endpoint cold for `duration_ms`, or for the default time if it did not report one.
+    pub fn mark_cold(&mut self, name: &str, duration_ms: Option<u64>, now: u64) {
+        let duration_ms = duration_ms
+            .unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.duration_ms));
         let interval_ms = cold_interval_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.cold.extend(now, now + lasts_ms, interval_ms);
+            endpoint.cold.extend(now, now + duration_ms, interval_ms);
         }
     }
 
     /// Treats a silent endpoint as cold: it may have crashed and restarted.
     fn suspect_cold(&mut self, name: &str, now: u64) {
-        let lasts_ms = self.allowance.map_or(0, |allowance| allowance.lasts_ms);
+        let duration_ms = self.allowance.map_or(0, |allowance| allowance.duration_ms);
         let interval_ms = cold_interval_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.suspected_cold.extend(now, now + lasts_ms, interval_ms);
+            endpoint.suspected_cold.extend(now, now + duration_ms, interval_ms);
         }
     }
 
@@ -248,10 +248,10 @@
     }
 
     /// Takes over the requests that a peer has in flight.
-    pub fn peer(&mut self, peer: &Arc<str>, snapshots: &[Snapshot], now: u64) {
+    pub fn receive_peer_load(&mut self, peer: &Arc<str>, snapshots: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
             let count = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
-            endpoint.peer(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
+            endpoint.receive_peer_load(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
         }
     }
 
--- a/crates/balance/tests/back_off.rs
+++ b/crates/balance/tests/back_off.rs
@@ -45,7 +45,7 @@
             back_off.extend(*ms, 0, *now);
             back_off.request_accepted(*now);
         }
-        assert_eq!(back_off.left_ms(100), until.saturating_sub(100), "{what}");
+        assert_eq!(back_off.remaining_ms(100), until.saturating_sub(100), "{what}");
     }
 }
 
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -24,7 +24,7 @@
     let prefix = Prefix::of([text.as_str()]);
     pool.start(&"e5".into(), &prefix, 10);
     let choice = pool.choose(&prefix, &[], 20, &mut random()).unwrap();
-    assert_eq!((&*choice.name, choice.held), ("e5", prefix.size()));
+    assert_eq!((&*choice.name, choice.cached), ("e5", prefix.size()));
     pool.report("e5", Report { at: 20, running: 32, waiting: 30, slots: 32 });
     let choice = pool.choose(&prefix, &[], 30, &mut random()).unwrap();
     assert_ne!(&*choice.name, "e5");
@@ -252,7 +252,7 @@
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
             let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
-            choice.held > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
+            choice.cached > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
         });
         let at_slow = at_slow.count().min(1);
         assert_eq!(at_slow, least, "{shared} shared, {slow_ms} ms");
@@ -264,7 +264,7 @@
     let mut pool = pool_with_slow(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
     let owner = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
-    assert_eq!(owner.held, 6_000, "nothing is known: its owner counts as holding it");
+    assert_eq!(owner.cached, 6_000, "nothing is known: its owner counts as holding it");
     let other: Arc<str> = if &*owner.name == "e0" { "e1".into() } else { "e0".into() };
     let mut prompt =
         Prompt { endpoint: other.clone(), number: 1, size: 6_100, blocks: prefix.hashes() };
@@ -273,5 +273,5 @@
     pool.receive_prompt(&"box-2".into(), &prompt, 200);
     let again = Prefix::of_parts([(1, 6_000), (3, 100)]);
     let choice = pool.choose(&again, &[], 300, &mut random()).expect("an endpoint");
-    assert_eq!((choice.name, choice.held), (other, 6_000));
+    assert_eq!((choice.name, choice.cached), (other, 6_000));
 }
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const ALLOWANCE: Allowance = Allowance { per_s: 7.7 * 1.5 + 5.0, lasts_ms: 3_000 };
+const ALLOWANCE: Allowance = Allowance { per_s: 7.7 * 1.5 + 5.0, duration_ms: 3_000 };
 /// Number of requests within a second that a cold engine must not reach.
 const TOO_MANY: usize = 17;
 
@@ -194,7 +194,7 @@
     /// boxes send than the rate allows.
     #[test]
     fn a_fleet_stays_below_the_rate(boxes in 1..300usize, per_s in 0.2..60.0f64) {
-        let allowance = Allowance { per_s, lasts_ms: 3_000 };
+        let allowance = Allowance { per_s, duration_ms: 3_000 };
         let intervals: Vec<u64> =
             (0..boxes).filter_map(|me| allowance.interval_ms(&fleet(boxes, me), "i-1")).collect();
         let sent: f64 = intervals.iter().map(|ms| 1_000.0 / *ms as f64).sum();
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -97,7 +97,7 @@
             if n == changes_at {
                 permits = Permits::open(now);
             }
-            if permits.take(per_s, now) == Permit::Given {
+            if permits.take(per_s, now) == Permit::Granted {
                 given.push(now);
             }
         }
@@ -126,7 +126,7 @@
 fn saved_permits_are_bounded() {
     for (per_s, most) in [(0.2, 1), (1.5, 1), (4.0, 3), (20.0, 11)] {
         let mut permits = Permits::open(0);
-        let at_once = (0..100).filter(|_| permits.take(per_s, 60_000) == Permit::Given).count();
+        let at_once = (0..100).filter(|_| permits.take(per_s, 60_000) == Permit::Granted).count();
         assert_eq!(at_once, most, "at {per_s} a second");
     }
 }
@@ -134,7 +134,7 @@
 #[test]
 fn an_endpoint_with_a_zero_limit_is_probed_every_five_seconds() {
     let mut permits = Permits::open(0);
-    let given = (0..20_000).filter(|now| permits.take(0.0, *now) == Permit::Given);
+    let given = (0..20_000).filter(|now| permits.take(0.0, *now) == Permit::Granted);
     assert_eq!(given.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
 }
 
--- a/crates/balance/tests/permits.rs
+++ b/crates/balance/tests/permits.rs
@@ -110,7 +110,7 @@
                 messages += usize::from(boxes > 1);
                 delay = random.random_range(0..=ROUND_TRIP_MS);
                 match permits.take(limit, now) {
-                    Permit::Given => true,
+                    Permit::Granted => true,
                     Permit::After { ms } => {
                         retry_at[at] = now + ms;
                         false
--- a/crates/flintbench/src/herd.rs
+++ b/crates/flintbench/src/herd.rs
@@ -168,7 +168,7 @@
         let told: Vec<_> = self.pools.iter().map(Pool::snapshot).collect();
         for (to, pool) in self.pools.iter_mut().enumerate() {
             for (from, snapshot) in told.iter().enumerate().filter(|(from, _)| *from != to) {
-                pool.peer(&format!("box-{from}").into(), snapshot, now);
+                pool.receive_peer_load(&format!("box-{from}").into(), snapshot, now);
             }
         }
     }
--- a/crates/flintbench/src/serve.rs
+++ b/crates/flintbench/src/serve.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use standin::Speed;
 use tokio::time::Instant;
-use trial::{Ask, Audit, Fleet, Outcome, Plan};
+use trial::{Audit, Fleet, Outcome, Plan, Request};
 
 use crate::{
     cli::Options,
@@ -51,7 +51,7 @@
     for (kind, lanes) in kinds {
         for lane in 0..lanes {
             let caller = fleet.caller.clone();
-            let to = fleet.to(lane % fleet.nodes.len());
+            let to = fleet.callers_address(lane % fleet.nodes.len());
             tasks.spawn(async move {
                 let mut first = Times::default();
                 let mut gaps = Times::default();
@@ -59,9 +59,9 @@
                 while Instant::now() < end {
                     number += 1;
                     let key = format!("{kind}-{long}-{lane}-{number}");
-                    let got = caller.ask(to, &work(kind, &key)).await;
+                    let got = caller.send(to, &work(kind, &key)).await;
                     if got.outcome == Outcome::Answered {
-                        first.add(got.first);
+                        first.add(got.time_to_first_byte);
                         gaps.extend(got.gaps);
                     }
                 }
@@ -78,18 +78,18 @@
     by_kind
 }
 
-fn work(kind: &str, key: &str) -> Ask {
-    let chat = Ask::chat("dental", "bornova", key);
+fn work(kind: &str, key: &str) -> Request {
+    let chat = Request::chat("dental", "bornova", key);
     match kind {
-        "ping" => Ask::service("dental", "bornova", "lookup", key),
-        "calendar" => Ask {
+        "ping" => Request::service("dental", "bornova", "lookup", key),
+        "calendar" => Request {
             route: "calendar".into(),
             prompt: format!("{key} {}", "Mo 09:00 check-up, chair 3. ".repeat(300)),
             output: 200,
             max_tokens: 256,
             ..chat
         },
-        _ => Ask { output: 20, max_tokens: 32, ..chat },
+        _ => Request { output: 20, max_tokens: 32, ..chat },
     }
 }
 
@@ -167,11 +167,11 @@
         balancer.set(index, None);
         fleet.nodes[index].stop().await;
         fleet.restart(index).await;
-        balancer.set(index, Some(fleet.to(index)));
+        balancer.set(index, Some(fleet.callers_address(index)));
     }
     let _ = load.await;
-    let told = fleet.caller.told();
-    let cut = told.iter().filter(|got| got.outcome != Outcome::Answered).count();
+    let responses = fleet.caller.responses();
+    let cut = responses.iter().filter(|got| got.outcome != Outcome::Answered).count();
     let mut report = close(&fleet).await;
     report.add("requests_cut_off", json!(cut));
     let stranded = report.figures["stranded_tokens"].as_u64().unwrap_or(0);
--- a/crates/flintstall/src/run.rs
+++ b/crates/flintstall/src/run.rs
@@ -50,5 +50,5 @@
     let configured = options.platform.clone().or_else(|| std::env::var("FLINTSTALL_PLATFORM").ok());
     let address = configured.context(NoPlatformSnafu)?;
     let address = address.trim_end_matches('/').to_owned();
-    Ok(Client::open(StoreOptions { address, timeout: CALL_TIMEOUT, watch: WATCH_TIMEOUT }))
+    Ok(Client::open(StoreOptions { address, timeout: CALL_TIMEOUT, watch_timeout: WATCH_TIMEOUT }))
 }
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trial::{Ask, Figures, Fleet, Got, Outcome, Plan, api_key};
+use trial::{Figures, Fleet, Outcome, Plan, Request, Response, api_key};
 
 use crate::{
     cli::Try,
@@ -19,7 +19,7 @@
 struct Step {
     description: &'static str,
     to: usize,
-    ask: Ask,
+    ask: Request,
     expected: Outcome,
 }
 
@@ -31,7 +31,7 @@
     println!("Budget `bornova` has {PAID_TOKENS} prepaid tokens.\n");
     let mut as_expected = true;
     for step in script() {
-        let got = fleet.caller.ask(fleet.to(step.to), &step.ask).await;
+        let got = fleet.caller.send(fleet.callers_address(step.to), &step.ask).await;
         as_expected &= got.outcome == step.expected;
         print_step(&step, &got);
     }
@@ -53,9 +53,12 @@
 }
 
 fn script() -> Vec<Step> {
-    let chat =
-        |key: &str| Ask { output: 12, max_tokens: 20, ..Ask::chat("dental", "bornova", key) };
-    let cancel = || Ask::service("dental", "bornova", "cancel", "cancel-chair-7");
+    let chat = |key: &str| Request {
+        output: 12,
+        max_tokens: 20,
+        ..Request::chat("dental", "bornova", key)
+    };
+    let cancel = || Request::service("dental", "bornova", "cancel", "cancel-chair-7");
     vec![
         Step {
             description: "a streamed answer",
@@ -66,7 +69,7 @@
         Step {
             description: "a plain answer, through another router",
             to: 1,
-            ask: Ask { stream: false, ..chat("patient-message") },
+            ask: Request { stream: false, ..chat("patient-message") },
             expected: Outcome::Answered,
         },
         Step {
@@ -84,7 +87,7 @@
         Step {
             description: "a week's calendar, past the budget",
             to: 0,
-            ask: Ask {
+            ask: Request {
                 route: "calendar".into(),
                 max_tokens: 512,
                 prompt: "Draft the week. ".repeat(40),
@@ -95,13 +98,13 @@
     ]
 }
 
-fn print_step(step: &Step, got: &Got) {
+fn print_step(step: &Step, got: &Response) {
     let text = match got.outcome {
         Outcome::Answered if got.tokens > 0 => format!("answered, {} tokens", got.tokens),
         Outcome::Answered => format!("answered: {}", got.body),
         Outcome::NotRun => format!("refused, not run: {}", got.reason),
         Outcome::Unknown => format!("unknown: {}", got.reason),
-        Outcome::Nothing => "no answer".to_owned(),
+        Outcome::NoResponse => "no answer".to_owned(),
     };
     let tone = if got.outcome == step.expected { Tone::Good } else { Tone::Bad };
     println!("  {:<40} {}", step.description, paint(tone, &text));
@@ -132,7 +135,7 @@
     println!("\nThe fleet stays up until interrupted. Try:\n");
     println!(
         "  curl -N http://{}/v1/chat/completions -H 'Authorization: Bearer {key}' \\",
-        fleet.to(0)
+        fleet.callers_address(0)
     );
     println!(
         "    -d '{{\"model\": \"assistant\", \"stream\": true, \"max_tokens\": 20, \
@@ -140,7 +143,7 @@
     );
     println!(
         "  curl http://{}/services/cancel/chairs/7 -X POST -H 'Authorization: Bearer {key}' \\",
-        fleet.to(1)
+        fleet.callers_address(1)
     );
     println!("    -H 'Idempotency-Key: cancel-7'");
     println!("  curl http://{}/metrics", fleet.nodes[0].operators());
--- a/crates/flintstalld/tests/soak.rs
+++ b/crates/flintstalld/tests/soak.rs
@@ -9,35 +9,35 @@
     /// Whether endpoints announce rate limits.
     limits: bool,
     /// Whether endpoints announce that they leave and ask for back-off.
-    words: bool,
+    announcements: bool,
     cause: &'static str,
 }
 
 const CASES: [Case; 6] = [
-    Case { seed: 1, seconds: 12, limits: false, words: false, cause: "never failed" },
+    Case { seed: 1, seconds: 12, limits: false, announcements: false, cause: "never failed" },
     Case {
         seed: 2,
         seconds: 12,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "bills lost in a graceful shutdown while the store was unreachable",
     },
     Case {
         seed: 3,
         seconds: 12,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "bills lost in a graceful shutdown, after all boxes had been killed",
     },
     Case {
         seed: 5,
         seconds: 13,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "bills lost that were added after the answer to a page's write was lost",
     },
-    Case { seed: 101, seconds: 12, limits: true, words: false, cause: "never failed" },
-    Case { seed: 401, seconds: 12, limits: true, words: true, cause: "never failed" },
+    Case { seed: 101, seconds: 12, limits: true, announcements: false, cause: "never failed" },
+    Case { seed: 401, seconds: 12, limits: true, announcements: true, cause: "never failed" },
 ];
 
 /// Boxes shut down while the store is unreachable and hand their bills to other boxes.
@@ -46,14 +46,14 @@
         seed: 35,
         seconds: 15,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "the only box that received the bills was killed",
     },
     Case {
         seed: 36,
         seconds: 15,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "the other boxes did not know the box yet",
     },
 ];
@@ -64,16 +64,34 @@
     seed: 34,
     seconds: 13,
     limits: false,
-    words: false,
+    announcements: false,
     cause: "the box knew no other box",
 }];
 
 /// A box shuts down while the store is unreachable, and all boxes are killed at the end. The store
 /// must return before the run waits for the box, because the box waits for the store.
 const WAITING_FOR_STORE: [Case; 3] = [
-    Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
-    Case { seed: 248, seconds: 15, limits: true, words: true, cause: "one box delayed the run" },
-    Case { seed: 432, seconds: 15, limits: true, words: true, cause: "two boxes delayed the run" },
+    Case {
+        seed: 222,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "one box delayed the run",
+    },
+    Case {
+        seed: 248,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "one box delayed the run",
+    },
+    Case {
+        seed: 432,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "two boxes delayed the run",
+    },
 ];
 
 #[tokio::test]
@@ -98,14 +116,14 @@
 
 async fn run_cases(cases: &[Case]) {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_flintstalld"));
-    for Case { seed, seconds, limits, words, cause } in cases {
+    for Case { seed, seconds, limits, announcements, cause } in cases {
         let options = soak::Options {
             folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak"),
             daemon: daemon.clone(),
             boxes: 5,
             length: Duration::from_secs(*seconds),
             limits: *limits,
-            words: *words,
+            announcements: *announcements,
         };
         let report = soak::run(*seed, &options).await.expect("the soak run completes");
         assert!(report.calls.1 > 100, "seed {seed}: too few requests were served: {report:?}");
--- a/crates/forward/tests/connections.rs
+++ b/crates/forward/tests/connections.rs
@@ -6,7 +6,7 @@
 use forward::{Answer, Connections, Fault, Options, Request};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use http_body_util::BodyExt;
-use standin::{Reply, Scripted};
+use standin::{Reply, ScriptedEndpoint};
 use tokio::net::TcpListener;
 
 /// Timeout of every wait; reached only when a test fails.
@@ -33,7 +33,7 @@
 }
 
 fn whole() -> Reply {
-    Reply::Whole(StatusCode::OK, HeaderMap::new(), "done".into())
+    Reply::Complete(StatusCode::OK, HeaderMap::new(), "done".into())
 }
 
 async fn text(answer: Answer) -> Result<String, Fault> {
@@ -43,11 +43,11 @@
 
 /// Sends two requests one after the other; returns the result of the first and the number of connections.
 async fn send_two(first: Reply) -> (Result<String, Fault>, usize) {
-    let script = move |arrived: &standin::Arrived| match arrived.line.contains("first") {
+    let script = move |arrived: &standin::ReceivedRequest| match arrived.line.contains("first") {
         true => first.clone(),
         false => whole(),
     };
-    let endpoint = Scripted::spawn(script).await;
+    let endpoint = ScriptedEndpoint::spawn(script).await;
     let connections = connections();
     let mut first_request = request();
     first_request.target = "/first".parse().expect("a path");
@@ -87,18 +87,23 @@
             Some("data: 1\n\n"),
             1,
         ),
-        ("Connection: close", Reply::Whole(ok, closes, "done".into()), Some("done"), 2),
-        ("short keep-alive timeout", Reply::Whole(ok, short, "done".into()), Some("done"), 2),
-        ("surplus response", Reply::Extra(ok, none.clone(), "done".into(), late), Some("done"), 2),
+        ("Connection: close", Reply::Complete(ok, closes, "done".into()), Some("done"), 2),
+        ("short keep-alive timeout", Reply::Complete(ok, short, "done".into()), Some("done"), 2),
+        (
+            "surplus response",
+            Reply::TrailingData(ok, none.clone(), "done".into(), late),
+            Some("done"),
+            2,
+        ),
         (
             "surplus bytes",
-            Reply::Extra(ok, none.clone(), "done".into(), "xx".into()),
+            Reply::TrailingData(ok, none.clone(), "done".into(), "xx".into()),
             Some("done"),
             2,
         ),
         ("without a length", Reply::Unframed(none.clone(), "done".into()), Some("done"), 2),
         ("without a length, reset", Reply::UnframedReset(none.clone(), "do".into()), None, 2),
-        ("truncated stream", Reply::Torn(none, events), None, 2),
+        ("truncated stream", Reply::Truncated(none, events), None, 2),
         ("no response", Reply::Close, None, 2),
     ];
     for (name, reply, expected, connections) in cases {
@@ -122,7 +127,7 @@
 
 #[tokio::test]
 async fn cancelled_request_closes_its_connection() {
-    let endpoint = Scripted::spawn(|_| Reply::Silent).await;
+    let endpoint = ScriptedEndpoint::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let sending = connections.send(endpoint.address(), 4, request());
     let cancelled = tokio::time::timeout(Duration::from_millis(100), sending).await;
@@ -140,7 +145,7 @@
 async fn dropped_body_closes_its_connection() {
     let events: Vec<String> = (0..1_000).map(|n| format!("data: {n}\n\n")).collect();
     let reply = Reply::Events(HeaderMap::new(), events, Duration::from_millis(20));
-    let endpoint = Scripted::spawn(move |_| reply.clone()).await;
+    let endpoint = ScriptedEndpoint::spawn(move |_| reply.clone()).await;
     let connections = connections();
     let mut answer = connections.send(endpoint.address(), 4, request()).await.expect("a head");
     answer.body.frame().await.expect("an event").expect("a complete event");
@@ -155,7 +160,7 @@
 
 #[tokio::test]
 async fn connection_limit_is_enforced() {
-    let endpoint = Scripted::spawn(|_| Reply::Silent).await;
+    let endpoint = ScriptedEndpoint::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let address = endpoint.address();
     let busy: Vec<_> = (0..2)
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -206,7 +206,7 @@
     }
 
     /// Records a read that began after this many suspensions.
-    pub fn read(&self, dataset: Dataset, suspensions: u64) {
+    pub fn mark_read(&self, dataset: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
             let last_read = match dataset {
                 Dataset::Config => &mut state.config,
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Waits until the list of boxes turns out to be stale.
-    pub async fn unknown(&self) {
+    pub async fn stale_list(&self) {
         self.unknown.notified().await;
     }
 
--- a/crates/gateway/src/fleet/peers/permits.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -77,7 +77,7 @@
 
     /// Whether the latest request got no answer and no box has been heard from since: this box may
     /// be disconnected, and others may consider it gone.
-    pub fn may_be_cut_off(&self) -> bool {
+    pub fn may_be_isolated(&self) -> bool {
         let state = self.state.lock();
         state.last_unanswered > state.last_received
     }
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -9,7 +9,7 @@
 use balance::{Prefix, Prompt};
 use ledger::{Claim, Incarnation, Promise, Transfer, Witness};
 use quarantine::Report;
-use timeline::Stamp;
+use timeline::Timestamp;
 use tokio::time::Instant;
 use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
 
@@ -102,7 +102,7 @@
 
 impl Peers {
     /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
-    pub async fn listen(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
+    pub async fn subscribe(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
         let watcher = listen.watcher.clone();
         let peer = self.peer(&watcher)?;
         match self.ask(&watcher, &peer, Frame::Subscribe(listen), timeout).await {
@@ -116,7 +116,7 @@
         let peer = self.peer(keeper)?;
         match self.ask(keeper, &peer, Frame::Draw(draw), timeout).await {
             Reply::Frame(Frame::Drawn(drawn)) => {
-                if drawn.leaves {
+                if drawn.is_stopping {
                     self.avoid_for(keeper, STOPPING_RETRY_DELAY);
                 }
                 Some(drawn)
@@ -275,6 +275,6 @@
     /// Builds a message from this box.
     pub fn message(&self, frame: Frame) -> Message {
         // The time stamp is not used by this kind of box.
-        Message { from: self.me.clone(), stamp: Stamp::default(), frame }
+        Message { from: self.me.clone(), stamp: Timestamp::default(), frame }
     }
 }
--- a/crates/gateway/src/fleet/promises.rs
+++ b/crates/gateway/src/fleet/promises.rs
@@ -39,7 +39,7 @@
 
 impl Promises {
     /// Accepts a promise if it is newer than the last one and not sealed.
-    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
+    pub fn accept(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
         let mut state = self.0.lock();
         let known = state.promises.get(holder);
         let is_sealed = known.is_some_and(|known| known.sealed);
--- a/crates/gateway/src/fleet/watchers.rs
+++ b/crates/gateway/src/fleet/watchers.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Watchers {
     /// Boxes that watch the store.
-    pub first: Vec<Incarnation>,
+    pub active: Vec<Incarnation>,
     /// Boxes that start to watch when they are asked.
     pub standby: Vec<Incarnation>,
 }
@@ -36,12 +36,12 @@
 impl Watchers {
     /// All watchers, then those on standby.
     pub fn all(&self) -> impl Iterator<Item = &Incarnation> {
-        self.first.iter().chain(&self.standby)
+        self.active.iter().chain(&self.standby)
     }
 
     /// Whether a box watches the store without being asked.
     pub fn is_active(&self, name: &Incarnation) -> bool {
-        self.first.contains(name)
+        self.active.contains(name)
     }
 }
 
@@ -63,7 +63,7 @@
         profiles.into_iter().map(|profile| profile.name.clone()).collect()
     };
     let standby = &rest[..count.min(rest.len())];
-    Watchers { first: preferred(first.to_vec()), standby: preferred(standby.to_vec()) }
+    Watchers { active: preferred(first.to_vec()), standby: preferred(standby.to_vec()) }
 }
 
 /// Orders the first box of each zone, then the second of each, and so on.
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -102,7 +102,7 @@
         let connections = Connections::new(settings.connections());
         let (to_store, to_endpoints) = (store.clone(), connections.clone());
         let watchdog = Watchdog::open(clock.clone(), move || {
-            to_store.forget_connections();
+            to_store.reset_connections();
             to_endpoints.close_idle();
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
@@ -168,12 +168,12 @@
             link: Arc::new(Link::new(settings.machine.link_mbps)),
             retries: Mutex::default(),
             metrics: metrics.clone(),
-            bodies: Arc::new(Semaphore::new(settings.limits.bodies)),
+            body_bytes: Arc::new(Semaphore::new(settings.limits.bodies)),
             stopping: stops,
             started: clock.now(),
             clock,
             watchdog: watchdog.clone(),
-            dropped_lines: Mutex::default(),
+            dropped_log_lines: Mutex::default(),
             settings: in_force_settings,
         });
         let sockets = Sockets::bind(&settings.listen)?;
@@ -363,13 +363,13 @@
 
     /// Sets the source of the counter of dropped log lines.
     pub fn count_dropped_lines(&self, count: impl Fn() -> usize + Send + Sync + 'static) {
-        *self.context.dropped_lines.lock() = Some(Box::new(count));
+        *self.context.dropped_log_lines.lock() = Some(Box::new(count));
     }
 
     /// Applies settings that were read again. Grant sizes, retries and the times of a planned stop
     /// take effect at once, everything else at the next start.
     pub fn reload(&self, settings: Settings) {
-        let later = self.context.settings().read_at_start(&settings);
+        let later = self.context.settings().restart_only_changes(&settings);
         let changed = *self.context.settings() != settings;
         tracing::info!(event = "settings_read_again", changed, at_next_start = later.join(","));
         self.context.settings.send_replace(Arc::new(settings));
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -51,14 +51,15 @@
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
         let leaves = *self.stopping.borrow();
-        if !draw.leaves && !leaves {
+        if !draw.is_stopping && !leaves {
             let deadline = Instant::now() + Duration::from_millis(draw.within_ms);
             for demand in draw.items.iter().filter(|demand| demand.need > 0) {
                 self.pass_on(from, demand, deadline).await;
             }
         }
-        let (items, cut) = (self.funds.given(from, &draw.items), self.funds.is_store_unreachable());
-        Frame::Drawn(Drawn { items, cut, leaves })
+        let (items, cut) =
+            (self.funds.supplies(from, &draw.items), self.funds.is_store_unreachable());
+        Frame::Drawn(Drawn { items, is_store_unreachable: cut, is_stopping: leaves })
     }
 
     async fn pass_on(&self, to: &Incarnation, demand: &Demand, deadline: Instant) {
@@ -133,7 +134,7 @@
             Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
                 let number = promise.number;
-                match self.peers.promises.take(&request.from, promise) {
+                match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
                     Acceptance::Rejected => {
                         Frame::Refused { reason: "a newer promise or a seal is known".into() }
--- a/crates/gateway/src/inbound/serve.rs
+++ b/crates/gateway/src/inbound/serve.rs
@@ -108,7 +108,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.head_timeout)
-        .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BYTES))
+        .max_buf_size(bounds.max_head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -99,7 +99,7 @@
     }
 
     /// Records an outage that another task or box detected.
-    pub fn lost_since(&mut self, since: Instant) {
+    pub fn set_lost_since(&mut self, since: Instant) {
         self.since = Some(since);
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Records a failed call.
-    pub fn failed(&mut self, reason: &impl Display) {
+    pub fn record_failure(&mut self, reason: &impl Display) {
         self.failures += 1;
         if self.since.is_none() {
             self.since = Some(Instant::now());
@@ -124,7 +124,7 @@
     }
 
     /// Records an answered call; returns the length of the outage that it ended, in milliseconds.
-    pub fn answered(&mut self) -> Option<u64> {
+    pub fn record_success(&mut self) -> Option<u64> {
         self.pause = INITIAL_PAUSE;
         let since = self.since.take()?;
         let outage_ms = since.elapsed().as_millis() as u64;
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -100,13 +100,13 @@
         let engine = service_config.and_then(|service| service.engine.as_ref());
         exchange.event_tokens = engine.map_or(1, |engine| engine.event_tokens);
         let fleet_max = service_config
-            .and_then(|service| service.connections)
+            .and_then(|service| service.max_connections)
             .map_or(DEFAULT_CONNECTIONS, u64::from);
         let max_connections =
             (fleet_max / self.peers.boxes()).max(MIN_CONNECTIONS.min(fleet_max)) as usize;
         let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
         let rank = engine.map(|_| urgency);
-        let limit = table.config().limits.body_bytes;
+        let limit = table.config().limits.max_body_bytes;
         let (parts, body) = request.into_parts();
         let body_permit = self.reserve_body(&body, limit)?;
         let body = self.read_body(body, limit, exchange.deadline).await?;
@@ -162,7 +162,7 @@
             return Err(Reason::TooLarge.with(format!("the body exceeds {limit} bytes")));
         }
         let bytes = declared.unwrap_or(UNSIZED_BODY_BYTES.min(limit)) as u32;
-        let permit = self.bodies.clone().try_acquire_many_owned(bytes);
+        let permit = self.body_bytes.clone().try_acquire_many_owned(bytes);
         permit.map_err(|_| {
             Reason::Memory.after(CAPACITY_RETRY_DELAY, "the memory for request bodies is exhausted")
         })
@@ -194,7 +194,7 @@
         let (Some(tokens), Some(customer)) = (exchange.tokens, exchange.customer.clone()) else {
             return Ok(());
         };
-        let max_tokens = tokens.prompt + tokens.most_output;
+        let max_tokens = tokens.prompt + tokens.max_output;
         let settings = self.settings();
         let money = &settings.money;
         let wait = Duration::from_millis(money.wait_ms);
--- a/crates/gateway/src/proxy/announcer.rs
+++ b/crates/gateway/src/proxy/announcer.rs
@@ -15,7 +15,7 @@
     /// Its rate limit is unchanged; repeated for boxes that missed it.
     LimitUnchanged { instance: Arc<str> },
     /// It is draining.
-    Leaves { instance: Arc<str>, address: SocketAddr },
+    Draining { instance: Arc<str>, address: SocketAddr },
 }
 
 /// Sends announcements to the task that publishes them to other boxes.
--- a/crates/gateway/src/proxy/bounds.rs
+++ b/crates/gateway/src/proxy/bounds.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct Bounds {
     /// Maximum size of a request head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Time within which a head must arrive, including the idle time before it.
     pub head_timeout: Duration,
 }
@@ -17,8 +17,8 @@
     /// Limits from the configuration.
     pub fn of(limits: &Limits) -> Bounds {
         Bounds {
-            head_bytes: limits.head_bytes,
-            head_timeout: Duration::from_millis(limits.idle_ms),
+            max_head_bytes: limits.max_head_bytes,
+            head_timeout: Duration::from_millis(limits.idle_timeout_ms),
         }
     }
 }
--- a/crates/gateway/src/proxy/context.rs
+++ b/crates/gateway/src/proxy/context.rs
@@ -42,14 +42,14 @@
     pub retries: Mutex<Retries>,
     pub metrics: Metrics,
     /// Bytes still available for request bodies.
-    pub bodies: Arc<Semaphore>,
+    pub body_bytes: Arc<Semaphore>,
     pub stopping: watch::Receiver<bool>,
     pub clock: Clock,
     /// Detects that the box was suspended, so that its state may be stale.
     pub watchdog: Watchdog,
     pub started: Moment,
     /// Returns the number of log lines dropped so far.
-    pub dropped_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
+    pub dropped_log_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
 }
 
 impl Context {
@@ -64,12 +64,12 @@
 
     /// Whether the box accepts new connections.
     pub fn is_ready(&self) -> bool {
-        self.table.borrow().is_some() && !*self.stopping.borrow() && !self.link.sheds()
+        self.table.borrow().is_some() && !*self.stopping.borrow() && !self.link.is_shedding()
     }
 
     /// Whether caller connections are closed after the current response.
     pub fn closes_connections(&self) -> bool {
-        *self.stopping.borrow() || self.link.sheds()
+        *self.stopping.borrow() || self.link.is_shedding()
     }
 
     /// The current settings.
--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -157,7 +157,7 @@
             Finding::Answered => Vec::new(),
         };
         let finding = report.finding.clone();
-        let innocent = state.registry.take(name, version, report, now_s, now_ms);
+        let innocent = state.registry.add_report(name, version, report, now_s, now_ms);
         drop(state);
         if !abandoned.is_empty() {
             self.report(finding, abandoned);
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -8,7 +8,7 @@
 use platform::{
     answer,
     config::{Kind, Route},
-    request::{self, Order},
+    request::{self, Directives},
 };
 
 use crate::{
@@ -157,15 +157,15 @@
     ) -> Attempt {
         exchange.endpoint = Some(chosen.id.clone());
         let left = exchange.time_left();
-        let order = Order {
+        let directives = Directives {
             instance: &chosen.id,
             customer: exchange.customer.as_deref(),
-            left: Some(left),
+            remaining: Some(left),
             rank: admitted.rank,
             resume_after: admitted.head.resumed_after,
         };
         let headers =
-            match request::towards_endpoint(&admitted.headers, &order, admitted.body.len()) {
+            match request::endpoint_headers(&admitted.headers, &directives, admitted.body.len()) {
                 Ok(headers) => headers,
                 Err(error) => return Attempt::Unsent(error.to_string()),
             };
@@ -282,7 +282,7 @@
             }
             if changes.leaves {
                 let (instance, address) = (chosen.instance.clone(), chosen.address);
-                self.announcer.announce(Announcement::Leaves { instance, address });
+                self.announcer.announce(Announcement::Draining { instance, address });
             }
         }
         if head.not_run {
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -223,7 +223,7 @@
         let settings::Cold { factor, extra } = self.cold;
         let allowance = |service: &Service| Allowance {
             per_s: service.cold_per_s * factor + extra,
-            lasts_ms: (service.cold_s * 1_000.0) as u64,
+            duration_ms: (service.cold_s * 1_000.0) as u64,
         };
         let with_allowance =
             table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
@@ -282,12 +282,12 @@
         let pool = state.services.get_mut(service)?;
         let choice = pool.choose_from(candidates, prefix, tried, now, &mut state.random)?;
         let Listing { id, address, .. } = state.listed.get(&choice.name)?.clone();
-        let Choice { name: instance, held: cached_tokens, load } = choice;
+        let Choice { name: instance, cached: cached_tokens, load } = choice;
         let endpoint = pool.get(&instance)?;
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
-        let back_off = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
+        let back_off = Some(endpoint.back_off.remaining_ms(now)).filter(|ms| *ms > 0);
         let back_off = back_off.map(Duration::from_millis);
         Some(Chosen { instance, id, address, cached_tokens, load, limit, leaves, back_off })
     }
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use balance::{Departure, Endpoint, Limit, Pool, Report};
-use platform::{answer::Head, word::Word};
+use platform::{answer::Head, signal::Signal};
 
 use super::{Chosen, Endpoints};
 
@@ -56,7 +56,7 @@
         head: &Head,
         ago: Duration,
     ) -> Changes {
-        let signals = &head.said;
+        let signals = &head.signals;
         let now = self.now();
         let sent_at = now.saturating_sub(ago.as_millis() as u64);
         let instance = &chosen.instance;
@@ -64,13 +64,13 @@
             self.unread.lock().count_header(name, value, instance);
         }
         let mut state = self.state.lock();
-        let leaves = signals.leaves == Some(Word::Read(true))
+        let leaves = signals.leaves == Some(Signal::Valid(true))
             && state.record_departure(instance, chosen.address, Departure::now(now), true);
         let Some(pool) = state.services.get_mut(service) else {
             return Changes { leaves, limit: false };
         };
-        if let Some(word) = &signals.rest {
-            start_back_off(pool, instance, word, now);
+        if let Some(signal) = &signals.back_off {
+            start_back_off(pool, instance, signal, now);
         }
         let Some(endpoint) = pool.get_mut(instance) else {
             return Changes { leaves, limit: false };
@@ -78,11 +78,11 @@
         if !head.not_run {
             endpoint.back_off.request_accepted(sent_at);
         }
-        if let Some(Word::Read(load)) = &signals.load {
+        if let Some(Signal::Valid(load)) = &signals.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
-        let limit = signals.limit.as_ref().map(|word| read_limit(endpoint, word));
+        let limit = signals.limit.as_ref().map(|signal| read_limit(endpoint, signal));
         let limit =
             endpoint.update_limit(balance::LimitSignal { limit, sent_at, answered_at: now });
         if limit {
@@ -112,7 +112,7 @@
         let now = self.now();
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(|pool| pool.endpoints());
-        endpoints.filter(|endpoint| endpoint.back_off.left_ms(now) > 0).count()
+        endpoints.filter(|endpoint| endpoint.back_off.remaining_ms(now) > 0).count()
     }
 
     /// Unknown or unreadable headers of endpoints, with their counts.
@@ -123,17 +123,17 @@
 
 /// The rate limit of an endpoint. An unreadable limit keeps the previous one, or counts as an unknown limit: the
 /// endpoint wants to be limited in any case.
-fn read_limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
-    match word {
-        Word::Read(per_s) => Limit::per_s(*per_s),
-        Word::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
+fn read_limit(endpoint: &Endpoint, signal: &Signal<f64>) -> Limit {
+    match signal {
+        Signal::Valid(per_s) => Limit::per_s(*per_s),
+        Signal::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
     }
 }
 
-fn start_back_off(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
-    let back_off = match word {
-        Word::Read(back_off) => *back_off,
-        Word::Unreadable(_) => DEFAULT_BACK_OFF,
+fn start_back_off(pool: &mut Pool, instance: &str, signal: &Signal<Duration>, now: u64) {
+    let back_off = match signal {
+        Signal::Valid(back_off) => *back_off,
+        Signal::Unreadable(_) => DEFAULT_BACK_OFF,
     };
     let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
     if pool.back_off(instance, rest_ms, now) {
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -31,7 +31,7 @@
     /// Exponentially decaying sum of bytes.
     bytes: f64,
     updated_at: Option<Instant>,
-    sheds: bool,
+    is_shedding: bool,
 }
 
 impl Link {
@@ -57,17 +57,17 @@
     }
 
     /// Whether callers should use other boxes.
-    pub fn sheds(&self) -> bool {
+    pub fn is_shedding(&self) -> bool {
         let mut state = self.state.lock();
         self.decay(&mut state);
         let utilization = state.bytes / AVERAGING_TIME_S / self.bytes_per_s;
-        let sheds = utilization > if state.sheds { ACCEPT_BELOW } else { SHED_ABOVE };
-        if sheds != state.sheds {
+        let is_shedding = utilization > if state.is_shedding { ACCEPT_BELOW } else { SHED_ABOVE };
+        if is_shedding != state.is_shedding {
             let percent = (utilization * 100.0) as u64;
-            tracing::info!(event = "link_load", percent, sheds);
+            tracing::info!(event = "link_load", percent, sheds = is_shedding);
         }
-        state.sheds = sheds;
-        sheds
+        state.is_shedding = is_shedding;
+        is_shedding
     }
 
     fn decay(&self, state: &mut State) {
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -70,7 +70,7 @@
         let Some(signal) = endpoints.limit_notice(&chosen.instance) else { return true };
         let (reply, by) = self.request(&chosen.instance, signal, 0).await;
         let outcome = match &reply {
-            PermitReply::Given => "given",
+            PermitReply::Granted => "given",
             PermitReply::Free { signal } => {
                 endpoints.receive_limit(signal, &by);
                 "free"
@@ -79,7 +79,7 @@
         };
         metrics.permits.get_or_create(&PermitOutcome { outcome }).inc();
         let wait = match reply {
-            PermitReply::Given | PermitReply::Free { .. } => return true,
+            PermitReply::Granted | PermitReply::Free { .. } => return true,
             PermitReply::After { ms } => Duration::from_millis(ms),
             PermitReply::Leaves => NO_ISSUER_RETRY_DELAY,
         };
@@ -136,7 +136,7 @@
             return PermitReply::After { ms: NO_ISSUER_RETRY_DELAY.as_millis() as u64 };
         };
         let Some(limit) = signal.limit else { return PermitReply::Free { signal } };
-        let share = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
+        let share = if peers.may_be_isolated() { 1.0 / boxes as f64 } else { 1.0 };
         let now = started.elapsed().as_millis() as u64;
         let mut issued = self.0.issued.lock();
         if issued.len() >= PRUNE_THRESHOLD {
@@ -145,13 +145,13 @@
         let fresh = || Issued { permits: balance::Permits::open(now), announced_at: now };
         let entry = issued.entry(instance.clone()).or_insert_with(fresh);
         match entry.permits.take(limit.as_per_s() * share, now) {
-            Permit::Given => {
+            Permit::Granted => {
                 metrics.permits_issued.inc();
                 if now >= entry.announced_at + ANNOUNCE_INTERVAL_MS {
                     entry.announced_at = now;
                     announcer.announce(Announcement::LimitUnchanged { instance: instance.clone() });
                 }
-                PermitReply::Given
+                PermitReply::Granted
             }
             Permit::After { ms } => PermitReply::After { ms },
         }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -261,7 +261,7 @@
     pub fn read(text: &str) -> Result<Settings, Error> {
         let (settings, lines) = jsonc::read::<Settings>(text)?;
         match settings.check().first() {
-            Some(violation) => Err(violation.error(&lines)),
+            Some(violation) => Err(violation.to_error(&lines)),
             None => Ok(settings),
         }
     }
@@ -319,7 +319,7 @@
 
     /// Groups of settings in which `next` differs and that take effect only at a restart:
     /// addresses, connections and buffers are set up at the start.
-    pub fn read_at_start(&self, next: &Settings) -> Vec<&'static str> {
+    pub fn restart_only_changes(&self, next: &Settings) -> Vec<&'static str> {
         let limits =
             |settings: &Settings| Limits { stop_ms: 0, notice_ms: 0, ..settings.limits.clone() };
         let groups = [
@@ -338,7 +338,7 @@
 
     pub fn quarantine(&self) -> quarantine::Limits {
         let Quarantine { ended, keep_s } = self.quarantine;
-        quarantine::Limits { ended, keep_s }
+        quarantine::Limits { crashes: ended, keep_s }
     }
 
     /// Options of connections to endpoints.
@@ -357,7 +357,7 @@
         platform::store::Options {
             address: format!("http://{}", self.store.address),
             timeout: Duration::from_millis(self.store.timeout_ms),
-            watch: Duration::from_millis(self.store.watch_ms),
+            watch_timeout: Duration::from_millis(self.store.watch_ms),
         }
     }
 
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -16,7 +16,7 @@
     sync::Arc,
 };
 
-use platform::endpoint::{Entry, Life, State};
+use platform::endpoint::{Entry, StartTime, State};
 
 /// Maximum number of remembered removals. Outdated updates arrive within about a second, so only
 /// recent removals matter.
@@ -49,7 +49,7 @@
     /// Store version at which it was known to be removed.
     at: u64,
     /// The last known instance.
-    instance: Option<Life>,
+    instance: Option<StartTime>,
 }
 
 impl Known {
--- a/crates/gateway/src/sync/discovery.rs
+++ b/crates/gateway/src/sync/discovery.rs
@@ -73,7 +73,7 @@
         }
         self.registered.send_replace(Some(version));
         loop {
-            self.peers.unknown().await;
+            self.peers.stale_list().await;
             // One read serves all requests made in the meantime.
             tokio::time::sleep(BATCH_DELAY).await;
             self.read().await;
@@ -90,7 +90,7 @@
         loop {
             match self.store.replace(BOXES, &name, &value, expect).await {
                 Put::Landed(version) => {
-                    self.outage.answered();
+                    self.outage.record_success();
                     tracing::info!(event = "box_registered", name, version);
                     return version;
                 }
@@ -99,7 +99,7 @@
                 Put::Refused(Some(object)) => expect = Expect::Version(object.version),
                 Put::Refused(None) => expect = Expect::Absent,
                 Put::Failed(reason) | Put::Unknown(reason) => {
-                    self.outage.failed(&reason);
+                    self.outage.record_failure(&reason);
                     self.outage.pause().await;
                 }
             }
@@ -108,14 +108,14 @@
 
     /// Reads a replica; returns the store version that it shows.
     async fn read(&mut self) -> Option<u64> {
-        match self.store.all_maybe_old(BOXES).await {
+        match self.store.list_stale(BOXES).await {
             Ok(list) => {
-                self.outage.answered();
+                self.outage.record_success();
                 self.view.load_boxes(watcher::entries(&list.objects), list.version);
                 Some(list.version)
             }
             Err(error) => {
-                self.outage.failed(&error);
+                self.outage.record_failure(&error);
                 None
             }
         }
--- a/crates/gateway/src/sync/reporter.rs
+++ b/crates/gateway/src/sync/reporter.rs
@@ -62,11 +62,11 @@
             match store.replace(CRASHES, &name, &text, Expect::Absent).await {
                 // If it already exists, an earlier call of this box wrote it.
                 Put::Landed(_) | Put::Refused(_) => {
-                    outage.answered();
+                    outage.record_success();
                     break;
                 }
                 Put::Failed(reason) | Put::Unknown(reason) => {
-                    outage.failed(&reason);
+                    outage.record_failure(&reason);
                     outage.pause().await;
                 }
             }
--- a/crates/gateway/src/sync/subscriber.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -193,7 +193,7 @@
     /// Whether the store answers this box, although no watcher reaches it.
     async fn reaches_store(&self) -> bool {
         let Setup { store, name, .. } = &self.setup;
-        store.answers(BOXES, name, OWN_PROBE_TIMEOUT).await.is_ok()
+        store.ping(BOXES, name, OWN_PROBE_TIMEOUT).await.is_ok()
     }
 
     /// This box reached the store again before its watcher reported that. Gives the watcher time to
@@ -205,7 +205,7 @@
             .await?;
         let now = Subscription {
             last: updates.last,
-            is_store_unreachable: updates.away_ms.is_some(),
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
             ..subscription.clone()
         };
         self.setup.view.apply(updates);
@@ -244,7 +244,7 @@
         };
         let now = Subscription {
             last: updates.last,
-            is_store_unreachable: updates.away_ms.is_some(),
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
             ..subscription.clone()
         };
         let lost_store = now.is_store_unreachable && !subscription.is_store_unreachable;
@@ -259,12 +259,12 @@
     async fn find_reachable(&self, excluded: &Incarnation) -> Option<Subscription> {
         let watchers = self.peers.watchers();
         for watcher in watchers
-            .first
+            .active
             .iter()
             .filter(|watcher| *watcher != excluded && self.peers.is_reachable(watcher))
         {
             match self.request_updates(watcher, None, true, Duration::ZERO).await {
-                Some(updates) if updates.away_ms.is_none() => {
+                Some(updates) if updates.store_unreachable_ms.is_none() => {
                     return self.receive_snapshot(watcher).await;
                 }
                 _ => {}
@@ -278,9 +278,9 @@
     async fn find_watcher(&self, watchers: &Watchers) -> Option<Subscription> {
         let is_reachable = |watcher: &&Incarnation| self.peers.is_reachable(watcher);
         let mut cut_off = None;
-        for watcher in watchers.first.iter().filter(is_reachable) {
+        for watcher in watchers.active.iter().filter(is_reachable) {
             match self.request_updates(watcher, None, true, Duration::ZERO).await {
-                Some(updates) if updates.away_ms.is_none() => {
+                Some(updates) if updates.store_unreachable_ms.is_none() => {
                     return self.receive_snapshot(watcher).await;
                 }
                 Some(_) => cut_off = cut_off.or(Some(watcher)),
@@ -305,8 +305,8 @@
         let updates = self.request_updates(watcher, Some(0), false, Duration::ZERO).await?;
         let subscription = self.apply_snapshot(watcher, updates);
         if !subscription.is_store_unreachable {
-            self.setup.watchdog.read(Dataset::Config, suspensions);
-            self.setup.watchdog.read(Dataset::Endpoints, suspensions);
+            self.setup.watchdog.mark_read(Dataset::Config, suspensions);
+            self.setup.watchdog.mark_read(Dataset::Endpoints, suspensions);
         }
         Some(subscription)
     }
@@ -316,13 +316,13 @@
             event = "news_from_home",
             home = watcher.as_str(),
             changes = updates.changes.len(),
-            whole = updates.whole,
-            away_ms = updates.away_ms,
+            whole = updates.is_snapshot,
+            away_ms = updates.store_unreachable_ms,
         );
         let subscription = Subscription {
             watcher: watcher.clone(),
             last: updates.last,
-            is_store_unreachable: updates.away_ms.is_some(),
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
         };
         self.setup.view.apply(updates);
         subscription
@@ -337,14 +337,9 @@
     ) -> Option<Update> {
         let wait_ms = wait.as_millis() as u64;
         let config = self.setup.view.config_at();
-        let request = Subscribe {
-            watcher: watcher.clone(),
-            since,
-            config,
-            away: is_store_unreachable,
-            wait_ms,
-        };
+        let request =
+            Subscribe { watcher: watcher.clone(), since, config, is_store_unreachable, wait_ms };
         let timeout_margin = if since == Some(0) { SNAPSHOT_TIMEOUT } else { ANSWER_TIMEOUT };
-        self.peers.listen(request, wait + timeout_margin).await
+        self.peers.subscribe(request, wait + timeout_margin).await
     }
 }
--- a/crates/gateway/src/sync/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -28,7 +28,7 @@
         }
         state.loaded.endpoints = true;
         self.publish_endpoints(&mut state, "list", at);
-        self.0.consumers.watchdog.read(Dataset::Endpoints, suspensions);
+        self.0.consumers.watchdog.mark_read(Dataset::Endpoints, suspensions);
     }
 
     /// Takes over changed entries of endpoints, complete up to store version `at`.
--- a/crates/gateway/src/sync/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -139,7 +139,7 @@
     pub fn load_config(&self, objects: &[Object], suspensions: u64) {
         self.0.state.lock().loaded.config = true;
         objects.iter().for_each(|object| self.update_config(object));
-        self.0.consumers.watchdog.read(Dataset::Config, suspensions);
+        self.0.consumers.watchdog.mark_read(Dataset::Config, suspensions);
         self.notify();
     }
 
@@ -234,21 +234,21 @@
                 kind => tracing::warn!(event = "news_not_understood", kind),
             }
         }
-        if updates.whole || !endpoints.is_empty() {
-            state.apply_endpoints(endpoints, updates.whole, updates.endpoints_at);
+        if updates.is_snapshot || !endpoints.is_empty() {
+            state.apply_endpoints(endpoints, updates.is_snapshot, updates.endpoints_at);
             self.publish_endpoints(&mut state, "home", updates.endpoints_at);
         }
         // Applied after the endpoints, because signals of unknown endpoints are ignored.
         for wire::Change { kind, name, value, .. } in signals {
             match value.as_deref() {
                 value if &*kind == LIMITS => self.apply_limit(&mut state, &name, value),
-                Some(text) => self.apply_departure(&mut state, &name, text, !updates.whole),
+                Some(text) => self.apply_departure(&mut state, &name, text, !updates.is_snapshot),
                 // The watcher dropped it; this box does so by its own rules.
                 None => {}
             }
         }
-        if updates.whole || !boxes.is_empty() {
-            state.apply_boxes(boxes, updates.whole, updates.boxes_at);
+        if updates.is_snapshot || !boxes.is_empty() {
+            state.apply_boxes(boxes, updates.is_snapshot, updates.boxes_at);
             self.publish_boxes(&mut state, updates.boxes_at);
         }
         drop(state);
@@ -257,7 +257,7 @@
         }
         let now = Instant::now();
         let ago = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-        let unreachable_since = updates.away_ms.map(ago);
+        let unreachable_since = updates.store_unreachable_ms.map(ago);
         let before = self.unreachable_since();
         self.set_unreachable(unreachable_since);
         if let (Some(lost_since), None) = (before, unreachable_since) {
--- a/crates/gateway/src/sync/view/subscribers.rs
+++ b/crates/gateway/src/sync/view/subscribers.rs
@@ -13,10 +13,10 @@
 
 /// Whether an answer contains anything new for a subscriber.
 fn is_new(updates: &Update, request: &Subscribe) -> bool {
-    updates.whole
+    updates.is_snapshot
         || request.since.is_none()
         || !updates.changes.is_empty()
-        || updates.away_ms.is_some() != request.away
+        || updates.store_unreachable_ms.is_some() != request.is_store_unreachable
 }
 
 impl View {
@@ -65,11 +65,13 @@
         });
         Some(Update {
             last: state.change_log.last(),
-            whole,
+            is_snapshot: whole,
             changes,
             endpoints_at: state.directory.at(),
             boxes_at: state.boxes_at,
-            away_ms: state.unreachable_since.map(|since| since.elapsed().as_millis() as u64),
+            store_unreachable_ms: state
+                .unreachable_since
+                .map(|since| since.elapsed().as_millis() as u64),
         })
     }
 }
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -69,7 +69,7 @@
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
     let mut outage = Outage::new(what, probe, setup.recovery.clone());
     if let Some(since) = setup.view.unreachable_since() {
-        outage.lost_since(since);
+        outage.set_lost_since(since);
     }
     outage
 }
@@ -80,12 +80,12 @@
     loop {
         match answers(&setup).await {
             Ok(()) => {
-                outage.answered();
+                outage.record_success();
                 setup.view.set_unreachable(None);
                 tokio::time::sleep(PROBE_INTERVAL).await;
             }
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 setup.view.set_unreachable(outage.since());
                 outage.pause().await;
             }
@@ -94,9 +94,9 @@
 }
 
 async fn answers(setup: &Setup) -> Result<(), Error> {
-    match setup.store.answers(BOXES, &setup.name, PROBE_TIMEOUT).await {
+    match setup.store.ping(BOXES, &setup.name, PROBE_TIMEOUT).await {
         Ok(()) => Ok(()),
-        Err(_) => setup.store.answers(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
+        Err(_) => setup.store.ping(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
     }
 }
 
@@ -146,20 +146,20 @@
     let mut outage = outage(setup, what, Probe::Lazy);
     loop {
         let suspensions = watchdog.suspensions();
-        let list = match store.all(kind).await {
+        let list = match store.list_all(kind).await {
             Ok(list) => list,
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
                 continue;
             }
         };
-        outage.answered();
+        outage.record_success();
         let mut from = list.version;
         apply(Received::All(list, suspensions));
         loop {
             let watched = tokio::select! {
-                watched = store.changes(kind, from) => watched,
+                watched = store.watch_kind(kind, from) => watched,
                 _ = recovery.recovered() => break,
                 () = watchdog.next_suspension(suspensions) => break,
             };
@@ -169,12 +169,12 @@
                     break;
                 }
                 Ok(watch) => {
-                    outage.answered();
+                    outage.record_success();
                     from = watch.next;
                     apply(Received::Changes(watch.changes));
                 }
                 Err(error) => {
-                    outage.failed(&error);
+                    outage.record_failure(&error);
                     break;
                 }
             }
@@ -192,7 +192,7 @@
     let mut outage = outage(&setup, "endpoints", Probe::Lazy);
     loop {
         let suspensions = setup.watchdog.suspensions();
-        match setup.store.all(platform::ENDPOINTS).await {
+        match setup.store.list_all(platform::ENDPOINTS).await {
             Ok(list) => {
                 store_answered(&setup, &mut outage);
                 setup.view.load_endpoints(&list.objects, list.version, suspensions);
@@ -202,7 +202,7 @@
                 }
             }
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
             }
         }
@@ -212,7 +212,7 @@
 /// Records an answer of the store; after a long outage, entries may have expired.
 fn store_answered(setup: &Setup, outage: &mut Outage) {
     let since = outage.since();
-    outage.answered();
+    outage.record_success();
     if let Some(since) = since.filter(|since| since.elapsed() > MIN_EXPIRY_OUTAGE) {
         setup.view.store_returned(since, setup.lapse);
     }
@@ -233,7 +233,7 @@
             }
             Ok(Ok(None)) => return,
             Ok(Err(error)) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 return;
             }
         }
@@ -242,7 +242,7 @@
 
 async fn watch_once(setup: &Setup, outage: &mut Outage, from: u64) -> Result<Option<u64>, Error> {
     let watch = tokio::select! {
-        watch = setup.store.changes(platform::ENDPOINTS, from) => watch?,
+        watch = setup.store.watch_kind(platform::ENDPOINTS, from) => watch?,
         lost_since = setup.recovery.recovered() => {
             // Another task noticed an outage and its end: this watch may be dead.
             setup.view.store_returned(lost_since, setup.lapse);
@@ -262,14 +262,14 @@
 async fn read_boxes(setup: Setup) {
     let mut outage = outage(&setup, "boxes", Probe::Lazy);
     loop {
-        match setup.store.all_maybe_old(BOXES).await {
+        match setup.store.list_stale(BOXES).await {
             Ok(list) => {
-                outage.answered();
+                outage.record_success();
                 setup.view.load_boxes(entries(&list.objects), list.version);
                 tokio::time::sleep(BOXES_INTERVAL).await;
             }
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
             }
         }
--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -146,7 +146,9 @@
             }
             match self.funds.try_hold(customer, worst) {
                 Some(hold) => Outcome::Hold(hold),
-                None if drawn.cut || drawn.leaves => Outcome::StoreUnreachable,
+                None if drawn.is_store_unreachable || drawn.is_stopping => {
+                    Outcome::StoreUnreachable
+                }
                 None => Outcome::Insufficient,
             }
         };
@@ -174,10 +176,15 @@
         let (this, keeper) = (self.clone(), keeper.clone());
         let attempt = tokio::spawn(async move {
             let within_ms = timeout.as_millis() as u64;
-            let draw = Draw { keeper: keeper.clone(), items: items.clone(), within_ms, leaves };
+            let draw = Draw {
+                keeper: keeper.clone(),
+                items: items.clone(),
+                within_ms,
+                is_stopping: leaves,
+            };
             let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
             let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
-            this.funds.drawn(&keeper, &items, &drawn.items);
+            this.funds.receive_supply(&keeper, &items, &drawn.items);
             Some(drawn)
         });
         // The panic hook has logged a panic in the task.
@@ -195,7 +202,7 @@
                 }
                 let demands = self.funds.demands(&keeper, None);
                 let drawn = self.draw(&keeper, demands, Duration::ZERO, false).await;
-                if drawn.is_some_and(|drawn| drawn.leaves) {
+                if drawn.is_some_and(|drawn| drawn.is_stopping) {
                     self.return_all(&keeper, false).await;
                 }
             }
--- a/crates/gateway/src/tokens/funds/settlements.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -16,7 +16,7 @@
 
     /// Sets whether this box returns its tokens to the book. If so, none are promised to the
     /// witness any more.
-    pub fn retire(&self, retiring: bool) {
+    pub fn set_retiring(&self, retiring: bool) {
         self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retiring = retiring);
         self.0.promise_due.notify_one();
     }
@@ -56,7 +56,14 @@
         let (items, earlier) = (items.collect(), Vec::new());
         let (retires, leaves) =
             (participation == Participation::Retiring, participation == Participation::Leaving);
-        Settlement { holder: holder.clone(), writer, items, earlier, retires, leaves }
+        Settlement {
+            holder: holder.clone(),
+            writer,
+            items,
+            unused_by_earlier: earlier,
+            retires,
+            leaves,
+        }
     }
 
     /// Applies what a settlement that landed granted.
--- a/crates/gateway/src/tokens/funds/transfers.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -22,7 +22,7 @@
     }
 
     /// Applies a keeper's answer to these demands.
-    pub fn drawn(&self, keeper: &Incarnation, demands: &[Demand], supplies: &[Supply]) {
+    pub fn receive_supply(&self, keeper: &Incarnation, demands: &[Demand], supplies: &[Supply]) {
         let mut state = self.0.state.lock();
         for (demand, supply) in demands.iter().zip(supplies) {
             let wallet = state.wallets.get_mut(&demand.customer);
@@ -109,12 +109,12 @@
     }
 
     /// On a keeper: returns the answers to another box's demands.
-    pub fn given(&self, to: &Incarnation, demands: &[Demand]) -> Vec<Supply> {
+    pub fn supplies(&self, to: &Incarnation, demands: &[Demand]) -> Vec<Supply> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let supplies = demands.iter().map(|demand| {
             let wallet = state.wallets.entry(demand.customer.clone()).or_default();
-            wallet.given(&demand.customer, to, demand.least, now)
+            wallet.supplies(&demand.customer, to, demand.least, now)
         });
         supplies.collect()
     }
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -188,7 +188,7 @@
         let Setup { peers, funds, .. } = &self.setup;
         let drawn_lately = funds.since_last_draw().is_some_and(|ago| ago < RETIRE_DELAY);
         let retires = self.is_listed && !drawn_lately && !peers.is_keeper();
-        funds.retire(retires);
+        funds.set_retiring(retires);
         if retires { Participation::Retiring } else { Participation::Active }
     }
 
@@ -221,7 +221,8 @@
         if !book.knows_box_of(&self.setup.holder) {
             return;
         }
-        self.collected = claims::ask(&self.setup.peers, book.earlier(&self.setup.holder)).await;
+        self.collected =
+            claims::ask(&self.setup.peers, book.earlier_claims(&self.setup.holder)).await;
         self.settle(Participation::Active).await;
     }
 
@@ -234,7 +235,7 @@
     }
 
     async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
-        self.outage.failed(fault);
+        self.outage.record_failure(fault);
         self.forecast.failed(Instant::now());
         self.setup.funds.set_store_unreachable(true);
         // Ends the delay as soon as any task of this box reaches the store.
@@ -256,7 +257,7 @@
                 let writer = self.writer();
                 let earlier = std::mem::take(&mut self.collected);
                 let plan = self.setup.funds.plan(&self.setup.holder, writer, participation);
-                Settlement { earlier, ..plan }
+                Settlement { unused_by_earlier: earlier, ..plan }
             }
         };
         self.pending = Some(settlement.clone());
@@ -278,7 +279,7 @@
             took_ms = began.elapsed().as_millis() as u64,
             writers = self.writers(),
         );
-        self.outage.answered();
+        self.outage.record_success();
         let book = self.known.as_ref().map(|(book, _)| book);
         self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
         self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -48,7 +48,7 @@
             self.abandon();
         }
         let returned = self.surplus(participation);
-        let returned = self.account.take(Part::Offline, returned);
+        let returned = self.account.remove(Part::Offline, returned);
         let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
             / EXPECTED_REQUEST_DIVISOR;
         Item {
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -28,7 +28,7 @@
     ) -> Option<Transfer> {
         let reserve = self.rate.used_in(RESERVE_S, now);
         let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.kept));
-        let tokens = self.account.take(Part::Offline, wanted.min(spare));
+        let tokens = self.account.remove(Part::Offline, wanted.min(spare));
         if tokens == 0 {
             return None;
         }
@@ -76,7 +76,7 @@
         let free = self.open();
         if free > 2 * keep {
             let returned = self.keeper_shares.return_tokens(keeper, free - keep);
-            let taken = self.account.take(Part::Offline, returned);
+            let taken = self.account.remove(Part::Offline, returned);
             debug_assert_eq!(taken, returned, "unused tokens of keepers are free");
         }
     }
@@ -138,7 +138,7 @@
         }
         let need = demand.need.saturating_sub(in_transit).min(spare);
         let ahead = if need > 0 { self.ahead(demand.ahead, spare - need, now) } else { 0 };
-        let tokens = self.account.take(Part::Offline, need + ahead);
+        let tokens = self.account.remove(Part::Offline, need + ahead);
         self.box_shares.pass_on(to, tokens);
         self.rate.add(tokens, now);
         self.peak = self.peak.max(least);
@@ -159,7 +159,13 @@
     }
 
     /// On a keeper: returns the answer to another box's demand.
-    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
+    pub fn supplies(
+        &self,
+        customer: &Arc<str>,
+        to: &Incarnation,
+        need: u64,
+        now: Instant,
+    ) -> Supply {
         let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
         Supply { customer: customer.clone(), given: self.box_shares.total(to), used, dry }
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -12,7 +12,7 @@
     time::{Instant, advance},
 };
 
-const LIMITS: Limits = Limits { ended: 3, keep_s: 86_400 };
+const LIMITS: Limits = Limits { crashes: 3, keep_s: 86_400 };
 /// Longer than any request here waits.
 const MAX_VERDICT_WAIT: Duration = Duration::from_secs(10);
 
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -48,7 +48,7 @@
             holder: Incarnation::new(name, 1),
             writer,
             items: Vec::new(),
-            earlier: Vec::new(),
+            unused_by_earlier: Vec::new(),
             retires: false,
             leaves: false,
         };
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -5,9 +5,9 @@
 use futures_util::future::join_all;
 use gateway::Gateway;
 use http::StatusCode;
-use platform::played::{self, Listed, listed};
+use platform::fixtures::{self, Registration, registration};
 use serde_json::{Value, json};
-use standin::Scripted;
+use standin::ScriptedEndpoint;
 
 use crate::harness::{Harness, answer_ok, call, wait_until, wait_until_served};
 
@@ -36,7 +36,7 @@
     harness: &Harness,
     boxes: &[Gateway],
     path: &str,
-    endpoint: &Scripted,
+    endpoint: &ScriptedEndpoint,
 ) -> bool {
     let before = endpoint.arrived().len();
     for gateway in boxes.iter().cycle().take(REQUESTS) {
@@ -45,9 +45,9 @@
     endpoint.arrived().len() == before
 }
 
-async fn start_in_zone(harness: &Harness, id: &str, zone: &str) -> Scripted {
-    let endpoint = Scripted::spawn(answer_ok).await;
-    let entry = Listed { zone, ..listed("plain", endpoint.address()) }.entry();
+async fn start_in_zone(harness: &Harness, id: &str, zone: &str) -> ScriptedEndpoint {
+    let endpoint = ScriptedEndpoint::spawn(answer_ok).await;
+    let entry = Registration { zone, ..registration("plain", endpoint.address()) }.entry();
     harness.write_raw_entry(id, entry.to_string()).await;
     endpoint
 }
@@ -64,7 +64,7 @@
     })
     .await;
     // The evacuation also binds a box that starts now, and an entry that is written again.
-    harness.write_raw_entry("i-1", listed("plain", one.address()).entry().to_string()).await;
+    harness.write_raw_entry("i-1", registration("plain", one.address()).entry().to_string()).await;
     let late = [harness.gateway("box-late").await];
     wait_until_served(&harness, &late[0], "/cancel/x").await;
     assert!(receives_none(&harness, &late, "/cancel/x", &one).await, "a box that started later");
@@ -93,8 +93,8 @@
 #[tokio::test]
 async fn boxes_together_pace_requests_to_a_cold_engine() {
     let harness = Harness::start(PAID, &["stream"]).await;
-    let engine = Scripted::spawn(answer_ok).await;
-    let cold = Listed { cold_ms: 600_000, ..listed("engines", engine.address()) };
+    let engine = ScriptedEndpoint::spawn(answer_ok).await;
+    let cold = Registration { cold_ms: 600_000, ..registration("engines", engine.address()) };
     harness.write_raw_entry("i-1", cold.entry().to_string()).await;
     let boxes = fleet(&harness, "/stream/x").await;
     let (began, before) = (Instant::now(), engine.arrived().len());
@@ -106,7 +106,7 @@
     let responses = join_all(burst).await;
     let arrived = engine.arrived().len() - before;
     let seconds = began.elapsed().as_secs() as usize + 1;
-    let cold_rate = played::COLD_PER_S as usize;
+    let cold_rate = fixtures::COLD_PER_S as usize;
     assert!(arrived <= cold_rate * seconds, "{arrived} arrived within {seconds} s");
     let refused =
         responses.iter().filter(|response| response.status == StatusCode::SERVICE_UNAVAILABLE);
@@ -118,23 +118,27 @@
 #[tokio::test]
 async fn restarted_endpoint_is_a_new_instance() {
     let harness = Harness::start(PAID, &["cancel"]).await;
-    let endpoint = Scripted::spawn(answer_ok).await;
-    let first = Listed { born: Some(1_000), beat: 9, ..listed("plain", endpoint.address()) };
+    let endpoint = ScriptedEndpoint::spawn(answer_ok).await;
+    let first = Registration {
+        started_ms: Some(1_000),
+        heartbeat: 9,
+        ..registration("plain", endpoint.address())
+    };
     harness.write_raw_entry("i-1", first.entry().to_string()).await;
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
     let before = endpoint.connections();
-    let second = Listed { born: Some(2_000), beat: 1, ..first.clone() };
+    let second = Registration { started_ms: Some(2_000), heartbeat: 1, ..first.clone() };
     harness.write_raw_entry("i-1", second.entry().to_string()).await;
     wait_until("connections to the earlier instance are not reused", async || {
         call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
         endpoint.connections() > before
     })
     .await;
-    let told = endpoint.arrived().pop().expect("a request arrived").told;
-    assert_eq!(told.instance.as_deref(), Some("i-1"), "its id is the same");
+    let head = endpoint.arrived().pop().expect("a request arrived").head;
+    assert_eq!(head.instance.as_deref(), Some("i-1"), "its id is the same");
     // A late write of the earlier instance must not replace the entry of the new one.
-    let last = Listed { ready: false, beat: 10, ..first };
+    let last = Registration { ready: false, heartbeat: 10, ..first };
     harness.write_raw_entry("i-1", last.entry().to_string()).await;
     harness.configure(2, PAID, &["cancel", "open"]).await;
     wait_until_served(&harness, &gateway, "/open/x").await;
@@ -146,8 +150,8 @@
     let harness = Harness::start(PAID, &["cancel"]).await;
     let _sound = start_in_zone(&harness, "i-sound", "z1").await;
     let boxes = fleet(&harness, "/cancel/x").await;
-    let malformed = Scripted::spawn(answer_ok).await;
-    let whole = || listed("plain", malformed.address()).entry();
+    let malformed = ScriptedEndpoint::spawn(answer_ok).await;
+    let whole = || registration("plain", malformed.address()).entry();
     let with = |field: &str, value: Value| {
         let mut entry = whole();
         entry[field] = value;
@@ -157,11 +161,11 @@
         json!(null),
         json!([1, 2]),
         json!("text"),
-        with(played::BORN, json!("yesterday")),
-        with(played::BORN, json!(1.5)),
-        with(played::BORN, json!(-1)),
+        with(fixtures::START_FIELD, json!("yesterday")),
+        with(fixtures::START_FIELD, json!(1.5)),
+        with(fixtures::START_FIELD, json!(-1)),
     ];
-    for field in played::ENTRY_FIELDS {
+    for field in fixtures::ENTRY_FIELDS {
         let mut entry = whole();
         entry.as_object_mut().expect("an object").remove(field);
         entries.push(entry);
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -12,8 +12,8 @@
 
 use gateway::Gateway;
 use http::{HeaderMap, HeaderValue, StatusCode, header};
-use platform::played;
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 use crate::harness::{Harness, answer_ok, call, request, wait_until, wait_until_served};
 
@@ -27,7 +27,7 @@
 
 /// Adds the signal that the endpoint is leaving.
 fn with_leaving_header(mut headers: HeaderMap) -> HeaderMap {
-    headers.insert(played::LEAVING, HeaderValue::from_static("1"));
+    headers.insert(fixtures::LEAVING, HeaderValue::from_static("1"));
     headers
 }
 
@@ -41,19 +41,19 @@
     }
 
     /// Answers successfully, with the signal if it is switched on.
-    fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
+    fn script(&self) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
         let signal = self.clone();
         move |arrived| {
-            let headers = played::answered(&arrived.told.id, None);
+            let headers = fixtures::response_headers(&arrived.head.id, None);
             let is_leaving = signal.0.load(Ordering::Relaxed);
             let headers = if is_leaving { with_leaving_header(headers) } else { headers };
-            Reply::Whole(StatusCode::OK, headers, "done".into())
+            Reply::Complete(StatusCode::OK, headers, "done".into())
         }
     }
 }
 
 /// Sends requests until one reaches the endpoint.
-async fn send_until_arrival(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) {
+async fn send_until_arrival(harness: &Harness, gateway: &Gateway, endpoint: &ScriptedEndpoint) {
     let before = endpoint.arrived().len();
     wait_until("a request reaches the endpoint", async || {
         call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
@@ -63,7 +63,11 @@
 }
 
 /// Sends [`REQUESTS`] requests and returns how many reach the endpoint.
-async fn count_arrivals(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) -> usize {
+async fn count_arrivals(
+    harness: &Harness,
+    gateway: &Gateway,
+    endpoint: &ScriptedEndpoint,
+) -> usize {
     let before = endpoint.arrived().len();
     for _ in 0..REQUESTS {
         call(gateway.callers(), "/cancel/x", &harness.new_request("key-b", 1, 1)).await;
@@ -92,12 +96,12 @@
 async fn signal_is_read_from_rejections_and_stream_heads() {
     let harness = Harness::start(PAID, &["cancel", "stream"]).await;
     let rejecting = harness.endpoint("i-1", "plain", |arrived| {
-        let (status, headers) = played::declined(&arrived.told.id);
-        Reply::Whole(status, with_leaving_header(headers), "full".into())
+        let (status, headers) = fixtures::not_run_response(&arrived.head.id);
+        Reply::Complete(status, with_leaving_header(headers), "full".into())
     });
     let rejecting = rejecting.await;
     let streaming = harness.endpoint("i-2", "engines", |arrived| {
-        let headers = with_leaving_header(played::answered(&arrived.told.id, None));
+        let headers = with_leaving_header(fixtures::response_headers(&arrived.head.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
     let streaming = streaming.await;
@@ -220,7 +224,7 @@
     );
 }
 
-/// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
+/// A `misdirected_response` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
 async fn signals_of_misdirected_responses_are_ignored() {
     let harness = Harness::start(PAID, &["cancel"]).await;
@@ -230,9 +234,9 @@
         if !shared_signal.0.load(Ordering::Relaxed) {
             return answer_ok(arrived);
         }
-        let (status, mut headers) = played::misdirected(&arrived.told.id);
+        let (status, mut headers) = fixtures::misdirected_response(&arrived.head.id);
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static("60"));
-        Reply::Whole(status, with_leaving_header(headers), "not here".into())
+        Reply::Complete(status, with_leaving_header(headers), "not here".into())
     });
     let endpoint = endpoint.await;
     let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -12,7 +12,7 @@
     let (gateway, link) = harness.gateway_with_link("box-1").await;
     wait_until_served(&harness, &gateway, "/open/x").await;
     // Open connections stay open but carry no more bytes.
-    link.lose_open();
+    link.stall_open_connections();
     harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
@@ -65,30 +65,32 @@
     wait_until_served(&harness, &gateway, "/open/x").await;
     let client_ip: IpAddr = [127, 0, 0, 1].into();
     harness.platform.set(|faults| {
-        faults.turns_away.insert(client_ip);
+        faults.rejected_sources.insert(client_ip);
     });
     for _ in 0..20 {
         let response =
             call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
         assert_eq!(response.status, StatusCode::OK);
     }
-    harness.platform.set(|faults| faults.turns_away.clear());
+    harness.platform.set(|faults| faults.rejected_sources.clear());
     harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
 async fn lost_store_responses_settle_every_token_once() {
-    for late in [Duration::ZERO, Duration::from_millis(400)] {
+    for dropped_write_delay in [Duration::ZERO, Duration::from_millis(400)] {
         let harness = Harness::start(1_000_000, &["stream"]).await;
         let _engine = harness.endpoint("i-1", "engines", answer_ok).await;
         let gateway = harness.gateway("box-1").await;
         wait_until_served(&harness, &gateway, "/stream/x").await;
-        harness.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
+        harness.platform.set(|faults| {
+            (faults.drop_responses, faults.dropped_write_delay) = (0.5, dropped_write_delay)
+        });
         for _ in 0..40 {
             call(gateway.callers(), "/stream/x", &harness.new_request("key-b", 1_000, 10)).await;
         }
-        harness.platform.set(|faults| faults.lose_answers = 0.0);
+        harness.platform.set(|faults| faults.drop_responses = 0.0);
         let charged_tokens = charged_tokens(&gateway);
         gateway.stop().await;
         wait_until("the last settlement is in the book", async || {
--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -2,12 +2,12 @@
 
 use crate::harness::{Harness, answer_ok, call, shared, wait_until, wait_until_served};
 use platform::request::Part;
-use standin::{Arrived, Reply, Scripted};
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 /// Consecutive requests that hardly all go to the same one of two engines by chance.
 const CONSECUTIVE_REQUESTS: usize = 20;
 
-fn received_long_prompt(engine: &Scripted) -> bool {
+fn received_long_prompt(engine: &ScriptedEndpoint) -> bool {
     engine.arrived().iter().any(|arrived| arrived.line.contains("/stream/long"))
 }
 
@@ -16,7 +16,7 @@
     let harness = Harness::start(10_000_000, &["stream", "open"]).await;
     let _plain = harness.endpoint("p-1", "plain", answer_ok).await;
     // An engine sends nothing while it reads a long prompt.
-    let script = shared(|arrived: &Arrived| match arrived.line.contains("/stream/long") {
+    let script = shared(|arrived: &ReceivedRequest| match arrived.line.contains("/stream/long") {
         true => Reply::Silent,
         false => answer_ok(arrived),
     });
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -50,7 +50,7 @@
     let (gateway, link, clock) = harness.gateway_with_clock("box-1").await;
     wait_until_served(&harness, &gateway, "/confirm/x").await;
     let before = leaving.arrived().len();
-    link.lose_open();
+    link.stall_open_connections();
     let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
     harness.remove_entry("i-1").await;
     harness.configure(2, PAID, &["confirm", "open"]).await;
--- a/crates/gateway/tests/loopback/sync.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -30,7 +30,7 @@
     };
     let others: Vec<Profile> = names[1..].iter().map(profile).collect();
     let watchers = watchers(&profile(&names[0]), &others);
-    watchers.first.iter().map(|name| name.box_name().to_owned()).collect()
+    watchers.active.iter().map(|name| name.box_name().to_owned()).collect()
 }
 
 /// Starts a fleet and waits until each box serves requests and knows all others; watchers come first.
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -10,7 +10,7 @@
     let mut outage = Outage::new("store", probe, Recovery::open());
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
-        outage.failed(&"no answer");
+        outage.record_failure(&"no answer");
         let began = Instant::now();
         outage.pause().await;
         longest = longest.max(began.elapsed());
@@ -31,10 +31,10 @@
     let recovery = Recovery::open();
     let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
     let mut lazy = Outage::new("later", Probe::Lazy, recovery);
-    eager.failed(&"no answer");
+    eager.record_failure(&"no answer");
     let waiting = tokio::spawn(async move {
         for _ in 0..10 {
-            lazy.failed(&"no answer");
+            lazy.record_failure(&"no answer");
             lazy.pause().await;
         }
         // By the eleventh pause the back-off is at its maximum.
@@ -43,7 +43,7 @@
         began.elapsed()
     });
     tokio::time::sleep(Duration::from_millis(10_050)).await;
-    assert!(eager.answered().is_some());
+    assert!(eager.record_success().is_some());
     let waited = waiting.await.expect("no panic");
     assert!(waited < Duration::from_millis(1_200), "woken after {waited:?}");
 }
@@ -53,15 +53,15 @@
     let recovery = Recovery::open();
     let mut eager = Outage::new("first", Probe::Eager, recovery.clone());
     let mut lazy = Outage::new("later", Probe::Lazy, recovery.clone());
-    lazy.failed(&"no answer");
-    eager.failed(&"no answer");
+    lazy.record_failure(&"no answer");
+    eager.record_failure(&"no answer");
     tokio::time::sleep(Duration::from_secs(8)).await;
-    assert!(eager.answered().is_some());
+    assert!(eager.record_success().is_some());
     // The other tasks read the store again now; the later task reports the same outage after that.
     let read = Instant::now();
     let reported = tokio::spawn(async move { recovery.recovered().await });
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert!(lazy.answered().is_some());
+    assert!(lazy.record_success().is_some());
     let lost_since = reported.await.expect("no panic");
     assert!(lost_since < read, "the outage is dated after the others have read the store again");
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -7,8 +7,8 @@
 use platform::{
     answer::Head,
     endpoint::Entry,
-    played::{self, Listed, listed},
-    word::{Said, Word},
+    fixtures::{self, Registration, registration},
+    signal::{Signal, Signals},
 };
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
     }
 
     /// Changes the entry of endpoint `n`.
-    fn relist(&mut self, n: usize, change: impl Fn(&mut Listed)) {
+    fn relist(&mut self, n: usize, change: impl Fn(&mut Registration)) {
         self.listed[n].1 = entry(n as u16, change);
         self.update();
     }
@@ -62,25 +62,25 @@
         (0..CHOICES).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
     }
 
-    fn receive(&self, chosen: &Chosen, said: &Said) -> Changes {
-        self.receive_after(chosen, said, JUST_NOW)
+    fn receive(&self, chosen: &Chosen, signals: &Signals) -> Changes {
+        self.receive_after(chosen, signals, JUST_NOW)
     }
 
     /// Receives a response to a request that was sent `ago`.
-    fn receive_after(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
-        let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
+    fn receive_after(&self, chosen: &Chosen, signals: &Signals, ago: Duration) -> Changes {
+        let head = Head { id: None, not_run: false, signals: signals.clone(), instance: None };
         self.endpoints.receive_signals(SERVICE, chosen, &head, ago)
     }
 }
 
-fn entry(n: u16, change: impl Fn(&mut Listed)) -> Entry {
-    let mut entry = listed(SERVICE, ([127, 0, 0, 1], 1_000 + n).into());
+fn entry(n: u16, change: impl Fn(&mut Registration)) -> Entry {
+    let mut entry = registration(SERVICE, ([127, 0, 0, 1], 1_000 + n).into());
     change(&mut entry);
     Entry::read(&entry.entry().to_string()).expect("an entry")
 }
 
-fn leaving(leaving: bool) -> Said {
-    Said { leaves: Some(Word::Read(leaving)), ..Said::default() }
+fn leaving(leaving: bool) -> Signals {
+    Signals { leaves: Some(Signal::Valid(leaving)), ..Signals::default() }
 }
 
 #[test]
@@ -88,16 +88,16 @@
     type Later = fn(&mut View, &Chosen);
     let later: [(&str, Later); 8] = [
         ("a response to an earlier request", |view, chosen| {
-            view.receive_after(chosen, &Said::default(), LONG_TIME);
+            view.receive_after(chosen, &Signals::default(), LONG_TIME);
         }),
         ("a response without the signal", |view, chosen| {
-            view.receive(chosen, &Said::default());
+            view.receive(chosen, &Signals::default());
         }),
         ("a response that says it stays", |view, chosen| {
             view.receive(chosen, &leaving(false));
         }),
         ("the same entry", |view, _| view.update()),
-        ("an entry of a later heartbeat", |view, _| view.relist(0, |entry| entry.beat = 99)),
+        ("an entry of a later heartbeat", |view, _| view.relist(0, |entry| entry.heartbeat = 99)),
         ("an entry that lapsed and came back", |view, _| {
             let lapsed = view.listed.remove(0);
             view.update();
@@ -127,13 +127,13 @@
 #[test]
 fn restarted_endpoint_is_chosen_again() {
     let mut view = View::open(&["i-1", "i-2"]);
-    view.relist(0, |entry| entry.born = Some(5));
+    view.relist(0, |entry| entry.started_ms = Some(5));
     view.clock.suspend(LONG_TIME);
     let chosen = view.chosen("i-1");
     view.receive(&chosen, &leaving(true));
     view.clock.suspend(LONG_TIME);
     assert!(!view.is_chosen("i-1"));
-    view.relist(0, |entry| entry.born = Some(6));
+    view.relist(0, |entry| entry.started_ms = Some(6));
     view.clock.suspend(LONG_TIME);
     assert!(view.is_chosen("i-1"), "a new instance under the same id");
     let chosen = view.chosen("i-2");
@@ -149,16 +149,17 @@
 fn unreadable_signal_is_ignored_and_counted() {
     let view = View::open(&["i-1"]);
     let chosen = view.chosen("i-1");
-    let leaves = Some(Word::Unreadable("soon".into()));
+    let leaves = Some(Signal::Unreadable("soon".into()));
     let unknown = vec![("server-mood".into(), "low".into())];
     for _ in 0..3 {
-        let said = Said { leaves: leaves.clone(), unknown: unknown.clone(), ..Said::default() };
-        assert_eq!(view.receive(&chosen, &said), Changes::default());
+        let signals =
+            Signals { leaves: leaves.clone(), unknown: unknown.clone(), ..Signals::default() };
+        assert_eq!(view.receive(&chosen, &signals), Changes::default());
     }
     view.clock.suspend(LONG_TIME);
     assert!(view.is_chosen("i-1"));
     let counted: Vec<(Arc<str>, u64)> =
-        [(played::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
+        [(fixtures::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
     assert_eq!(view.endpoints.unread(), counted);
 }
 
@@ -209,14 +210,14 @@
         let view = View::open(&["i-1", "i-2"]);
         let sender = view.chosen("i-1");
         for signal in signals {
-            view.receive(&sender, &Said { leaves: signal.map(Word::Read), ..Said::default() });
+            view.receive(&sender, &Signals { leaves: signal.map(Signal::Valid), ..Signals::default() });
         }
         prop_assert!(view.is_chosen("i-2"));
     }
 }
 
-fn back_off(ms: u64) -> Said {
-    Said { rest: Some(Word::Read(Duration::from_millis(ms))), ..Said::default() }
+fn back_off(ms: u64) -> Signals {
+    Signals { back_off: Some(Signal::Valid(Duration::from_millis(ms))), ..Signals::default() }
 }
 
 #[test]
@@ -224,10 +225,10 @@
     type Later = fn(&mut View, &Chosen);
     let later: [(&str, Later); 6] = [
         ("a response to an earlier request", |view, chosen| {
-            view.receive_after(chosen, &Said::default(), LONG_TIME);
+            view.receive_after(chosen, &Signals::default(), LONG_TIME);
         }),
         ("a response", |view, chosen| {
-            view.receive(chosen, &Said::default());
+            view.receive(chosen, &Signals::default());
         }),
         ("a shorter back-off", |view, chosen| {
             view.receive(chosen, &back_off(100));
@@ -270,8 +271,9 @@
 fn new_instance_starts_without_back_off_and_unreadable_back_off_is_short() {
     let mut view = View::open(&["i-1"]);
     let chosen = view.chosen("i-1");
-    let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
-    view.receive(&chosen, &said);
+    let signals =
+        Signals { back_off: Some(Signal::Unreadable("a while".into())), ..Signals::default() };
+    view.receive(&chosen, &signals);
     assert!(view.choose().is_none());
     assert!(view.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
     view.clock.suspend(Duration::from_millis(1_000));
@@ -279,6 +281,6 @@
     view.receive(&chosen, &back_off(86_400_000));
     view.clock.suspend(LONG_TIME);
     assert!(view.choose().is_none(), "a back-off of a day");
-    view.relist(0, |entry| entry.born = Some(5));
+    view.relist(0, |entry| entry.started_ms = Some(5));
     assert!(view.is_chosen("i-1"), "a new instance");
 }
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -9,7 +9,7 @@
 use ledger::Incarnation;
 use platform::{
     endpoint::Entry,
-    played::{BORN, ENTRY_FIELDS, Listed, listed},
+    fixtures::{ENTRY_FIELDS, Registration, START_FIELD, registration},
 };
 use proptest::prelude::*;
 use serde_json::Value;
@@ -42,12 +42,12 @@
     for (boxes, count) in [(1, 1), (2, 1), (7, 2), (23, 2), (89, 2), (295, 6)] {
         let fleet = fleet(boxes);
         let expected = watchers_seen_from(&fleet, 0);
-        assert_eq!(expected.first.len(), count, "watchers of {boxes} boxes");
+        assert_eq!(expected.active.len(), count, "watchers of {boxes} boxes");
         for index in 0..boxes {
             let seen = watchers_seen_from(&fleet, index);
             assert_eq!(
-                names(&seen.first),
-                names(&expected.first),
+                names(&seen.active),
+                names(&expected.active),
                 "as box {index} of {boxes} sees it"
             );
             assert_eq!(
@@ -56,7 +56,7 @@
                 "as box {index} of {boxes} sees it"
             );
         }
-        assert!(names(&expected.first).is_disjoint(&names(&expected.standby)));
+        assert!(names(&expected.active).is_disjoint(&names(&expected.standby)));
     }
 }
 
@@ -70,7 +70,7 @@
             fleet.iter().any(|profile| profile.name == *name && profile.strength == 50)
         };
         assert!(seen.all().all(strong));
-        *subscriber_counts.entry(seen.first[0].box_name().to_owned()).or_insert(0) += 1;
+        *subscriber_counts.entry(seen.active[0].box_name().to_owned()).or_insert(0) += 1;
     }
     let most = subscriber_counts.values().max().copied().unwrap_or_default();
     assert!(subscriber_counts.len() == 6 && most <= 120, "{subscriber_counts:?}");
@@ -87,11 +87,11 @@
             let profile = fleet.iter().find(|profile| profile.name == *name);
             profile.expect("one of the fleet").zone.clone()
         };
-        let watchers = watchers_seen_from(&fleet, 0).first;
+        let watchers = watchers_seen_from(&fleet, 0).active;
         let with_watcher: BTreeSet<Arc<str>> = watchers.iter().map(zone_of).collect();
         assert_eq!(with_watcher.len(), in_zones, "{boxes} boxes: {watchers:?}");
         for index in 0..boxes {
-            let subscribed_zone = zone_of(&watchers_seen_from(&fleet, index).first[0]);
+            let subscribed_zone = zone_of(&watchers_seen_from(&fleet, index).active[0]);
             let own = &fleet[index].zone;
             assert!(
                 subscribed_zone == *own || !with_watcher.contains(own),
@@ -104,7 +104,7 @@
 
 fn entry(state: &str) -> Entry {
     let address = "127.0.0.1:1".parse().expect("an address");
-    Entry::read(&platform::played::entry("engines", address, state == "ready")).expect("an entry")
+    Entry::read(&platform::fixtures::entry("engines", address, state == "ready")).expect("an entry")
 }
 
 fn ready(directory: &Directory) -> BTreeSet<Arc<str>> {
@@ -213,16 +213,20 @@
 #[derive(Debug, Clone)]
 struct Endpoint {
     instance: u64,
-    beat: u64,
+    heartbeat: u64,
     ready: bool,
 }
 
 impl Endpoint {
     fn text(&self) -> String {
         let address = "127.0.0.1:1".parse().expect("an address");
-        let listed = listed("engines", address);
-        let entry =
-            Listed { ready: self.ready, born: Some(self.instance), beat: self.beat, ..listed };
+        let registration = registration("engines", address);
+        let entry = Registration {
+            ready: self.ready,
+            started_ms: Some(self.instance),
+            heartbeat: self.heartbeat,
+            ..registration
+        };
         entry.entry().to_string()
     }
 }
@@ -251,9 +255,9 @@
         let starts = &mut self.starts;
         let endpoint = self.running.entry(id.clone()).or_insert_with(|| {
             *starts += 1;
-            Endpoint { instance: *starts, beat: 0, ready: true }
+            Endpoint { instance: *starts, heartbeat: 0, ready: true }
         });
-        endpoint.beat += 1;
+        endpoint.heartbeat += 1;
         // A draining endpoint never becomes ready again.
         endpoint.ready &= ready;
         let text = endpoint.text();
@@ -482,10 +486,10 @@
         garbage in arbitrary_json(),
         field in 0..ENTRY_FIELDS.len(),
         value in arbitrary_json(),
-        born in arbitrary_json(),
+        started_ms in arbitrary_json(),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        let sound = || listed("engines", "127.0.0.1:1".parse().expect("an address")).entry();
+        let sound = || registration("engines", "127.0.0.1:1".parse().expect("an address")).entry();
         prop_assert!(Entry::read(&garbage.to_string()).is_err());
         prop_assert!(Entry::read(&String::from_utf8_lossy(&bytes)).is_err());
         let mut without = sound();
@@ -500,8 +504,8 @@
         modified[ENTRY_FIELDS[field]] = value;
         prop_assert!(of_type || Entry::read(&modified.to_string()).is_err(), "{modified}");
         let mut started = sound();
-        let whole_number = born.as_u64().is_some();
-        started[BORN] = born;
+        let whole_number = started_ms.as_u64().is_some();
+        started[START_FIELD] = started_ms;
         prop_assert_eq!(Entry::read(&started.to_string()).is_ok(), whole_number);
     }
 }
@@ -509,8 +513,9 @@
 #[test]
 fn entry_without_start_time_does_not_replace_one_with_it() {
     let address = "127.0.0.1:1".parse().expect("an address");
-    let entry = |born, beat| {
-        let entry = Listed { born, beat, ..listed("engines", address) }.entry();
+    let entry = |started_ms, heartbeat| {
+        let entry =
+            Registration { started_ms, heartbeat, ..registration("engines", address) }.entry();
         Entry::read(&entry.to_string()).expect("an entry")
     };
     let mut directory = Directory::default();
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -15,7 +15,7 @@
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
     Untouched, Witness, Writer,
 };
-use platform::{config::Config, played};
+use platform::{config::Config, fixtures};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const PAID: u64 = 60_000;
@@ -120,7 +120,7 @@
 impl Node {
     fn start(at: usize, incarnation: u64) -> Node {
         let funds = Funds::open();
-        let text = played::config(1, PAID, &["stream"]);
+        let text = fixtures::config(1, PAID, &["stream"]);
         funds.configure(&Table::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new(&format!("box-{at}"), incarnation);
         Node {
@@ -152,7 +152,7 @@
 struct KeeperResponse {
     to: Incarnation,
     request: KeeperRequest,
-    given: Vec<Supply>,
+    supplies: Vec<Supply>,
 }
 
 struct Model {
@@ -213,9 +213,9 @@
             Step::End { at, percent } => self.end(at, percent),
             Step::Plan { at } => self.plan(at, Participation::Active),
             Step::Retire { at } => {
-                self.nodes[at].funds.retire(true);
+                self.nodes[at].funds.set_retiring(true);
                 self.plan(at, Participation::Retiring);
-                self.nodes[at].funds.retire(false);
+                self.nodes[at].funds.set_retiring(false);
             }
             Step::Write { at, answered } => self.write(at, answered),
             Step::Lend { from, to, tokens, arrives } => self.lend(from, to, tokens, arrives),
@@ -299,7 +299,7 @@
         };
         let earlier = std::mem::take(&mut node.earlier);
         let plan = node.funds.plan(&node.name, writer, participation);
-        node.pending = Some(Settlement { earlier, ..plan });
+        node.pending = Some(Settlement { unused_by_earlier: earlier, ..plan });
     }
 
     fn name_witness(&mut self, at: usize, witness: usize) {
@@ -327,7 +327,7 @@
             return;
         };
         let accepted = arrives
-            && self.nodes[by].received_promises.take(&name, promise) == Acceptance::Accepted;
+            && self.nodes[by].received_promises.accept(&name, promise) == Acceptance::Accepted;
         if accepted {
             self.accepted.insert(name.clone(), tokens.clone());
             self.terms.insert((name, witness.by), witness.term);
@@ -361,7 +361,7 @@
         };
         if fault == Fault::CollectTwice && !landed {
             let free = |untouched: &Untouched| untouched.tokens.values().sum::<u64>();
-            let again: u64 = settlement.earlier.iter().map(free).sum();
+            let again: u64 = settlement.unused_by_earlier.iter().map(free).sum();
             self.book.ledgers.values_mut().for_each(|l| l.spent = l.spent.saturating_sub(again));
         }
         if fault == Fault::ForgetClaims {
@@ -445,7 +445,7 @@
         funds.receive_report(&request.from, &request.items);
         for demand in &request.items {
             if demand.need > 0 && funds.try_pass_on(&request.from, demand) {
-                let tokens = funds.given(&request.from, std::slice::from_ref(demand))[0].given;
+                let tokens = funds.supplies(&request.from, std::slice::from_ref(demand))[0].given;
                 if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
                     let share = ledger::Share { given: tokens, returned: tokens, ..demand.share };
@@ -454,8 +454,8 @@
                 }
             }
         }
-        let given = funds.given(&request.from, &request.items);
-        Some(KeeperResponse { to: request.from.clone(), request, given })
+        let supplies = funds.supplies(&request.from, &request.items);
+        Some(KeeperResponse { to: request.from.clone(), request, supplies })
     }
 
     fn deliver_response(&mut self, response: KeeperResponse) {
@@ -467,7 +467,7 @@
             Fault::CountDrawTwice => Incarnation::new("any", self.responses.len() as u64),
             _ => keeper.clone(),
         };
-        node.funds.drawn(&keeper, items, &response.given);
+        node.funds.receive_supply(&keeper, items, &response.supplies);
     }
 
     fn crash(&mut self, at: usize, witness_asked: bool) {
@@ -500,7 +500,7 @@
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.given(&name, std::slice::from_ref(&demand))[0].given;
+            let given = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].given;
             let share = ledger::Share { given, returned: given, ..Default::default() };
             node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
--- a/crates/jsonc/src/error.rs
+++ b/crates/jsonc/src/error.rs
@@ -34,7 +34,7 @@
     }
 
     /// Converts it to an error with the line of the key.
-    pub fn error(&self, lines: &crate::LineIndex) -> Error {
+    pub fn to_error(&self, lines: &crate::LineIndex) -> Error {
         Error::Key {
             line: lines.line(&self.path),
             path: self.path.clone(),
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -76,7 +76,7 @@
 
     /// Removes up to `tokens` free tokens, before they are returned or passed on. Returns how many
     /// were removed.
-    pub fn take(&mut self, part: Part, tokens: u64) -> u64 {
+    pub fn remove(&mut self, part: Part, tokens: u64) -> u64 {
         let of = self.tokens_mut(part);
         let taken = tokens.min(of.free());
         of.given -= taken;
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -146,7 +146,7 @@
     pub writer: Writer,
     pub items: Vec<Item>,
     /// Tokens that dead incarnations left unused, as reported by their witnesses.
-    pub earlier: Vec<Untouched>,
+    pub unused_by_earlier: Vec<Untouched>,
     /// The box draws no more, and returns what it can. Once it has nothing to report and holds
     /// nothing, it is removed, so that the book only lists boxes that draw.
     pub retires: bool,
@@ -161,7 +161,7 @@
             item.charged + item.lost + item.returned + item.waiting > 0
                 || !item.transfers.is_empty()
         };
-        self.earlier.is_empty() && !self.items.iter().any(has_effect)
+        self.unused_by_earlier.is_empty() && !self.items.iter().any(has_effect)
     }
 }
 
@@ -226,7 +226,7 @@
             false => self.idle.remove(holder),
         };
         self.landed += 1;
-        settlement.earlier.iter().for_each(|untouched| self.close_claim(untouched));
+        settlement.unused_by_earlier.iter().for_each(|untouched| self.close_claim(untouched));
         let policy = Policy { boxes: self.boxes(), ..policy };
         let mut granted = Vec::with_capacity(settlement.items.len());
         for item in &settlement.items {
@@ -273,7 +273,7 @@
 
     /// Returns the earlier incarnations of the box of `holder` whose witnesses are to be asked:
     /// those that are still listed as writers, and those with open claims.
-    pub fn earlier(&self, holder: &Incarnation) -> Vec<(Incarnation, Claim)> {
+    pub fn earlier_claims(&self, holder: &Incarnation) -> Vec<(Incarnation, Claim)> {
         let writers = self.writers.iter().filter(|(name, _)| is_earlier(name, holder));
         let asked = writers.filter_map(|(name, writer)| Some((name.clone(), writer.claim()?)));
         let open = self.claims.iter().filter(|(name, _)| is_earlier(name, holder));
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -25,7 +25,7 @@
         holder: Incarnation::new(&format!("box-{name}"), 1),
         writer: Writer { write, peer: None, witness: None, witness_at: None },
         items: vec![item],
-        earlier: Vec::new(),
+        unused_by_earlier: Vec::new(),
         retires: false,
         leaves: false,
     };
@@ -62,7 +62,7 @@
             holder: Incarnation::new("box-0", 1),
             writer: Writer { write, peer: None, witness: None, witness_at: None },
             items: vec![item],
-            earlier: Vec::new(),
+            unused_by_earlier: Vec::new(),
             retires: false,
             leaves: false,
         };
@@ -106,7 +106,7 @@
         holder: Incarnation::new(name, 1),
         writer: Writer { write, peer: None, witness: None, witness_at: None },
         items: vec![item],
-        earlier: Vec::new(),
+        unused_by_earlier: Vec::new(),
         retires: false,
         leaves: false,
     };
@@ -187,7 +187,7 @@
             holder: holder.clone(),
             writer: Writer { write, peer: None, witness: None, witness_at: None },
             items: vec![item],
-            earlier: Vec::new(),
+            unused_by_earlier: Vec::new(),
             retires: true,
             leaves: false,
         };
@@ -217,7 +217,7 @@
             holder: holder.clone(),
             writer: Writer { write, peer: None, witness, witness_at: None },
             items: vec![item.clone()],
-            earlier: earlier.clone(),
+            unused_by_earlier: earlier.clone(),
             retires: false,
             leaves: false,
         };
--- a/crates/quarantine/src/registry.rs
+++ b/crates/quarantine/src/registry.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Number of crashed endpoints from which on a request is quarantined.
-    pub ended: usize,
+    pub crashes: usize,
     /// How long each crash counts, in seconds.
     pub keep_s: u64,
 }
@@ -67,7 +67,7 @@
 
     /// Adds a report, with its version if it comes from the store. Returns the requests in it that
     /// this box knows to be innocent, each only once: the caller has to report them as answered.
-    pub fn take(
+    pub fn add_report(
         &mut self,
         name: &Arc<str>,
         version: Option<u64>,
@@ -108,7 +108,7 @@
     /// only once per answer.
     fn take_clearance(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
         let is_near_quarantine = self.by_request.contains_key(request)
-            && self.crashed_with(request).len() + 1 >= self.limits.ended;
+            && self.crashed_with(request).len() + 1 >= self.limits.crashes;
         is_near_quarantine && self.answered.take(request, now_ms.saturating_sub(ANSWER_TTL_MS))
     }
 
@@ -138,15 +138,15 @@
         let pending: BTreeSet<_> =
             unconfirmed.iter().filter(|instance| !ended.contains_key(instance)).collect();
         match confirmed {
-            _ if confirmed >= self.limits.ended => {
+            _ if confirmed >= self.limits.crashes => {
                 let mut seconds: Vec<u64> = ended.into_values().collect();
                 seconds.sort_unstable();
                 // The quarantine ends when so many crashes have expired that one fewer than needed
                 // is left.
-                let last = seconds[confirmed - self.limits.ended];
+                let last = seconds[confirmed - self.limits.crashes];
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
-            _ if confirmed + pending.len() >= self.limits.ended => {
+            _ if confirmed + pending.len() >= self.limits.crashes => {
                 Verdict::Unconfirmed { ended: confirmed }
             }
             0 => Verdict::Allowed,
@@ -173,7 +173,7 @@
     }
 
     fn is_quarantined(&self, request: &Fingerprint) -> bool {
-        self.crashed_with(request).len() >= self.limits.ended
+        self.crashed_with(request).len() >= self.limits.crashes
     }
 
     /// Removes expired reports.
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -110,7 +110,7 @@
         let n = self.number();
         let report = Report { finding, requests, at_s: now / 1_000 };
         let name: Arc<str> = format!("r-{n}").into();
-        let cleared = self.registry.take(&name, Some(n), report, now / 1_000, now);
+        let cleared = self.registry.add_report(&name, Some(n), report, now / 1_000, now);
         if !cleared.is_empty() {
             self.report(Finding::Answered, cleared, now);
         }
@@ -259,7 +259,7 @@
     for seed in 0..SEEDS {
         let mut fleet = Fleet {
             random: ChaCha8Rng::seed_from_u64(seed),
-            registry: Registry::new(Limits { ended, keep_s: 86_400 }),
+            registry: Registry::new(Limits { crashes: ended, keep_s: 86_400 }),
             answers_count,
             policy,
             unconfirmed: Vec::new(),
--- a/crates/quarantine/tests/registry.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use quarantine::{Finding, Fingerprint, Limits, Registry, Report, Verdict};
 
-const LIMITS: Limits = Limits { ended: 3, keep_s: 100 };
+const LIMITS: Limits = Limits { crashes: 3, keep_s: 100 };
 const NOW: u64 = 1_000;
 
 fn request(n: u32) -> Fingerprint {
@@ -25,7 +25,7 @@
 fn registry(reports: &[Report]) -> Registry {
     let mut registry = Registry::new(LIMITS);
     for (n, report) in reports.iter().enumerate() {
-        registry.take(&format!("r-{n}").into(), Some(n as u64 + 1), report.clone(), NOW, 0);
+        registry.add_report(&format!("r-{n}").into(), Some(n as u64 + 1), report.clone(), NOW, 0);
     }
     registry
 }
@@ -96,7 +96,7 @@
     let mut registry = Registry::new(LIMITS);
     for (n, at_s) in [1_000, 1_010, 1_020, 1_030].into_iter().enumerate() {
         let report = Report { at_s, ..ended(&format!("i-{n}"), &[1]) };
-        registry.take(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
+        registry.add_report(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
     }
     assert_eq!(registry.verdict(&request(1), &[], 1_030), Verdict::Quarantined { for_s: 80 });
     assert_eq!(registry.verdict(&request(1), &[], 1_110), Verdict::Suspect { ended: 2 });
@@ -112,7 +112,7 @@
     assert!(!registry.answered(&request(1), 5_000), "no report names it");
     let take = |registry: &mut Registry, n: usize, now_ms| {
         let report = ended(&format!("i-{n}"), &[1, 2]);
-        registry.take(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
+        registry.add_report(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
     assert_eq!(take(&mut registry, 1, 6_000), []);
     assert_eq!(take(&mut registry, 2, 6_001), [request(1)], "one crash before the quarantine");
@@ -128,7 +128,7 @@
     let mut registry = registry(&[ended("a", &[1]), ended("b", &[1]), ended("c", &[1])]);
     for n in 0..5_000_u32 {
         let report = ended(&format!("i-{n}"), &[n + 10, n + 11]);
-        registry.take(&format!("w-{n}").into(), Some(u64::from(n) + 10), report, NOW, 0);
+        registry.add_report(&format!("w-{n}").into(), Some(u64::from(n) + 10), report, NOW, 0);
         registry.answered(&request(n), u64::from(n));
     }
     assert!(registry.len() <= 1_024, "{} reports", registry.len());
@@ -136,7 +136,7 @@
     assert_eq!(registry.verdict(&request(1), &[], NOW), Verdict::Quarantined { for_s: 100 });
     let many: Vec<u32> = (0..10_000).collect();
     let mut wide = Registry::new(LIMITS);
-    wide.take(&"r".into(), None, ended("a", &many), NOW, 0);
+    wide.add_report(&"r".into(), None, ended("a", &many), NOW, 0);
     assert_eq!(
         wide.verdict(&request(9_999), &[], NOW),
         Verdict::Allowed,
@@ -182,7 +182,7 @@
         let received = order.iter().map(|(n, stored)| (n.index(reports.len()), *stored));
         for (n, stored) in received.chain(at_last) {
             let version = stored.then_some(n as u64 + 1);
-            other.take(&format!("r-{n}").into(), version, reports[n].clone(), NOW, 0);
+            other.add_report(&format!("r-{n}").into(), version, reports[n].clone(), NOW, 0);
         }
         for asked in 0..4 {
             let verdict = |registry: &Registry| registry.verdict(&request(asked), &[], NOW);
--- a/crates/resource/src/budget.rs
+++ b/crates/resource/src/budget.rs
@@ -10,7 +10,7 @@
 /// How a request whose outcome is unknown is billed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unresolved {
+pub enum UnresolvedPolicy {
     /// Bills the tokens that were reserved for it.
     #[default]
     ChargeReserved,
@@ -34,7 +34,7 @@
     pub offline_share: Option<u64>,
     /// Billing of requests whose outcome is unknown.
     #[serde(default)]
-    pub unresolved: Unresolved,
+    pub unresolved: UnresolvedPolicy,
 }
 
 /// Largest `paid`; keeps sums of tokens from overflowing.
@@ -57,7 +57,7 @@
     }
 
     /// Tokens that the whole fleet holds offline, in thousandths of what is left.
-    pub fn share(&self) -> u64 {
+    pub fn effective_offline_share(&self) -> u64 {
         self.offline_share.unwrap_or_else(|| self.prefer.offline_share())
     }
 }
--- a/crates/resource/src/file.rs
+++ b/crates/resource/src/file.rs
@@ -66,7 +66,7 @@
     let spec = Spec::decode(kind, envelope.spec, lines, &spec_path).context(InvalidSnafu)?;
     if let Some(violation) = spec.check().into_iter().next() {
         let located = Violation { path: jsonc::join(&spec_path, &violation.path), ..violation };
-        return Err(Error::Invalid { source: located.error(lines) });
+        return Err(Error::Invalid { source: located.to_error(lines) });
     }
     Ok(Document { kind, name: envelope.name.into(), spec })
 }
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -7,7 +7,7 @@
 
 /// An API key as a caller sends it: split into its parts, not yet verified.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Secret<'a> {
+pub struct ApiKey<'a> {
     /// Name of the customer that the key claims to belong to.
     pub customer: &'a str,
     /// Name of the key among the customer's keys.
@@ -15,13 +15,13 @@
     secret: &'a str,
 }
 
-impl<'a> Secret<'a> {
+impl<'a> ApiKey<'a> {
     /// Splits an API key; `None` if `text` does not have the form of one.
-    pub fn parse(text: &'a str) -> Option<Secret<'a>> {
+    pub fn parse(text: &'a str) -> Option<ApiKey<'a>> {
         let (customer, rest) = text.split_once('.')?;
         let (key, secret) = rest.split_once('.')?;
         let is_valid = is_name(customer) && is_name(key) && (8..=128).contains(&secret.len());
-        is_valid.then_some(Secret { customer, key, secret })
+        is_valid.then_some(ApiKey { customer, key, secret })
     }
 
     /// Whether the secret has the stored hash; compares in constant time.
--- a/crates/resource/src/spec.rs
+++ b/crates/resource/src/spec.rs
@@ -42,7 +42,7 @@
         let (value, lines) = jsonc::parse(text)?;
         let spec = Spec::decode(kind, value, &lines, "")?;
         match spec.check().first() {
-            Some(violation) => Err(violation.error(&lines)),
+            Some(violation) => Err(violation.to_error(&lines)),
             None => Ok(spec),
         }
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -6,7 +6,7 @@
 use reqwest::Response;
 use serde::Deserialize;
 use session::Hold;
-use timeline::What;
+use timeline::EventKind;
 use wire::Place;
 
 use crate::{
@@ -39,15 +39,15 @@
     build: impl Fn(&str) -> reqwest::RequestBuilder,
 ) -> Result<(Flight, Sent), Progress> {
     let mut tried = Vec::new();
-    let dispatch = hold.dispatch();
+    let dispatch = hold.attempt_id();
     loop {
         if hold.is_sealed() {
             let message = "this box was taken for gone before it dispatched the request";
             return Err(Progress::Refused(Reason::Replaced.with(message)));
         }
         let endpoint = flight.target.name.clone();
-        let what = What::Dispatched { endpoint: endpoint.clone() };
-        shared.log.request(&call.key, &call.caller.budget, what);
+        let what = EventKind::Dispatched { endpoint: endpoint.clone() };
+        shared.log.add_for_request(&call.key, &call.caller.budget, what);
         let request = build(&flight.target.address)
             .header("x-request-id", &dispatch)
             .header("idempotency-key", format!("{}.{}", call.caller.customer, call.key))
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use ledger::Ended;
-use resource::Unresolved;
+use resource::UnresolvedPolicy;
 use serde::Deserialize;
 use session::Hold;
 
@@ -48,7 +48,7 @@
     flight: &Flight,
     hold: &Hold,
 ) -> impl Future<Output = ()> + Send + use<> {
-    let url = format!("http://{}/runs/{}/cancel", flight.target.address, hold.dispatch());
+    let url = format!("http://{}/runs/{}/cancel", flight.target.address, hold.attempt_id());
     async move {
         let limit = Duration::from_millis(shared.settings.limits.connect_ms);
         let _ = shared.http.post(url).timeout(limit).send().await;
@@ -65,7 +65,7 @@
     let cancel = cancel(shared.clone(), flight, &hold);
     async move {
         cancel.await;
-        let dispatch = hold.dispatch();
+        let dispatch = hold.attempt_id();
         let end = tokio::time::Instant::now()
             + Duration::from_millis(shared.settings.money.resolve_after_ms);
         let mut wait = ASK_AGAIN;
@@ -94,7 +94,7 @@
 pub fn ruled(shared: &Shared, budget: &str) -> Ended {
     let snapshot = shared.config.borrow().clone();
     match snapshot.budgets.get(budget).map(|spec| spec.unresolved) {
-        Some(Unresolved::BillNothing) => Ended::Waived,
-        Some(Unresolved::ChargeReserved) | None => Ended::Broken,
+        Some(UnresolvedPolicy::BillNothing) => Ended::Waived,
+        Some(UnresolvedPolicy::ChargeReserved) | None => Ended::Broken,
     }
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -185,7 +185,7 @@
     pub fn read(text: &str) -> Result<Settings, Error> {
         let (settings, lines) = jsonc::read::<Settings>(text)?;
         match settings.check().first() {
-            Some(violation) => Err(violation.error(&lines)),
+            Some(violation) => Err(violation.to_error(&lines)),
             None => Ok(settings),
         }
     }
@@ -244,7 +244,7 @@
         platform::store::Options {
             address: self.platform.address.clone(),
             timeout: Duration::from_millis(self.platform.timeout_ms),
-            watch: Duration::from_millis(self.platform.watch_ms),
+            watch_timeout: Duration::from_millis(self.platform.watch_ms),
         }
     }
 }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -150,7 +150,7 @@
     }
 
     /// Gets ready for requests of a budget that has not been used here yet.
-    pub fn expect(&self, budget: &Arc<str>, largest: u64) {
+    pub fn prepare(&self, budget: &Arc<str>, largest: u64) {
         self.entry(budget).usage.lock().expect(largest);
     }
 
@@ -161,7 +161,7 @@
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
         let wished = tokens.max(free / 4);
-        (free >= tokens && tokens > 0).then(|| account.take(Part::Offline, wished))
+        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, wished))
     }
 
     /// Adds offline tokens that a peer passed on.
@@ -170,7 +170,7 @@
     }
 
     /// Returns what this box can spare of a budget that others lack; true if anything returned.
-    pub async fn spare(&self, budget: &Arc<str>) -> bool {
+    pub async fn return_surplus(&self, budget: &Arc<str>) -> bool {
         let entry = self.entry(budget);
         let before = entry.free(Part::Online) + entry.free(Part::Offline);
         let written = self.update(&entry, Purpose::Spare).await;
@@ -182,8 +182,8 @@
     pub fn drain(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
-            account.take(Part::Online, u64::MAX);
-            account.take(Part::Offline, u64::MAX);
+            account.remove(Part::Online, u64::MAX);
+            account.remove(Part::Offline, u64::MAX);
         }
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Folds, tops up and returns surplus of one budget.
-    pub async fn keep(&self, budget: &Arc<str>) -> Result<(), Denial> {
+    pub async fn maintain(&self, budget: &Arc<str>) -> Result<(), Denial> {
         self.update(&self.entry(budget), Purpose::Keep).await
     }
 
@@ -295,10 +295,10 @@
     async fn read(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
         let read = self.store.get("ledger", &entry.budget).await;
         let found = read.map_err(|_| {
-            self.health.failed();
+            self.health.record_failure();
             Denial::Unreachable
         })?;
-        self.health.answered();
+        self.health.record_success();
         book.read_at = Some(Instant::now());
         (book.version, book.ledger) = match found {
             None => (0, Some(Ledger::default())),
@@ -330,7 +330,7 @@
         let journal = self.recorder.journal();
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
-        let share = spec.map_or(0, |spec| spec.share());
+        let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
         let known_short = next.grants.get(self.me()).is_some_and(|g| g.wanted == draw.wanted);
         if draw.wanted > 0 && known_short && next == *ledger {
@@ -384,8 +384,8 @@
         let taken = {
             let mut account = entry.account.lock();
             Draw {
-                return_online: account.take(Part::Online, back.return_online),
-                return_offline: account.take(Part::Offline, back.return_offline),
+                return_online: account.remove(Part::Online, back.return_online),
+                return_offline: account.remove(Part::Offline, back.return_offline),
                 ..Draw::default()
             }
         };
@@ -445,23 +445,23 @@
         let write = self.store.put("ledger", &entry.budget, next.to_json(), expect).await;
         match write {
             Write::Landed(version) => {
-                self.health.answered();
+                self.health.record_success();
                 self.landed(entry, book, next, draw, version);
                 Ok(true)
             }
             Write::Refused => {
-                self.health.answered();
+                self.health.record_success();
                 self.undo(entry, draw);
                 book.ledger = None;
                 Ok(false)
             }
             Write::Failed => {
-                self.health.failed();
+                self.health.record_failure();
                 self.undo(entry, draw);
                 Err(Denial::Unreachable)
             }
             Write::Unknown => {
-                self.health.failed();
+                self.health.record_failure();
                 let expected = book.version;
                 book.pending = Some(Pending { expected, next, draw, write: book.writes });
                 self.settle_pending(entry, book).await?;
@@ -521,8 +521,8 @@
         let returned = draw.return_online + draw.return_offline;
         let (online, offline) = (draw.online, draw.offline);
         if online + offline + returned > 0 {
-            let what = timeline::What::Drawn { online, offline, returned };
-            self.log.budget(&entry.budget, what);
+            let what = timeline::EventKind::Drawn { online, offline, returned };
+            self.log.add_for_budget(&entry.budget, what);
         }
         (book.version, book.ledger) = (version, Some(next));
     }
--- a/crates/session/src/windup.rs
+++ b/crates/session/src/recovery.rs
@@ -58,7 +58,7 @@
 }
 
 /// Adds findings to a sealed journal; returns it as it stands after that, with how many were new.
-pub async fn resolve(
+pub async fn add_findings(
     store: &dyn Store,
     journal: Journal,
     findings: &[Finding],
@@ -122,7 +122,7 @@
 }
 
 /// Forgets the empty grant of an incarnation whose journal is gone.
-pub async fn forget(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
+pub async fn forget_grant(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
     for _ in 0..TRIES {
         let Ok(Some(object)) = store.get("ledger", budget).await else { return };
         let Ok(mut ledger) = serde_json::from_str::<Ledger>(&object.value) else { return };
--- a/crates/session/src/carry.rs
+++ b/crates/session/src/replicas.rs
@@ -22,10 +22,10 @@
 #[async_trait::async_trait]
 pub trait Peers: Send + Sync {
     /// Gives an entry of the journal of `by` to peers that carry it; returns how many took it.
-    async fn carry(&self, by: &Incarnation, entry: &Entry) -> usize;
+    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize;
 
     /// Asks peers to return what they can spare to the ledger; true if any did.
-    async fn spare(&self, budget: &Arc<str>, tokens: u64) -> bool;
+    async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool;
 
     /// Asks peers for offline tokens; the giver has debited itself already.
     async fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer>;
@@ -48,7 +48,7 @@
         recorded.chain(self.transfers.iter().map(|(budget, _)| budget.clone())).collect()
     }
 
-    fn take(&mut self, entry: Entry) {
+    fn insert(&mut self, entry: Entry) {
         match entry {
             // An outcome replaces its intent; a late intent never replaces an outcome.
             Entry::Record(record) => {
@@ -75,22 +75,22 @@
 
 /// Entries carried for other incarnations.
 #[derive(Debug, Default)]
-pub struct Carried(Mutex<BTreeMap<Incarnation, Load>>);
+pub struct Replicas(Mutex<BTreeMap<Incarnation, Load>>);
 
-impl Carried {
+impl Replicas {
     /// Takes an entry; false if too much is carried already.
-    pub fn take(&self, by: Incarnation, entry: Entry) -> bool {
+    pub fn insert(&self, by: Incarnation, entry: Entry) -> bool {
         let mut carried = self.0.lock();
         let total: usize = carried.values().map(Load::len).sum();
         if total >= MOST {
             return false;
         }
-        carried.entry(by).or_default().take(entry);
+        carried.entry(by).or_default().insert(entry);
         true
     }
 
     /// Incarnations that entries are carried for.
-    pub fn whose(&self) -> Vec<Incarnation> {
+    pub fn incarnations(&self) -> Vec<Incarnation> {
         self.0.lock().keys().cloned().collect()
     }
 
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use snafu::Snafu;
-use timeline::{Log, What};
+use timeline::{EventKind, Log};
 use tokio::sync::watch;
 
 use crate::{Denial, Failure, Health, Hold, HoldError, Options, Peers, Session};
@@ -33,7 +33,7 @@
     /// How parts are sized.
     pub options: Options,
     /// Least time between two journal writes.
-    pub spacing: Duration,
+    pub min_write_interval: Duration,
     /// The time line.
     pub log: Log,
     /// Other boxes in reach, if it takes peers.
@@ -42,7 +42,7 @@
 
 /// Why a request gets no tokens. It did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Denied {
+pub enum Rejection {
     /// The budget has not enough left.
     #[snafu(display("the budget has not enough tokens left for the worst case"))]
     Exhausted,
@@ -70,7 +70,7 @@
     pub fn open(setup: Setup, seed: u64) -> Sessions {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&setup.box_name, random.random());
-        setup.log.rename(incarnation.as_str());
+        setup.log.set_incarnation(incarnation.as_str());
         let current = RwLock::new(Session::open(incarnation, &setup));
         Sessions { setup, current, former: Mutex::default(), random: Mutex::new(random) }
     }
@@ -99,14 +99,14 @@
         let fresh = Incarnation::new(&self.setup.box_name, self.random.lock().random());
         let old = std::mem::replace(&mut *current, Session::open(fresh.clone(), &self.setup));
         self.former.lock().push(old);
-        self.setup.log.rename(fresh.as_str());
-        self.setup.log.add(What::Renewed { incarnation: fresh.as_str().into() });
+        self.setup.log.set_incarnation(fresh.as_str());
+        self.setup.log.add(EventKind::Renewed { incarnation: fresh.as_str().into() });
         true
     }
 
     /// Holds the worst case of a request: online if the platform answers within `patience`,
     /// otherwise from the offline part.
-    pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Denied> {
+    pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Rejection> {
         let mut asked = false;
         for _ in 0..TRIES {
             let session = self.current();
@@ -117,12 +117,12 @@
                 Ok(hold) => return Ok(hold),
                 Err(HoldError::Denied(Denial::Exhausted)) if !asked => {
                     asked = true;
-                    if !self.spare(&record, patience).await {
-                        return Err(Denied::Exhausted);
+                    if !self.return_surplus(&record, patience).await {
+                        return Err(Rejection::Exhausted);
                     }
                 }
-                Err(HoldError::Denied(Denial::Exhausted)) => return Err(Denied::Exhausted),
-                Err(HoldError::Denied(Denial::Missing)) => return Err(Denied::Missing),
+                Err(HoldError::Denied(Denial::Exhausted)) => return Err(Rejection::Exhausted),
+                Err(HoldError::Denied(Denial::Missing)) => return Err(Rejection::Missing),
                 Err(HoldError::Denied(Denial::Sealed) | HoldError::Failed(Failure::Sealed)) => {
                     self.renew(session.incarnation());
                 }
@@ -131,21 +131,21 @@
                 ) => return self.hold_offline(record).await,
             }
         }
-        Err(Denied::Replaced)
+        Err(Rejection::Replaced)
     }
 
     /// Peers return what they can spare, before a budget counts as exhausted.
-    async fn spare(&self, record: &Record, patience: Duration) -> bool {
+    async fn return_surplus(&self, record: &Record, patience: Duration) -> bool {
         let Some(peers) = &self.setup.peers else { return false };
-        let asking = peers.spare(&record.budget, record.reserved);
+        let asking = peers.return_surplus(&record.budget, record.reserved);
         tokio::time::timeout(patience, asking).await.unwrap_or(false)
     }
 
     /// Former sessions come first: what they hold is of no other use.
-    async fn hold_offline(&self, record: Record) -> Result<Hold, Denied> {
+    async fn hold_offline(&self, record: Record) -> Result<Hold, Rejection> {
         for session in self.former().into_iter().chain([self.current()]) {
             if let Some(hold) = session.hold_offline(record.clone()) {
-                hold.carry().await;
+                hold.replicate().await;
                 return Ok(hold);
             }
         }
@@ -153,20 +153,20 @@
     }
 
     /// Offline tokens of a peer in reach.
-    async fn borrow(&self, record: Record) -> Result<Hold, Denied> {
+    async fn borrow(&self, record: Record) -> Result<Hold, Rejection> {
         let session = self.current();
-        let Some(peers) = &self.setup.peers else { return Err(Denied::OfflineExhausted) };
+        let Some(peers) = &self.setup.peers else { return Err(Rejection::OfflineExhausted) };
         let _borrowing = session.funds.borrow();
         if session.recorder.is_sealed() {
-            return Err(Denied::OfflineExhausted);
+            return Err(Rejection::OfflineExhausted);
         }
         let asking = peers.lend(&record.budget, record.reserved, session.incarnation());
         let Ok(Some(transfer)) = tokio::time::timeout(BORROW, asking).await else {
-            return Err(Denied::OfflineExhausted);
+            return Err(Rejection::OfflineExhausted);
         };
         session.receive(&record.budget, transfer).await;
-        let hold = session.hold_offline(record).ok_or(Denied::OfflineExhausted)?;
-        hold.carry().await;
+        let hold = session.hold_offline(record).ok_or(Rejection::OfflineExhausted)?;
+        hold.replicate().await;
         Ok(hold)
     }
 
@@ -177,7 +177,7 @@
 
     /// Folds, tops up and returns for every budget; returns former incarnations that owe nothing
     /// any more.
-    pub async fn keep(&self) -> Vec<Incarnation> {
+    pub async fn maintain(&self) -> Vec<Incarnation> {
         let session = self.current();
         if session.recorder.is_sealed() {
             self.renew(session.incarnation());
@@ -185,7 +185,7 @@
         let session = self.current();
         for budget in session.funds.budgets() {
             // What fails now is tried again at the next turn.
-            let _ = session.funds.keep(&budget).await;
+            let _ = session.funds.maintain(&budget).await;
         }
         self.settle_former().await
     }
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -8,7 +8,7 @@
 
 use parking_lot::Mutex;
 
-use crate::{Clock, Event, Stamp, What};
+use crate::{Clock, Event, EventKind, Timestamp};
 
 /// Number of events kept in memory.
 const MAX_EVENTS_KEPT: usize = 4_096;
@@ -39,26 +39,26 @@
     }
 
     /// Sets the incarnation that later events are recorded under.
-    pub fn rename(&self, by: impl Into<Arc<str>>) {
+    pub fn set_incarnation(&self, by: impl Into<Arc<str>>) {
         self.0.lock().by = by.into();
     }
 
     /// Adds an event that belongs to no request or budget.
-    pub fn add(&self, what: What) {
+    pub fn add(&self, what: EventKind) {
         self.push(what, None, None);
     }
 
     /// Adds an event of one request.
-    pub fn request(&self, request: &Arc<str>, budget: &Arc<str>, what: What) {
+    pub fn add_for_request(&self, request: &Arc<str>, budget: &Arc<str>, what: EventKind) {
         self.push(what, Some(request.clone()), Some(budget.clone()));
     }
 
     /// Adds an event of one budget.
-    pub fn budget(&self, budget: &Arc<str>, what: What) {
+    pub fn add_for_budget(&self, budget: &Arc<str>, what: EventKind) {
         self.push(what, None, Some(budget.clone()));
     }
 
-    fn push(&self, what: What, request: Option<Arc<str>>, budget: Option<Arc<str>>) {
+    fn push(&self, what: EventKind, request: Option<Arc<str>>, budget: Option<Arc<str>>) {
         let mut state = self.0.lock();
         let at = state.clock.tick(wall_ms());
         state.seq += 1;
@@ -74,12 +74,12 @@
     }
 
     /// Returns a new timestamp, to be sent with a message.
-    pub fn stamp(&self) -> Stamp {
+    pub fn stamp(&self) -> Timestamp {
         self.0.lock().clock.tick(wall_ms())
     }
 
     /// Advances the clock past the timestamp of a received message.
-    pub fn observe(&self, received: Stamp) {
+    pub fn observe(&self, received: Timestamp) {
         self.0.lock().clock.observe(received, wall_ms());
     }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -6,7 +6,7 @@
 use ledger::{Entry, Incarnation, Promise, Supply, Transfer};
 use quarantine::Report;
 use serde::{Deserialize, Serialize};
-use timeline::Stamp;
+use timeline::Timestamp;
 
 /// A frame with its sender and time stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     /// Sender.
     pub from: Incarnation,
     /// Hybrid logical clock of the sender.
-    pub stamp: Stamp,
+    pub stamp: Timestamp,
     pub frame: Frame,
 }
 
@@ -78,7 +78,7 @@
 
 /// A platform call on behalf of a box that does not reach the platform itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum PlatformCall {
     /// Reads one object.
     Get { kind: Arc<str>, name: Arc<str> },
     /// Reads all objects of a kind whose names start with a prefix.
@@ -99,7 +99,8 @@
     /// How long the keeper may wait for tokens, in milliseconds.
     pub within_ms: u64,
     /// The sender is about to stop; this is its last message.
-    pub leaves: bool,
+    #[serde(rename = "leaves")]
+    pub is_stopping: bool,
 }
 
 /// A keeper's answer.
@@ -108,9 +109,11 @@
     /// Customers that were asked for.
     pub items: Vec<Supply>,
     /// The keeper does not reach the store; another one may.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub is_store_unreachable: bool,
     /// The keeper is about to stop: unused tokens go back to it, and another keeper is to be used.
-    pub leaves: bool,
+    #[serde(rename = "leaves")]
+    pub is_stopping: bool,
 }
 
 /// Address and capacity of a box that has just registered.
@@ -158,7 +161,8 @@
     /// Version of the configuration known; only a newer one is sent.
     pub config: u64,
     /// Whether the subscriber knows that the watcher does not reach the store.
-    pub away: bool,
+    #[serde(rename = "away")]
+    pub is_store_unreachable: bool,
     /// How long the watcher may hold the request while nothing changes, in milliseconds.
     pub wait_ms: u64,
 }
@@ -169,7 +173,8 @@
     /// Number of the newest change included.
     pub last: u64,
     /// Whether the changes are a full snapshot.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_snapshot: bool,
     /// Changed objects, oldest change first.
     pub changes: Vec<Change>,
     /// Store version up to which the watcher has seen all entries of endpoints.
@@ -177,7 +182,8 @@
     /// Store version up to which the watcher has seen all entries of boxes.
     pub boxes_at: u64,
     /// How long the watcher has not reached the store, in milliseconds; `None` while it does.
-    pub away_ms: Option<u64>,
+    #[serde(rename = "away_ms")]
+    pub store_unreachable_ms: Option<u64>,
 }
 
 /// The rate limit that an endpoint named for all boxes together, and how long ago.
@@ -209,7 +215,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
     /// One request may be sent now.
-    Given,
+    #[serde(rename = "Given")]
+    Granted,
     /// No permit is available; retry after this many milliseconds.
     After { ms: u64 },
     /// The endpoint no longer names a limit.
@@ -236,7 +243,7 @@
     /// Accepted objects as JSON text.
     Objects { objects: Vec<Arc<str>> },
     /// A platform call on behalf of the sender.
-    Call(Question),
+    Call(PlatformCall),
     /// Objects found; `None` if the platform did not answer.
     Found { objects: Option<Vec<Value>> },
     /// Result of a write on behalf of the sender.
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -11,7 +11,7 @@
 };
 
 use ledger::Incarnation;
-use timeline::Stamp;
+use timeline::Timestamp;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -22,7 +22,7 @@
 const ENDPOINTS: u64 = 3_000;
 
 fn message(frame: Frame) -> Message {
-    Message { from: Incarnation::new("box-1", 1), stamp: Stamp::default(), frame }
+    Message { from: Incarnation::new("box-1", 1), stamp: Timestamp::default(), frame }
 }
 
 /// A full update.
@@ -48,11 +48,11 @@
     let (last, at) = (endpoints, endpoints + 400);
     Frame::Update(Update {
         last,
-        whole: true,
+        is_snapshot: true,
         changes,
         endpoints_at: at,
         boxes_at: at,
-        away_ms: None,
+        store_unreachable_ms: None,
     })
 }
 
@@ -68,7 +68,8 @@
 
 fn subscribe_message() -> Message {
     let watcher = Incarnation::new("box-1", 1);
-    let listen = Subscribe { watcher, since: Some(0), config: 0, away: false, wait_ms: 0 };
+    let listen =
+        Subscribe { watcher, since: Some(0), config: 0, is_store_unreachable: false, wait_ms: 0 };
     message(Frame::Subscribe(listen))
 }
 
