--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,5 +7,5 @@
 mod accepted;
 mod snapshot;
 
-pub use accepted::{Accepted, Verdict, validate, object_name};
+pub use accepted::{Accepted, Verdict, object_name, validate};
 pub use snapshot::{Caller, Snapshot};
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use resource::{Budget, Customer, Destroyed, Kind, Pool, Route, ApiKey, Spec};
+use resource::{ApiKey, Budget, Customer, Destroyed, Kind, Pool, Route, Spec};
 
 use crate::Accepted;
 
--- a/crates/config/tests/forwards.rs
+++ b/crates/config/tests/forwards.rs
@@ -10,7 +10,8 @@
 
 #[test]
 fn an_invalid_source_is_not_accepted_and_says_why() {
-    let verdict = validate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
+    let verdict =
+        validate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
     let Verdict::Invalid { reason } = verdict else { panic!("{verdict:?}") };
     assert!(reason.contains("paid"), "{reason}");
 }
--- a/crates/flintbench/src/serve.rs
+++ b/crates/flintbench/src/serve.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use standin::Speed;
 use tokio::time::Instant;
-use trial::{Request, Audit, Fleet, Outcome, Plan};
+use trial::{Audit, Fleet, Outcome, Plan, Request};
 
 use crate::{
     cli::Options,
@@ -51,7 +51,7 @@
     for (kind, lanes) in kinds {
         for lane in 0..lanes {
             let caller = fleet.caller.clone();
-            let to = fleet.to(lane % fleet.nodes.len());
+            let to = fleet.callers_address(lane % fleet.nodes.len());
             tasks.spawn(async move {
                 let mut first = Times::default();
                 let mut gaps = Times::default();
@@ -59,9 +59,9 @@
                 while Instant::now() < end {
                     number += 1;
                     let key = format!("{kind}-{long}-{lane}-{number}");
-                    let got = caller.ask(to, &work(kind, &key)).await;
+                    let got = caller.send(to, &work(kind, &key)).await;
                     if got.outcome == Outcome::Answered {
-                        first.add(got.first);
+                        first.add(got.time_to_first_byte);
                         gaps.extend(got.gaps);
                     }
                 }
@@ -167,7 +167,7 @@
         balancer.set(index, None);
         fleet.nodes[index].stop().await;
         fleet.restart(index).await;
-        balancer.set(index, Some(fleet.to(index)));
+        balancer.set(index, Some(fleet.callers_address(index)));
     }
     let _ = load.await;
     let responses = fleet.caller.responses();
--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -12,7 +12,7 @@
 use standin::Speed;
 use timeline::Timestamp;
 use tokio::time::Instant;
-use trial::{Request, Caller, Fleet, Plan};
+use trial::{Caller, Fleet, Plan, Request};
 
 use crate::{cli::Options, path::thread_cpu, report::Report};
 
@@ -278,7 +278,7 @@
         let requests = 800;
         let mut tasks = tokio::task::JoinSet::new();
         for lane in 0..16 {
-            let to = fleet.to(0);
+            let to = fleet.callers_address(0);
             tasks.spawn(async move {
                 let caller = Caller::new(Duration::from_secs(30));
                 for number in 0..requests / 16 {
@@ -287,7 +287,7 @@
                         max_tokens: output,
                         ..Request::chat("dental", "bornova", &format!("l{lane}-{number}"))
                     };
-                    caller.ask(to, &ask).await;
+                    caller.send(to, &ask).await;
                 }
             });
         }
--- a/crates/forward/src/connections.rs
+++ b/crates/forward/src/connections.rs
@@ -1,4 +1,4 @@
-//! All connections of this box to endpoints.
+//! Reuse and limits of connections to endpoints.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,141 +11,138 @@
 
 use crate::{Body, Fault, connection::Connection};
 
-/// Bounds on connections.
+/// Timeouts of connections.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Time for a connection to come up.
+    /// Timeout for connecting.
     pub connect_timeout: Duration,
-    /// A connection on which sent bytes stay unacknowledged for this long is given up.
+    /// A connection fails when sent bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
     pub ack_timeout: Duration,
-    /// Rest of a connection where the endpoint does not say how long it keeps one.
+    /// Idle timeout where the endpoint sends no `Keep-Alive` timeout.
     pub idle_timeout: Duration,
-    /// A connection is not used again this long before the endpoint may close it.
+    /// Connections are not reused during this last part of the idle timeout, since the endpoint may close them.
     pub idle_margin: Duration,
 }
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
-    /// Headers, the length of the body among them.
+    /// Headers, which must include `Content-Length`.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
 }
 
-/// The answer of an endpoint.
+/// The response of an endpoint.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status and headers.
     pub head: response::Parts,
-    /// Body; reading it to its end frees the connection, dropping it closes the connection.
+    /// Reading it to its end releases the connection; dropping it earlier closes the connection.
     pub body: Body,
-    /// Whether it came on a connection that was used before.
+    /// Whether it arrived on a reused connection.
     pub reused: bool,
 }
 
-/// All connections of this box to endpoints.
+/// All connections to endpoints.
 #[derive(Debug, Clone)]
 pub struct Connections {
     options: Arc<Options>,
-    peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
+    hosts: Arc<Mutex<HashMap<SocketAddr, Host>>>,
 }
 
 #[derive(Debug, Default)]
-struct Peer {
-    resting: Vec<Connection>,
+struct Host {
+    idle: Vec<Connection>,
     open: usize,
     opened: u64,
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Starts without connections.
     pub fn new(options: Options) -> Connections {
-        Connections { options: Arc::new(options), peers: Arc::default() }
+        Connections { options: Arc::new(options), hosts: Arc::default() }
     }
 
-    /// Sends a request on a connection of its own, at most `most` of them to this address.
+    /// Sends a request on an exclusive connection; at most `max_open` may be open to this address.
     ///
     /// Dropping the future closes the connection.
     pub async fn send(
         &self,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
         request: Request,
     ) -> Result<Answer, Fault> {
-        self.connect(address, most).await?.send(request).await
+        self.connect(address, max_open).await?.send(request).await
     }
 
-    /// Finds a resting connection to an address or opens one, at most `most` of them; nothing is sent yet.
-    pub async fn connect(&self, address: SocketAddr, most: usize) -> Result<Ready, Fault> {
-        let mut place = self.place(address, most)?;
-        let reused = place.connection.is_some();
+    /// Reuses an idle connection to an address or opens one, without sending anything. At most `max_open` may be open.
+    pub async fn connect(&self, address: SocketAddr, max_open: usize) -> Result<Ready, Fault> {
+        let mut slot = self.slot(address, max_open)?;
+        let reused = slot.connection.is_some();
         if !reused {
             let opened =
                 Connection::open(address, self.options.connect_timeout, self.options.ack_timeout)
                     .await?;
-            self.peers.lock().entry(address).or_default().opened += 1;
-            place.connection = Some(opened);
+            self.hosts.lock().entry(address).or_default().opened += 1;
+            slot.connection = Some(opened);
         }
-        Ok(Ready { place, reused, options: self.options.clone() })
+        Ok(Ready { slot, reused, options: self.options.clone() })
     }
 
-    /// A place among the connections to an address, with a resting connection if there is one.
-    fn place(&self, address: SocketAddr, most: usize) -> Result<Place, Fault> {
-        let mut peers = self.peers.lock();
-        let peer = peers.entry(address).or_default();
+    /// Reserves one of the connections allowed to an address, with an idle connection if there is one.
+    fn slot(&self, address: SocketAddr, max_open: usize) -> Result<Slot, Fault> {
+        let mut hosts = self.hosts.lock();
+        let host = hosts.entry(address).or_default();
         let now = Instant::now();
-        let before = peer.resting.len();
-        peer.resting.retain(|connection| !connection.is_closed() && connection.rests_until > now);
-        peer.open -= before - peer.resting.len();
-        let ready = peer.resting.iter().rposition(Connection::is_ready);
-        let connection = ready.map(|at| peer.resting.remove(at));
+        let before = host.idle.len();
+        host.idle.retain(|connection| !connection.is_closed() && connection.reusable_until > now);
+        host.open -= before - host.idle.len();
+        let position = host.idle.iter().rposition(Connection::is_ready);
+        let connection = position.map(|at| host.idle.remove(at));
         match connection {
             Some(_) => {}
-            None if peer.open >= most => return Err(Fault::Full { most }),
-            None => peer.open += 1,
+            None if host.open >= max_open => return Err(Fault::Full { max: max_open }),
+            None => host.open += 1,
         }
-        Ok(Place { address, connection, peers: self.peers.clone() })
+        Ok(Slot { address, connection, hosts: self.hosts.clone() })
     }
 
-    /// Closes the resting connections to an address that is of no more use.
+    /// Closes the idle connections to an address that is no longer used.
     pub fn forget(&self, address: SocketAddr) {
-        let mut peers = self.peers.lock();
-        if let Some(peer) = peers.get_mut(&address) {
-            peer.open -= peer.resting.len();
-            peer.resting.clear();
+        let mut hosts = self.hosts.lock();
+        if let Some(host) = hosts.get_mut(&address) {
+            host.open -= host.idle.len();
+            host.idle.clear();
         }
-        peers.retain(|_, peer| peer.open > 0);
+        hosts.retain(|_, host| host.open > 0);
     }
 
-    /// Closes all resting connections: they may be dead without a sign of it.
+    /// Closes all idle connections, which may have broken unnoticed.
     pub fn close_idle(&self) {
-        let mut peers = self.peers.lock();
-        for peer in peers.values_mut() {
-            peer.open -= peer.resting.len();
-            peer.resting.clear();
+        let mut hosts = self.hosts.lock();
+        for host in hosts.values_mut() {
+            host.open -= host.idle.len();
+            host.idle.clear();
         }
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far to addresses in use.
     pub fn opened(&self) -> u64 {
-        self.peers.lock().values().map(|peer| peer.opened).sum()
+        self.hosts.lock().values().map(|host| host.opened).sum()
     }
 
-    /// Connections open to an address.
+    /// Number of open connections to an address.
     pub fn open(&self, address: SocketAddr) -> usize {
-        self.peers.lock().get(&address).map_or(0, |peer| peer.open)
+        self.hosts.lock().get(&address).map_or(0, |host| host.open)
     }
 }
 
-/// A connection on which a request may be sent.
+/// An established connection, ready for one request.
 #[derive(Debug)]
 pub struct Ready {
-    place: Place,
+    slot: Slot,
     reused: bool,
     options: Arc<Options>,
 }
@@ -153,79 +150,79 @@
 impl Ready {
     /// Sends a request. Dropping the future closes the connection.
     pub async fn send(mut self, request: Request) -> Result<Answer, Fault> {
-        let connection = self.place.connection.as_mut().expect("it is there until it is given up");
+        let connection = self.slot.connection.as_mut().expect("a ready connection is present");
         let response = connection.send(outgoing(request)).await?;
-        let rest = rest(&response, &self.options);
-        let lease = Lease { place: self.place, rest, options: self.options };
+        let idle_time = idle_time(&response, &self.options);
+        let lease = Lease { slot: self.slot, idle_time, options: self.options };
         let (head, body) = response.into_parts();
         Ok(Answer { head, body: Body::new(body, lease), reused: self.reused })
     }
 
-    /// Gives the connection back unused.
+    /// Returns the connection unused.
     pub fn release(self) {
-        let connection = self.place.connection.as_ref().map(|connection| connection.rests_until);
-        let until = connection.filter(|_| self.reused);
+        let previous = self.slot.connection.as_ref().map(|connection| connection.reusable_until);
+        let until = previous.filter(|_| self.reused);
         let fresh =
             Instant::now() + self.options.idle_timeout.saturating_sub(self.options.idle_margin);
-        self.place.keep(until.unwrap_or(fresh));
+        self.slot.keep_idle(until.unwrap_or(fresh));
     }
 }
 
-/// How long the connection of an answer may rest; `None` if it ends with the answer.
-fn rest(response: &Response<Incoming>, options: &Options) -> Option<Duration> {
+/// How long the connection may stay idle after a response; `None` if it closes with the response.
+fn idle_time(response: &Response<Incoming>, options: &Options) -> Option<Duration> {
     let headers = response.headers();
-    let ends = headers
+    let closes = headers
         .get_all(header::CONNECTION)
         .iter()
         .any(|value| value.as_bytes().to_ascii_lowercase().windows(5).any(|w| w == b"close"));
-    let rest = kept_for(headers).unwrap_or(options.idle_timeout);
-    (!ends).then(|| rest.saturating_sub(options.idle_margin))
+    let timeout = keep_alive_timeout(headers).unwrap_or(options.idle_timeout);
+    (!closes).then(|| timeout.saturating_sub(options.idle_margin))
 }
 
-/// One of the connections that may be open to an address, counted while this lives.
+/// One of the connections allowed to an address; counted as open until dropped.
 #[derive(Debug)]
-struct Place {
+struct Slot {
     address: SocketAddr,
     connection: Option<Connection>,
-    peers: Arc<Mutex<HashMap<SocketAddr, Peer>>>,
+    hosts: Arc<Mutex<HashMap<SocketAddr, Host>>>,
 }
 
-impl Place {
-    /// Keeps the connection for the next request.
-    fn keep(mut self, until: Instant) {
+impl Slot {
+    /// Keeps the connection idle for the next request.
+    fn keep_idle(mut self, until: Instant) {
         let Some(mut connection) = self.connection.take() else { return };
-        connection.rests_until = until;
-        let mut peers = self.peers.lock();
-        let peer = peers.entry(self.address).or_default();
-        // What `drop` counts down when this ends stays counted for the resting connection.
-        peer.open += 1;
-        peer.resting.push(connection);
+        connection.reusable_until = until;
+        let mut hosts = self.hosts.lock();
+        let host = hosts.entry(self.address).or_default();
+        // Offsets the decrement in `drop`: the idle connection stays open.
+        host.open += 1;
+        host.idle.push(connection);
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        let mut peers = self.peers.lock();
-        if let Some(peer) = peers.get_mut(&self.address) {
-            peer.open = peer.open.saturating_sub(1);
+        let mut hosts = self.hosts.lock();
+        if let Some(host) = hosts.get_mut(&self.address) {
+            host.open = host.open.saturating_sub(1);
         }
     }
 }
 
-/// The connection of an answer that is being read.
+/// The connection of a response whose body is being read.
 #[derive(Debug)]
 pub struct Lease {
-    place: Place,
-    rest: Option<Duration>,
+    slot: Slot,
+    idle_time: Option<Duration>,
     options: Arc<Options>,
 }
 
 impl Lease {
-    /// The answer was read to its end.
+    /// Releases the connection after the end of the response.
     pub fn end(self) {
         debug_assert!(self.options.idle_margin <= self.options.idle_timeout);
-        if let Some(rest) = self.rest {
-            self.place.keep(Instant::now() + rest);
+        if let Some(idle_time) = self.idle_time {
+            self.slot.keep_idle(Instant::now() + idle_time);
         }
     }
 }
@@ -239,8 +236,8 @@
     outgoing
 }
 
-/// Seconds that `Keep-Alive: timeout=N` grants.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// The idle timeout of `Keep-Alive: timeout=N`.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,12 +1,12 @@
-//! Time, also that for which the box was suspended.
+//! Time that includes suspension of the box.
 //!
-//! The steady clock, by which all timers run, stands still while a box is suspended. Whatever a caller, an
-//! endpoint or another box relies on goes by the time that passed for them: how long a request has, how old
-//! news is, for how long something counts. Those ages are taken from here.
+//! The monotonic clock, which drives all timers, stops while a box is suspended. Request deadlines,
+//! ages of updates and expiry times go by real time, as callers, endpoints and other boxes see it;
+//! they are measured with [`Moment`].
 //!
-//! [`Watchdog`] notices that the box did not run for a while, suspended or held up in another way. What it knows
-//! is old then, and connections may be dead without a sign of it, so that everything is read anew; requests
-//! wait for that, a moment at most.
+//! [`Watchdog`] detects that the box was suspended or did not run for a while. What it knows may
+//! then be stale and its connections dead, so it closes its connections and reads all state again.
+//! Requests wait for that for a short time.
 
 use std::{
     fmt,
@@ -24,59 +24,61 @@
     time::{Instant, sleep, timeout_at},
 };
 
-/// Time between two looks whether the box runs.
-const BEAT: Duration = Duration::from_millis(250);
-/// Time without a beat after which what is known counts as old: four beats, so that a busy box that is late
-/// by some of them reads nothing anew. Half of the shortest bound on news, 2 s on small deployments.
-const HELD_UP: Duration = Duration::from_millis(1_000);
-/// Longest wait of a request for news after the box was held up: a read of a store that is slow. Without it a
-/// box that slept through a drain sends to an endpoint that left.
-const FRESH_WITHIN: Duration = Duration::from_millis(400);
-
-/// Says for how long the box was suspended.
+/// Interval between checks that the box runs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Time without a check after which the box counts as suspended. Four intervals, so that a busy box
+/// does not count as suspended, and half of the shortest bound on the age of state, which is 2 s on
+/// small deployments.
+const SUSPENDED_AFTER: Duration = Duration::from_millis(1_000);
+/// Longest time that a request waits for state to be read again after a suspension; covers a read
+/// of a slow store. Without the wait, a box that was suspended during a drain sends requests to
+/// endpoints that have left.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Source of time that knows how long the box was suspended.
 #[derive(Debug, Clone)]
 pub struct Clock(Source);
 
 #[derive(Debug, Clone)]
 enum Source {
     System,
-    /// Milliseconds, set by a test.
-    ByHand(Arc<AtomicU64>),
+    /// Milliseconds of suspension, set by a test.
+    Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// The clocks of the system.
+    /// The system's clocks.
     pub fn system() -> Clock {
         Clock(Source::System)
     }
 
-    /// A box that is suspended only when [`Clock::suspend`] says so.
+    /// A clock on which the box is suspended only by [`Clock::suspend`].
     pub fn manual() -> Clock {
-        Clock(Source::ByHand(Arc::default()))
+        Clock(Source::Manual(Arc::default()))
     }
 
-    /// The box was suspended for so long, if this is a clock by hand.
+    /// Simulates a suspension on a manual clock; does nothing on the system's.
     pub fn suspend(&self, time: Duration) {
         match &self.0 {
             Source::System => {}
-            Source::ByHand(ms) => {
+            Source::Manual(ms) => {
                 ms.fetch_add(time.as_millis() as u64, Ordering::Relaxed);
             }
         }
     }
 
-    /// Time for which the box was suspended so far.
+    /// Total time that the box was suspended.
     fn suspended(&self) -> Duration {
         match &self.0 {
             Source::System => {
-                let steady = duration(clock_gettime(ClockId::Monotonic));
-                duration(clock_gettime(ClockId::Boottime)).saturating_sub(steady)
+                let monotonic = duration(clock_gettime(ClockId::Monotonic));
+                duration(clock_gettime(ClockId::Boottime)).saturating_sub(monotonic)
             }
-            Source::ByHand(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
+            Source::Manual(ms) => Duration::from_millis(ms.load(Ordering::Relaxed)),
         }
     }
 
-    /// This moment.
+    /// The current moment.
     pub fn now(&self) -> Moment {
         Moment { clock: self.clone(), at: Instant::now(), suspended: self.suspended() }
     }
@@ -86,7 +88,7 @@
     Duration::new(time.tv_sec.try_into().unwrap_or(0), time.tv_nsec.try_into().unwrap_or(0))
 }
 
-/// A moment, from which time is counted whether the box runs or not.
+/// A moment in time whose age includes suspension.
 #[derive(Debug, Clone)]
 pub struct Moment {
     clock: Clock,
@@ -95,44 +97,44 @@
 }
 
 impl Moment {
-    /// The same moment of the steady clock.
+    /// The same moment on the monotonic clock.
     pub fn at(&self) -> Instant {
         self.at
     }
 
-    /// Time since then.
+    /// Time since this moment, including suspension.
     pub fn elapsed(&self) -> Duration {
         self.at.elapsed() + self.suspended()
     }
 
-    /// Time since then for which the box was suspended.
+    /// Time since this moment that the box was suspended.
     pub fn suspended(&self) -> Duration {
         self.clock.suspended().saturating_sub(self.suspended)
     }
 }
 
-/// A part of what a box knows that must not be old.
+/// State that must be read again after a suspension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dataset {
     /// The configuration.
     Config,
-    /// Which endpoints take work.
+    /// The endpoints.
     Endpoints,
 }
 
-/// Notices that the box did not run for a while.
+/// Detects that the box was suspended or did not run for a while.
 #[derive(Debug, Clone)]
 pub struct Watchdog(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
     clock: Clock,
-    last: Mutex<Moment>,
+    last_check: Mutex<Moment>,
     state: watch::Sender<State>,
     forget: Forget,
 }
 
-/// Closes connections that may be dead, before anything is read anew.
+/// Closes connections that may be dead, before state is read again.
 struct Forget(Box<dyn Fn() + Send + Sync>);
 
 impl fmt::Debug for Forget {
@@ -143,13 +145,13 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Times that the box was held up.
+    /// Number of suspensions so far.
     suspensions: u64,
-    /// Which of them each part was read anew after.
+    /// Number of suspensions when the last read of each dataset began.
     config: u64,
     endpoints: u64,
-    /// Until when requests wait for that.
-    until: Option<Instant>,
+    /// Until when requests wait for state to be read again.
+    deadline: Option<Instant>,
 }
 
 impl State {
@@ -159,26 +161,27 @@
 }
 
 impl Watchdog {
-    /// The box runs. `forget` closes connections that may be dead once it was held up.
+    /// Creates a watchdog; after each suspension it calls `forget`, which closes connections that
+    /// may be dead.
     pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
-        let last = Mutex::new(clock.now());
+        let last_check = Mutex::new(clock.now());
         let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
-        Watchdog(Arc::new(Shared { clock, last, state, forget }))
+        Watchdog(Arc::new(Shared { clock, last_check, state, forget }))
     }
 
-    /// Looks for as long as the box runs.
+    /// Checks periodically for as long as the box runs.
     pub async fn run(self) {
         loop {
-            sleep(BEAT).await;
-            self.beat();
+            sleep(CHECK_INTERVAL).await;
+            self.check();
         }
     }
 
-    fn beat(&self) {
+    fn check(&self) {
         let now = self.0.clock.now();
-        let before = std::mem::replace(&mut *self.0.last.lock(), now);
-        let (gap, suspended) = (before.elapsed(), before.suspended());
-        if gap <= HELD_UP {
+        let previous = std::mem::replace(&mut *self.0.last_check.lock(), now);
+        let (gap, suspended) = (previous.elapsed(), previous.suspended());
+        if gap <= SUSPENDED_AFTER {
             return;
         }
         let (gap_ms, suspended_ms) = (gap.as_millis() as u64, suspended.as_millis() as u64);
@@ -186,42 +189,42 @@
         (self.0.forget.0)();
         self.0.state.send_modify(|state| {
             state.suspensions += 1;
-            state.until = Some(Instant::now() + FRESH_WITHIN);
+            state.deadline = Some(Instant::now() + REFRESH_TIMEOUT);
         });
     }
 
-    /// How often the box was held up so far: what was asked for before the last time may be old.
+    /// Number of suspensions so far. What was requested before the last one may be stale.
     pub fn suspensions(&self) -> u64 {
-        self.beat();
+        self.check();
         self.0.state.borrow().suspensions
     }
 
-    /// Waits until the box was held up once more than `suspensions`.
+    /// Waits for a suspension after the first `suspensions` ones.
     pub async fn next_suspension(&self, suspensions: u64) {
-        // The sender lives as long as `self`.
+        // Cannot fail: `self` holds the sender.
         let _ = self.0.state.subscribe().wait_for(|state| state.suspensions > suspensions).await;
     }
 
-    /// A part was read, by a call that began when the box had been held up so often.
-    pub fn read(&self, part: Dataset, suspensions: u64) {
+    /// Records a read that began after this many suspensions.
+    pub fn mark_read(&self, dataset: Dataset, suspensions: u64) {
         self.0.state.send_if_modified(|state| {
-            let of = match part {
+            let last_read = match dataset {
                 Dataset::Config => &mut state.config,
                 Dataset::Endpoints => &mut state.endpoints,
             };
-            let is_news = *of < suspensions;
-            *of = suspensions.max(*of);
-            is_news
+            let is_newer = *last_read < suspensions;
+            *last_read = suspensions.max(*last_read);
+            is_newer
         });
     }
 
-    /// Waits until what is known was read since the box was held up last, for a moment at most.
+    /// Waits until all state was read after the last suspension; gives up after a short time.
     pub async fn wait_until_fresh(&self) {
-        self.beat();
+        self.check();
         let mut state = self.0.state.subscribe();
-        let until = state.borrow().until;
-        let Some(until) = until.filter(|until| *until > Instant::now()) else { return };
-        // Old news are better than none.
-        let _ = timeout_at(until, state.wait_for(State::is_fresh)).await;
+        let deadline = state.borrow().deadline;
+        let Some(deadline) = deadline.filter(|deadline| *deadline > Instant::now()) else { return };
+        // On a timeout the request goes on with stale state.
+        let _ = timeout_at(deadline, state.wait_for(State::is_fresh)).await;
     }
 }
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -1,4 +1,4 @@
-//! What boxes ask and tell each other, and what came of it.
+//! Requests to other boxes, and their results.
 
 use std::{
     collections::BTreeMap,
@@ -13,32 +13,32 @@
 use tokio::time::Instant;
 use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
 
-use super::{LEAVES, Peers, REST};
+use super::{Peers, SILENT_RETRY_DELAY, STOPPING_RETRY_DELAY};
 
-/// Longest wait for an answer. What arrives until then is taken over, also if the request that
-/// asked has gone: tokens passed on would be stranded otherwise.
-const LENT_WITHIN: Duration = Duration::from_millis(1_000);
-/// Longest wait for the witness to take a promise; a request may be waiting for it. Many times
-/// the way there and back between availability zones.
-const PROMISE_WITHIN: Duration = Duration::from_millis(150);
-/// Longest wait of a start for the witness of the box's earlier life: the boxes know each other
-/// for longer than this before the first tokens are granted.
-const SEAL_WITHIN: Duration = Duration::from_millis(400);
-/// Longest wait until another box heard of a prompt, which an engine reads in less, or of a report.
-pub(super) const TOLD_WITHIN: Duration = Duration::from_millis(200);
-/// Longest wait until another box took pages of bills: some 200 KB each over a narrow link.
-const BILLS_WITHIN: Duration = Duration::from_millis(500);
-/// Boxes that take pages of bills over.
-const BILLS_WITH: usize = 2;
+/// Timeout of a loan. An answer within it is accepted even if the request that needed the tokens
+/// has ended; they would be stranded otherwise.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a promise, for which a request may be waiting: many round trips between availability
+/// zones.
+const PROMISE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of sealing a promise, at the start of a box: the boxes know each other for longer than
+/// this before they are granted tokens.
+const SEAL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a published prompt, which endpoints process in less time, and of other notifications.
+pub(super) const NOTIFY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of handing over a page of bills: some 200 KB over a slow link.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Boxes that bills are handed over to.
+const HAND_OVER_COPIES: usize = 2;
 
-/// What a witness says of a life that ended.
+/// What a witness reports of an incarnation that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WitnessReply {
-    /// What that one certainly left untouched, by customer.
+    /// Tokens that it certainly left untouched, by customer.
     Untouched(BTreeMap<Arc<str>, u64>),
-    /// It was promised nothing, or died itself: nobody knows.
+    /// The witness has no promise, or has ended itself: nothing is known.
     Nothing,
-    /// It did not answer.
+    /// The witness did not answer.
     NoAnswer,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What was left untouched, if the witness knows.
+    /// Tokens left untouched, if the witness knows them.
     pub fn untouched(&self) -> Option<&BTreeMap<Arc<str>, u64>> {
         match self {
             WitnessReply::Untouched(tokens) => Some(tokens),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A prompt that other boxes were told of, until it was read.
+/// A published prompt; when dropped, it is published that the endpoint has processed the prompt.
 #[derive(Debug)]
 pub struct PromptNotice {
     peers: Peers,
@@ -72,122 +72,127 @@
     fn drop(&mut self) {
         self.prompt.size = 0;
         self.prompt.blocks = Arc::default();
-        self.peers.tell(&self.prompt);
+        self.peers.publish(&self.prompt);
     }
 }
 
-/// Whether a box knows what it was told.
+/// Whether a box received a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// It does.
+    /// It was accepted.
     Taken,
-    /// It certainly does not; what it was told before, it knows.
+    /// It was certainly not accepted; an earlier one is still in force.
     Not,
-    /// It knows nothing of this box any more: it is about to stop, or a later start of it answers.
+    /// The box is about to stop or has restarted, and has forgotten all earlier messages too.
     Gone,
-    /// It may.
+    /// It may have been accepted.
     Unknown,
 }
 
-/// What came of asking a box.
+/// Result of a request.
 #[derive(Debug)]
-pub(super) enum Heard {
-    /// It answered.
+pub(super) enum Reply {
+    /// The box answered.
     Frame(Frame),
-    /// Another start of the box answered: the one that was asked has ended.
+    /// A later incarnation of the box answered: the one that was asked has ended.
     Replaced,
     /// No answer.
     Nothing,
 }
 
 impl Peers {
-    /// Listens to a home once; `None` if it does not answer in time, or does not look at the store.
-    pub async fn listen(&self, listen: Subscribe, within: Duration) -> Option<Update> {
-        let home = listen.watcher.clone();
-        let peer = self.peer(&home)?;
-        match self.ask(&home, &peer, Frame::Subscribe(listen), within).await {
-            Heard::Frame(Frame::Update(news)) => Some(news),
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+    /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
+    pub async fn subscribe(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
+        let watcher = listen.watcher.clone();
+        let peer = self.peer(&watcher)?;
+        match self.ask(&watcher, &peer, Frame::Subscribe(listen), timeout).await {
+            Reply::Frame(Frame::Update(update)) => Some(update),
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
-    /// Asks a keeper, or tells it; `None` if it did not answer, or not as this life of it.
-    pub async fn draw(&self, keeper: &Incarnation, draw: Draw, within: Duration) -> Option<Drawn> {
+    /// Sends usage and demand to a keeper; `None` if that incarnation of it did not answer.
+    pub async fn draw(&self, keeper: &Incarnation, draw: Draw, timeout: Duration) -> Option<Drawn> {
         let peer = self.peer(keeper)?;
-        match self.ask(keeper, &peer, Frame::Draw(draw), within).await {
-            Heard::Frame(Frame::Drawn(drawn)) => {
-                if drawn.leaves {
-                    self.rest(keeper, LEAVES);
+        match self.ask(keeper, &peer, Frame::Draw(draw), timeout).await {
+            Reply::Frame(Frame::Drawn(drawn)) => {
+                if drawn.is_stopping {
+                    self.avoid_for(keeper, STOPPING_RETRY_DELAY);
                 }
                 Some(drawn)
             }
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
-    /// Tells other boxes of a large prompt that this one sent to an endpoint; those that do not
-    /// answer do not matter. When what is returned is dropped, they are told that it was read.
+    /// Publishes a large prompt that this box sent to an endpoint. Delivery is best effort. When
+    /// the returned value is dropped, it is published that the prompt was processed.
     pub fn publish_prompt(&self, endpoint: &Arc<str>, prefix: &Prefix, size: u64) -> PromptNotice {
         let number = self.prompts.fetch_add(1, Ordering::Relaxed);
         let (endpoint, blocks) = (endpoint.clone(), prefix.hashes());
         let prompt = Prompt { endpoint, number, size, blocks };
-        self.tell(&prompt);
+        self.publish(&prompt);
         PromptNotice { peers: self.clone(), prompt }
     }
 
-    fn tell(&self, prompt: &Prompt) {
-        // There is none while the process ends.
+    fn publish(&self, prompt: &Prompt) {
+        // Dropped after the runtime has shut down: nothing can be sent.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else { return };
         for name in self.prompt_recipients() {
             let Some(peer) = self.peer(&name) else { continue };
             let (peers, frame) = (self.clone(), Frame::Prompt(prompt.clone()));
-            runtime.spawn(async move { peers.ask(&name, &peer, frame, TOLD_WITHIN).await });
+            runtime.spawn(async move { peers.ask(&name, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
-    /// Tells a box what this one keeps untouched from now on.
+    /// Sends a promise to this box's witness.
     pub async fn promise(&self, witness: &Incarnation, promise: Promise) -> Delivery {
         let number = promise.number;
         let Some(peer) = self.peer(witness) else { return Delivery::Not };
-        match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_WITHIN).await {
-            Heard::Frame(Frame::Promised { number: taken }) if taken == number => Delivery::Taken,
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => Delivery::Gone,
-            Heard::Frame(Frame::Refused { .. }) => Delivery::Not,
-            Heard::Frame(_) | Heard::Nothing => Delivery::Unknown,
+        match self.ask(witness, &peer, Frame::Promise(promise), PROMISE_TIMEOUT).await {
+            Reply::Frame(Frame::Promised { number: accepted }) if accepted == number => {
+                Delivery::Taken
+            }
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => Delivery::Gone,
+            Reply::Frame(Frame::Refused { .. }) => Delivery::Not,
+            Reply::Frame(_) | Reply::Nothing => Delivery::Unknown,
         }
     }
 
-    /// Gives pages of bills to boxes that write them; says which took them. One of those may be killed before it reaches
-    /// the store, so that two of them have each page; it is there once, whoever writes it first.
+    /// Hands over pages of bills to other boxes, which write them; returns those that accepted.
+    /// Each page goes to two boxes, since one may die before it reaches the store; the page is
+    /// stored once, whoever writes it first.
     pub async fn hand_over_bills(&self, pages: &[BillPage]) -> Vec<Incarnation> {
-        let mut took = Vec::new();
-        for (name, peer) in self.in_reach() {
+        let mut accepted = Vec::new();
+        for (name, peer) in self.some_reachable() {
             let frame = Frame::HandOver { to: name.clone(), pages: pages.to_vec() };
-            if let Heard::Frame(Frame::Done) = self.ask(&name, &peer, frame, BILLS_WITHIN).await {
-                took.push(name);
+            if let Reply::Frame(Frame::Done) =
+                self.ask(&name, &peer, frame, HAND_OVER_TIMEOUT).await
+            {
+                accepted.push(name);
             }
-            if took.len() >= BILLS_WITH {
+            if accepted.len() >= HAND_OVER_COPIES {
                 break;
             }
         }
-        took
+        accepted
     }
 
-    /// Asks the witness of a life that ended what that one had kept, and to take no more promises from it.
+    /// Asks the witness of an incarnation that ended for its last promise, and to accept no more.
     pub async fn seal(&self, holder: &Incarnation, claim: &Claim) -> WitnessReply {
         let Claim { witness: Witness { by, term }, at } = claim;
-        let told_where = || at.map(|address| Peer::new(address, self.source));
-        let peer = self.peer(by).or_else(|| self.peer_of_box(by)).or_else(told_where);
+        let last_known = || at.map(|address| Peer::new(address, self.source));
+        let peer = self.peer(by).or_else(|| self.current_peer(by)).or_else(last_known);
         let Some(peer) = peer else { return WitnessReply::NoAnswer };
         let frame = Frame::Seal { holder: holder.clone(), term: *term };
-        match self.ask(by, &peer, frame, SEAL_WITHIN).await {
-            Heard::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
-            Heard::Frame(Frame::Sealed { tokens: None }) | Heard::Replaced => WitnessReply::Nothing,
-            Heard::Frame(_) | Heard::Nothing => WitnessReply::NoAnswer,
+        match self.ask(by, &peer, frame, SEAL_TIMEOUT).await {
+            Reply::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
+            Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => WitnessReply::Nothing,
+            Reply::Frame(_) | Reply::Nothing => WitnessReply::NoAnswer,
         }
     }
 
-    /// Asks a box for tokens.
+    /// Borrows tokens from another box.
     pub async fn borrow(
         &self,
         name: &Incarnation,
@@ -196,54 +201,55 @@
     ) -> Option<Transfer> {
         let peer = self.peer(name)?;
         let frame = Frame::Lend { budget: customer.clone(), tokens };
-        match self.ask(name, &peer, frame, LENT_WITHIN).await {
-            Heard::Frame(Frame::Lent { transfer }) => {
+        match self.ask(name, &peer, frame, BORROW_TIMEOUT).await {
+            Reply::Frame(Frame::Lent { transfer }) => {
                 transfer.filter(|transfer| transfer.from == *name && transfer.to == self.me)
             }
-            Heard::Frame(_) | Heard::Replaced | Heard::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
         }
     }
 
-    /// Tells the homes of news of a report; what they miss, the store tells.
+    /// Publishes a crash report to the watchers; those that miss it read it from the store.
     pub fn publish_crash(&self, name: &Arc<str>, report: &Report) {
         let watchers = self.watchers();
-        for home in watchers.all().filter(|home| **home != self.me) {
-            let Some(peer) = self.peer(home) else { continue };
+        for watcher in watchers.all().filter(|watcher| **watcher != self.me) {
+            let Some(peer) = self.peer(watcher) else { continue };
             let frame = Frame::Crash { name: name.clone(), report: report.clone() };
-            let (peers, home) = (self.clone(), home.clone());
-            tokio::spawn(async move { peers.ask(&home, &peer, frame, TOLD_WITHIN).await });
+            let (peers, watcher) = (self.clone(), watcher.clone());
+            tokio::spawn(async move { peers.ask(&watcher, &peer, frame, NOTIFY_TIMEOUT).await });
         }
     }
 
-    /// Asks a box.
+    /// Sends a request to a box and records whether it is reachable.
     pub(super) async fn ask(
         &self,
         name: &Incarnation,
         peer: &Peer,
         frame: Frame,
-        within: Duration,
-    ) -> Heard {
+        timeout: Duration,
+    ) -> Reply {
         let topic = frame.topic();
-        let asked = peer.ask_counted(&self.message(frame), within).await;
+        let asked = peer.ask_with_size(&self.message(frame), timeout).await;
         let answered = asked.map(|(answer, size)| {
-            self.note_heard();
-            self.traffic.add(topic, self.is_near(name), size);
+            self.record_contact();
+            self.traffic.add(topic, self.is_same_zone(name), size);
             answer
         });
         match answered {
             Ok(answer) if answer.from != *name => {
                 let (peer, now) = (name.as_str(), answer.from.as_str());
                 tracing::info!(event = "peer_replaced", peer, now);
-                // A box has one life at a time; of another box at its address nothing follows.
+                // A box has one incarnation at a time. An answer from a different box proves
+                // nothing about it.
                 match answer.from.box_name() == name.box_name() {
                     true => {
                         self.replace(name, &answer.from);
-                        Heard::Replaced
+                        Reply::Replaced
                     }
                     false => {
-                        self.rest(name, REST);
-                        self.note_unknown();
-                        Heard::Nothing
+                        self.avoid_for(name, SILENT_RETRY_DELAY);
+                        self.report_stale_list();
+                        Reply::Nothing
                     }
                 }
             }
@@ -255,20 +261,20 @@
                         reason = &**reason
                     );
                 }
-                Heard::Frame(answer.frame)
+                Reply::Frame(answer.frame)
             }
             Err(error) => {
                 tracing::info!(event = "peer_silent", peer = name.as_str(), %error);
-                self.state.lock().silent = Some(Instant::now());
-                self.rest(name, REST);
-                Heard::Nothing
+                self.state.lock().last_unanswered = Some(Instant::now());
+                self.avoid_for(name, SILENT_RETRY_DELAY);
+                Reply::Nothing
             }
         }
     }
 
-    /// A frame of this box's.
+    /// Builds a message from this box.
     pub fn message(&self, frame: Frame) -> Message {
-        // The order of events does not matter here: log lines carry the times.
+        // The time stamp is not used by this kind of box.
         Message { from: self.me.clone(), stamp: Timestamp::default(), frame }
     }
 }
--- a/crates/gateway/src/fleet/watchers.rs
+++ b/crates/gateway/src/fleet/watchers.rs
@@ -1,15 +1,14 @@
-//! Which boxes look at the store for all others.
+//! Choice of the boxes that watch the store on behalf of all others.
 //!
-//! One box for each [`SERVED`], two at least, so that the loss of one costs its listeners a question and
-//! no call of the store. Only boxes with at least half of what the strongest one can carry are chosen,
-//! by rendezvous hashing, with another word than for keepers of tokens: those have work enough. They stand
-//! in as many availability zones as they can, since news is heard from the own zone where that has a home:
-//! with 3,000 endpoints, 301 boxes sent 0.316 GB from zone to zone in a day's play where homes stood anywhere,
-//! and 0.157 GB so. As many boxes stand by: they begin to look once they are asked, which is when
-//! homes are silent.
+//! There is one watcher for each [`BOXES_PER_WATCHER`] boxes and at least two, so that subscribers
+//! survive the loss of one without a call to the store. Rendezvous hashing chooses among boxes with
+//! at least half of the largest capacity; it uses another key than the choice of keepers, which
+//! have enough to do. Watchers are spread over availability zones, since subscribers prefer one in
+//! their own zone and traffic between zones costs money. As many boxes again are on standby: they
+//! start to watch when a subscriber asks them, which it does when the watchers are silent.
 //!
-//! All boxes that know the same others choose the same homes. Where they know different ones, some more
-//! boxes look, which costs calls and nothing else.
+//! Boxes that know the same fleet choose the same watchers. Where their views differ, more boxes
+//! watch, which only costs calls.
 
 use std::{cmp::Reverse, collections::BTreeMap, sync::Arc};
 
@@ -17,71 +16,72 @@
 
 use crate::fleet::keepers::Profile;
 
-/// Boxes for which one home looks. Each of its listeners asks twice a second: 100 answers of 150 bytes
-/// are a hundredth of a narrow link.
-const SERVED: usize = 50;
-/// Homes at least.
-const LEAST: usize = 2;
-/// What boxes are hashed with.
-const WORD: &str = "news";
+/// Boxes per watcher. Each subscriber asks twice a second; 100 small answers per second take one
+/// percent of a 10 Mbit/s link.
+const BOXES_PER_WATCHER: usize = 50;
+/// Minimum number of watchers.
+const MIN_WATCHERS: usize = 2;
+/// Key of the rendezvous hash.
+const HASH_KEY: &str = "news";
 
-/// Who looks, in the order in which one box asks them.
+/// Watchers, in the order in which one box asks them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Watchers {
-    /// Boxes that look.
-    pub first: Vec<Incarnation>,
-    /// Boxes that look once they are asked.
+    /// Boxes that watch the store.
+    pub active: Vec<Incarnation>,
+    /// Boxes that start to watch when they are asked.
     pub standby: Vec<Incarnation>,
 }
 
 impl Watchers {
-    /// Homes first, then those that stand by.
+    /// All watchers, then those on standby.
     pub fn all(&self) -> impl Iterator<Item = &Incarnation> {
-        self.first.iter().chain(&self.standby)
+        self.active.iter().chain(&self.standby)
     }
 
-    /// Whether a box looks without being asked.
+    /// Whether a box watches the store without being asked.
     pub fn is_active(&self, name: &Incarnation) -> bool {
-        self.first.contains(name)
+        self.active.contains(name)
     }
 }
 
-/// Chooses the homes of a fleet, as seen from one of its boxes.
+/// Chooses the watchers of a fleet, in the order of preference of one of its boxes.
 pub fn watchers(me: &Profile, others: &[Profile]) -> Watchers {
     let fleet = || others.iter().chain([me]);
     let strongest = fleet().map(|profile| profile.strength).max().unwrap_or_default();
-    let mut able: Vec<&Profile> =
+    let mut eligible: Vec<&Profile> =
         fleet().filter(|profile| profile.strength * 2 >= strongest).collect();
-    able.sort_by_key(|profile| {
-        (Reverse(member::weight(WORD, profile.name.box_name())), &profile.name)
+    eligible.sort_by_key(|profile| {
+        (Reverse(member::weight(HASH_KEY, profile.name.box_name())), &profile.name)
     });
-    let able = over_zones(able);
-    let count = (others.len() + 1).div_ceil(SERVED).max(LEAST).min(able.len());
-    let (first, rest) = able.split_at(count);
-    let near = |mut places: Vec<&Profile>| -> Vec<Incarnation> {
-        places.sort_by_key(|profile| Reverse(nearness(me, profile)));
-        places.into_iter().map(|profile| profile.name.clone()).collect()
+    let eligible = interleave_zones(eligible);
+    let count =
+        (others.len() + 1).div_ceil(BOXES_PER_WATCHER).max(MIN_WATCHERS).min(eligible.len());
+    let (first, rest) = eligible.split_at(count);
+    let preferred = |mut profiles: Vec<&Profile>| -> Vec<Incarnation> {
+        profiles.sort_by_key(|profile| Reverse(preference(me, profile)));
+        profiles.into_iter().map(|profile| profile.name.clone()).collect()
     };
     let standby = &rest[..count.min(rest.len())];
-    Watchers { first: near(first.to_vec()), standby: near(standby.to_vec()) }
+    Watchers { active: preferred(first.to_vec()), standby: preferred(standby.to_vec()) }
 }
 
-/// The first box of each zone, then the second of each, and so on.
-fn over_zones(places: Vec<&Profile>) -> Vec<&Profile> {
-    let mut seen: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
-    let mut turns: Vec<(usize, &Profile)> = Vec::with_capacity(places.len());
-    for profile in places {
-        let turn = seen.entry(&profile.zone).or_default();
-        turns.push((*turn, profile));
-        *turn += 1;
+/// Orders the first box of each zone, then the second of each, and so on.
+fn interleave_zones(profiles: Vec<&Profile>) -> Vec<&Profile> {
+    let mut counts: BTreeMap<&Arc<str>, usize> = BTreeMap::new();
+    let mut ranked: Vec<(usize, &Profile)> = Vec::with_capacity(profiles.len());
+    for profile in profiles {
+        let round = counts.entry(&profile.zone).or_default();
+        ranked.push((*round, profile));
+        *round += 1;
     }
-    turns.sort_by_key(|(turn, _)| *turn);
-    turns.into_iter().map(|(_, profile)| profile).collect()
+    ranked.sort_by_key(|(round, _)| *round);
+    ranked.into_iter().map(|(_, profile)| profile).collect()
 }
 
-/// A home of the own availability zone is asked first; among others, each box has its own order, so
-/// that homes share the listeners.
-fn nearness(me: &Profile, home: &Profile) -> (bool, u64, Arc<str>) {
-    let name = home.name.box_name();
-    (home.zone == me.zone, member::weight(me.name.box_name(), name), name.into())
+/// Preference for a watcher: those in the same availability zone first, and otherwise an order that
+/// differs between boxes, so that watchers share the subscribers.
+fn preference(me: &Profile, watcher: &Profile) -> (bool, u64, Arc<str>) {
+    let name = watcher.name.box_name();
+    (watcher.zone == me.zone, member::weight(me.name.box_name(), name), name.into())
 }
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -1,4 +1,4 @@
-//! Answers for the balancer and for scrapers of metrics.
+//! Readiness checks for the balancer, and metrics for scrapers.
 
 use std::sync::Arc;
 
@@ -22,8 +22,8 @@
     response
 }
 
-/// Whether the box takes connections: it has a configuration, room on its link, and is not being
-/// stopped.
+/// Answers whether the box accepts connections: it has a configuration, its link is not overloaded,
+/// and no stop has begun.
 pub fn answer_ready(
     context: Arc<Context>,
 ) -> impl Fn(Request<Incoming>) -> std::future::Ready<Page> + Clone + Send + 'static {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The metrics as text.
+/// Answers with the metrics as text.
 pub fn answer_metrics(
     context: Arc<Context>,
     view: View,
@@ -44,41 +44,41 @@
     move |_| {
         let metrics = &context.metrics;
         for ((operation, kind), count) in calls.snapshot() {
-            let purpose = StoreCall { operation: format!("{operation:?}"), kind: kind.to_string() };
-            metrics.calls.get_or_create(&purpose).set(count.calls as i64);
+            let call = StoreCall { operation: format!("{operation:?}"), kind: kind.to_string() };
+            metrics.calls.get_or_create(&call).set(count.calls as i64);
         }
         for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
             metrics.free.get_or_create(&budget).set(balance.free as i64);
-            metrics.kept.get_or_create(&budget).set(balance.kept as i64);
+            metrics.promised.get_or_create(&budget).set(balance.kept as i64);
             metrics.unspent.get_or_create(&budget).set(balance.unspent as i64);
         }
-        for ((topic, is_near), size) in context.peers.traffic.snapshot() {
-            let zone = if is_near { "own" } else { "other" };
+        for ((topic, is_same_zone), size) in context.peers.traffic.snapshot() {
+            let zone = if is_same_zone { "own" } else { "other" };
             for (way, bytes) in [("sent", size.sent), ("heard", size.received)] {
                 metrics.peer_bytes.get_or_create(&Flow { topic, zone, way }).set(bytes as i64);
             }
         }
         let dropped = context.dropped_log_lines.lock().as_ref().map_or(0, |count| count());
-        metrics.dropped_log_lines.set(dropped as i64);
+        metrics.dropped_lines.set(dropped as i64);
         let status = view.status();
         metrics.evacuated.set(context.endpoints.evacuated() as i64);
         metrics.cold.set(context.endpoints.count_cold() as i64);
         metrics.leaving.set(context.endpoints.count_leaving() as i64);
         metrics.backing_off.set(context.endpoints.count_backing_off() as i64);
         for (name, count) in context.endpoints.unread() {
-            metrics.unread.get_or_create(&Header { name: name.to_string() }).set(count as i64);
+            metrics.unreadable.get_or_create(&Header { name: name.to_string() }).set(count as i64);
         }
         metrics.limits.clear();
         for (endpoint, per_s) in context.endpoints.limits() {
-            let named = Endpoint { endpoint: endpoint.to_string() };
-            metrics.limits.get_or_create(&named).set(per_s);
+            let labels = Endpoint { endpoint: endpoint.to_string() };
+            metrics.limits.get_or_create(&labels).set(per_s);
         }
         let (reports, quarantined) = context.crashes.counts();
         metrics.crashes.set(reports as i64);
         metrics.quarantined.set(quarantined as i64);
         metrics.watches.set(i64::from(status.watches));
-        metrics.news_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
+        metrics.store_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
         metrics.connections.set(context.connections.opened() as i64);
         std::future::ready(page(StatusCode::OK, metrics.text()))
     }
--- a/crates/gateway/src/inbound/serve.rs
+++ b/crates/gateway/src/inbound/serve.rs
@@ -1,6 +1,7 @@
-//! Listening sockets and the connections of callers, on `hyper`'s server, which is what lies
-//! beneath `salvo`: an answer that breaks off must break its connection, and a caller that leaves
-//! must end its request at once.
+//! Listeners and connections of callers.
+//!
+//! Built directly on `hyper`: an answer that breaks off must close its connection, and a caller
+//! that disconnects must cancel its request at once.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,12 +19,12 @@
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Pause after a connection could not be accepted, for example for want of descriptors.
+/// Pause after a failed `accept`, such as for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Smallest buffer for a head that the library allows, in bytes.
-const LEAST_HEAD: usize = 8_192;
+/// Smallest head buffer that `hyper` allows, in bytes.
+const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Binds a listener; port 0 takes any free one.
+/// Binds a listener; port 0 takes any free port.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address.is_ipv4() {
         true => TcpSocket::new_v4()?,
@@ -34,10 +35,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until its task is aborted; every connection is tracked in `tasks`, and has
-/// the bounds of the moment at which it was accepted.
+/// Accepts connections until its task is aborted. Each connection is tracked in `tasks` and keeps
+/// the bounds in force when it was accepted.
 ///
-/// Once `closing` holds, each connection ends after the answer under way, or at once if it rests.
+/// Once `closing` is true, each connection closes after its current answer, or at once if it is
+/// idle.
 pub async fn accept<S, F, B>(
     listener: TcpListener,
     connections: usize,
@@ -53,9 +55,9 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let places = Arc::new(Semaphore::new(connections));
+    let slots = Arc::new(Semaphore::new(connections));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(slot) = slots.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
@@ -70,15 +72,15 @@
             metrics.callers.inc();
             connection.await;
             metrics.callers.dec();
-            drop(place);
+            drop(slot);
         });
     }
 }
 
-/// Waits until connections are to end, or for ever if nobody can say so any more.
-async fn closes(closing: &mut watch::Receiver<bool>) {
-    let gone = closing.wait_for(|closing| *closing).await.is_err();
-    if gone {
+/// Waits until connections have to close; forever if the sender is gone.
+async fn wait_closing(closing: &mut watch::Receiver<bool>) {
+    let is_sender_gone = closing.wait_for(|closing| *closing).await.is_err();
+    if is_sender_gone {
         std::future::pending::<()>().await;
     }
 }
@@ -106,17 +108,17 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.head_timeout)
-        .max_buf_size(bounds.max_head_bytes.max(LEAST_HEAD))
+        .max_buf_size(bounds.max_head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = closes(&mut closing) => {
+        () = wait_closing(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    // Callers that leave, answers that break off and heads that cannot be parsed end here; the
+    // Callers that disconnect, answers that break off and heads that cannot be parsed end here; the
     // first two have log lines of their own.
     if let Err(error) = ended {
         tracing::debug!(event = "connection_ended", %error);
--- a/crates/gateway/src/proxy/endpoints/limits.rs
+++ b/crates/gateway/src/proxy/endpoints/limits.rs
@@ -1,4 +1,4 @@
-//! What endpoints say that they take from all boxes together, as one box knows it.
+//! Rate limits that endpoints name for all boxes together, as known to this box.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,37 +7,38 @@
 use super::Endpoints;
 
 impl Endpoints {
-    /// What this box knows of how much an endpoint takes; `None` if it never heard of a limit, or of the endpoint.
+    /// The latest report of an endpoint's rate limit, which may be that it has none any more; `None` if the endpoint
+    /// is unknown or never named a limit.
     pub fn limit_notice(&self, instance: &Arc<str>) -> Option<wire::LimitNotice> {
         let now = self.now();
         let state = self.state.lock();
-        let said = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
+        let signal = state.services.values().find_map(|pool| pool.get(instance))?.limit_signal()?;
         let (sent_ms, answered_ms) =
-            (now.saturating_sub(said.sent_at), now.saturating_sub(said.answered_at));
+            (now.saturating_sub(signal.sent_at), now.saturating_sub(signal.answered_at));
         Some(wire::LimitNotice {
             endpoint: instance.clone(),
-            limit: said.limit,
+            limit: signal.limit,
             sent_ms,
             answered_ms,
         })
     }
 
-    /// Another box says what it knows of how much an endpoint takes.
-    pub fn receive_limit(&self, said: &wire::LimitNotice, by: &str) {
+    /// Accepts the report of another box of an endpoint's rate limit.
+    pub fn receive_limit(&self, notice: &wire::LimitNotice, by: &str) {
         let now = self.now();
-        let (sent_at, answered_at) = (said.sent_ms, said.answered_ms);
+        let (sent_at, answered_at) = (notice.sent_ms, notice.answered_ms);
         let (sent_at, answered_at) = (now.saturating_sub(sent_at), now.saturating_sub(answered_at));
         let mut state = self.state.lock();
         let mut pools = state.services.values_mut();
-        let known = pools.find_map(|pool| pool.get_mut(&said.endpoint));
-        if known.is_some_and(|known| {
-            known.update_limit(LimitSignal { limit: said.limit, sent_at, answered_at })
+        let endpoint = pools.find_map(|pool| pool.get_mut(&notice.endpoint));
+        if endpoint.is_some_and(|endpoint| {
+            endpoint.update_limit(LimitSignal { limit: notice.limit, sent_at, answered_at })
         }) {
-            log_limit(&said.endpoint, said.limit, by);
+            log_limit(&notice.endpoint, notice.limit, by);
         }
     }
 
-    /// This box gets no turn at an endpoint for a time.
+    /// Skips an endpoint for this time, as this box gets no permit for it.
     pub fn defer_permits(&self, service: &str, instance: &str, time: Duration) {
         let now = self.now();
         let mut state = self.state.lock();
@@ -47,17 +48,17 @@
         }
     }
 
-    /// Number of boxes that share what endpoints take; `None` while they are not known.
+    /// Number of boxes that share the rate limits; `None` until the fleet is known.
     pub fn boxes(&self) -> Option<usize> {
         self.state.lock().fleet.as_ref().map(|fleet| fleet.others.len() + 1)
     }
 
-    /// Whether a life of an endpoint is one of those that take work.
+    /// Whether an endpoint instance is listed as accepting requests.
     pub fn is_listed(&self, instance: &str) -> bool {
-        self.state.lock().found.contains_key(instance)
+        self.state.lock().listed.contains_key(instance)
     }
 
-    /// Limits that endpoints name, in requests a second.
+    /// Rate limits by endpoint instance, in requests per second.
     pub fn limits(&self) -> Vec<(Arc<str>, f64)> {
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(Pool::endpoints);
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -1,4 +1,5 @@
-//! Looking at the store: what a home does for its listeners, and a box that hears nobody for itself.
+//! Watching the store: done by watchers for their subscribers, and by a box without a source for
+//! itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,80 +14,79 @@
     sync::view::{self, View},
 };
 
-/// Pause after news of endpoints: what comes meanwhile is told by the next watch, so that a hundred
-/// endpoints that start together cost a few calls a box instead of one each. An eighth of the time
-/// within which a leaving endpoint may get no more work.
-const GATHER: Duration = Duration::from_millis(250);
-/// Time between two reads of the other boxes: as long as copies may be old.
-const BOXES_EVERY: Duration = Duration::from_secs(4);
-/// Time between two looks whether the store answers at all. A watch that waits says nothing of that, and
-/// listeners in touch rely on a home that is cut off to say so: with the times below in 1.3 s, of the
-/// 2 s after which a leaving endpoint may get no more work on small deployments. A read from a copy,
-/// at a tenth of the price of a call: 15 calls a minute.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
-/// Longest time for its answer: twice what the store takes when it is slow.
-const LOOK_WITHIN: Duration = Duration::from_millis(600);
-/// The same for the second look, after one that got no answer: answers are lost now and then.
-const LOOK_AGAIN_WITHIN: Duration = Duration::from_millis(300);
+/// Pause after changes of endpoints, so that the next watch returns further changes together. Keeps
+/// the number of calls low when many endpoints start together.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Interval between two reads of the other boxes: as long as replica reads may be out of date.
+const BOXES_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval between two probes of the store. A waiting watch does not show whether the store is
+/// reachable, and subscribers rely on their watcher to report an outage. Even with both timeouts
+/// below, that stays under the 2 s after which a leaving endpoint must get no more work in the
+/// strictest deployments. Probes read from a replica, which is cheap.
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of a probe: twice the latency of a slow store.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of the second probe, after one that got no answer: single answers get lost.
+const SECOND_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Entries of endpoints may lapse once the store was away this long: shorter than the time between two
-/// signs of life of an endpoint on any deployment known.
-const LAPSES_AFTER: Duration = Duration::from_millis(900);
+/// Entries of endpoints may expire in an outage longer than this: shorter than the heartbeat
+/// interval of endpoints in any deployment.
+const MIN_EXPIRY_OUTAGE: Duration = Duration::from_millis(900);
 
-/// What looking needs.
+/// What a watcher needs.
 #[derive(Clone)]
 pub struct Setup {
     pub store: Client,
     pub view: View,
     pub recovery: Recovery,
-    /// Tells when the box was held up: watches may be dead then without a sign.
+    /// Reports suspensions of this box, after which watches may be dead.
     pub watchdog: Watchdog,
     /// Name of this box.
     pub name: Arc<str>,
-    /// How long missing entries are kept after the store's return.
+    /// How long missing entries are kept after an outage of the store.
     pub lapse: Duration,
 }
 
-/// A box that looks; it ends when dropped.
-pub struct Looking(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
+/// Tasks that watch the store; they end when this is dropped.
+pub struct Watcher(#[allow(dead_code, reason = "tasks that live as long as this")] JoinSet<()>);
 
-impl Looking {
-    /// Starts to look.
-    pub fn spawn(setup: &Setup, probe: Probe) -> Looking {
-        setup.view.start_over();
+impl Watcher {
+    /// Starts to watch the store.
+    pub fn spawn(setup: &Setup, probe: Probe) -> Watcher {
+        setup.view.reset_loaded();
         let mut tasks = JoinSet::new();
-        tasks.spawn(look_at_store(setup.clone(), probe));
-        tasks.spawn(look_at_config(setup.clone()));
-        tasks.spawn(look_at_evacuations(setup.clone()));
-        tasks.spawn(look_at_crashes(setup.clone()));
-        tasks.spawn(look_at_endpoints(setup.clone()));
-        tasks.spawn(look_at_boxes(setup.clone()));
-        Looking(tasks)
+        tasks.spawn(probe_store(setup.clone(), probe));
+        tasks.spawn(follow_config(setup.clone()));
+        tasks.spawn(follow_evacuations(setup.clone()));
+        tasks.spawn(follow_crashes(setup.clone()));
+        tasks.spawn(follow_endpoints(setup.clone()));
+        tasks.spawn(read_boxes(setup.clone()));
+        Watcher(tasks)
     }
 }
 
-/// An outage that may have been seen already, by this box or the one that it listened to.
+/// Tracks outages of the store for one task, from an outage on that this box already knows of.
 fn outage(setup: &Setup, what: &'static str, probe: Probe) -> Outage {
     let mut outage = Outage::new(what, probe, setup.recovery.clone());
-    if let Some(since) = setup.view.away_since() {
-        outage.lost_since(since);
+    if let Some(since) = setup.view.unreachable_since() {
+        outage.set_lost_since(since);
     }
     outage
 }
 
-/// Looks whether the store answers, and says so to the other tasks and to listeners.
-async fn look_at_store(setup: Setup, probe: Probe) {
+/// Probes the store, and reports to the other tasks and to subscribers whether it answers.
+async fn probe_store(setup: Setup, probe: Probe) {
     let mut outage = outage(&setup, "store", probe);
     loop {
         match answers(&setup).await {
             Ok(()) => {
-                outage.answered();
-                setup.view.set_away(None);
-                tokio::time::sleep(LOOK_EVERY).await;
+                outage.record_success();
+                setup.view.set_unreachable(None);
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
             Err(error) => {
-                outage.failed(&error);
-                setup.view.set_away(outage.since());
+                outage.record_failure(&error);
+                setup.view.set_unreachable(outage.since());
                 outage.pause().await;
             }
         }
@@ -94,72 +94,72 @@
 }
 
 async fn answers(setup: &Setup) -> Result<(), Error> {
-    match setup.store.answers(BOXES, &setup.name, LOOK_WITHIN).await {
+    match setup.store.ping(BOXES, &setup.name, PROBE_TIMEOUT).await {
         Ok(()) => Ok(()),
-        Err(_) => setup.store.answers(BOXES, &setup.name, LOOK_AGAIN_WITHIN).await,
+        Err(_) => setup.store.ping(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
     }
 }
 
 /// Follows the operator's configuration.
-async fn look_at_config(setup: Setup) {
+async fn follow_config(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, suspensions) => view.config_read(&list.objects, suspensions),
-        Seen::Changes(changes) => {
-            changes.into_iter().filter_map(written).for_each(|object| view.config(&object));
+    let apply = |received| match received {
+        Received::All(list, suspensions) => view.load_config(&list.objects, suspensions),
+        Received::Changes(changes) => {
+            changes.into_iter().filter_map(written).for_each(|object| view.update_config(&object));
         }
     };
-    follow(&setup, "configuration", platform::CONFIG.0, seen).await;
+    follow(&setup, "configuration", platform::CONFIG.0, apply).await;
 }
 
-/// Follows which availability zones are to get no more work.
-async fn look_at_evacuations(setup: Setup) {
+/// Follows which availability zones are evacuated.
+async fn follow_evacuations(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, _) => view.evacuations_read(&list.objects, list.version),
-        Seen::Changes(changes) => view.evacuations_changed(&changes),
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_evacuations(&list.objects, list.version),
+        Received::Changes(changes) => view.update_evacuations(&changes),
     };
-    follow(&setup, "evacuations", platform::EVACUATIONS, seen).await;
+    follow(&setup, "evacuations", platform::EVACUATIONS, apply).await;
 }
 
-/// Follows which requests endpoints ended with.
-async fn look_at_crashes(setup: Setup) {
+/// Follows the reports of requests that crash endpoints.
+async fn follow_crashes(setup: Setup) {
     let view = setup.view.clone();
-    let seen = |seen| match seen {
-        Seen::All(list, _) => view.crashes_read(&list.objects),
-        Seen::Changes(changes) => view.crashes_changed(&changes),
+    let apply = |received| match received {
+        Received::All(list, _) => view.load_crashes(&list.objects),
+        Received::Changes(changes) => view.update_crashes(&changes),
     };
-    follow(&setup, "crashes", quarantine::CRASHES, seen).await;
+    follow(&setup, "crashes", quarantine::CRASHES, apply).await;
 }
 
-/// What was seen of the objects of a kind.
-enum Seen {
-    /// All of them, by a call that began when the box had been held up so often.
+/// What a list or a watch returned.
+enum Received {
+    /// All objects, with the number of suspensions before the call began.
     All(List, u64),
-    /// What changed since.
+    /// Changes since the last call.
     Changes(Vec<Change>),
 }
 
-/// Follows all objects of a kind, by lists and watches.
-async fn follow(setup: &Setup, what: &'static str, kind: &str, seen: impl Fn(Seen)) {
+/// Follows all objects of a kind, by a list and then watches.
+async fn follow(setup: &Setup, what: &'static str, kind: &str, apply: impl Fn(Received)) {
     let Setup { store, recovery, watchdog, .. } = setup;
     let mut outage = outage(setup, what, Probe::Lazy);
     loop {
         let suspensions = watchdog.suspensions();
-        let list = match store.all(kind).await {
+        let list = match store.list_all(kind).await {
             Ok(list) => list,
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
                 continue;
             }
         };
-        outage.answered();
+        outage.record_success();
         let mut from = list.version;
-        seen(Seen::All(list, suspensions));
+        apply(Received::All(list, suspensions));
         loop {
             let watched = tokio::select! {
-                watched = store.changes(kind, from) => watched,
+                watched = store.watch_kind(kind, from) => watched,
                 _ = recovery.recovered() => break,
                 () = watchdog.next_suspension(suspensions) => break,
             };
@@ -169,12 +169,12 @@
                     break;
                 }
                 Ok(watch) => {
-                    outage.answered();
+                    outage.record_success();
                     from = watch.next;
-                    seen(Seen::Changes(watch.changes));
+                    apply(Received::Changes(watch.changes));
                 }
                 Err(error) => {
-                    outage.failed(&error);
+                    outage.record_failure(&error);
                     break;
                 }
             }
@@ -188,52 +188,52 @@
 }
 
 /// Follows the entries of endpoints.
-async fn look_at_endpoints(setup: Setup) {
+async fn follow_endpoints(setup: Setup) {
     let mut outage = outage(&setup, "endpoints", Probe::Lazy);
     loop {
         let suspensions = setup.watchdog.suspensions();
-        match setup.store.all(platform::ENDPOINTS).await {
+        match setup.store.list_all(platform::ENDPOINTS).await {
             Ok(list) => {
-                heard(&setup, &mut outage);
-                setup.view.endpoints_read(&list.objects, list.version, suspensions);
+                store_answered(&setup, &mut outage);
+                setup.view.load_endpoints(&list.objects, list.version, suspensions);
                 tokio::select! {
                     () = watch_endpoints(&setup, &mut outage, list.version) => {}
                     () = setup.watchdog.next_suspension(suspensions) => {}
                 }
             }
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
             }
         }
     }
 }
 
-/// The store answered: entries may have lapsed if it had not for long.
-fn heard(setup: &Setup, outage: &mut Outage) {
+/// Records an answer of the store; after a long outage, entries may have expired.
+fn store_answered(setup: &Setup, outage: &mut Outage) {
     let since = outage.since();
-    outage.answered();
-    if let Some(since) = since.filter(|since| since.elapsed() > LAPSES_AFTER) {
+    outage.record_success();
+    if let Some(since) = since.filter(|since| since.elapsed() > MIN_EXPIRY_OUTAGE) {
         setup.view.store_returned(since, setup.lapse);
     }
 }
 
 async fn watch_endpoints(setup: &Setup, outage: &mut Outage, mut from: u64) {
     loop {
-        let watched = match setup.view.lenient_for() {
-            Some(rest) => tokio::time::timeout(rest, watch_once(setup, outage, from)).await,
+        let watched = match setup.view.grace_left() {
+            Some(left) => tokio::time::timeout(left, watch_once(setup, outage, from)).await,
             None => Ok(watch_once(setup, outage, from).await),
         };
         match watched {
-            // What is still missing now is gone.
+            // Entries that are still missing now are gone.
             Err(_) => setup.view.sweep(),
             Ok(Ok(Some(next))) => {
                 from = next;
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(BATCH_DELAY).await;
             }
             Ok(Ok(None)) => return,
             Ok(Err(error)) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 return;
             }
         }
@@ -242,9 +242,9 @@
 
 async fn watch_once(setup: &Setup, outage: &mut Outage, from: u64) -> Result<Option<u64>, Error> {
     let watch = tokio::select! {
-        watch = setup.store.changes(platform::ENDPOINTS, from) => watch?,
+        watch = setup.store.watch_kind(platform::ENDPOINTS, from) => watch?,
         lost_since = setup.recovery.recovered() => {
-            // Another task lost the store and found it again: this watch may be dead.
+            // Another task noticed an outage and its end: this watch may be dead.
             setup.view.store_returned(lost_since, setup.lapse);
             return Ok(None);
         }
@@ -253,23 +253,23 @@
         tracing::info!(event = "watch_gap", what = "endpoints", from);
         return Ok(None);
     }
-    heard(setup, outage);
-    setup.view.endpoints_changed(watch.changes, watch.next);
+    store_answered(setup, outage);
+    setup.view.update_endpoints(watch.changes, watch.next);
     Ok(Some(watch.next))
 }
 
-/// Reads the entries of the other boxes from time to time.
-async fn look_at_boxes(setup: Setup) {
+/// Reads the entries of the other boxes at intervals.
+async fn read_boxes(setup: Setup) {
     let mut outage = outage(&setup, "boxes", Probe::Lazy);
     loop {
         match setup.store.list_stale(BOXES).await {
             Ok(list) => {
-                outage.answered();
-                setup.view.boxes_read(entries(&list.objects), list.version);
-                tokio::time::sleep(BOXES_EVERY).await;
+                outage.record_success();
+                setup.view.load_boxes(entries(&list.objects), list.version);
+                tokio::time::sleep(BOXES_INTERVAL).await;
             }
             Err(error) => {
-                outage.failed(&error);
+                outage.record_failure(&error);
                 outage.pause().await;
             }
         }
--- a/crates/objects/src/resolve.rs
+++ b/crates/objects/src/resolve.rs
@@ -1,21 +1,22 @@
-//! Resolving a write whose answer was lost.
+//! Resolution of a write whose answer was lost.
 //!
-//! A conditional update can only land while the object is still at the version it expected. So
-//! after reading back there are three cases, and only one of them allows the same update again.
+//! A conditional write can only take effect while the object has the version that it expects.
+//! Reading the object back therefore tells whether the write took effect, can no longer do so, or
+//! still might.
 
-/// What reading back says about an earlier write.
+/// State of an earlier write after the object was read back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolution {
     /// The write took effect.
     Landed,
-    /// It did not, and no longer can.
+    /// The write did not take effect and no longer can.
     Lost,
-    /// It did not yet, and still could: send the identical update again.
+    /// The write has not taken effect but still might: send the identical one again.
     Open,
 }
 
-/// Resolves a write that expected `expected` (0: absent) from the version read back and whether
-/// the object carries the writer's mark.
+/// Resolves a write that expected version `expected` (0: absent) from the version that was read
+/// back and whether the object carries the writer's mark.
 pub fn resolve(expected: u64, read: u64, marked: bool) -> Resolution {
     match (marked, read == expected) {
         (true, _) => Resolution::Landed,
@@ -29,7 +30,7 @@
     use super::*;
 
     #[test]
-    fn only_an_unmoved_version_leaves_the_write_open() {
+    fn a_write_stays_open_only_at_the_expected_version() {
         let cases = [
             (4, 5, true, Resolution::Landed),
             (4, 4, false, Resolution::Open),
--- a/crates/quarantine/src/registry.rs
+++ b/crates/quarantine/src/registry.rs
@@ -1,73 +1,73 @@
-//! All reports that a box knows, and what follows from them for a request.
+//! All crash reports that a box knows, and the verdicts that follow from them.
 
 use std::{
     collections::{BTreeSet, HashMap},
     sync::Arc,
 };
 
-use crate::{Finding, Fingerprint, Report, answered::Answered};
+use crate::{Finding, Fingerprint, Report, answered::RecentAnswers};
 
-/// Reports kept at most, under 1 MB by arithmetic where each names ten requests. Those that keep a request in quarantine go
-/// last, so that a wave of other ends does not set it free.
-const MOST_REPORTS: usize = 1_024;
-/// Requests of one report that are read: more than an endpoint works on at once.
-const MOST_REQUESTS: usize = 256;
-/// Time for which a whole answer speaks for a request that endpoints end with, in milliseconds: longer than the
-/// callers of one request wait and try again.
-const RECENT: u64 = 60_000;
-/// Order of a report that the store has not taken yet: it is newer than all that it took.
-const NEWEST: u64 = u64::MAX;
+/// Maximum number of reports kept. Those that keep a request in quarantine are dropped last, so
+/// that many unrelated crashes do not free it.
+const MAX_REPORTS: usize = 1_024;
+/// Maximum number of requests that are read from one report; more than an endpoint runs at once.
+const MAX_REPORT_REQUESTS: usize = 256;
+/// How long a complete answer clears a request, in milliseconds: longer than callers wait and
+/// retry.
+const ANSWER_TTL_MS: u64 = 60_000;
+/// Order of a report that the store has not confirmed yet: later than all that it has.
+const NOT_STORED: u64 = u64::MAX;
 
-/// When a request is not run any more.
+/// When a request is quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Endpoints that ended with it.
-    pub ended: usize,
-    /// Time for which each of them counts, in seconds.
+    /// Number of crashed endpoints from which on a request is quarantined.
+    pub crashes: usize,
+    /// How long each crash counts, in seconds.
     pub keep_s: u64,
 }
 
-/// What follows for a request.
+/// Whether a request may be run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may be run.
     Allowed,
-    /// It may be run, though so many endpoints ended with it.
+    /// It may be run, although `ended` endpoints crashed with it.
     Suspect { ended: usize },
-    /// Whether it may be run hangs on ends that are not proved yet, beside this many that are.
+    /// It depends on possible crashes that are not confirmed yet, in addition to `ended` confirmed
+    /// ones.
     Unconfirmed { ended: usize },
-    /// It is not run for so many seconds.
+    /// It must not be run for `for_s` seconds.
     Quarantined { for_s: u64 },
 }
 
 #[derive(Debug)]
-struct Known {
+struct Entry {
     report: Report,
-    /// Version of the store and number of arrival: the order in which things happened.
+    /// Version in the store, then order of arrival: the order in which things happened.
     order: (u64, u64),
 }
 
-/// All reports that a box knows.
+/// All crash reports that a box knows.
 #[derive(Debug)]
 pub struct Registry {
     limits: Limits,
-    reports: HashMap<Arc<str>, Known>,
-    /// Names of the reports about a request.
-    about: HashMap<Fingerprint, BTreeSet<Arc<str>>>,
-    answered: Answered,
+    reports: HashMap<Arc<str>, Entry>,
+    /// Names of the reports that name a request.
+    by_request: HashMap<Fingerprint, BTreeSet<Arc<str>>>,
+    answered: RecentAnswers,
     arrivals: u64,
 }
 
 impl Registry {
-    /// Nothing is known yet.
     pub fn new(limits: Limits) -> Registry {
-        let (reports, about, answered) = Default::default();
-        Registry { limits, reports, about, answered, arrivals: 0 }
+        let (reports, by_request, answered) = Default::default();
+        Registry { limits, reports, by_request, answered, arrivals: 0 }
     }
 
-    /// Takes over a report, with the version that the store gave it if it has one. Returns which of its
-    /// requests this box knows to be innocent, each once: the others are to be told.
-    pub fn take(
+    /// Adds a report, with its version if it comes from the store. Returns the requests in it that
+    /// this box knows to be innocent, each only once: the caller has to report them as answered.
+    pub fn add_report(
         &mut self,
         name: &Arc<str>,
         version: Option<u64>,
@@ -76,137 +76,145 @@
         now_ms: u64,
     ) -> Vec<Fingerprint> {
         self.expire(now_s);
-        if is_old(&report, self.limits.keep_s, now_s) {
+        if is_expired(&report, self.limits.keep_s, now_s) {
             return Vec::new();
         }
         match self.reports.get_mut(name) {
-            Some(known) => {
-                known.order.0 = version.unwrap_or(known.order.0);
+            Some(entry) => {
+                entry.order.0 = version.unwrap_or(entry.order.0);
                 return Vec::new();
             }
             None => self.arrivals += 1,
         }
-        report.requests.truncate(MOST_REQUESTS);
+        report.requests.truncate(MAX_REPORT_REQUESTS);
         for request in &report.requests {
-            self.about.entry(request.clone()).or_default().insert(name.clone());
+            self.by_request.entry(request.clone()).or_default().insert(name.clone());
         }
         let requests = report.requests.clone();
-        let order = (version.unwrap_or(NEWEST), self.arrivals);
-        self.reports.insert(name.clone(), Known { report, order });
+        let order = (version.unwrap_or(NOT_STORED), self.arrivals);
+        self.reports.insert(name.clone(), Entry { report, order });
         self.trim();
-        requests.into_iter().filter(|request| self.clears(request, now_ms)).collect()
+        requests.into_iter().filter(|request| self.take_clearance(request, now_ms)).collect()
     }
 
-    /// An endpoint answered a request whole; says whether the others are to be told.
+    /// Records that an endpoint answered a request completely. Returns whether the caller has to
+    /// report that, because the request is in quarantine or about to be.
     pub fn answered(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
         self.answered.add(request, now_ms);
-        self.clears(request, now_ms)
+        self.take_clearance(request, now_ms)
     }
 
-    /// Whether this box may clear a request that is, or is about to be, in quarantine.
-    fn clears(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
-        let is_close =
-            self.about.contains_key(request) && self.ended(request).len() + 1 >= self.limits.ended;
-        is_close && self.answered.take(request, now_ms.saturating_sub(RECENT))
+    /// Whether to clear a request that is in quarantine, or would be after one more crash. True
+    /// only once per answer.
+    fn take_clearance(&mut self, request: &Fingerprint, now_ms: u64) -> bool {
+        let is_near_quarantine = self.by_request.contains_key(request)
+            && self.crashed_with(request).len() + 1 >= self.limits.crashes;
+        is_near_quarantine && self.answered.take(request, now_ms.saturating_sub(ANSWER_TTL_MS))
     }
 
-    /// Lives of endpoints that ended with a request since it was answered whole, with the second of the report.
-    fn ended(&self, request: &Fingerprint) -> HashMap<&Arc<str>, u64> {
-        let names = self.about.get(request).into_iter().flatten();
-        let about: Vec<&Known> = names.filter_map(|name| self.reports.get(name)).collect();
-        let answers = about.iter().filter(|known| known.report.finding == Finding::Answered);
-        let cleared = answers.map(|known| known.order).max().unwrap_or_default();
-        let since = about.iter().filter(|known| known.order > cleared);
-        let ends = since.filter_map(|known| match &known.report.finding {
-            Finding::Ended { endpoint } => Some((endpoint, known.report.at_s)),
+    /// Endpoint instances that crashed with a request since it was last answered completely, with
+    /// the second of the report.
+    fn crashed_with(&self, request: &Fingerprint) -> HashMap<&Arc<str>, u64> {
+        let names = self.by_request.get(request).into_iter().flatten();
+        let entries: Vec<&Entry> = names.filter_map(|name| self.reports.get(name)).collect();
+        let answers = entries.iter().filter(|entry| entry.report.finding == Finding::Answered);
+        let cleared = answers.map(|entry| entry.order).max().unwrap_or_default();
+        let since = entries.iter().filter(|entry| entry.order > cleared);
+        let crashes = since.filter_map(|entry| match &entry.report.finding {
+            Finding::Ended { endpoint } => Some((endpoint, entry.report.at_s)),
             Finding::Answered => None,
         });
-        ends.collect()
+        crashes.collect()
     }
 
-    /// What follows for a request, beside lives of endpoints of which it is not known yet whether they ended
-    /// with it. Those never put it in quarantine: that holds for a day, and they are known within milliseconds.
-    pub fn verdict(&self, request: &Fingerprint, unproved: &[Arc<str>], now_s: u64) -> Verdict {
+    /// Whether a request may be run. `unconfirmed` are endpoint instances that may have crashed with
+    /// it. They never put it in quarantine, because a quarantine lasts long and they are confirmed
+    /// within milliseconds.
+    pub fn verdict(&self, request: &Fingerprint, unconfirmed: &[Arc<str>], now_s: u64) -> Verdict {
         let keep_s = self.limits.keep_s;
-        let mut ended = self.ended(request);
+        let mut ended = self.crashed_with(request);
         ended.retain(|_, at| *at + keep_s > now_s);
-        let proved = ended.len();
-        let open: BTreeSet<_> = unproved.iter().filter(|life| !ended.contains_key(life)).collect();
-        match proved {
-            _ if proved >= self.limits.ended => {
+        let confirmed = ended.len();
+        let pending: BTreeSet<_> =
+            unconfirmed.iter().filter(|instance| !ended.contains_key(instance)).collect();
+        match confirmed {
+            _ if confirmed >= self.limits.crashes => {
                 let mut seconds: Vec<u64> = ended.into_values().collect();
                 seconds.sort_unstable();
-                // Until so many are too old that the rest is one less than what it takes.
-                let last = seconds[proved - self.limits.ended];
+                // The quarantine ends when so many crashes have expired that one fewer than needed
+                // is left.
+                let last = seconds[confirmed - self.limits.crashes];
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
-            _ if proved + open.len() >= self.limits.ended => Verdict::Unconfirmed { ended: proved },
+            _ if confirmed + pending.len() >= self.limits.crashes => {
+                Verdict::Unconfirmed { ended: confirmed }
+            }
             0 => Verdict::Allowed,
-            _ => Verdict::Suspect { ended: proved },
+            _ => Verdict::Suspect { ended: confirmed },
         }
     }
 
-    /// Whether a report counts.
+    /// Whether a report is known.
     pub fn contains(&self, name: &str) -> bool {
         self.reports.contains_key(name)
     }
 
-    /// Number of reports that count.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether no report counts.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Number of requests that are not run any more.
+    /// Number of quarantined requests.
     pub fn quarantined(&self) -> usize {
-        self.about.keys().filter(|request| self.is_quarantined(request)).count()
+        self.by_request.keys().filter(|request| self.is_quarantined(request)).count()
     }
 
     fn is_quarantined(&self, request: &Fingerprint) -> bool {
-        self.ended(request).len() >= self.limits.ended
+        self.crashed_with(request).len() >= self.limits.crashes
     }
 
-    /// Reports that are too old count no more.
+    /// Removes expired reports.
     pub fn expire(&mut self, now_s: u64) {
         let keep_s = self.limits.keep_s;
-        let old = self.reports.iter().filter(|(_, known)| is_old(&known.report, keep_s, now_s));
-        let old: Vec<Arc<str>> = old.map(|(name, _)| name.clone()).collect();
-        old.iter().for_each(|name| self.forget(name));
+        let expired =
+            self.reports.iter().filter(|(_, entry)| is_expired(&entry.report, keep_s, now_s));
+        let expired: Vec<Arc<str>> = expired.map(|(name, _)| name.clone()).collect();
+        expired.iter().for_each(|name| self.forget(name));
     }
 
-    /// A report counts no more.
+    /// Removes a report.
     pub fn forget(&mut self, name: &str) {
-        let Some(known) = self.reports.remove(name) else { return };
-        for request in &known.report.requests {
-            if let Some(names) = self.about.get_mut(request) {
+        let Some(entry) = self.reports.remove(name) else { return };
+        for request in &entry.report.requests {
+            if let Some(names) = self.by_request.get_mut(request) {
                 names.remove(name);
             }
-            if self.about.get(request).is_some_and(BTreeSet::is_empty) {
-                self.about.remove(request);
+            if self.by_request.get(request).is_some_and(BTreeSet::is_empty) {
+                self.by_request.remove(request);
             }
         }
     }
 
-    /// Drops a quarter of what is kept once it is too much, so that this is seldom.
+    /// Drops a quarter of the reports once there are too many, so that this happens rarely.
     fn trim(&mut self) {
-        if self.reports.len() <= MOST_REPORTS {
+        if self.reports.len() <= MAX_REPORTS {
             return;
         }
-        let contains =
-            |known: &Known| known.report.requests.iter().any(|it| self.is_quarantined(it));
-        let rank = |known: &Known| (contains(known), known.order);
-        let ranked = self.reports.iter().map(|(name, known)| (rank(known), name.clone()));
+        let keeps_quarantine =
+            |entry: &Entry| entry.report.requests.iter().any(|it| self.is_quarantined(it));
+        let rank = |entry: &Entry| (keeps_quarantine(entry), entry.order);
+        let ranked = self.reports.iter().map(|(name, entry)| (rank(entry), name.clone()));
         let mut ranked: Vec<((bool, _), Arc<str>)> = ranked.collect();
         ranked.sort();
-        ranked.iter().take(MOST_REPORTS / 4).for_each(|(_, name)| self.forget(name));
+        ranked.iter().take(MAX_REPORTS / 4).for_each(|(_, name)| self.forget(name));
     }
 }
 
-/// Whether a report is too old to count; one from a clock that is far ahead never would be.
-fn is_old(report: &Report, keep_s: u64, now_s: u64) -> bool {
+/// Whether a report is expired. One from far in the future counts as expired, because it would
+/// not expire in time.
+fn is_expired(report: &Report, keep_s: u64, now_s: u64) -> bool {
     report.at_s + keep_s <= now_s || report.at_s > now_s + keep_s
 }
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,8 +1,7 @@
-//! The resources that operators write: their kinds, names, specs and checks.
+//! The resources that operators write: kinds, names, specs and validation.
 //!
-//! Everything here works offline, so that `flintstall check` and the fleet's own validation give
-//! the same verdict. References between resources are checked where all of them are known, in
-//! the `config` library.
+//! Validation needs no platform, so `flintstall check` and the fleet give the same result.
+//! References between resources are checked in the `config` crate, which knows all of them.
 
 mod budget;
 mod customer;
@@ -22,7 +21,7 @@
 pub use jsonc::Violation;
 pub use key::{ApiKey, hash_secret};
 pub use kind::Kind;
-pub use name::{MAX_NAME, check_name, is_name};
+pub use name::{MAX_NAME_BYTES, check_name, is_name};
 pub use pool::{Endpoint, Engine, Pool, Workload};
 pub use route::{Class, Route};
 pub use spec::Spec;
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -41,7 +41,8 @@
             Frame::Status(reply)
         }
         Frame::Carry { by, entries } => {
-            let taken = entries.into_iter().filter(|e| shared.replicas.take(by.clone(), e.clone()));
+            let taken =
+                entries.into_iter().filter(|e| shared.replicas.insert(by.clone(), e.clone()));
             Frame::Taken { count: taken.count() as u64 }
         }
         Frame::Accepted => Frame::Objects { objects: shared.accepted.lock().texts() },
@@ -55,7 +56,7 @@
             if let Some(transfer) = &transfer {
                 let to = transfer.to.as_str().into();
                 let what = timeline::EventKind::Transferred { to, tokens: transfer.tokens };
-                shared.log.budget(&budget, what);
+                shared.log.add_for_budget(&budget, what);
             }
             Frame::Lent { transfer }
         }
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -95,7 +95,7 @@
             }
             Entered::Joined(follower) => {
                 let what = timeline::EventKind::Replayed;
-                shared.log.request(&key, &call.caller.budget, what);
+                shared.log.add_for_request(&key, &call.caller.budget, what);
                 follower
             }
             Entered::New(driver, follower) => {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -39,7 +39,7 @@
     build: impl Fn(&str) -> reqwest::RequestBuilder,
 ) -> Result<(Flight, Sent), Progress> {
     let mut tried = Vec::new();
-    let dispatch = hold.dispatch();
+    let dispatch = hold.attempt_id();
     loop {
         if hold.is_sealed() {
             let message = "this box was taken for gone before it dispatched the request";
@@ -47,7 +47,7 @@
         }
         let endpoint = flight.target.name.clone();
         let what = EventKind::Dispatched { endpoint: endpoint.clone() };
-        shared.log.request(&call.key, &call.caller.budget, what);
+        shared.log.add_for_request(&call.key, &call.caller.budget, what);
         let request = build(&flight.target.address)
             .header("x-request-id", &dispatch)
             .header("idempotency-key", format!("{}.{}", call.caller.customer, call.key))
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-use config::{Accepted, Verdict, validate, object_name};
+use config::{Accepted, Verdict, object_name, validate};
 use ledger::Incarnation;
 use member::Member;
 use objects::{Change, Error, Expect, Object, Write};
@@ -200,7 +200,8 @@
     match validate(kind, &change.name, change.version, change.value.as_deref(), version) {
         Verdict::Keep => true,
         Verdict::Invalid { reason } => {
-            let what = EventKind::Invalid { object: id.as_str().into(), reason: reason.as_str().into() };
+            let what =
+                EventKind::Invalid { object: id.as_str().into(), reason: reason.as_str().into() };
             shared.log.add(what);
             report_invalid(shared, &id, change.version, &reason).await
         }
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -80,7 +80,9 @@
     let waited = Duration::from_millis(shared.now().saturating_sub(case.sealed_at));
     let ruled = waited >= Duration::from_millis(shared.settings.money.resolve_after_ms);
     let findings = findings(shared, &journal, ruled).await;
-    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else { return };
+    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else {
+        return;
+    };
     note_resolved(shared, name, &findings);
     let destroyed = shared.config.borrow().is_destroyed(name.as_str());
     let closing = if destroyed { Closing::Destroyed } else { Closing::Sealed };
@@ -92,7 +94,7 @@
     if done && ruled {
         remove(shared, name).await;
         for budget in recovery::budgets(&journal) {
-            recovery::forget(store, &budget, name).await;
+            recovery::forget_grant(store, &budget, name).await;
         }
     }
 }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -13,7 +13,7 @@
 use parking_lot::Mutex;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use session::{Replicas, Health, Options, Sessions, Setup};
+use session::{Health, Options, Replicas, Sessions, Setup};
 use timeline::Log;
 use tokio::{sync::watch, time::Instant};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -150,7 +150,7 @@
     }
 
     /// Prepares for requests of up to `largest` tokens in a budget that has not been used here yet.
-    pub fn expect(&self, budget: &Arc<str>, largest: u64) {
+    pub fn prepare(&self, budget: &Arc<str>, largest: u64) {
         self.entry(budget).usage.lock().expect(largest);
     }
 
@@ -330,7 +330,7 @@
         let journal = self.recorder.journal();
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
-        let share = spec.map_or(0, |spec| spec.share());
+        let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
         let known_short = next.grants.get(self.me()).is_some_and(|g| g.wanted == draw.wanted);
         if draw.wanted > 0 && known_short && next == *ledger {
@@ -522,7 +522,7 @@
         let (online, offline) = (draw.online, draw.offline);
         if online + offline + returned > 0 {
             let what = timeline::EventKind::Drawn { online, offline, returned };
-            self.log.budget(&entry.budget, what);
+            self.log.add_for_budget(&entry.budget, what);
         }
         (book.version, book.ledger) = (version, Some(next));
     }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -17,9 +17,9 @@
 mod usage;
 pub mod recovery;
 
-pub use replicas::{Replicas, Peers};
 pub use funds::{Denial, Funds, Options};
 pub use health::Health;
 pub use recorder::{Failure, Recorder, Work};
+pub use replicas::{Peers, Replicas};
 pub use session::{Hold, HoldError, Session};
 pub use sessions::{Rejection, Sessions, Setup};
--- a/crates/session/src/windup.rs
+++ b/crates/session/src/recovery.rs
@@ -123,7 +123,7 @@
 }
 
 /// Removes the empty grant of an incarnation whose journal has been deleted.
-pub async fn forget(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
+pub async fn forget_grant(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
     for _ in 0..TRIES {
         let Ok(Some(object)) = store.get("ledger", budget).await else { return };
         let Ok(mut ledger) = serde_json::from_str::<Ledger>(&object.value) else { return };
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -50,7 +50,7 @@
     let put = memory.put("ledger", "bornova", ledger.to_json(), Expect::Absent).await;
     assert!(matches!(put, Write::Landed(_)));
     let session = sessions.current();
-    session.funds.expect(&"bornova".into(), 1);
+    session.funds.prepare(&"bornova".into(), 1);
     for _ in 0..RECORDS {
         let n = session.recorder.number();
         session.recorder.add(Work::HandIn(record(n), Evidence::Recorded));
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -71,7 +71,9 @@
 
 impl ScriptedEndpoint {
     /// Binds a free loopback port and answers as `script` says.
-    pub async fn spawn(script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
+    pub async fn spawn(
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
         let seen: Arc<Mutex<Seen>> = Arc::default();
@@ -153,7 +155,11 @@
     seen.lock().closed += 1;
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, connection: usize) -> Option<ReceivedRequest> {
+async fn read(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    connection: usize,
+) -> Option<ReceivedRequest> {
     let end = loop {
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
