--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -161,7 +161,7 @@
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
         let wished = tokens.max(free / 4);
-        (free >= tokens && tokens > 0).then(|| account.take(Part::Offline, wished))
+        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, wished))
     }
 
     /// Credits offline tokens that a peer passed on.
@@ -182,8 +182,8 @@
     pub fn drain(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
-            account.take(Part::Online, u64::MAX);
-            account.take(Part::Offline, u64::MAX);
+            account.remove(Part::Online, u64::MAX);
+            account.remove(Part::Offline, u64::MAX);
         }
     }
 
@@ -385,8 +385,8 @@
         let taken = {
             let mut account = entry.account.lock();
             Draw {
-                return_online: account.take(Part::Online, back.return_online),
-                return_offline: account.take(Part::Offline, back.return_offline),
+                return_online: account.remove(Part::Online, back.return_online),
+                return_offline: account.remove(Part::Offline, back.return_offline),
                 ..Draw::default()
             }
         };
