--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -4,7 +4,7 @@
 
 use ledger::{Account, Deficit, Draw, Ledger, Part, Reservation};
 use parking_lot::Mutex;
-use tokio::{sync::Mutex as Turn, time::Instant};
+use tokio::{sync::Mutex as AsyncMutex, time::Instant};
 
 use crate::usage::Usage;
 
@@ -19,7 +19,7 @@
 
 /// Last known state of the ledger object.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct CachedLedger {
     pub version: u64,
     pub ledger: Option<Ledger>,
     pub pending: Option<Pending>,
@@ -28,17 +28,22 @@
     pub read_at: Option<Instant>,
 }
 
-/// Account, usage and ledger of one budget. The lock on `book` allows one ledger write at a time.
+/// Account, usage and ledger of one budget. The lock on `cached` allows one ledger write at a time.
 pub struct Entry {
     pub budget: Arc<str>,
     pub account: Mutex<Account>,
     pub usage: Mutex<Usage>,
-    pub book: Turn<Book>,
+    pub cached: AsyncMutex<CachedLedger>,
 }
 
 impl Entry {
     pub fn new(budget: Arc<str>) -> Entry {
-        Entry { budget, account: Mutex::default(), usage: Mutex::default(), book: Turn::default() }
+        Entry {
+            budget,
+            account: Mutex::default(),
+            usage: Mutex::default(),
+            cached: AsyncMutex::default(),
+        }
     }
 
     pub fn reserve(&self, part: Part, tokens: u64) -> Result<Reservation, Deficit> {
--- a/crates/session/src/draw.rs
+++ b/crates/session/src/draw.rs
@@ -17,7 +17,7 @@
 ///
 /// The need comes first, then the online part is filled, then the offline part. If the need cannot be
 /// met, the draw asks for the missing tokens instead, so that other boxes return their surplus.
-pub fn wish(ledger: &Ledger, target: Target, free: Free) -> Draw {
+pub fn top_up(ledger: &Ledger, target: Target, free: Free) -> Draw {
     let left = ledger.left();
     let missing = free.need.saturating_sub(free.online);
     if missing > left {
@@ -26,10 +26,10 @@
     let online = target.online.saturating_sub(free.online).max(missing).min(left);
     let offline = target.offline.saturating_sub(free.offline).min(left - online);
     // A top-up waits until it is at least half of the target, to save writes.
-    let worth = |wish: u64, target: u64| if wish * 2 >= target { wish } else { 0 };
+    let large_enough = |tokens: u64, target: u64| if tokens * 2 >= target { tokens } else { 0 };
     Draw {
-        online: if missing > 0 { online } else { worth(online, target.online) },
-        offline: worth(offline, target.offline),
+        online: if missing > 0 { online } else { large_enough(online, target.online) },
+        offline: large_enough(offline, target.offline),
         ..Draw::default()
     }
 }
@@ -53,7 +53,7 @@
     use super::*;
 
     #[test]
-    fn needs_come_first_and_shortage_is_told() {
+    fn need_comes_first_and_shortage_is_requested() {
         let ledger = Ledger { paid: 100, ..Ledger::default() };
         let target = Target { online: 50, offline: 20 };
         let cases = [
@@ -69,12 +69,12 @@
             (Free { online: 40, offline: 15, need: 0 }, Draw::default()),
         ];
         for (free, want) in cases {
-            assert_eq!(wish(&ledger, target, free), want, "{free:?}");
+            assert_eq!(top_up(&ledger, target, free), want, "{free:?}");
         }
     }
 
     #[test]
-    fn surplus_returns_sooner_when_others_lack() {
+    fn surplus_is_larger_while_others_lack_tokens() {
         let target = Target { online: 50, offline: 20 };
         let free = Free { online: 90, offline: 50, need: 0 };
         let calm = surplus(target, free, 0);
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -18,17 +18,17 @@
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
-    Health, Recorder, Work,
-    account::{Book, Entry, Pending},
-    draw::{Free, surplus, wish},
+    Health, Operation, Recorder,
+    account::{CachedLedger, Entry, Pending},
+    draw::{Free, surplus, top_up},
 };
 
 /// Attempts of a ledger write before it is given up for now.
-const TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 /// Longest wait for journal writes before a ledger write.
-const FLUSH: Duration = Duration::from_secs(2);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Age up to which a cached ledger without enough tokens is used without reading it again.
-const SHORT_MEMORY: Duration = Duration::from_millis(200);
+const SHORTAGE_TTL: Duration = Duration::from_millis(200);
 
 /// How the tokens that a box holds are sized.
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,7 @@
 
 /// Why tokens could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Denial {
+pub enum ReserveError {
     /// Not enough tokens are left in the budget.
     #[snafu(display("the budget has not enough tokens left"))]
     Exhausted,
@@ -83,9 +83,9 @@
     /// Draw this many tokens for a waiting request.
     Need(u64),
     /// Regular maintenance: fold outcomes, top up and return surplus.
-    Keep,
+    Maintain,
     /// Others lack tokens: return all but what one request here needs.
-    Spare,
+    ReturnSurplus,
 }
 
 impl Funds {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn me(&self) -> &Incarnation {
+    fn incarnation(&self) -> &Incarnation {
         self.recorder.incarnation()
     }
 
@@ -156,7 +156,7 @@
 
     /// Debits offline tokens for a peer: the requested number, or a quarter of the free ones if that
     /// is more. `None` if fewer are free than requested.
-    pub fn take_offline(&self, budget: &Arc<str>, tokens: u64) -> Option<u64> {
+    pub fn debit_offline(&self, budget: &Arc<str>, tokens: u64) -> Option<u64> {
         let entry = self.entry(budget);
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
@@ -165,7 +165,7 @@
     }
 
     /// Credits offline tokens that a peer passed on.
-    pub fn give_offline(&self, budget: &Arc<str>, tokens: u64) {
+    pub fn credit_offline(&self, budget: &Arc<str>, tokens: u64) {
         self.entry(budget).account.lock().add(Part::Offline, tokens);
     }
 
@@ -173,13 +173,13 @@
     pub async fn return_surplus(&self, budget: &Arc<str>) -> bool {
         let entry = self.entry(budget);
         let before = entry.free(Part::Online) + entry.free(Part::Offline);
-        let written = self.update(&entry, Purpose::Spare).await;
+        let written = self.update(&entry, Purpose::ReturnSurplus).await;
         let after = entry.free(Part::Online) + entry.free(Part::Offline);
         written.is_ok() && after < before
     }
 
     /// Debits all free tokens, so that no more can be reserved.
-    pub fn drain(&self) {
+    pub fn debit_all(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
             account.remove(Part::Online, u64::MAX);
@@ -197,11 +197,11 @@
         self: &Arc<Self>,
         budget: &Arc<str>,
         tokens: u64,
-        within: Duration,
-    ) -> Result<Reservation, Denial> {
+        timeout: Duration,
+    ) -> Result<Reservation, ReserveError> {
         let entry = self.entry(budget);
-        let end = Instant::now() + within;
-        for _ in 0..TRIES {
+        let end = Instant::now() + timeout;
+        for _ in 0..MAX_ATTEMPTS {
             if let Ok(reservation) = entry.reserve(Part::Online, tokens) {
                 return Ok(reservation);
             }
@@ -211,100 +211,106 @@
                 tokio::spawn(async move { funds.update(&drawn, Purpose::Need(tokens)).await });
             match tokio::time::timeout_at(end, draw).await {
                 Ok(Ok(result)) => result?,
-                Ok(Err(_)) | Err(_) => return Err(Denial::Unreachable),
+                Ok(Err(_)) | Err(_) => return Err(ReserveError::Unreachable),
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 
     /// Maintains one budget: folds outcomes, tops up and returns surplus.
-    pub async fn maintain(&self, budget: &Arc<str>) -> Result<(), Denial> {
-        self.update(&self.entry(budget), Purpose::Keep).await
+    pub async fn maintain(&self, budget: &Arc<str>) -> Result<(), ReserveError> {
+        self.update(&self.entry(budget), Purpose::Maintain).await
     }
 
-    async fn update(&self, entry: &Arc<Entry>, purpose: Purpose) -> Result<(), Denial> {
-        let mut book = entry.book.lock().await;
+    async fn update(&self, entry: &Arc<Entry>, purpose: Purpose) -> Result<(), ReserveError> {
+        let mut cached = entry.cached.lock().await;
         if let Purpose::Need(tokens) = purpose
             && entry.free(Part::Online) >= tokens
         {
             return Ok(());
         }
-        self.settle_pending(entry, &mut book).await?;
-        self.forget_shortage(&mut book, &purpose);
-        self.list_drawn(entry, &mut book).await?;
-        for attempt in 0..TRIES {
-            if book.ledger.is_none() || self.is_stuck(entry, &book) {
-                self.read(entry, &mut book).await?;
+        self.resolve_pending(entry, &mut cached).await?;
+        self.drop_old_shortage(&mut cached, &purpose);
+        self.list_in_journal(entry, &mut cached).await?;
+        for attempt in 0..MAX_ATTEMPTS {
+            if cached.ledger.is_none() || self.is_too_old(entry, &cached) {
+                self.read(entry, &mut cached).await?;
             }
-            let planned = self.plan(entry, &book, &purpose).await;
+            let planned = self.plan(entry, &cached, &purpose).await;
             if planned.is_err() {
                 // The cached ledger may be too old for this box's journal.
-                book.ledger = None;
+                cached.ledger = None;
             }
             let Some((next, draw)) = planned? else { return Ok(()) };
-            match self.write(entry, &mut book, next, draw).await? {
-                true if matches!(purpose, Purpose::Keep) && self.has_more(entry, &book) => {}
-                true => return self.verdict(entry, &purpose),
+            match self.write(entry, &mut cached, next, draw).await? {
+                true if matches!(purpose, Purpose::Maintain) && self.has_more(entry, &cached) => {}
+                true => return self.check_need(entry, &purpose),
                 false => tokio::time::sleep(Duration::from_millis(u64::from(attempt) * 3)).await,
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 
-    fn verdict(&self, entry: &Entry, purpose: &Purpose) -> Result<(), Denial> {
+    fn check_need(&self, entry: &Entry, purpose: &Purpose) -> Result<(), ReserveError> {
         match purpose {
-            Purpose::Need(tokens) if entry.free(Part::Online) < *tokens => Err(Denial::Exhausted),
+            Purpose::Need(tokens) if entry.free(Part::Online) < *tokens => {
+                Err(ReserveError::Exhausted)
+            }
             _ => Ok(()),
         }
     }
 
     /// Whether the cached ledger is too old to fold the whole journal into it.
-    fn is_stuck(&self, entry: &Entry, book: &Book) -> bool {
-        let old = book.read_at.is_none_or(|at| at.elapsed() > SHORT_MEMORY);
-        let believed = book.ledger.clone().filter(|_| old);
+    fn is_too_old(&self, entry: &Entry, cached: &CachedLedger) -> bool {
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > SHORTAGE_TTL);
+        let stale = cached.ledger.clone().filter(|_| old);
         let journal = self.recorder.journal();
-        believed.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
+        stale.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
     }
 
     /// Drops a cached ledger that shows a shortage, if it is old: the shortage may be over.
-    fn forget_shortage(&self, book: &mut Book, purpose: &Purpose) {
+    fn drop_old_shortage(&self, cached: &mut CachedLedger, purpose: &Purpose) {
         let Purpose::Need(tokens) = purpose else { return };
-        let short = book.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
-        let old = book.read_at.is_none_or(|at| at.elapsed() > SHORT_MEMORY);
+        let short = cached.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > SHORTAGE_TTL);
         if short && old {
-            book.ledger = None;
+            cached.ledger = None;
         }
     }
 
     /// Lists a budget in the journal before drawing from its ledger, so that whoever seals the journal
     /// knows which ledgers may have grants.
-    async fn list_drawn(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
-        if !book.listed {
-            self.recorder.add(Work::Draw(entry.budget.clone()));
-            if !self.recorder.flush_within(FLUSH).await {
-                return Err(Denial::Unreachable);
+    async fn list_in_journal(
+        &self,
+        entry: &Entry,
+        cached: &mut CachedLedger,
+    ) -> Result<(), ReserveError> {
+        if !cached.listed {
+            self.recorder.add(Operation::Draw(entry.budget.clone()));
+            if !self.recorder.flush_within(FLUSH_TIMEOUT).await {
+                return Err(ReserveError::Unreachable);
             }
-            book.listed = true;
+            cached.listed = true;
         }
         match self.recorder.is_sealed() {
-            true => Err(Denial::Sealed),
+            true => Err(ReserveError::Sealed),
             false => Ok(()),
         }
     }
 
-    async fn read(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
+    async fn read(&self, entry: &Entry, cached: &mut CachedLedger) -> Result<(), ReserveError> {
         let read = self.store.get("ledger", &entry.budget).await;
         let found = read.map_err(|_| {
             self.health.record_failure();
-            Denial::Unreachable
+            ReserveError::Unreachable
         })?;
         self.health.record_success();
-        book.read_at = Some(Instant::now());
-        (book.version, book.ledger) = match found {
+        cached.read_at = Some(Instant::now());
+        (cached.version, cached.ledger) = match found {
             None => (0, Some(Ledger::default())),
             Some(object) => {
                 let ledger = serde_json::from_str(&object.value);
-                (object.version, Some(ledger.map_err(|_| Denial::Unreachable)?))
+                (object.version, Some(ledger.map_err(|_| ReserveError::Unreachable)?))
             }
         };
         Ok(())
@@ -314,39 +320,39 @@
     async fn plan(
         &self,
         entry: &Arc<Entry>,
-        book: &Book,
+        cached: &CachedLedger,
         purpose: &Purpose,
-    ) -> Result<Option<(Ledger, Draw)>, Denial> {
+    ) -> Result<Option<(Ledger, Draw)>, ReserveError> {
         let snapshot = self.config.borrow().clone();
-        let ledger = book.ledger.as_ref().expect("read before planning");
+        let ledger = cached.ledger.as_ref().expect("read before planning");
         let mut next = ledger.clone();
         let spec = snapshot.budgets.get(&entry.budget);
         if let Some(spec) = spec {
             next.apply_paid(spec.paid, snapshot.version(Kind::Budget, &entry.budget));
         }
-        if spec.is_none() && book.version == 0 {
-            return Err(Denial::Missing);
+        if spec.is_none() && cached.version == 0 {
+            return Err(ReserveError::Missing);
         }
         let journal = self.recorder.journal();
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
         let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
-        let known_short = next.grants.get(self.me()).is_some_and(|g| g.wanted == draw.wanted);
-        if draw.wanted > 0 && known_short && next == *ledger {
-            return Err(Denial::Exhausted);
+        let is_known = next.grants.get(self.incarnation()).is_some_and(|g| g.wanted == draw.wanted);
+        if draw.wanted > 0 && is_known && next == *ledger {
+            return Err(ReserveError::Exhausted);
         }
         if draw == Draw::default() && next == *ledger {
-            return self.verdict(entry, purpose).map(|()| None);
+            return self.check_need(entry, purpose).map(|()| None);
         }
-        match next.draw(self.me(), draw, book.writes + 1) {
+        match next.draw(self.incarnation(), draw, cached.writes + 1) {
             Ok(()) => Ok(Some((next, draw))),
             Err(error) => {
-                self.undo(entry, draw);
+                self.credit_returns(entry, draw);
                 Err(match error {
-                    ledger::Error::Sealed => Denial::Sealed,
+                    ledger::Error::Sealed => ReserveError::Sealed,
                     ledger::Error::Exhausted { .. } | ledger::Error::Misfit { .. } => {
-                        Denial::Unreachable
+                        ReserveError::Unreachable
                     }
                 })
             }
@@ -357,43 +363,43 @@
         let target = self.target(entry, next, share);
         let mut free =
             Free { online: entry.free(Part::Online), offline: entry.free(Part::Offline), need: 0 };
-        let back = match purpose {
+        let returns = match purpose {
             Purpose::Need(tokens) => {
                 free.need = *tokens;
                 Draw::default()
             }
-            Purpose::Keep => surplus(target, free, next.wanted_by_others(self.me())),
-            Purpose::Spare => {
+            Purpose::Maintain => surplus(target, free, next.wanted_by_others(self.incarnation())),
+            Purpose::ReturnSurplus => {
                 let (rate, largest, _) = entry.usage.lock().read();
                 let own = if rate > 0 { largest } else { 0 };
                 let target = ledger::Target { online: own, offline: target.offline / 4 };
                 surplus(target, free, 1)
             }
         };
-        if back != Draw::default() {
-            return self.take_back(entry, back).await;
+        if returns != Draw::default() {
+            return self.debit_returns(entry, returns).await;
         }
         match purpose {
-            Purpose::Spare => Draw::default(),
-            Purpose::Need(_) | Purpose::Keep => wish(next, target, free),
+            Purpose::ReturnSurplus => Draw::default(),
+            Purpose::Need(_) | Purpose::Maintain => top_up(next, target, free),
         }
     }
 
     /// Debits tokens to be returned, then waits until the queued journal writes are done. If they take too
     /// long, nothing is returned.
-    async fn take_back(&self, entry: &Entry, back: Draw) -> Draw {
+    async fn debit_returns(&self, entry: &Entry, returns: Draw) -> Draw {
         let taken = {
             let mut account = entry.account.lock();
             Draw {
-                return_online: account.remove(Part::Online, back.return_online),
-                return_offline: account.remove(Part::Offline, back.return_offline),
+                return_online: account.remove(Part::Online, returns.return_online),
+                return_offline: account.remove(Part::Offline, returns.return_offline),
                 ..Draw::default()
             }
         };
-        if self.recorder.flush_within(FLUSH).await {
+        if self.recorder.flush_within(FLUSH_TIMEOUT).await {
             return taken;
         }
-        self.undo(entry, taken);
+        self.credit_returns(entry, taken);
         Draw::default()
     }
 
@@ -415,8 +421,8 @@
     ///
     /// Only bills of a ledger version that is stored go on a page: their order is final, so all
     /// writers of a page write the same bills.
-    async fn write_pages(&self, entry: &Entry, landed: &Ledger, next: &mut Ledger) {
-        for (number, page) in landed.full_pages() {
+    async fn write_pages(&self, entry: &Entry, stored: &Ledger, next: &mut Ledger) {
+        for (number, page) in stored.full_pages() {
             let name = ledger::page_name(&entry.budget, number);
             let text = serde_json::to_string(&page).expect("pages always serialize");
             match self.store.put("bills", &name, text, Expect::Absent).await {
@@ -427,8 +433,8 @@
     }
 
     /// Whether another write would fold more outcomes or write another page.
-    fn has_more(&self, entry: &Entry, book: &Book) -> bool {
-        let Some(mut ledger) = book.ledger.clone() else { return false };
+    fn has_more(&self, entry: &Entry, cached: &CachedLedger) -> bool {
+        let Some(mut ledger) = cached.ledger.clone() else { return false };
         let paged = ledger.statement.recent.len() >= ledger::BILLS_PER_PAGE;
         paged || ledger.fold(&entry.budget, &self.recorder.journal()).outcomes > 0
     }
@@ -437,57 +443,62 @@
     async fn write(
         &self,
         entry: &Arc<Entry>,
-        book: &mut Book,
+        cached: &mut CachedLedger,
         next: Ledger,
         draw: Draw,
-    ) -> Result<bool, Denial> {
-        let expect = if book.version == 0 { Expect::Absent } else { Expect::Version(book.version) };
-        book.writes += 1;
+    ) -> Result<bool, ReserveError> {
+        let expect =
+            if cached.version == 0 { Expect::Absent } else { Expect::Version(cached.version) };
+        cached.writes += 1;
         let write = self.store.put("ledger", &entry.budget, next.to_json(), expect).await;
         match write {
             Write::Landed(version) => {
                 self.health.record_success();
-                self.landed(entry, book, next, draw, version);
+                self.commit(entry, cached, next, draw, version);
                 Ok(true)
             }
             Write::Refused => {
                 self.health.record_success();
-                self.undo(entry, draw);
-                book.ledger = None;
+                self.credit_returns(entry, draw);
+                cached.ledger = None;
                 Ok(false)
             }
             Write::Failed => {
                 self.health.record_failure();
-                self.undo(entry, draw);
-                Err(Denial::Unreachable)
+                self.credit_returns(entry, draw);
+                Err(ReserveError::Unreachable)
             }
             Write::Unknown => {
                 self.health.record_failure();
-                let expected = book.version;
-                book.pending = Some(Pending { expected, next, draw, write: book.writes });
-                self.settle_pending(entry, book).await?;
+                let expected = cached.version;
+                cached.pending = Some(Pending { expected, next, draw, write: cached.writes });
+                self.resolve_pending(entry, cached).await?;
                 Ok(false)
             }
         }
     }
 
     /// Determines whether a write with unknown outcome took effect, repeating it while it still may.
-    async fn settle_pending(&self, entry: &Arc<Entry>, book: &mut Book) -> Result<(), Denial> {
-        for _ in 0..TRIES {
-            let Some(pending) = book.pending.clone() else { return Ok(()) };
-            self.read(entry, book).await?;
-            let ledger = book.ledger.as_ref().expect("just read");
-            let mine = ledger.grants.get(self.me());
-            let marked = mine.is_some_and(|grant| grant.write >= pending.write);
-            match resolve(pending.expected, book.version, marked) {
+    async fn resolve_pending(
+        &self,
+        entry: &Arc<Entry>,
+        cached: &mut CachedLedger,
+    ) -> Result<(), ReserveError> {
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(pending) = cached.pending.clone() else { return Ok(()) };
+            self.read(entry, cached).await?;
+            let ledger = cached.ledger.as_ref().expect("just read");
+            let own_grant = ledger.grants.get(self.incarnation());
+            let took_effect = own_grant.is_some_and(|grant| grant.write >= pending.write);
+            match resolve(pending.expected, cached.version, took_effect) {
                 Resolution::Landed => {
-                    book.pending = None;
-                    let (version, ledger) = (book.version, ledger.clone());
-                    self.landed(entry, book, ledger, pending.draw, version);
+                    cached.pending = None;
+                    let (version, ledger) = (cached.version, ledger.clone());
+                    self.commit(entry, cached, ledger, pending.draw, version);
                 }
                 Resolution::Lost => {
-                    book.pending = None;
-                    self.undo(entry, pending.draw);
+                    cached.pending = None;
+                    self.credit_returns(entry, pending.draw);
                 }
                 Resolution::Open => {
                     let expect = match pending.expected {
@@ -498,24 +509,31 @@
                     if let Write::Failed =
                         self.store.put("ledger", &entry.budget, text, expect).await
                     {
-                        return Err(Denial::Unreachable);
+                        return Err(ReserveError::Unreachable);
                     }
                 }
             }
         }
-        match book.pending {
+        match cached.pending {
             None => Ok(()),
-            Some(_) => Err(Denial::Unreachable),
+            Some(_) => Err(ReserveError::Unreachable),
         }
     }
 
-    fn landed(&self, entry: &Arc<Entry>, book: &mut Book, next: Ledger, draw: Draw, version: u64) {
+    fn commit(
+        &self,
+        entry: &Arc<Entry>,
+        cached: &mut CachedLedger,
+        next: Ledger,
+        draw: Draw,
+        version: u64,
+    ) {
         {
             let mut account = entry.account.lock();
             account.add(Part::Online, draw.online);
             account.add(Part::Offline, draw.offline);
         }
-        if let Some(grant) = next.grants.get(self.me()) {
+        if let Some(grant) = next.grants.get(self.incarnation()) {
             self.recorder.folded(&entry.budget, grant.folded);
         }
         let returned = draw.return_online + draw.return_offline;
@@ -524,11 +542,11 @@
             let what = timeline::EventKind::Drawn { online, offline, returned };
             self.log.add_for_budget(&entry.budget, what);
         }
-        (book.version, book.ledger) = (version, Some(next));
+        (cached.version, cached.ledger) = (version, Some(next));
     }
 
     /// Credits the tokens again that were debited for a return which did not take effect.
-    fn undo(&self, entry: &Entry, draw: Draw) {
+    fn credit_returns(&self, entry: &Entry, draw: Draw) {
         let mut account = entry.account.lock();
         account.add(Part::Online, draw.return_online);
         account.add(Part::Offline, draw.return_offline);
@@ -537,36 +555,36 @@
     /// Ends this session's own grant of one budget: folds the remaining outcomes, then returns the
     /// remaining tokens. Only correct once the journal is sealed or closed, nothing is reserved and
     /// the recorder is flushed.
-    pub async fn surrender(&self, budget: &Arc<str>) -> Result<(), Denial> {
+    pub async fn end_grant(&self, budget: &Arc<str>) -> Result<(), ReserveError> {
         let entry = self.entry(budget);
-        let mut book = entry.book.lock().await;
-        self.settle_pending(&entry, &mut book).await?;
-        for _ in 0..TRIES {
-            self.read(&entry, &mut book).await?;
-            let ledger = book.ledger.as_ref().expect("just read");
+        let mut cached = entry.cached.lock().await;
+        self.resolve_pending(&entry, &mut cached).await?;
+        for _ in 0..MAX_ATTEMPTS {
+            self.read(&entry, &mut cached).await?;
+            let ledger = cached.ledger.as_ref().expect("just read");
             let mut next = ledger.clone();
             let journal = self.recorder.journal();
             if !next.fold(budget, &journal).whole {
                 // A transfer that another journal records has to be folded first.
-                return Err(Denial::Unreachable);
+                return Err(ReserveError::Unreachable);
             }
-            if !next.grants.contains_key(self.me()) {
+            if !next.grants.contains_key(self.incarnation()) {
                 return Ok(());
             }
-            let position = next.grants.get(self.me()).map_or(0, |grant| grant.folded);
+            let position = next.grants.get(self.incarnation()).map_or(0, |grant| grant.folded);
             let last = self.recorder.backlog() == 0;
             if last {
-                next.end(self.me());
+                next.end(self.incarnation());
             }
             if !last && next == *ledger {
-                return Err(Denial::Unreachable);
+                return Err(ReserveError::Unreachable);
             }
-            if self.write(&entry, &mut book, next, Draw::default()).await? {
+            if self.write(&entry, &mut cached, next, Draw::default()).await? {
                 self.recorder.folded(budget, position);
                 // Folding made room in the journal for hand-ins that are still queued.
-                return if last { Ok(()) } else { Err(Denial::Unreachable) };
+                return if last { Ok(()) } else { Err(ReserveError::Unreachable) };
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 }
--- a/crates/session/src/health.rs
+++ b/crates/session/src/health.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 /// Consecutive failed calls after which the platform counts as unreachable.
-const LOST_AFTER: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 
 /// Shared state of the platform's reachability, updated by the result of each call.
 #[derive(Debug, Clone)]
@@ -43,12 +43,12 @@
             *failures += 1;
             *failures
         };
-        if failures >= LOST_AFTER {
-            self.lost();
+        if failures >= MAX_FAILURES {
+            self.mark_unreachable();
         }
     }
 
-    fn lost(&self) {
+    fn mark_unreachable(&self) {
         let changed = self.up.send_if_modified(|up| std::mem::replace(up, false));
         if changed {
             self.log.add(timeline::EventKind::PlatformLost);
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -17,9 +17,9 @@
 mod usage;
 pub mod recovery;
 
-pub use funds::{Denial, Funds, Options};
+pub use funds::{Funds, Options, ReserveError};
 pub use health::Health;
-pub use recorder::{Failure, Recorder, Work};
+pub use recorder::{IntentError, Operation, Recorder};
 pub use replicas::{Peers, Replicas};
 pub use session::{Hold, HoldError, Session};
 pub use sessions::{Rejection, Sessions, Setup};
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -18,20 +18,20 @@
 
 use crate::Health;
 
-/// Delay after the first failed write; doubled with each further one, up to [`BACKOFF_MOST`].
-const BACKOFF: Duration = Duration::from_millis(50);
+/// Delay after the first failed write; doubled with each further one, up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Time for which a write without intents is delayed, so that it can be shared with an intent.
-const LAZY: Duration = Duration::from_millis(250);
+const BATCH_DELAY: Duration = Duration::from_millis(250);
 /// Number of records in a journal from which hand-ins have to wait, since an object is limited to 1 MB.
-const MOST_RECORDS: usize = 3_000;
+const MAX_RECORDS: usize = 3_000;
 /// Number of records above that limit that intents may add.
-const ROOM_FOR_INTENTS: usize = 500;
+const EXTRA_INTENTS: usize = 500;
 /// Longest delay after a failed write.
-const BACKOFF_MOST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Why an intent was not recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Failure {
+pub enum IntentError {
     /// The journal is sealed: the request must not be dispatched.
     #[snafu(display("the journal is sealed"))]
     Sealed,
@@ -42,7 +42,7 @@
 
 /// An operation on the journal.
 #[derive(Debug, Clone)]
-pub enum Work {
+pub enum Operation {
     /// Records the intent to dispatch a request.
     Intend(Record),
     /// Records the outcome of an intent.
@@ -55,10 +55,10 @@
     Transfer(Arc<str>, Transfer),
 }
 
-type Waiter = oneshot::Sender<Result<(), Failure>>;
+type Waiter = oneshot::Sender<Result<(), IntentError>>;
 
 struct Queue {
-    work: VecDeque<(u64, Work)>,
+    operation: VecDeque<(u64, Operation)>,
     waiters: BTreeMap<u64, (u64, Waiter)>,
     folded: BTreeMap<Arc<str>, u64>,
     next: u64,
@@ -80,7 +80,7 @@
     queue: Mutex<Queue>,
     base: Mutex<Base>,
     wake: Notify,
-    landed: watch::Sender<u64>,
+    commits: watch::Sender<u64>,
     sealed: watch::Sender<bool>,
     min_write_interval: Duration,
 }
@@ -102,7 +102,7 @@
     ) -> Recorder {
         let journal = Arc::new(Journal::new(incarnation.clone()));
         let queue = Queue {
-            work: VecDeque::new(),
+            operation: VecDeque::new(),
             waiters: BTreeMap::new(),
             folded: BTreeMap::new(),
             next: 1,
@@ -116,11 +116,11 @@
             queue: Mutex::new(queue),
             base: Mutex::new(Base { journal, version: 0 }),
             wake: Notify::new(),
-            landed: watch::channel(0).0,
+            commits: watch::channel(0).0,
             sealed: watch::channel(false).0,
             min_write_interval,
         });
-        tokio::spawn(write_all(Arc::downgrade(&shared), shared.landed.subscribe()));
+        tokio::spawn(run_writer(Arc::downgrade(&shared), shared.commits.subscribe()));
         Recorder(shared)
     }
 
@@ -152,27 +152,27 @@
     }
 
     /// Records an intent and waits until it is stored. After an error the request must not be dispatched.
-    pub async fn intend(&self, record: Record, within: Duration) -> Result<(), Failure> {
+    pub async fn intend(&self, record: Record, timeout: Duration) -> Result<(), IntentError> {
         let n = record.n;
         let (sender, receiver) = oneshot::channel();
         {
             let mut queue = self.0.queue.lock();
             if self.is_sealed() {
-                return Err(Failure::Sealed);
+                return Err(IntentError::Sealed);
             }
             queue.urgent = true;
-            let at = queue.push(Work::Intend(record));
-            queue.waiters.insert(n, (at, sender));
+            let sequence = queue.push(Operation::Intend(record));
+            queue.waiters.insert(n, (sequence, sender));
         }
         self.0.wake.notify_one();
         let guard = Withdrawal { recorder: self, n: Some(n) };
-        match tokio::time::timeout(within, receiver).await {
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(result)) => {
                 guard.disarm();
                 result
             }
-            Ok(Err(_)) => Err(Failure::Sealed),
-            Err(_) => Err(Failure::InDoubt),
+            Ok(Err(_)) => Err(IntentError::Sealed),
+            Err(_) => Err(IntentError::InDoubt),
         }
     }
 
@@ -180,14 +180,14 @@
     fn withdraw(&self, n: u64) {
         self.0.queue.lock().waiters.remove(&n);
         let evidence = Evidence::Recorded;
-        self.add(Work::Finish { n, charged: 0, ended: Ended::NotRun, evidence });
+        self.add(Operation::Finish { n, charged: 0, ended: Ended::NotRun, evidence });
     }
 
     /// Queues an operation without waiting for it.
-    pub fn add(&self, work: Work) {
+    pub fn add(&self, operation: Operation) {
         let mut queue = self.0.queue.lock();
-        let first = queue.work.is_empty();
-        queue.push(work);
+        let first = queue.operation.is_empty();
+        queue.push(operation);
         drop(queue);
         if first {
             self.0.wake.notify_one();
@@ -196,7 +196,7 @@
 
     /// Records an outcome.
     pub fn finish(&self, n: u64, charged: u64, ended: Ended) {
-        self.add(Work::Finish { n, charged, ended, evidence: Evidence::Recorded });
+        self.add(Operation::Finish { n, charged, ended, evidence: Evidence::Recorded });
     }
 
     /// Marks outcomes up to `position` as folded into the ledger of `budget`; the journal may drop them.
@@ -207,28 +207,28 @@
     /// Waits until everything queued so far is stored, except hand-ins: they only spend tokens that the
     /// ledger holds for them anyway, and may have to wait for folds.
     pub async fn flush(&self) {
-        let upto = {
+        let end = {
             let mut queue = self.0.queue.lock();
             queue.urgent = true;
             queue.next
         };
         self.0.wake.notify_one();
-        let mut landed = self.0.landed.subscribe();
-        while self.0.queue.lock().holds_before(upto) {
-            if landed.changed().await.is_err() {
+        let mut commits = self.0.commits.subscribe();
+        while self.0.queue.lock().has_pending_before(end) {
+            if commits.changed().await.is_err() {
                 return;
             }
         }
     }
 
     /// Like [`Recorder::flush`], with a timeout; false if something may not be stored.
-    pub async fn flush_within(&self, within: Duration) -> bool {
-        tokio::time::timeout(within, self.flush()).await.is_ok()
+    pub async fn flush_within(&self, timeout: Duration) -> bool {
+        tokio::time::timeout(timeout, self.flush()).await.is_ok()
     }
 
     /// Number of queued operations that are not stored yet.
     pub fn backlog(&self) -> usize {
-        self.0.queue.lock().work.len()
+        self.0.queue.lock().operation.len()
     }
 
     /// Closes the journal; false if a record is open, the journal is sealed, or the write fails.
@@ -267,16 +267,16 @@
 }
 
 impl Queue {
-    fn holds_before(&self, upto: u64) -> bool {
-        let mut before = self.work.iter().take_while(|(at, _)| *at < upto);
-        before.any(|(_, work)| !matches!(work, Work::HandIn(..)))
+    fn has_pending_before(&self, end: u64) -> bool {
+        let mut before = self.operation.iter().take_while(|(sequence, _)| *sequence < end);
+        before.any(|(_, operation)| !matches!(operation, Operation::HandIn(..)))
     }
 
-    fn push(&mut self, work: Work) -> u64 {
-        let at = self.next;
+    fn push(&mut self, operation: Operation) -> u64 {
+        let sequence = self.next;
         self.next += 1;
-        self.work.push_back((at, work));
-        at
+        self.operation.push_back((sequence, operation));
+        sequence
     }
 }
 
@@ -284,13 +284,13 @@
     if version == 0 { Expect::Absent } else { Expect::Version(version) }
 }
 
-async fn write_all(shared: std::sync::Weak<Shared>, _landed: watch::Receiver<u64>) {
-    let mut backoff = BACKOFF;
+async fn run_writer(shared: std::sync::Weak<Shared>, _landed: watch::Receiver<u64>) {
+    let mut backoff = MIN_BACKOFF;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let (idle, urgent) = {
             let queue = shared.queue.lock();
-            (queue.work.is_empty(), queue.urgent)
+            (queue.operation.is_empty(), queue.urgent)
         };
         if idle {
             let wait = tokio::time::timeout(Duration::from_millis(500), shared.wake.notified());
@@ -298,14 +298,14 @@
             continue;
         }
         if !urgent {
-            let _ = tokio::time::timeout(LAZY, shared.wake.notified()).await;
+            let _ = tokio::time::timeout(BATCH_DELAY, shared.wake.notified()).await;
         }
         match shared.write_once().await {
-            Step::Landed => backoff = BACKOFF,
-            Step::Again => {}
-            Step::Failed => {
+            WriteResult::Landed => backoff = MIN_BACKOFF,
+            WriteResult::Retry => {}
+            WriteResult::Failed => {
                 tokio::time::sleep(backoff).await;
-                backoff = (backoff * 2).min(BACKOFF_MOST);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
                 continue;
             }
         }
@@ -313,27 +313,27 @@
     }
 }
 
-enum Step {
+enum WriteResult {
     Landed,
-    Again,
+    Retry,
     Failed,
 }
 
 impl Shared {
-    async fn write_once(&self) -> Step {
+    async fn write_once(&self) -> WriteResult {
         let base = self.base.lock().clone();
         let (journal, applied) = self.candidate(&base.journal);
         if base.version != 0 && journal == *base.journal {
-            self.landed(&applied, None);
-            return Step::Again;
+            self.commit(&applied, None);
+            return WriteResult::Retry;
         }
         let name = self.incarnation.as_str();
         let write = self.store.put("journal", name, journal.to_json(), expect(base.version)).await;
         match write {
             Write::Landed(version) => {
                 self.health.record_success();
-                self.landed(&applied, Some(Base { journal: Arc::new(journal), version }));
-                Step::Landed
+                self.commit(&applied, Some(Base { journal: Arc::new(journal), version }));
+                WriteResult::Landed
             }
             Write::Refused => {
                 self.health.record_success();
@@ -341,7 +341,7 @@
             }
             Write::Failed => {
                 self.health.record_failure();
-                Step::Failed
+                WriteResult::Failed
             }
             Write::Unknown => {
                 self.health.record_failure();
@@ -357,52 +357,54 @@
         let mut journal = base.clone();
         journal.compact(&queue.folded);
         let mut applied = BTreeSet::new();
-        for (at, work) in &queue.work {
-            let room = match work {
-                Work::HandIn(..) => MOST_RECORDS,
-                Work::Intend(_) => MOST_RECORDS + ROOM_FOR_INTENTS,
-                Work::Finish { .. } | Work::Draw(_) | Work::Transfer(..) => usize::MAX,
+        for (sequence, operation) in &queue.operation {
+            let room = match operation {
+                Operation::HandIn(..) => MAX_RECORDS,
+                Operation::Intend(_) => MAX_RECORDS + EXTRA_INTENTS,
+                Operation::Finish { .. } | Operation::Draw(_) | Operation::Transfer(..) => {
+                    usize::MAX
+                }
             };
             if journal.records.len() < room {
-                apply(&mut journal, work);
-                applied.insert(*at);
+                apply(&mut journal, operation);
+                applied.insert(*sequence);
             }
         }
         (journal, applied)
     }
 
-    fn landed(&self, applied: &BTreeSet<u64>, base: Option<Base>) {
+    fn commit(&self, applied: &BTreeSet<u64>, base: Option<Base>) {
         if let Some(base) = base {
             *self.base.lock() = base;
         }
         let base = self.base.lock().clone();
         let open = base.journal.is_open();
         let mut queue = self.queue.lock();
-        queue.work.retain(|(at, _)| !applied.contains(at));
+        queue.operation.retain(|(sequence, _)| !applied.contains(sequence));
         let waiters = std::mem::take(&mut queue.waiters);
-        for (n, (at, waiter)) in waiters {
-            match (applied.contains(&at), open) {
-                (_, false) => drop(waiter.send(Err(Failure::Sealed))),
+        for (n, (sequence, waiter)) in waiters {
+            match (applied.contains(&sequence), open) {
+                (_, false) => drop(waiter.send(Err(IntentError::Sealed))),
                 (true, true) => drop(waiter.send(Ok(()))),
-                (false, true) => drop(queue.waiters.insert(n, (at, waiter))),
+                (false, true) => drop(queue.waiters.insert(n, (sequence, waiter))),
             }
         }
         drop(queue);
-        self.landed.send_modify(|landings| *landings += 1);
+        self.commits.send_modify(|count| *count += 1);
     }
 
-    async fn read_back(&self) -> Step {
+    async fn read_back(&self) -> WriteResult {
         let read = self.store.get("journal", self.incarnation.as_str()).await;
         let base = match read {
             Err(_) => {
                 self.health.record_failure();
-                return Step::Failed;
+                return WriteResult::Failed;
             }
-            Ok(None) if self.base.lock().version == 0 => return Step::Again,
-            Ok(None) => self.gone(),
+            Ok(None) if self.base.lock().version == 0 => return WriteResult::Retry,
+            Ok(None) => self.mark_removed(),
             Ok(Some(object)) => match serde_json::from_str::<Journal>(&object.value) {
                 Ok(journal) => Base { journal: Arc::new(journal), version: object.version },
-                Err(_) => self.gone(),
+                Err(_) => self.mark_removed(),
             },
         };
         self.health.record_success();
@@ -411,20 +413,20 @@
         if !open {
             self.seal();
         }
-        Step::Again
+        WriteResult::Retry
     }
 
     /// Handles a journal that was removed: it counts as sealed, with nothing left to record.
-    fn gone(&self) -> Base {
+    fn mark_removed(&self) -> Base {
         let mut base = self.base.lock().clone();
         let mut journal = (*base.journal).clone();
         journal.seal(&self.incarnation);
         journal.records.clear();
         base.journal = Arc::new(journal);
         let mut queue = self.queue.lock();
-        queue.work.clear();
+        queue.operation.clear();
         drop(queue);
-        self.landed.send_modify(|landings| *landings += 1);
+        self.commits.send_modify(|count| *count += 1);
         base
     }
 
@@ -432,32 +434,32 @@
     fn seal(&self) {
         let waiters = {
             let mut queue = self.queue.lock();
-            queue.work.retain(|(_, work)| !matches!(work, Work::Intend(_)));
+            queue.operation.retain(|(_, operation)| !matches!(operation, Operation::Intend(_)));
             std::mem::take(&mut queue.waiters)
         };
         self.sealed.send_replace(true);
         for (n, (_, waiter)) in waiters {
-            let _ = waiter.send(Err(Failure::Sealed));
+            let _ = waiter.send(Err(IntentError::Sealed));
             let evidence = Evidence::Recorded;
-            let own_word = Work::Finish { n, charged: 0, ended: Ended::NotRun, evidence };
-            self.queue.lock().push(own_word);
+            let not_run = Operation::Finish { n, charged: 0, ended: Ended::NotRun, evidence };
+            self.queue.lock().push(not_run);
         }
     }
 }
 
-fn apply(journal: &mut Journal, work: &Work) {
+fn apply(journal: &mut Journal, operation: &Operation) {
     // The journal refuses an operation if its intent was never stored or has been folded already.
-    let _: Result<(), Refusal> = match work.clone() {
-        Work::Intend(record) => journal.intend(record),
-        Work::Finish { n, charged, ended, evidence } => {
+    let _: Result<(), Refusal> = match operation.clone() {
+        Operation::Intend(record) => journal.intend(record),
+        Operation::Finish { n, charged, ended, evidence } => {
             journal.finish(n, charged, ended, evidence).map(drop)
         }
-        Work::HandIn(record, evidence) => journal.hand_in(record, evidence).map(drop),
-        Work::Draw(budget) => {
+        Operation::HandIn(record, evidence) => journal.hand_in(record, evidence).map(drop),
+        Operation::Draw(budget) => {
             journal.drawn.insert(budget);
             Ok(())
         }
-        Work::Transfer(budget, transfer) => {
+        Operation::Transfer(budget, transfer) => {
             let entry = (budget, transfer);
             if !journal.transfers.contains(&entry) {
                 journal.transfers.push(entry);
--- a/crates/session/src/recovery.rs
+++ b/crates/session/src/recovery.rs
@@ -10,7 +10,7 @@
 use objects::{Expect, Store, Write};
 
 /// Write conflicts after which a step is left for the next round.
-const TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
 /// An outcome found for an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 /// Seals the journal of `name`; if several boxes do, the first seal counts.
 pub async fn seal(store: &dyn Store, name: &Incarnation, by: &Incarnation) -> Sealed {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Ok(found) = store.get("journal", name.as_str()).await else { return Sealed::Unknown };
         let Some(object) = found else { return Sealed::Missing };
         let Ok(mut journal) = serde_json::from_str::<Journal>(&object.value) else {
@@ -68,21 +68,21 @@
         return Some((journal, 0));
     }
     let name = journal.incarnation.clone();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let object = store.get("journal", name.as_str()).await.ok()??;
         let mut journal: Journal = serde_json::from_str(&object.value).ok()?;
-        let mut fresh = 0;
+        let mut new_findings = 0;
         for finding in findings {
             let Finding { n, charged, ended, evidence } = *finding;
-            fresh += usize::from(journal.finish(n, charged, ended, evidence) == Ok(true));
+            new_findings += usize::from(journal.finish(n, charged, ended, evidence) == Ok(true));
         }
-        if fresh == 0 {
+        if new_findings == 0 {
             return Some((journal, 0));
         }
         let expect = Expect::Version(object.version);
         let write = store.put("journal", name.as_str(), journal.to_json(), expect).await;
         if let Write::Landed(_) = write {
-            return Some((journal, fresh));
+            return Some((journal, new_findings));
         }
     }
     None
@@ -99,7 +99,7 @@
     closing: Closing,
 ) -> bool {
     let holder = &journal.incarnation;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Ok(found) = store.get("ledger", budget).await else { return false };
         let Some(object) = found else { return true };
         let Ok(ledger) = serde_json::from_str::<Ledger>(&object.value) else { return false };
@@ -124,7 +124,7 @@
 
 /// Removes the empty grant of an incarnation whose journal has been deleted.
 pub async fn forget_grant(store: &dyn Store, budget: &Arc<str>, holder: &Incarnation) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Ok(Some(object)) = store.get("ledger", budget).await else { return };
         let Ok(mut ledger) = serde_json::from_str::<Ledger>(&object.value) else { return };
         if !ledger.forget(holder) {
--- a/crates/session/src/replicas.rs
+++ b/crates/session/src/replicas.rs
@@ -14,15 +14,15 @@
 use parking_lot::Mutex;
 
 /// Maximum number of entries kept for other incarnations.
-const MOST: usize = 50_000;
+const MAX_ENTRIES: usize = 50_000;
 /// Write conflicts after which a hand-in is postponed.
-const TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
 /// Calls to the other boxes that are reachable.
 #[async_trait::async_trait]
 pub trait Peers: Send + Sync {
-    /// Sends an entry of the journal of `by` to peers, which keep a replica; returns how many accepted it.
-    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize;
+    /// Sends an entry of the journal of `owner` to peers, which keep a replica; returns how many accepted it.
+    async fn replicate(&self, owner: &Incarnation, entry: &Entry) -> usize;
 
     /// Asks peers to return surplus tokens to the ledger; true if any did.
     async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool;
@@ -33,12 +33,12 @@
 
 /// Replicated entries of one incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Load {
+struct Entries {
     records: BTreeMap<u64, Record>,
     transfers: BTreeSet<(Arc<str>, Transfer)>,
 }
 
-impl Load {
+impl Entries {
     fn len(&self) -> usize {
         self.records.len() + self.transfers.len()
     }
@@ -75,17 +75,17 @@
 
 /// Replicated journal entries of other incarnations.
 #[derive(Debug, Default)]
-pub struct Replicas(Mutex<BTreeMap<Incarnation, Load>>);
+pub struct Replicas(Mutex<BTreeMap<Incarnation, Entries>>);
 
 impl Replicas {
     /// Stores an entry; false if the maximum is reached.
-    pub fn insert(&self, by: Incarnation, entry: Entry) -> bool {
+    pub fn insert(&self, owner: Incarnation, entry: Entry) -> bool {
         let mut carried = self.0.lock();
-        let total: usize = carried.values().map(Load::len).sum();
-        if total >= MOST {
+        let total: usize = carried.values().map(Entries::len).sum();
+        if total >= MAX_ENTRIES {
             return false;
         }
-        carried.entry(by).or_default().insert(entry);
+        carried.entry(owner).or_default().insert(entry);
         true
     }
 
@@ -94,25 +94,25 @@
         self.0.lock().keys().cloned().collect()
     }
 
-    fn of(&self, by: &Incarnation) -> Load {
-        self.0.lock().get(by).cloned().unwrap_or_default()
+    fn entries_of(&self, owner: &Incarnation) -> Entries {
+        self.0.lock().get(owner).cloned().unwrap_or_default()
     }
 
     /// Hands in the entries of a sealed incarnation; true once none is left.
     ///
     /// An incarnation that never reached the platform has no journal. If it may have used tokens, a
     /// sealed journal is created for it.
-    pub async fn hand_in(&self, store: &dyn Store, by: &Incarnation, me: &Incarnation) -> bool {
-        let load = self.of(by);
-        for _ in 0..TRIES {
-            let Ok(found) = store.get("journal", by.as_str()).await else { return false };
+    pub async fn hand_in(&self, store: &dyn Store, owner: &Incarnation, me: &Incarnation) -> bool {
+        let entries = self.entries_of(owner);
+        for _ in 0..MAX_ATTEMPTS {
+            let Ok(found) = store.get("journal", owner.as_str()).await else { return false };
             let (expect, before) = match found {
                 Some(object) => match serde_json::from_str::<Journal>(&object.value) {
                     Ok(journal) => (Expect::Version(object.version), journal),
                     Err(_) => return false,
                 },
-                None if holds_grant(store, by, &load).await => {
-                    (Expect::Absent, posthumous(by, me, &load))
+                None if may_have_spent(store, owner, &entries).await => {
+                    (Expect::Absent, sealed_journal(owner, me, &entries))
                 }
                 None => return false,
             };
@@ -120,49 +120,49 @@
                 return false;
             }
             let mut journal = before.clone();
-            load.add_to(&mut journal);
+            entries.add_to(&mut journal);
             let landed = journal == before || {
-                let put = store.put("journal", by.as_str(), journal.to_json(), expect);
+                let put = store.put("journal", owner.as_str(), journal.to_json(), expect);
                 matches!(put.await, Write::Landed(_))
             };
             if landed {
-                self.done(by, &load);
+                self.remove_handed_in(owner, &entries);
                 return true;
             }
         }
         false
     }
 
-    fn done(&self, by: &Incarnation, handed: &Load) {
+    fn remove_handed_in(&self, owner: &Incarnation, handed_in: &Entries) {
         let mut carried = self.0.lock();
-        if let Some(load) = carried.get_mut(by) {
-            load.records.retain(|n, record| handed.records.get(n) != Some(record));
-            load.transfers.retain(|transfer| !handed.transfers.contains(transfer));
-            if load.len() == 0 {
-                carried.remove(by);
+        if let Some(entries) = carried.get_mut(owner) {
+            entries.records.retain(|n, record| handed_in.records.get(n) != Some(record));
+            entries.transfers.retain(|transfer| !handed_in.transfers.contains(transfer));
+            if entries.len() == 0 {
+                carried.remove(owner);
             }
         }
     }
 }
 
 /// Whether an incarnation without a journal may have spent tokens: peers lent it some, or it has a grant.
-async fn holds_grant(store: &dyn Store, by: &Incarnation, load: &Load) -> bool {
-    if load.transfers.iter().any(|(_, transfer)| transfer.to == *by) {
+async fn may_have_spent(store: &dyn Store, owner: &Incarnation, entries: &Entries) -> bool {
+    if entries.transfers.iter().any(|(_, transfer)| transfer.to == *owner) {
         return true;
     }
-    for budget in load.budgets() {
+    for budget in entries.budgets() {
         let Ok(Some(object)) = store.get("ledger", &budget).await else { continue };
         let ledger = serde_json::from_str::<Ledger>(&object.value);
-        if ledger.is_ok_and(|ledger| ledger.grants.contains_key(by)) {
+        if ledger.is_ok_and(|ledger| ledger.grants.contains_key(owner)) {
             return true;
         }
     }
     false
 }
 
-fn posthumous(by: &Incarnation, me: &Incarnation, load: &Load) -> Journal {
-    let mut journal = Journal::new(by.clone());
-    journal.drawn = load.budgets();
+fn sealed_journal(owner: &Incarnation, me: &Incarnation, entries: &Entries) -> Journal {
+    let mut journal = Journal::new(owner.clone());
+    journal.drawn = entries.budgets();
     journal.seal(me);
     journal
 }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -5,10 +5,10 @@
 use ledger::{Ended, Entry, Evidence, Incarnation, Part, Record, Reservation, Transfer};
 use parking_lot::Mutex;
 
-use crate::{Denial, Failure, Funds, Peers, Recorder, Setup, Work, account};
+use crate::{Funds, IntentError, Operation, Peers, Recorder, ReserveError, Setup, account};
 
 /// Longest wait for replicas before an offline request is dispatched.
-const CARRY: Duration = Duration::from_millis(50);
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A transfer from a peer, and its budget.
 type Borrowed = (Arc<str>, Transfer);
@@ -44,16 +44,16 @@
     pub async fn hold_online(
         &self,
         mut record: Record,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Hold, HoldError> {
         let (budget, tokens) = (record.budget.clone(), record.reserved);
-        let reserved = self.funds.reserve_online(&budget, tokens, within).await;
-        let reservation = reserved.map_err(HoldError::Denied)?;
+        let reserved = self.funds.reserve_online(&budget, tokens, timeout).await;
+        let reservation = reserved.map_err(HoldError::Reserve)?;
         record.n = self.recorder.number();
         record.part = Part::Online;
         let entry = self.funds.entry(&budget);
         let guard = Guard { entry: entry.clone(), reservation: Some(reservation) };
-        self.recorder.intend(record.clone(), within).await.map_err(HoldError::Failed)?;
+        self.recorder.intend(record.clone(), timeout).await.map_err(HoldError::Intent)?;
         Ok(Hold::new(self.clone(), entry, guard.keep(), record))
     }
 
@@ -67,11 +67,11 @@
     }
 
     /// Replicates a transfer; done before its tokens are used.
-    async fn carry_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
+    async fn replicate_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
         if let Some(peers) = &self.peers {
             let entry = Entry::Transfer(budget.clone(), transfer.clone());
-            let carrying = peers.replicate(self.incarnation(), &entry);
-            let _ = tokio::time::timeout(CARRY, carrying).await;
+            let replication = peers.replicate(self.incarnation(), &entry);
+            let _ = tokio::time::timeout(REPLICATION_TIMEOUT, replication).await;
         }
     }
 
@@ -84,7 +84,7 @@
         transfers.chain([Entry::Record(record.clone())]).collect()
     }
 
-    fn carry_later(&self, record: &Record) {
+    fn spawn_replication(&self, record: &Record) {
         if let Some(peers) = self.peers.clone() {
             let (by, entries) = (self.incarnation().clone(), self.entries(record));
             tokio::spawn(async move {
@@ -98,11 +98,11 @@
     /// Passes offline tokens on to another incarnation: debits them, then queues the transfer for the
     /// journal. If the message is lost, nobody can use the tokens, but they are never used twice.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
-        let taken = self.funds.take_offline(budget, tokens)?;
+        let taken = self.funds.debit_offline(budget, tokens)?;
         let n = self.recorder.number();
         let from = self.incarnation().clone();
         let transfer = Transfer { from, n, to: to.clone(), tokens: taken };
-        self.recorder.add(Work::Transfer(budget.clone(), transfer.clone()));
+        self.recorder.add(Operation::Transfer(budget.clone(), transfer.clone()));
         Some(transfer)
     }
 
@@ -112,18 +112,18 @@
             return;
         }
         let tokens = transfer.tokens;
-        self.recorder.add(Work::Transfer(budget.clone(), transfer.clone()));
+        self.recorder.add(Operation::Transfer(budget.clone(), transfer.clone()));
         self.borrowed.lock().push((budget.clone(), transfer.clone()));
-        self.carry_transfer(budget, &transfer).await;
-        self.funds.give_offline(budget, tokens);
+        self.replicate_transfer(budget, &transfer).await;
+        self.funds.credit_offline(budget, tokens);
     }
 
     /// Ends the grants of a sealed or closed session that has no requests in progress.
-    pub async fn surrender(&self) -> Result<(), Denial> {
+    pub async fn end_grants(&self) -> Result<(), ReserveError> {
         self.recorder.flush().await;
         let mut last = Ok(());
         for budget in self.funds.budgets() {
-            last = last.and(self.funds.surrender(&budget).await);
+            last = last.and(self.funds.end_grant(&budget).await);
         }
         last
     }
@@ -133,9 +133,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldError {
     /// The tokens could not be reserved.
-    Denied(Denial),
+    Reserve(ReserveError),
     /// The intent was not recorded.
-    Failed(Failure),
+    Intent(IntentError),
 }
 
 /// Releases a reservation whose intent was not recorded, also if the waiting future is cancelled.
@@ -199,12 +199,12 @@
         if let Some(peers) = &self.session.peers {
             let entries = self.session.entries(&self.record);
             let by = self.session.incarnation();
-            let carrying = async {
+            let replication = async {
                 for entry in &entries {
                     peers.replicate(by, entry).await;
                 }
             };
-            let _ = tokio::time::timeout(CARRY, carrying).await;
+            let _ = tokio::time::timeout(REPLICATION_TIMEOUT, replication).await;
         }
     }
 
@@ -228,8 +228,8 @@
                 let outcome =
                     ledger::Outcome { position: 0, charged, ended, evidence: Evidence::Recorded };
                 let record = Record { outcome: Some(outcome), ..self.record.clone() };
-                self.session.carry_later(&record);
-                recorder.add(Work::HandIn(record, Evidence::Recorded));
+                self.session.spawn_replication(&record);
+                recorder.add(Operation::HandIn(record, Evidence::Recorded));
             }
         }
         charged
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -12,12 +12,12 @@
 use timeline::{EventKind, Log};
 use tokio::sync::watch;
 
-use crate::{Denial, Failure, Health, Hold, HoldError, Options, Peers, Session};
+use crate::{Health, Hold, HoldError, IntentError, Options, Peers, ReserveError, Session};
 
 /// Attempts for one request, each with a new session if the journal of the previous one is sealed.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Longest wait for tokens of a peer.
-const BORROW: Duration = Duration::from_millis(300);
+const BORROW_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What all sessions of a box share.
 #[derive(Clone)]
@@ -107,27 +107,33 @@
     /// Holds tokens for the maximum cost of a request: online if the platform answers within
     /// `patience`, otherwise from the offline part.
     pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Rejection> {
-        let mut asked = false;
-        for _ in 0..TRIES {
+        let mut asked_peers = false;
+        for _ in 0..MAX_ATTEMPTS {
             let session = self.current();
             if !self.setup.health.is_up() {
                 return self.hold_offline(record).await;
             }
             match session.hold_online(record.clone(), patience).await {
                 Ok(hold) => return Ok(hold),
-                Err(HoldError::Denied(Denial::Exhausted)) if !asked => {
-                    asked = true;
+                Err(HoldError::Reserve(ReserveError::Exhausted)) if !asked_peers => {
+                    asked_peers = true;
                     if !self.return_surplus(&record, patience).await {
                         return Err(Rejection::Exhausted);
                     }
                 }
-                Err(HoldError::Denied(Denial::Exhausted)) => return Err(Rejection::Exhausted),
-                Err(HoldError::Denied(Denial::Missing)) => return Err(Rejection::Missing),
-                Err(HoldError::Denied(Denial::Sealed) | HoldError::Failed(Failure::Sealed)) => {
+                Err(HoldError::Reserve(ReserveError::Exhausted)) => {
+                    return Err(Rejection::Exhausted);
+                }
+                Err(HoldError::Reserve(ReserveError::Missing)) => return Err(Rejection::Missing),
+                Err(
+                    HoldError::Reserve(ReserveError::Sealed)
+                    | HoldError::Intent(IntentError::Sealed),
+                ) => {
                     self.renew(session.incarnation());
                 }
                 Err(
-                    HoldError::Denied(Denial::Unreachable) | HoldError::Failed(Failure::InDoubt),
+                    HoldError::Reserve(ReserveError::Unreachable)
+                    | HoldError::Intent(IntentError::InDoubt),
                 ) => return self.hold_offline(record).await,
             }
         }
@@ -161,7 +167,7 @@
             return Err(Rejection::OfflineExhausted);
         }
         let asking = peers.lend(&record.budget, record.reserved, session.incarnation());
-        let Ok(Some(transfer)) = tokio::time::timeout(BORROW, asking).await else {
+        let Ok(Some(transfer)) = tokio::time::timeout(BORROW_TIMEOUT, asking).await else {
             return Err(Rejection::OfflineExhausted);
         };
         session.receive(&record.budget, transfer).await;
@@ -187,34 +193,34 @@
             // Failures are retried in the next round.
             let _ = session.funds.maintain(&budget).await;
         }
-        self.settle_former().await
+        self.end_former().await
     }
 
     /// Hands in the outcomes and returns the tokens of former sessions that have no requests in progress.
-    async fn settle_former(&self) -> Vec<Incarnation> {
-        let mut settled = Vec::new();
+    async fn end_former(&self) -> Vec<Incarnation> {
+        let mut ended = Vec::new();
         for former in self.former() {
             // Drained first, so that no request gets tokens that are being returned.
-            former.funds.drain();
-            if former.funds.is_idle() && former.surrender().await.is_ok() {
-                settled.push(former.incarnation().clone());
+            former.funds.debit_all();
+            if former.funds.is_idle() && former.end_grants().await.is_ok() {
+                ended.push(former.incarnation().clone());
             }
         }
-        self.former.lock().retain(|session| !settled.contains(session.incarnation()));
-        settled
+        self.former.lock().retain(|session| !ended.contains(session.incarnation()));
+        ended
     }
 
     /// Ends all sessions at a planned stop: folds outcomes, returns all tokens and closes the journal.
     /// Returns the incarnations that have returned everything.
     pub async fn leave(&self) -> Vec<Incarnation> {
         let session = self.current();
-        session.funds.drain();
+        session.funds.debit_all();
         session.recorder.flush().await;
-        let mut settled = self.settle_former().await;
-        if session.recorder.close().await && session.surrender().await.is_ok() {
-            settled.push(session.incarnation().clone());
+        let mut ended = self.end_former().await;
+        if session.recorder.close().await && session.end_grants().await.is_ok() {
+            ended.push(session.incarnation().clone());
         }
-        settled
+        ended
     }
 
     /// Whether no session holds tokens for requests in progress.
--- a/crates/session/src/usage.rs
+++ b/crates/session/src/usage.rs
@@ -13,22 +13,22 @@
     rate: f64,
     largest: f64,
     peak: u64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl Default for Usage {
     fn default() -> Usage {
-        Usage { rate: 0.0, largest: 0.0, peak: 0, at: Instant::now() }
+        Usage { rate: 0.0, largest: 0.0, peak: 0, updated_at: Instant::now() }
     }
 }
 
 impl Usage {
     fn decay(&mut self) {
-        let age = self.at.elapsed().as_secs_f64() / HALF_LIFE.as_secs_f64();
-        let kept = 0.5_f64.powf(age);
-        self.rate *= kept;
-        self.largest *= kept;
-        self.at = Instant::now();
+        let age = self.updated_at.elapsed().as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let factor = 0.5_f64.powf(age);
+        self.rate *= factor;
+        self.largest *= factor;
+        self.updated_at = Instant::now();
     }
 
     /// Records a reservation.
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -5,7 +5,7 @@
 use config::Snapshot;
 use ledger::{Draw, Ended, Evidence, Incarnation, Journal, Ledger, Outcome, Part, Record};
 use objects::{Expect, Store, Write};
-use session::{Health, Options, Sessions, Setup, Work};
+use session::{Health, Operation, Options, Sessions, Setup};
 use standin::Memory;
 use timeline::Log;
 use tokio::sync::watch;
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_long_outage_is_handed_in_by_parts_and_billed_once() {
+async fn records_of_long_outage_are_handed_in_in_batches_and_billed_once() {
     let memory = Memory::default();
     let log = Log::open("box");
     let (_config, receiver) = watch::channel(Arc::new(Snapshot::default()));
@@ -53,7 +53,7 @@
     session.funds.prepare(&"bornova".into(), 1);
     for _ in 0..RECORDS {
         let n = session.recorder.number();
-        session.recorder.add(Work::HandIn(record(n), Evidence::Recorded));
+        session.recorder.add(Operation::HandIn(record(n), Evidence::Recorded));
     }
     let mut largest = 0;
     for _ in 0..30 {
--- a/crates/session/tests/world/faulty.rs
+++ b/crates/session/tests/simulation/faulty.rs
@@ -20,42 +20,42 @@
 }
 
 /// Store client of one box.
-pub struct Faulty {
+pub struct FaultyStore {
     pub memory: Memory,
-    pub condition: watch::Sender<Condition>,
-    pub cut: Mutex<bool>,
+    pub state: watch::Sender<Condition>,
+    pub is_disconnected: Mutex<bool>,
     /// Share of writes whose response is lost.
-    pub lossy: f64,
+    pub loss_rate: f64,
     random: Mutex<ChaCha8Rng>,
 }
 
-impl Faulty {
-    pub fn new(memory: Memory, lossy: f64, seed: u64) -> Faulty {
-        Faulty {
+impl FaultyStore {
+    pub fn new(memory: Memory, loss_rate: f64, seed: u64) -> FaultyStore {
+        FaultyStore {
             memory,
-            condition: watch::channel(Condition::Running).0,
-            cut: Mutex::new(false),
-            lossy,
+            state: watch::channel(Condition::Running).0,
+            is_disconnected: Mutex::new(false),
+            loss_rate,
             random: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         }
     }
 
     /// Waits while the box is frozen, and forever once it is dead.
-    pub async fn stand(&self) {
-        let mut condition = self.condition.subscribe();
-        let _ = condition.wait_for(|now| *now == Condition::Running).await;
+    pub async fn wait_running(&self) {
+        let mut state = self.state.subscribe();
+        let _ = state.wait_for(|now| *now == Condition::Running).await;
     }
 
-    fn draw(&self) -> f64 {
+    fn sample(&self) -> f64 {
         self.random.lock().random()
     }
 
-    async fn travel(&self) -> Result<(), Error> {
-        self.stand().await;
-        let ms = 1 + (self.draw() * 20.0) as u64;
+    async fn delay(&self) -> Result<(), Error> {
+        self.wait_running().await;
+        let ms = 1 + (self.sample() * 20.0) as u64;
         tokio::time::sleep(Duration::from_millis(ms)).await;
-        self.stand().await;
-        match *self.cut.lock() {
+        self.wait_running().await;
+        match *self.is_disconnected.lock() {
             true => Err(Error::Unreachable { reason: "cut".into() }),
             false => Ok(()),
         }
@@ -63,25 +63,25 @@
 }
 
 #[async_trait::async_trait]
-impl Store for Faulty {
+impl Store for FaultyStore {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, Error> {
-        self.travel().await?;
+        self.delay().await?;
         self.memory.get(kind, name).await
     }
 
     async fn list(&self, kind: &str, prefix: &str) -> Result<Vec<Object>, Error> {
-        self.travel().await?;
+        self.delay().await?;
         self.memory.list(kind, prefix).await
     }
 
     async fn put(&self, kind: &str, name: &str, value: String, expect: Expect) -> Write {
-        if self.travel().await.is_err() {
-            return if self.draw() < 0.5 { Write::Failed } else { Write::Unknown };
+        if self.delay().await.is_err() {
+            return if self.sample() < 0.5 { Write::Failed } else { Write::Unknown };
         }
-        let fate = self.draw();
-        if fate < self.lossy / 2.0 {
+        let roll = self.sample();
+        if roll < self.loss_rate / 2.0 {
             // The write takes effect late, after the writer got no response.
-            let late = Duration::from_millis((self.draw() * 400.0) as u64);
+            let late = Duration::from_millis((self.sample() * 400.0) as u64);
             let (memory, kind, name) = (self.memory.clone(), kind.to_owned(), name.to_owned());
             tokio::spawn(async move {
                 tokio::time::sleep(late).await;
@@ -90,12 +90,12 @@
             return Write::Unknown;
         }
         let write = self.memory.put(kind, name, value, expect).await;
-        self.stand().await;
-        if fate < self.lossy { Write::Unknown } else { write }
+        self.wait_running().await;
+        if roll < self.loss_rate { Write::Unknown } else { write }
     }
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write {
-        match self.travel().await {
+        match self.delay().await {
             Ok(()) => self.memory.delete(kind, name, version).await,
             Err(_) => Write::Failed,
         }
@@ -111,4 +111,4 @@
 }
 
 /// Shared handle to the store client of one box.
-pub type Way = Arc<Faulty>;
+pub type StoreHandle = Arc<FaultyStore>;
--- a/crates/session/tests/world/mod.rs
+++ b/crates/session/tests/simulation/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use config::{Snapshot, Verdict, validate};
-use faulty::{Condition, Faulty, Way};
+use faulty::{Condition, FaultyStore, StoreHandle};
 use ledger::{
     Bill, Closing, Ended, Entry, Evidence, Incarnation, Journal, Ledger, Page, Part, Record,
     Transfer,
@@ -34,13 +34,13 @@
 /// Faulty variants of the box, which the tests must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    Whole,
+    Correct,
     /// Dispatches each request without a recorded intent.
     DispatchUnrecorded,
     /// Frees the offline part of an incarnation whose journal is sealed.
     FreeOffline,
     /// Assumes that a request did not run if endpoints have not seen it.
-    BelieveNeverSeen,
+    AssumeNotRun,
 }
 
 #[derive(Debug, Clone)]
@@ -52,38 +52,38 @@
 
 /// What endpoints ran, independent of ledgers and journals.
 #[derive(Default)]
-pub struct Truth {
+pub struct Observed {
     runs: BTreeMap<String, Run>,
     refused: BTreeSet<Arc<str>>,
     paid_at_most: u64,
     /// Boxes that know of an offline request, by attempt: its own box and those with a replica.
-    carriers: BTreeMap<String, Vec<Way>>,
+    holders: BTreeMap<String, Vec<StoreHandle>>,
 }
 
-impl Truth {
+impl Observed {
     /// Whether all boxes that knew of an offline request have died.
     fn is_forgotten(&self, id: &str) -> bool {
-        let dead = |way: &Way| *way.condition.borrow() == Condition::Dead;
-        self.carriers.get(id).is_some_and(|ways| ways.iter().all(dead))
+        let dead = |store: &StoreHandle| *store.state.borrow() == Condition::Dead;
+        self.holders.get(id).is_some_and(|stores| stores.iter().all(dead))
     }
 }
 
 struct Node {
-    carried: Arc<Replicas>,
-    way: Way,
+    replicas: Arc<Replicas>,
+    store: StoreHandle,
     health: Health,
     sessions: Arc<Sessions>,
     config: watch::Sender<Arc<Snapshot>>,
 }
 
 /// One box, as the others use it.
-type Peer = (Way, Arc<Replicas>, Arc<Sessions>);
+type Peer = (StoreHandle, Arc<Replicas>, Arc<Sessions>);
 
 /// Peers of one box: they accept entries while they run, whether or not the platform is reachable.
 struct Peers {
     me: usize,
     all: Arc<Mutex<Vec<Peer>>>,
-    truth: Arc<Mutex<Truth>>,
+    observed: Arc<Mutex<Observed>>,
 }
 
 #[async_trait::async_trait]
@@ -91,13 +91,13 @@
     async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
         let all = self.all.lock().clone();
         let mut taken = 0;
-        for (index, (way, carried, _)) in all.into_iter().enumerate() {
-            let runs = *way.condition.borrow() == Condition::Running;
-            if index != self.me && runs && carried.insert(by.clone(), entry.clone()) {
+        for (index, (store, replicas, _)) in all.into_iter().enumerate() {
+            let runs = *store.state.borrow() == Condition::Running;
+            if index != self.me && runs && replicas.insert(by.clone(), entry.clone()) {
                 taken += 1;
                 if let Entry::Record(record) = entry {
                     let id = format!("{by}-{}", record.n);
-                    self.truth.lock().carriers.entry(id).or_default().push(way);
+                    self.observed.lock().holders.entry(id).or_default().push(store);
                 }
             }
         }
@@ -123,7 +123,7 @@
 impl Peers {
     fn others(&self) -> Vec<Peer> {
         let all = self.all.lock().clone();
-        let runs = |peer: &Peer| *peer.0.condition.borrow() == Condition::Running;
+        let runs = |peer: &Peer| *peer.0.state.borrow() == Condition::Running;
         let others = all.into_iter().enumerate().filter(|(index, _)| *index != self.me);
         others.map(|(_, peer)| peer).filter(runs).collect()
     }
@@ -131,18 +131,18 @@
 
 impl Node {
     fn as_peer(&self) -> Peer {
-        (self.way.clone(), self.carried.clone(), self.sessions.clone())
+        (self.store.clone(), self.replicas.clone(), self.sessions.clone())
     }
 }
 
-pub struct World {
+pub struct Simulation {
     peers: Arc<Mutex<Vec<Peer>>>,
     pub memory: Memory,
-    pub truth: Arc<Mutex<Truth>>,
+    pub observed: Arc<Mutex<Observed>>,
     boxes: Vec<Node>,
     random: ChaCha8Rng,
     variant: Variant,
-    lossy: f64,
+    loss_rate: f64,
     paid: u64,
     version: u64,
     keys: u64,
@@ -152,53 +152,53 @@
 /// One event of an interleaving.
 #[derive(Debug, Clone)]
 pub enum Step {
-    Request { at: usize, worst: u64, retry: bool },
+    Request { at: usize, max_tokens: u64, retry: bool },
     Wait(u64),
     Crash(usize),
     Freeze(usize),
-    Wake(usize),
-    Cut(usize),
-    Mend(usize),
+    Resume(usize),
+    Disconnect(usize),
+    Reconnect(usize),
     Seal { victim: usize, by: usize },
     TopUp(u64),
     Reduce(u64),
-    Keep(usize),
+    Maintain(usize),
 }
 
-impl World {
-    pub fn new(seed: u64, lossy: f64, variant: Variant) -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn new(seed: u64, loss_rate: f64, variant: Variant) -> Simulation {
+        let mut simulation = Simulation {
             peers: Arc::default(),
             memory: Memory::default(),
-            truth: Arc::default(),
+            observed: Arc::default(),
             boxes: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             variant,
-            lossy,
+            loss_rate,
             paid: 400,
             version: 1,
             keys: 0,
             starts: 0,
         };
         for index in 0..BOXES {
-            let fresh = world.open(index);
-            world.peers.lock().push(fresh.as_peer());
-            world.boxes.push(fresh);
+            let node = simulation.open(index);
+            simulation.peers.lock().push(node.as_peer());
+            simulation.boxes.push(node);
         }
-        world.declare();
-        world
+        simulation.publish_budget();
+        simulation
     }
 
     fn open(&mut self, index: usize) -> Node {
         self.starts += 1;
         let seed = self.random.random();
-        let way = Arc::new(Faulty::new(self.memory.clone(), self.lossy, seed));
+        let store = Arc::new(FaultyStore::new(self.memory.clone(), self.loss_rate, seed));
         let log = timeline::Log::open("box");
         let health = Health::open(log.clone());
         let (config, receiver) = watch::channel(Arc::new(Snapshot::default()));
         let setup = Setup {
             box_name: format!("box-{index}").into(),
-            store: way.clone(),
+            store: store.clone(),
             health: health.clone(),
             config: receiver,
             options: Options { online_horizon: 5, offline_horizon: 60, boxes: BOXES as u64 },
@@ -207,80 +207,80 @@
             peers: Some(Arc::new(Peers {
                 me: index,
                 all: self.peers.clone(),
-                truth: self.truth.clone(),
+                observed: self.observed.clone(),
             })),
         };
         let seed = seed ^ self.starts;
         let sessions = Arc::new(Sessions::open(setup, seed));
-        Node { carried: Arc::default(), way, health, sessions, config }
+        Node { replicas: Arc::default(), store, health, sessions, config }
     }
 
-    fn declare(&mut self) {
+    fn publish_budget(&mut self) {
         let spec = format!(r#"{{"customer": "dis", "paid": {}, "offline_share": 300}}"#, self.paid);
         let Verdict::Accept(accepted) =
             validate(Kind::Budget, BUDGET, self.version, Some(&spec), None)
         else {
             panic!("the sample budget is valid");
         };
-        let mut truth = self.truth.lock();
-        truth.paid_at_most = truth.paid_at_most.max(self.paid);
-        for each in &self.boxes {
-            let mut snapshot = (**each.config.borrow()).clone();
+        let mut observed = self.observed.lock();
+        observed.paid_at_most = observed.paid_at_most.max(self.paid);
+        for node in &self.boxes {
+            let mut snapshot = (**node.config.borrow()).clone();
             snapshot.apply(&accepted).unwrap();
-            each.config.send_replace(Arc::new(snapshot));
+            node.config.send_replace(Arc::new(snapshot));
         }
     }
 
     pub async fn step(&mut self, step: &Step) {
         match step {
-            Step::Request { at, worst, retry } => self.request(*at, *worst, *retry),
+            Step::Request { at, max_tokens, retry } => self.request(*at, *max_tokens, *retry),
             Step::Wait(ms) => tokio::time::sleep(Duration::from_millis(*ms)).await,
             Step::Crash(at) => {
-                self.boxes[*at].way.condition.send_replace(Condition::Dead);
-                let fresh = self.open(*at);
-                self.peers.lock()[*at] = fresh.as_peer();
-                self.boxes[*at] = fresh;
-                self.declare();
+                self.boxes[*at].store.state.send_replace(Condition::Dead);
+                let node = self.open(*at);
+                self.peers.lock()[*at] = node.as_peer();
+                self.boxes[*at] = node;
+                self.publish_budget();
             }
-            Step::Freeze(at) => drop(self.boxes[*at].way.condition.send_replace(Condition::Frozen)),
-            Step::Wake(at) => drop(self.boxes[*at].way.condition.send_replace(Condition::Running)),
-            Step::Cut(at) => *self.boxes[*at].way.cut.lock() = true,
-            Step::Mend(at) => {
-                *self.boxes[*at].way.cut.lock() = false;
+            Step::Freeze(at) => drop(self.boxes[*at].store.state.send_replace(Condition::Frozen)),
+            Step::Resume(at) => drop(self.boxes[*at].store.state.send_replace(Condition::Running)),
+            Step::Disconnect(at) => *self.boxes[*at].store.is_disconnected.lock() = true,
+            Step::Reconnect(at) => {
+                *self.boxes[*at].store.is_disconnected.lock() = false;
                 self.boxes[*at].health.record_success();
             }
             Step::Seal { victim, by } => {
                 let name = self.boxes[*victim].sessions.me();
-                let way = self.boxes[*by].way.clone();
-                tokio::spawn(wind_up(way, name, false, self.truth.clone(), self.variant));
+                let store = self.boxes[*by].store.clone();
+                tokio::spawn(recover(store, name, false, self.observed.clone(), self.variant));
             }
             Step::TopUp(tokens) => {
                 self.paid += tokens;
                 self.version += 1;
-                self.declare();
+                self.publish_budget();
             }
             Step::Reduce(tokens) => {
                 self.paid = self.paid.saturating_sub(*tokens);
                 self.version += 1;
-                self.declare();
+                self.publish_budget();
             }
-            Step::Keep(at) => {
+            Step::Maintain(at) => {
                 let sessions = self.boxes[*at].sessions.clone();
                 tokio::spawn(async move { sessions.maintain().await });
             }
         }
     }
 
-    fn request(&mut self, at: usize, worst: u64, retry: bool) {
+    fn request(&mut self, at: usize, max_tokens: u64, retry: bool) {
         if !retry || self.keys == 0 {
             self.keys += 1;
         }
         let key: Arc<str> = format!("k{}", self.keys).into();
-        let each = &self.boxes[at];
-        let (sessions, way) = (each.sessions.clone(), each.way.clone());
-        let used = 1 + self.random.random_range(0..worst);
+        let node = &self.boxes[at];
+        let (sessions, store) = (node.sessions.clone(), node.store.clone());
+        let tokens = 1 + self.random.random_range(0..max_tokens);
         let pause = Duration::from_millis(self.random.random_range(0..200));
-        let (truth, variant) = (self.truth.clone(), self.variant);
+        let (observed, variant) = (self.observed.clone(), self.variant);
         tokio::spawn(async move {
             let record = Record {
                 n: 0,
@@ -288,77 +288,77 @@
                 customer: "dis".into(),
                 key: key.clone(),
                 part: Part::Online,
-                reserved: worst,
+                reserved: max_tokens,
                 endpoint: "e".into(),
                 outcome: None,
             };
             if variant == Variant::DispatchUnrecorded {
-                dispatch(&truth, &format!("{key}-unrecorded"), &key, used);
+                dispatch(&observed, &format!("{key}-unrecorded"), &key, tokens);
             }
             let hold = match sessions.hold(record, PATIENCE).await {
                 Ok(hold) => hold,
                 Err(_) => {
-                    truth.lock().refused.insert(key);
+                    observed.lock().refused.insert(key);
                     return;
                 }
             };
             // Leaves time for faults between the recorded intent and the dispatch.
             tokio::time::sleep(pause).await;
-            way.stand().await;
+            store.wait_running().await;
             if hold.is_sealed() {
-                truth.lock().refused.insert(key);
+                observed.lock().refused.insert(key);
                 return;
             }
             let id = hold.attempt_id();
             if hold.is_offline() {
-                truth.lock().carriers.entry(id.clone()).or_default().push(way.clone());
+                observed.lock().holders.entry(id.clone()).or_default().push(store.clone());
             }
-            dispatch(&truth, &id, &key, used);
+            dispatch(&observed, &id, &key, tokens);
             tokio::time::sleep(pause).await;
-            way.stand().await;
-            if let Some(run) = truth.lock().runs.get_mut(&id) {
+            store.wait_running().await;
+            if let Some(run) = observed.lock().runs.get_mut(&id) {
                 run.ended = true;
             }
-            hold.finish(used, Ended::Answered);
+            hold.finish(tokens, Ended::Answered);
         });
     }
 
     /// Ends all faults, recovers dead incarnations, and waits until all outcomes are folded.
     pub async fn finish(&mut self) {
         for at in 0..BOXES {
-            self.boxes[at].way.condition.send_replace(Condition::Running);
-            *self.boxes[at].way.cut.lock() = false;
+            self.boxes[at].store.state.send_replace(Condition::Running);
+            *self.boxes[at].store.is_disconnected.lock() = false;
             self.boxes[at].health.record_success();
         }
         for _ in 0..40 {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            for each in &self.boxes {
-                each.health.record_success();
-                each.sessions.maintain().await;
+            for node in &self.boxes {
+                node.health.record_success();
+                node.sessions.maintain().await;
             }
-            self.wind_up_dead().await;
+            self.recover_dead().await;
         }
     }
 
-    async fn wind_up_dead(&self) {
+    async fn recover_dead(&self) {
         let alive: Vec<Incarnation> = self
             .boxes
             .iter()
-            .flat_map(|each| each.sessions.former().into_iter().chain([each.sessions.current()]))
+            .flat_map(|node| node.sessions.former().into_iter().chain([node.sessions.current()]))
             .map(|session| session.incarnation().clone())
             .collect();
         let me = Incarnation::from("sealer.1");
-        for each in &self.boxes {
-            for name in each.carried.incarnations().iter().filter(|name| !alive.contains(name)) {
-                recovery::seal(&*each.way, name, &me).await;
-                each.carried.hand_in(&*each.way, name, &me).await;
+        for node in &self.boxes {
+            for name in node.replicas.incarnations().iter().filter(|name| !alive.contains(name)) {
+                recovery::seal(&*node.store, name, &me).await;
+                node.replicas.hand_in(&*node.store, name, &me).await;
             }
         }
         for object in self.memory.list("journal", "").await.unwrap() {
             let name = Incarnation::from(&*object.name);
             if !alive.contains(&name) {
-                let way = self.boxes[0].way.clone();
-                wind_up(way, name, true, self.truth.clone(), self.variant).await;
+                let store = self.boxes[0].store.clone();
+                recover(store, name, true, self.observed.clone(), self.variant).await;
             }
         }
     }
@@ -369,7 +369,7 @@
     }
 
     /// All journals and ledgers, for the message of a failure.
-    async fn books(&self) -> String {
+    async fn dump(&self) -> String {
         let mut text = String::new();
         for kind in ["journal", "ledger"] {
             for object in self.memory.list(kind, "").await.unwrap() {
@@ -389,12 +389,12 @@
     }
 
     /// Checks all invariants and returns the first violation.
-    pub async fn fault(&self) -> Option<String> {
-        let (ledger, bills, books) = (self.ledger().await, self.bills().await, self.books().await);
-        let truth = self.truth.lock();
-        let served: u64 = truth.runs.values().map(|run| run.tokens).sum();
-        if served > truth.paid_at_most {
-            return Some(format!("served {served} of {} paid", truth.paid_at_most));
+    pub async fn violation(&self) -> Option<String> {
+        let (ledger, bills, dump) = (self.ledger().await, self.bills().await, self.dump().await);
+        let observed = self.observed.lock();
+        let served: u64 = observed.runs.values().map(|run| run.tokens).sum();
+        if served > observed.paid_at_most {
+            return Some(format!("served {served} of {} paid", observed.paid_at_most));
         }
         if !ledger.is_sound() {
             return Some(format!("the ledger is not sound: {ledger:?}"));
@@ -403,17 +403,18 @@
         if total != ledger.statement.tokens || bills.len() as u64 != ledger.statement.count {
             return Some(format!("bills of {total} against {:?}", ledger.statement));
         }
-        let known = truth.runs.iter().filter(|(id, _)| !truth.is_forgotten(id));
+        let known = observed.runs.iter().filter(|(id, _)| !observed.is_forgotten(id));
         let ran: BTreeSet<&Arc<str>> = known.map(|(_, run)| &run.key).collect();
-        let all: BTreeSet<&Arc<str>> = truth.runs.values().map(|run| &run.key).collect();
+        let all: BTreeSet<&Arc<str>> = observed.runs.values().map(|run| &run.key).collect();
         for key in &all {
             let count = bills.iter().filter(|bill| bill.key == **key).count();
             if count > 1 || (count == 0 && ran.contains(key)) {
-                let runs: Vec<_> = truth.runs.iter().filter(|(_, run)| run.key == **key).collect();
-                return Some(format!("{key} ran and is on {count} bills: {runs:?}\n{books}"));
+                let runs: Vec<_> =
+                    observed.runs.iter().filter(|(_, run)| run.key == **key).collect();
+                return Some(format!("{key} ran and is on {count} bills: {runs:?}\n{dump}"));
             }
         }
-        let forgotten = truth.runs.iter().filter(|(id, _)| truth.is_forgotten(id));
+        let forgotten = observed.runs.iter().filter(|(id, _)| observed.is_forgotten(id));
         let forgotten: u64 = forgotten.map(|(_, run)| run.tokens).sum();
         if served > ledger.spent + forgotten {
             return Some(format!("served {served}, but spent only {}", ledger.spent));
@@ -422,24 +423,24 @@
     }
 }
 
-fn dispatch(truth: &Mutex<Truth>, id: &str, key: &Arc<str>, tokens: u64) {
+fn dispatch(observed: &Mutex<Observed>, id: &str, key: &Arc<str>, tokens: u64) {
     let run = Run { key: key.clone(), tokens, ended: false };
-    truth.lock().runs.insert(id.to_owned(), run);
+    observed.lock().runs.insert(id.to_owned(), run);
 }
 
-async fn wind_up(
-    way: Way,
+async fn recover(
+    store: StoreHandle,
     name: Incarnation,
     ruled: bool,
-    truth: Arc<Mutex<Truth>>,
+    observed: Arc<Mutex<Observed>>,
     variant: Variant,
 ) {
-    let store: &dyn Store = &*way;
+    let store: &dyn Store = &*store;
     let journal = match recovery::seal(store, &name, &Incarnation::from("sealer.1")).await {
         Sealed::Now(journal) | Sealed::Before(journal) => journal,
         Sealed::Missing | Sealed::Unknown => return,
     };
-    let findings = findings(&journal, ruled, &truth, variant);
+    let findings = findings(&journal, ruled, &observed, variant);
     let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else {
         return;
     };
@@ -455,17 +456,17 @@
 fn findings(
     journal: &Journal,
     ruled: bool,
-    truth: &Mutex<Truth>,
+    observed: &Mutex<Observed>,
     variant: Variant,
 ) -> Vec<Finding> {
-    let truth = truth.lock();
+    let observed = observed.lock();
     let mut found = Vec::new();
     for record in journal.open_records() {
         let id = format!("{}-{}", journal.incarnation, record.n);
-        let run = truth.runs.get(&id);
+        let run = observed.runs.get(&id);
         let (charged, ended, evidence) = match run {
             Some(run) if run.ended => (run.tokens, Ended::Broken, Evidence::Reported),
-            None if variant == Variant::BelieveNeverSeen => (0, Ended::NotRun, Evidence::Reported),
+            None if variant == Variant::AssumeNotRun => (0, Ended::NotRun, Evidence::Reported),
             _ if ruled => (record.reserved, Ended::Broken, Evidence::Ruled),
             _ => continue,
         };
