--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -11,9 +11,11 @@
 /// A ledger write whose outcome is unknown.
 #[derive(Debug, Clone)]
 pub struct Pending {
+    /// Version of the ledger that the write expected.
     pub expected: u64,
     pub next: Ledger,
     pub draw: Draw,
+    /// Number of the write, as stored in the grant.
     pub write: u64,
 }
 
@@ -23,7 +25,9 @@
     pub version: u64,
     pub ledger: Option<Ledger>,
     pub pending: Option<Pending>,
+    /// Number of writes so far.
     pub writes: u64,
+    /// Whether the journal lists the budget.
     pub listed: bool,
     pub read_at: Option<Instant>,
 }
--- a/crates/session/src/draw.rs
+++ b/crates/session/src/draw.rs
@@ -13,7 +13,7 @@
     pub need: u64,
 }
 
-/// Tokens to draw, limited by what the ledger has left.
+/// Tokens to draw to reach the target, limited by what the ledger has left.
 ///
 /// The need comes first, then the online part is filled, then the offline part. If the need cannot be
 /// met, the draw asks for the missing tokens instead, so that other boxes return their surplus.
@@ -34,7 +34,8 @@
     }
 }
 
-/// Tokens to return: those above the target if the box holds more than twice as many, or if others lack tokens.
+/// Tokens to return: those above the target, if the box holds more than twice the target or if others
+/// lack tokens.
 pub fn surplus(target: Target, free: Free, wanted_by_others: u64) -> Draw {
     let over = |free: u64, target: u64| match wanted_by_others > 0 {
         true => free.saturating_sub(target),
@@ -77,9 +78,9 @@
     fn surplus_is_larger_while_others_lack_tokens() {
         let target = Target { online: 50, offline: 20 };
         let free = Free { online: 90, offline: 50, need: 0 };
-        let calm = surplus(target, free, 0);
-        assert_eq!((calm.return_online, calm.return_offline), (0, 30));
-        let wanted = surplus(target, free, 1);
-        assert_eq!((wanted.return_online, wanted.return_offline), (40, 30));
+        let without_demand = surplus(target, free, 0);
+        assert_eq!((without_demand.return_online, without_demand.return_offline), (0, 30));
+        let with_demand = surplus(target, free, 1);
+        assert_eq!((with_demand.return_online, with_demand.return_offline), (40, 30));
     }
 }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -27,8 +27,8 @@
 const MAX_ATTEMPTS: u32 = 12;
 /// Longest wait for journal writes before a ledger write.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Age up to which a cached ledger without enough tokens is used without reading it again.
-const SHORTAGE_TTL: Duration = Duration::from_millis(200);
+/// Age from which a cached ledger is read again if it shows a shortage or cannot take the whole journal.
+const CACHED_LEDGER_TTL: Duration = Duration::from_millis(200);
 
 /// How the tokens that a box holds are sized.
 #[derive(Debug, Clone, Copy)]
@@ -118,8 +118,8 @@
 
     pub(crate) fn entry(&self, budget: &Arc<str>) -> Arc<Entry> {
         let mut entries = self.entries.lock();
-        let fresh = || Arc::new(Entry::new(budget.clone()));
-        entries.entry(budget.clone()).or_insert_with(fresh).clone()
+        let new_entry = || Arc::new(Entry::new(budget.clone()));
+        entries.entry(budget.clone()).or_insert_with(new_entry).clone()
     }
 
     /// Budgets that this session has used.
@@ -160,8 +160,8 @@
         let entry = self.entry(budget);
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
-        let wished = tokens.max(free / 4);
-        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, wished))
+        let amount = tokens.max(free / 4);
+        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, amount))
     }
 
     /// Credits offline tokens that a peer passed on.
@@ -222,6 +222,7 @@
         self.update(&self.entry(budget), Purpose::Maintain).await
     }
 
+    /// Folds outcomes into the ledger of a budget, and draws or returns tokens as `purpose` requires.
     async fn update(&self, entry: &Arc<Entry>, purpose: Purpose) -> Result<(), ReserveError> {
         let mut cached = entry.cached.lock().await;
         if let Purpose::Need(tokens) = purpose
@@ -262,7 +263,7 @@
 
     /// Whether the cached ledger is too old to fold the whole journal into it.
     fn is_too_old(&self, entry: &Entry, cached: &CachedLedger) -> bool {
-        let old = cached.read_at.is_none_or(|at| at.elapsed() > SHORTAGE_TTL);
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > CACHED_LEDGER_TTL);
         let stale = cached.ledger.clone().filter(|_| old);
         let journal = self.recorder.journal();
         stale.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
@@ -272,7 +273,7 @@
     fn drop_old_shortage(&self, cached: &mut CachedLedger, purpose: &Purpose) {
         let Purpose::Need(tokens) = purpose else { return };
         let short = cached.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
-        let old = cached.read_at.is_none_or(|at| at.elapsed() > SHORTAGE_TTL);
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > CACHED_LEDGER_TTL);
         if short && old {
             cached.ledger = None;
         }
@@ -338,8 +339,9 @@
         self.write_pages(entry, ledger, &mut next).await;
         let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
-        let is_known = next.grants.get(self.incarnation()).is_some_and(|g| g.wanted == draw.wanted);
-        if draw.wanted > 0 && is_known && next == *ledger {
+        let is_requested =
+            next.grants.get(self.incarnation()).is_some_and(|g| g.wanted == draw.wanted);
+        if draw.wanted > 0 && is_requested && next == *ledger {
             return Err(ReserveError::Exhausted);
         }
         if draw == Draw::default() && next == *ledger {
@@ -359,6 +361,7 @@
         }
     }
 
+    /// Tokens to draw or return in the next write; returned tokens are debited already.
     async fn draw(&self, entry: &Entry, next: &Ledger, share: u64, purpose: &Purpose) -> Draw {
         let target = self.target(entry, next, share);
         let mut free =
@@ -520,6 +523,7 @@
         }
     }
 
+    /// Applies a ledger write that took effect to the account, the recorder and the cached ledger.
     fn commit(
         &self,
         entry: &Arc<Entry>,
@@ -534,7 +538,7 @@
             account.add(Part::Offline, draw.offline);
         }
         if let Some(grant) = next.grants.get(self.incarnation()) {
-            self.recorder.folded(&entry.budget, grant.folded);
+            self.recorder.mark_folded(&entry.budget, grant.folded);
         }
         let returned = draw.return_online + draw.return_offline;
         let (online, offline) = (draw.online, draw.offline);
@@ -580,7 +584,7 @@
                 return Err(ReserveError::Unreachable);
             }
             if self.write(&entry, &mut cached, next, Draw::default()).await? {
-                self.recorder.folded(budget, position);
+                self.recorder.mark_folded(budget, position);
                 // Folding made room in the journal for hand-ins that are still queued.
                 return if last { Ok(()) } else { Err(ReserveError::Unreachable) };
             }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -7,15 +7,15 @@
 //! outcomes and returns tokens.
 
 mod account;
-mod replicas;
 mod draw;
 mod funds;
 mod health;
 mod recorder;
+pub mod recovery;
+mod replicas;
 mod session;
 mod sessions;
 mod usage;
-pub mod recovery;
 
 pub use funds::{Funds, Options, ReserveError};
 pub use health::Health;
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -58,15 +58,16 @@
 type Waiter = oneshot::Sender<Result<(), IntentError>>;
 
 struct Queue {
-    operation: VecDeque<(u64, Operation)>,
+    operations: VecDeque<(u64, Operation)>,
     waiters: BTreeMap<u64, (u64, Waiter)>,
     folded: BTreeMap<Arc<str>, u64>,
-    next: u64,
-    number: u64,
+    next_sequence: u64,
+    next_number: u64,
     /// Whether a caller waits for queued operations.
     urgent: bool,
 }
 
+/// The latest stored journal, to which queued operations are applied.
 #[derive(Debug, Clone)]
 struct Base {
     journal: Arc<Journal>,
@@ -92,8 +93,8 @@
 impl Recorder {
     /// Creates the journal of a new incarnation and starts its writer.
     ///
-    /// The journal is created by the recorder's first write, after this returns. `min_write_interval` is the least
-    /// time between two writes.
+    /// The journal is stored by the recorder's first write, after this returns. Writes are at least
+    /// `min_write_interval` apart.
     pub fn spawn(
         incarnation: Incarnation,
         store: Arc<dyn Store>,
@@ -102,11 +103,11 @@
     ) -> Recorder {
         let journal = Arc::new(Journal::new(incarnation.clone()));
         let queue = Queue {
-            operation: VecDeque::new(),
+            operations: VecDeque::new(),
             waiters: BTreeMap::new(),
             folded: BTreeMap::new(),
-            next: 1,
-            number: 1,
+            next_sequence: 1,
+            next_number: 1,
             urgent: true,
         };
         let shared = Arc::new(Shared {
@@ -129,11 +130,11 @@
         &self.0.incarnation
     }
 
-    /// Returns a new record number.
+    /// Returns an unused record number.
     pub fn number(&self) -> u64 {
         let mut queue = self.0.queue.lock();
-        queue.number += 1;
-        queue.number - 1
+        queue.next_number += 1;
+        queue.next_number - 1
     }
 
     /// Whether the journal is known to be sealed.
@@ -186,7 +187,7 @@
     /// Queues an operation without waiting for it.
     pub fn add(&self, operation: Operation) {
         let mut queue = self.0.queue.lock();
-        let first = queue.operation.is_empty();
+        let first = queue.operations.is_empty();
         queue.push(operation);
         drop(queue);
         if first {
@@ -200,7 +201,7 @@
     }
 
     /// Marks outcomes up to `position` as folded into the ledger of `budget`; the journal may drop them.
-    pub fn folded(&self, budget: &Arc<str>, position: u64) {
+    pub fn mark_folded(&self, budget: &Arc<str>, position: u64) {
         self.0.queue.lock().folded.insert(budget.clone(), position);
     }
 
@@ -210,7 +211,7 @@
         let end = {
             let mut queue = self.0.queue.lock();
             queue.urgent = true;
-            queue.next
+            queue.next_sequence
         };
         self.0.wake.notify_one();
         let mut commits = self.0.commits.subscribe();
@@ -228,7 +229,7 @@
 
     /// Number of queued operations that are not stored yet.
     pub fn backlog(&self) -> usize {
-        self.0.queue.lock().operation.len()
+        self.0.queue.lock().operations.len()
     }
 
     /// Closes the journal; false if a record is open, the journal is sealed, or the write fails.
@@ -268,14 +269,14 @@
 
 impl Queue {
     fn has_pending_before(&self, end: u64) -> bool {
-        let mut before = self.operation.iter().take_while(|(sequence, _)| *sequence < end);
+        let mut before = self.operations.iter().take_while(|(sequence, _)| *sequence < end);
         before.any(|(_, operation)| !matches!(operation, Operation::HandIn(..)))
     }
 
     fn push(&mut self, operation: Operation) -> u64 {
-        let sequence = self.next;
-        self.next += 1;
-        self.operation.push_back((sequence, operation));
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.operations.push_back((sequence, operation));
         sequence
     }
 }
@@ -284,13 +285,13 @@
     if version == 0 { Expect::Absent } else { Expect::Version(version) }
 }
 
-async fn run_writer(shared: std::sync::Weak<Shared>, _landed: watch::Receiver<u64>) {
+async fn run_writer(shared: std::sync::Weak<Shared>, _commits: watch::Receiver<u64>) {
     let mut backoff = MIN_BACKOFF;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let (idle, urgent) = {
             let queue = shared.queue.lock();
-            (queue.operation.is_empty(), queue.urgent)
+            (queue.operations.is_empty(), queue.urgent)
         };
         if idle {
             let wait = tokio::time::timeout(Duration::from_millis(500), shared.wake.notified());
@@ -357,7 +358,7 @@
         let mut journal = base.clone();
         journal.compact(&queue.folded);
         let mut applied = BTreeSet::new();
-        for (sequence, operation) in &queue.operation {
+        for (sequence, operation) in &queue.operations {
             let room = match operation {
                 Operation::HandIn(..) => MAX_RECORDS,
                 Operation::Intend(_) => MAX_RECORDS + EXTRA_INTENTS,
@@ -373,6 +374,7 @@
         (journal, applied)
     }
 
+    /// Removes the applied operations from the queue and answers their waiters.
     fn commit(&self, applied: &BTreeSet<u64>, base: Option<Base>) {
         if let Some(base) = base {
             *self.base.lock() = base;
@@ -380,7 +382,7 @@
         let base = self.base.lock().clone();
         let open = base.journal.is_open();
         let mut queue = self.queue.lock();
-        queue.operation.retain(|(sequence, _)| !applied.contains(sequence));
+        queue.operations.retain(|(sequence, _)| !applied.contains(sequence));
         let waiters = std::mem::take(&mut queue.waiters);
         for (n, (sequence, waiter)) in waiters {
             match (applied.contains(&sequence), open) {
@@ -411,7 +413,7 @@
         let open = base.journal.is_open();
         *self.base.lock() = base;
         if !open {
-            self.seal();
+            self.mark_sealed();
         }
         WriteResult::Retry
     }
@@ -424,17 +426,17 @@
         journal.records.clear();
         base.journal = Arc::new(journal);
         let mut queue = self.queue.lock();
-        queue.operation.clear();
+        queue.operations.clear();
         drop(queue);
         self.commits.send_modify(|count| *count += 1);
         base
     }
 
     /// Fails all waiting intents, and records that their requests were not dispatched.
-    fn seal(&self) {
+    fn mark_sealed(&self) {
         let waiters = {
             let mut queue = self.queue.lock();
-            queue.operation.retain(|(_, operation)| !matches!(operation, Operation::Intend(_)));
+            queue.operations.retain(|(_, operation)| !matches!(operation, Operation::Intend(_)));
             std::mem::take(&mut queue.waiters)
         };
         self.sealed.send_replace(true);
--- a/crates/session/src/replicas.rs
+++ b/crates/session/src/replicas.rs
@@ -21,7 +21,7 @@
 /// Calls to the other boxes that are reachable.
 #[async_trait::async_trait]
 pub trait Peers: Send + Sync {
-    /// Sends an entry of the journal of `owner` to peers, which keep a replica; returns how many accepted it.
+    /// Sends an entry of `owner`'s journal to peers, which keep replicas; returns how many accepted it.
     async fn replicate(&self, owner: &Incarnation, entry: &Entry) -> usize;
 
     /// Asks peers to return surplus tokens to the ledger; true if any did.
@@ -80,12 +80,12 @@
 impl Replicas {
     /// Stores an entry; false if the maximum is reached.
     pub fn insert(&self, owner: Incarnation, entry: Entry) -> bool {
-        let mut carried = self.0.lock();
-        let total: usize = carried.values().map(Entries::len).sum();
+        let mut replicas = self.0.lock();
+        let total: usize = replicas.values().map(Entries::len).sum();
         if total >= MAX_ENTRIES {
             return false;
         }
-        carried.entry(owner).or_default().insert(entry);
+        replicas.entry(owner).or_default().insert(entry);
         true
     }
 
@@ -102,7 +102,12 @@
     ///
     /// An incarnation that never reached the platform has no journal. If it may have used tokens, a
     /// sealed journal is created for it.
-    pub async fn hand_in(&self, store: &dyn Store, owner: &Incarnation, me: &Incarnation) -> bool {
+    pub async fn hand_in(
+        &self,
+        store: &dyn Store,
+        owner: &Incarnation,
+        sealer: &Incarnation,
+    ) -> bool {
         let entries = self.entries_of(owner);
         for _ in 0..MAX_ATTEMPTS {
             let Ok(found) = store.get("journal", owner.as_str()).await else { return false };
@@ -112,7 +117,7 @@
                     Err(_) => return false,
                 },
                 None if may_have_spent(store, owner, &entries).await => {
-                    (Expect::Absent, sealed_journal(owner, me, &entries))
+                    (Expect::Absent, sealed_journal(owner, sealer, &entries))
                 }
                 None => return false,
             };
@@ -121,11 +126,11 @@
             }
             let mut journal = before.clone();
             entries.add_to(&mut journal);
-            let landed = journal == before || {
+            let is_stored = journal == before || {
                 let put = store.put("journal", owner.as_str(), journal.to_json(), expect);
                 matches!(put.await, Write::Landed(_))
             };
-            if landed {
+            if is_stored {
                 self.remove_handed_in(owner, &entries);
                 return true;
             }
@@ -134,12 +139,12 @@
     }
 
     fn remove_handed_in(&self, owner: &Incarnation, handed_in: &Entries) {
-        let mut carried = self.0.lock();
-        if let Some(entries) = carried.get_mut(owner) {
+        let mut replicas = self.0.lock();
+        if let Some(entries) = replicas.get_mut(owner) {
             entries.records.retain(|n, record| handed_in.records.get(n) != Some(record));
             entries.transfers.retain(|transfer| !handed_in.transfers.contains(transfer));
             if entries.len() == 0 {
-                carried.remove(owner);
+                replicas.remove(owner);
             }
         }
     }
@@ -160,9 +165,9 @@
     false
 }
 
-fn sealed_journal(owner: &Incarnation, me: &Incarnation, entries: &Entries) -> Journal {
+fn sealed_journal(owner: &Incarnation, sealer: &Incarnation, entries: &Entries) -> Journal {
     let mut journal = Journal::new(owner.clone());
     journal.drawn = entries.budgets();
-    journal.seal(me);
+    journal.seal(sealer);
     journal
 }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -54,7 +54,7 @@
         let entry = self.funds.entry(&budget);
         let guard = Guard { entry: entry.clone(), reservation: Some(reservation) };
         self.recorder.intend(record.clone(), timeout).await.map_err(HoldError::Intent)?;
-        Ok(Hold::new(self.clone(), entry, guard.keep(), record))
+        Ok(Hold::new(self.clone(), entry, guard.into_reservation(), record))
     }
 
     /// Reserves the maximum cost of a request in the offline part. Nothing is recorded before it ends.
@@ -77,19 +77,19 @@
 
     /// A record with the transfers that may have paid for it. They are replicated together, since a record
     /// cannot be folded without its transfers.
-    fn entries(&self, record: &Record) -> Vec<Entry> {
+    fn with_transfers(&self, record: &Record) -> Vec<Entry> {
         let borrowed = self.borrowed.lock();
-        let paid = borrowed.iter().filter(|(budget, _)| *budget == record.budget);
-        let transfers = paid.map(|(budget, t)| Entry::Transfer(budget.clone(), t.clone()));
+        let of_budget = borrowed.iter().filter(|(budget, _)| *budget == record.budget);
+        let transfers = of_budget.map(|(budget, t)| Entry::Transfer(budget.clone(), t.clone()));
         transfers.chain([Entry::Record(record.clone())]).collect()
     }
 
     fn spawn_replication(&self, record: &Record) {
         if let Some(peers) = self.peers.clone() {
-            let (by, entries) = (self.incarnation().clone(), self.entries(record));
+            let (owner, entries) = (self.incarnation().clone(), self.with_transfers(record));
             tokio::spawn(async move {
                 for entry in entries {
-                    peers.replicate(&by, &entry).await;
+                    peers.replicate(&owner, &entry).await;
                 }
             });
         }
@@ -121,11 +121,11 @@
     /// Ends the grants of a sealed or closed session that has no requests in progress.
     pub async fn end_grants(&self) -> Result<(), ReserveError> {
         self.recorder.flush().await;
-        let mut last = Ok(());
+        let mut result = Ok(());
         for budget in self.funds.budgets() {
-            last = last.and(self.funds.end_grant(&budget).await);
+            result = result.and(self.funds.end_grant(&budget).await);
         }
-        last
+        result
     }
 }
 
@@ -145,8 +145,8 @@
 }
 
 impl Guard {
-    fn keep(mut self) -> Reservation {
-        self.reservation.take().expect("kept once")
+    fn into_reservation(mut self) -> Reservation {
+        self.reservation.take().expect("taken once")
     }
 }
 
@@ -197,11 +197,11 @@
     /// are none, only this box knows of it.
     pub(crate) async fn replicate(&self) {
         if let Some(peers) = &self.session.peers {
-            let entries = self.session.entries(&self.record);
-            let by = self.session.incarnation();
+            let entries = self.session.with_transfers(&self.record);
+            let owner = self.session.incarnation();
             let replication = async {
                 for entry in &entries {
-                    peers.replicate(by, entry).await;
+                    peers.replicate(owner, entry).await;
                 }
             };
             let _ = tokio::time::timeout(REPLICATION_TIMEOUT, replication).await;
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -66,7 +66,8 @@
 }
 
 impl Sessions {
-    /// Opens the first session. `seed` must be new at each start, since the names of incarnations derive from it.
+    /// Opens the first session. `seed` must be different at each start, since the names of incarnations
+    /// derive from it.
     pub fn open(setup: Setup, seed: u64) -> Sessions {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&setup.box_name, random.random());
@@ -96,28 +97,28 @@
         if current.incarnation() != sealed {
             return false;
         }
-        let fresh = Incarnation::new(&self.setup.box_name, self.random.lock().random());
-        let old = std::mem::replace(&mut *current, Session::open(fresh.clone(), &self.setup));
+        let incarnation = Incarnation::new(&self.setup.box_name, self.random.lock().random());
+        let old = std::mem::replace(&mut *current, Session::open(incarnation.clone(), &self.setup));
         self.former.lock().push(old);
-        self.setup.log.set_incarnation(fresh.as_str());
-        self.setup.log.add(EventKind::Renewed { incarnation: fresh.as_str().into() });
+        self.setup.log.set_incarnation(incarnation.as_str());
+        self.setup.log.add(EventKind::Renewed { incarnation: incarnation.as_str().into() });
         true
     }
 
     /// Holds tokens for the maximum cost of a request: online if the platform answers within
-    /// `patience`, otherwise from the offline part.
-    pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Rejection> {
+    /// `timeout`, otherwise from the offline part.
+    pub async fn hold(&self, record: Record, timeout: Duration) -> Result<Hold, Rejection> {
         let mut asked_peers = false;
         for _ in 0..MAX_ATTEMPTS {
             let session = self.current();
             if !self.setup.health.is_up() {
                 return self.hold_offline(record).await;
             }
-            match session.hold_online(record.clone(), patience).await {
+            match session.hold_online(record.clone(), timeout).await {
                 Ok(hold) => return Ok(hold),
                 Err(HoldError::Reserve(ReserveError::Exhausted)) if !asked_peers => {
                     asked_peers = true;
-                    if !self.return_surplus(&record, patience).await {
+                    if !self.return_surplus(&record, timeout).await {
                         return Err(Rejection::Exhausted);
                     }
                 }
@@ -141,10 +142,10 @@
     }
 
     /// Asks peers to return surplus tokens, before a budget counts as exhausted.
-    async fn return_surplus(&self, record: &Record, patience: Duration) -> bool {
+    async fn return_surplus(&self, record: &Record, timeout: Duration) -> bool {
         let Some(peers) = &self.setup.peers else { return false };
-        let asking = peers.return_surplus(&record.budget, record.reserved);
-        tokio::time::timeout(patience, asking).await.unwrap_or(false)
+        let request = peers.return_surplus(&record.budget, record.reserved);
+        tokio::time::timeout(timeout, request).await.unwrap_or(false)
     }
 
     /// Tries former sessions first, since their tokens have no other use.
@@ -166,8 +167,8 @@
         if session.recorder.is_sealed() {
             return Err(Rejection::OfflineExhausted);
         }
-        let asking = peers.lend(&record.budget, record.reserved, session.incarnation());
-        let Ok(Some(transfer)) = tokio::time::timeout(BORROW_TIMEOUT, asking).await else {
+        let request = peers.lend(&record.budget, record.reserved, session.incarnation());
+        let Ok(Some(transfer)) = tokio::time::timeout(BORROW_TIMEOUT, request).await else {
             return Err(Rejection::OfflineExhausted);
         };
         session.receive(&record.budget, transfer).await;
@@ -200,7 +201,7 @@
     async fn end_former(&self) -> Vec<Incarnation> {
         let mut ended = Vec::new();
         for former in self.former() {
-            // Drained first, so that no request gets tokens that are being returned.
+            // Debited first, so that no request gets tokens that are being returned.
             former.funds.debit_all();
             if former.funds.is_idle() && former.end_grants().await.is_ok() {
                 ended.push(former.incarnation().clone());
--- a/crates/session/tests/simulation/faulty.rs
+++ b/crates/session/tests/simulation/faulty.rs
@@ -50,7 +50,8 @@
         self.random.lock().random()
     }
 
-    async fn delay(&self) -> Result<(), Error> {
+    /// Simulates the latency of a call; fails if the box is disconnected.
+    async fn connect(&self) -> Result<(), Error> {
         self.wait_running().await;
         let ms = 1 + (self.sample() * 20.0) as u64;
         tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -65,17 +66,17 @@
 #[async_trait::async_trait]
 impl Store for FaultyStore {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, Error> {
-        self.delay().await?;
+        self.connect().await?;
         self.memory.get(kind, name).await
     }
 
     async fn list(&self, kind: &str, prefix: &str) -> Result<Vec<Object>, Error> {
-        self.delay().await?;
+        self.connect().await?;
         self.memory.list(kind, prefix).await
     }
 
     async fn put(&self, kind: &str, name: &str, value: String, expect: Expect) -> Write {
-        if self.delay().await.is_err() {
+        if self.connect().await.is_err() {
             return if self.sample() < 0.5 { Write::Failed } else { Write::Unknown };
         }
         let roll = self.sample();
@@ -95,7 +96,7 @@
     }
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write {
-        match self.delay().await {
+        match self.connect().await {
             Ok(()) => self.memory.delete(kind, name, version).await,
             Err(_) => Write::Failed,
         }
--- a/crates/session/tests/simulation/mod.rs
+++ b/crates/session/tests/simulation/mod.rs
@@ -29,7 +29,7 @@
 
 pub const BUDGET: &str = "bornova";
 const BOXES: usize = 3;
-const PATIENCE: Duration = Duration::from_millis(300);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Faulty variants of the box, which the tests must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 pub struct Observed {
     runs: BTreeMap<String, Run>,
     refused: BTreeSet<Arc<str>>,
-    paid_at_most: u64,
+    max_paid: u64,
     /// Boxes that know of an offline request, by attempt: its own box and those with a replica.
     holders: BTreeMap<String, Vec<StoreHandle>>,
 }
@@ -90,18 +90,18 @@
 impl session::Peers for Peers {
     async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
         let all = self.all.lock().clone();
-        let mut taken = 0;
+        let mut accepted = 0;
         for (index, (store, replicas, _)) in all.into_iter().enumerate() {
             let runs = *store.state.borrow() == Condition::Running;
             if index != self.me && runs && replicas.insert(by.clone(), entry.clone()) {
-                taken += 1;
+                accepted += 1;
                 if let Entry::Record(record) = entry {
                     let id = format!("{by}-{}", record.n);
                     self.observed.lock().holders.entry(id).or_default().push(store);
                 }
             }
         }
-        taken
+        accepted
     }
 
     async fn return_surplus(&self, budget: &Arc<str>, _tokens: u64) -> bool {
@@ -223,7 +223,7 @@
             panic!("the sample budget is valid");
         };
         let mut observed = self.observed.lock();
-        observed.paid_at_most = observed.paid_at_most.max(self.paid);
+        observed.max_paid = observed.max_paid.max(self.paid);
         for node in &self.boxes {
             let mut snapshot = (**node.config.borrow()).clone();
             snapshot.apply(&accepted).unwrap();
@@ -295,7 +295,7 @@
             if variant == Variant::DispatchUnrecorded {
                 dispatch(&observed, &format!("{key}-unrecorded"), &key, tokens);
             }
-            let hold = match sessions.hold(record, PATIENCE).await {
+            let hold = match sessions.hold(record, HOLD_TIMEOUT).await {
                 Ok(hold) => hold,
                 Err(_) => {
                     observed.lock().refused.insert(key);
@@ -393,8 +393,8 @@
         let (ledger, bills, dump) = (self.ledger().await, self.bills().await, self.dump().await);
         let observed = self.observed.lock();
         let served: u64 = observed.runs.values().map(|run| run.tokens).sum();
-        if served > observed.paid_at_most {
-            return Some(format!("served {served} of {} paid", observed.paid_at_most));
+        if served > observed.max_paid {
+            return Some(format!("served {served} of {} paid", observed.max_paid));
         }
         if !ledger.is_sound() {
             return Some(format!("the ledger is not sound: {ledger:?}"));
