--- a/crates/config/src/accepted.rs
+++ b/crates/config/src/accepted.rs
@@ -1,4 +1,4 @@
-//! The gate between what operators write and what boxes obey.
+//! Validates operators' objects and decides which become accepted objects.
 
 use std::sync::Arc;
 
@@ -6,54 +6,55 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// An accepted spec with the version of the source that it was copied from.
+/// A valid spec with the version of the operator's object (the source) that it was copied from.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Accepted {
     /// Kind of the resource.
     pub kind: Kind,
     /// Name of the resource.
     pub name: Arc<str>,
-    /// Version of the operator's object; only a newer one replaces it.
+    /// Version of the source; only a newer one replaces it.
     pub source: u64,
-    /// The spec, or nothing once the operator deleted it.
+    /// The spec, `None` if the operator deleted the source.
     pub spec: Option<Box<RawValue>>,
 }
 
 impl Accepted {
-    /// An accepted deletion, at the version that deleted.
+    /// An accepted deletion; `source` is the version of the deletion.
     pub fn deleted(kind: Kind, name: &str, source: u64) -> Accepted {
         Accepted { kind, name: name.into(), source, spec: None }
     }
 
-    /// The decoded spec, `None` once deleted.
+    /// Decodes the spec; `None` if deleted.
     pub fn decode(&self) -> Result<Option<Spec>, jsonc::Error> {
         let spec = self.spec.as_ref();
         spec.map(|raw| Spec::from_json(self.kind, raw.get())).transpose()
     }
 
-    /// JSON text for the platform.
+    /// JSON text as stored in the platform.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("accepted objects always serialize")
     }
 }
 
-/// What the gate decided about a source.
+/// Whether a source is accepted.
 #[derive(Debug)]
 pub enum Verdict {
     /// Write this accepted object.
     Accept(Accepted),
-    /// The accepted object is as new already.
+    /// The accepted object is already as new.
     Keep,
-    /// The last accepted spec stays in force; the reason goes to status.
+    /// The source is invalid: the last accepted spec stays, and the reason is reported in `status`.
     Invalid { reason: String },
 }
 
-/// Name of the accepted object of a resource.
+/// Name of a resource's accepted object.
 pub fn object_name(kind: Kind, name: &str) -> String {
     format!("{kind}.{name}")
 }
 
-/// Decides whether a source at `version` replaces what was accepted from version `accepted`.
+/// Validates a source at `version` and decides whether it replaces the object accepted from source
+/// version `accepted`. A `value` of `None` is a deletion.
 pub fn gate(
     kind: Kind,
     name: &str,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Accepted configuration: what is in force, and how it only ever moves forwards.
+//! Accepted configuration. The version of each resource only ever increases.
 //!
-//! Operators write sources; the fleet validates them and copies what is acceptable to `accepted`
-//! objects. Boxes obey accepted objects alone. [`gate`] decides whether a source is copied,
-//! [`Snapshot`] what a box has in force.
+//! Operators write objects, called sources. Boxes validate them and copy valid ones to `accepted`
+//! objects, which are all that a box applies. [`gate`] decides whether a source is accepted, and a
+//! [`Snapshot`] is what one box has applied.
 
 mod accepted;
 mod snapshot;
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! All configuration in force on one box.
+//! All configuration applied on one box.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,20 +6,20 @@
 
 use crate::Accepted;
 
-/// Who calls, found by API key.
+/// The owner of an API key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
-    /// Customer that calls.
+    /// The customer.
     pub customer: Arc<str>,
-    /// Budget that pays.
+    /// The budget that pays for requests with this key.
     pub budget: Arc<str>,
-    /// Share against other customers.
+    /// Weight against other customers in a queue.
     pub weight: u32,
-    /// Requests under way at once on one box.
+    /// Limit of concurrent requests on one box.
     pub max_in_flight: u32,
 }
 
-/// Configuration in force; cheap to clone.
+/// Applied configuration; specs are shared between clones.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     /// Budgets by name.
@@ -30,16 +30,16 @@
     pub pools: BTreeMap<Arc<str>, Arc<Pool>>,
     /// Routes by name.
     pub routes: BTreeMap<Arc<str>, Arc<Route>>,
-    /// Incarnations declared destroyed, by the name of the declaration.
+    /// Declarations of destroyed incarnations, by name.
     pub destroyed: BTreeMap<Arc<str>, Arc<Destroyed>>,
-    /// Source version in force of each resource, deleted ones included.
+    /// Applied source version of each resource, deleted ones included.
     versions: BTreeMap<(Kind, Arc<str>), u64>,
     newest: u64,
     sum: u64,
 }
 
 impl Snapshot {
-    /// Puts an accepted object in force, unless one as new is in force already.
+    /// Applies an accepted object; false if one as new is already applied.
     pub fn apply(&mut self, accepted: &Accepted) -> Result<bool, jsonc::Error> {
         let id = (accepted.kind, accepted.name.clone());
         if self.versions.get(&id).is_some_and(|version| *version >= accepted.source) {
@@ -80,22 +80,23 @@
         }
     }
 
-    /// Source version in force of a resource, 0 if it was never seen.
+    /// Applied source version of a resource, 0 if there is none.
     pub fn version(&self, kind: Kind, name: &str) -> u64 {
         self.versions.get(&(kind, name.into())).copied().unwrap_or(0)
     }
 
-    /// All versions in force.
+    /// All applied source versions.
     pub fn versions(&self) -> &BTreeMap<(Kind, Arc<str>), u64> {
         &self.versions
     }
 
-    /// The newest source version in force.
+    /// The newest applied source version.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Sum of all versions in force: it grows with every change, so a lower one lacks something.
+    /// Sum of all applied source versions. It grows with every change, so a box with a lower sum lacks
+    /// a change.
     pub fn sum(&self) -> u64 {
         self.sum
     }
@@ -105,7 +106,7 @@
         self.destroyed.values().any(|spec| &*spec.incarnation == incarnation)
     }
 
-    /// Finds who calls with an API key; the secret is compared in constant time.
+    /// The owner of an API key; the secret is compared in constant time.
     pub fn caller(&self, api_key: &str) -> Option<Caller> {
         let secret = Secret::parse(api_key)?;
         let customer = self.customers.get(secret.customer)?;
--- a/crates/config/tests/forwards.rs
+++ b/crates/config/tests/forwards.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration moves forwards only, in whatever order versions arrive.
+//! The newest version wins, in whatever order versions arrive.
 
 use config::{Snapshot, Verdict, gate};
 use proptest::prelude::*;
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,13 +1,13 @@
-//! A whole answer that is not a stream.
+//! A complete answer, not streamed.
 
 use bytes::Bytes;
 
-/// A whole answer that is not a stream.
+/// A complete answer, not streamed.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers passed on.
+    /// End-to-end headers.
     pub headers: http::HeaderMap,
     /// Body.
     pub body: Bytes,
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answering other boxes, and exchanging with them now and then.
+//! Serves requests of other boxes and exchanges status with them periodically.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,16 +8,16 @@
 
 use crate::{follow::put_in_force, shared::Shared};
 
-/// Boxes up to which everyone exchanges with everyone in each turn.
+/// Fleet size up to which every box exchanges status with every other in each round.
 const FEW: u64 = 9;
-/// Peers that a box exchanges with in one turn of a larger fleet.
+/// Peers per round in a larger fleet.
 const FANOUT: usize = 2;
-/// Time of one turn of a small fleet.
+/// Length of a round in a small fleet; it grows with the number of boxes.
 const TURN: Duration = Duration::from_millis(300);
-/// Longest time of one turn.
+/// Longest round.
 const TURN_MOST: Duration = Duration::from_millis(2_400);
 
-/// Answers the questions of other boxes.
+/// Answers requests of other boxes.
 pub struct PeerService(pub Arc<Shared>);
 
 #[async_trait::async_trait]
@@ -77,34 +77,30 @@
         | Frame::Done
         | Frame::Promised { .. }
         | Frame::Sealed { .. }
-        | Frame::Refused { .. } => Frame::Refused { reason: "not a question".into() },
-        // A hint; boxes of this kind tell what they have under way regularly.
+        | Frame::Refused { .. } => Frame::Refused { reason: "not a request".into() },
+        // Only a hint: the periodic status exchange carries the requests in flight.
         Frame::Prompt(_) => Frame::Done,
-        // The engines of this interface name no limits, and say in their reports whether they leave.
+        // These engines name no rate limits, and report to each box whether they are leaving.
         Frame::PermitRequest(_)
         | Frame::PermitReply(_)
         | Frame::Limit { .. }
         | Frame::Departure { .. } => {
-            Frame::Refused { reason: "endpoints of this interface report to each box".into() }
+            Frame::Refused { reason: "endpoints report to each router directly".into() }
         }
         Frame::Draw(_) | Frame::Drawn(_) | Frame::Bills { .. } | Frame::HandOver { .. } => {
-            Frame::Refused {
-                reason: "boxes of this interface write their ledgers themselves".into(),
-            }
+            Frame::Refused { reason: "routers write their ledgers themselves".into() }
         }
         Frame::Subscribe(_) | Frame::Update(_) | Frame::Crash { .. } | Frame::Greet { .. } => {
-            Frame::Refused {
-                reason: "boxes of this interface follow the platform themselves".into(),
-            }
+            Frame::Refused { reason: "routers watch the platform themselves".into() }
         }
-        // Boxes of this kind keep journals, which say exactly what is unused.
+        // A router needs no witness: its journal records exactly what is unused.
         Frame::Promise(_) | Frame::Seal { .. } => {
-            Frame::Refused { reason: "this box is nobody's witness".into() }
+            Frame::Refused { reason: "this box is no witness".into() }
         }
     }
 }
 
-/// Makes a platform call for a peer, by this box's own direct way only.
+/// Makes a platform call for a peer, over this box's direct connection only: no chains of relays.
 async fn call(shared: &Shared, question: Question) -> Frame {
     let store = &shared.direct;
     let value = |object: objects::Object| Value {
@@ -151,7 +147,7 @@
     }
 }
 
-/// Takes over what a peer told; true if its configuration is worth asking for.
+/// Applies a peer's status; true if the peer has configuration that this box lacks.
 fn take(shared: &Shared, from: &Incarnation, told: Status) -> bool {
     let now = shared.now();
     let name: Arc<str> = from.box_name().into();
@@ -160,7 +156,7 @@
     told.newest > snapshot.newest() || told.versions > snapshot.sum()
 }
 
-/// Exchanges with a few peers in turn, for as long as the router runs.
+/// Exchanges status with random peers in rounds, for as long as the router runs.
 pub async fn exchange(shared: Arc<Shared>) {
     loop {
         let boxes = shared.boxes();
@@ -173,7 +169,7 @@
     }
 }
 
-/// A box that knows nobody asks the addresses of its settings.
+/// Contacts the peer addresses in the settings while no peer is known.
 async fn seed(shared: &Arc<Shared>) {
     if !shared.peers.some(1).is_empty() {
         return;
@@ -200,7 +196,7 @@
         for object in objects {
             put_in_force(shared, &object);
         }
-        // A box that starts with no platform serves what its peers hold.
+        // A box that starts without the platform becomes ready with its peers' configuration.
         shared.watched.send_if_modified(|watched| {
             let first = *watched == 0;
             *watched = (*watched).max(1);
@@ -209,7 +205,7 @@
     }
 }
 
-/// Hands in what is carried for boxes that are gone, once the platform answers.
+/// Writes journal entries carried for boxes that are gone to the platform, while it is reachable.
 pub async fn hand_in(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.money.seal_after_ms);
     loop {
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -1,4 +1,4 @@
-//! What callers and operators' scrapers speak to: HTTP.
+//! HTTP API for callers; metrics and health checks for operators.
 
 use std::sync::Arc;
 
@@ -25,10 +25,10 @@
 /// Longest request key, in bytes.
 const MAX_KEY: usize = 128;
 
-/// Serves callers.
+/// Handles requests of callers.
 pub struct Callers(pub Arc<Shared>);
 
-/// Serves metrics and health.
+/// Serves metrics and health checks.
 pub struct Operators(pub Arc<Shared>);
 
 #[async_trait::async_trait]
@@ -80,7 +80,7 @@
                 let rest = rest.join("/");
                 service_call(&snapshot, request, caller, route, &rest).await?
             }
-            _ => return Err(Reason::NoRoute.with("no such path")),
+            _ => return Err(Reason::NoRoute.with("no route for this path and method")),
         };
         let call = Call { key: key.clone(), keyed, came, ..call };
         self.answer(call, response).await
@@ -91,7 +91,7 @@
         let (customer, key) = (call.caller.customer.clone(), call.key.clone());
         let mut follower = match shared.requests.enter(&customer, &key, call.fingerprint) {
             Entered::Mismatch => {
-                return Err(Reason::KeyReused.with("the key was used for another request"));
+                return Err(Reason::KeyReused.with("the key was already used for another request"));
             }
             Entered::Joined(follower) => {
                 let what = timeline::What::Replayed;
@@ -125,7 +125,7 @@
             let _ = response.add_header(render::REQUEST, key.to_owned(), true);
             let _ = response.add_header("content-type", "text/event-stream", true);
             let stream = transcript.stream();
-            // The follower lives as long as the stream: while it does, somebody wants the answer.
+            // The follower lives as long as the stream, which keeps the request wanted.
             response.stream(WithFollower { stream: Box::pin(stream), _follower: follower });
         }
         Progress::Waiting => unreachable!("waited for"),
@@ -171,7 +171,7 @@
     let header = request.headers().get("authorization").and_then(|value| value.to_str().ok());
     let api_key = header.and_then(|text| text.strip_prefix("Bearer ")).map(str::trim);
     let caller = api_key.and_then(|api_key| snapshot.caller(api_key));
-    caller.ok_or_else(|| Reason::Unauthenticated.with("a valid API key is needed"))
+    caller.ok_or_else(|| Reason::Unauthenticated.with("a valid API key is required"))
 }
 
 fn allowed<'a>(
@@ -185,7 +185,8 @@
         return Err(Reason::Forbidden.with(format!("`{name}` is not open to this customer")));
     }
     let pool = snapshot.pools.get(&route.pool);
-    let pool = pool.ok_or_else(|| Reason::NoEndpoint.after("its pool does not exist", SOON))?;
+    let pool =
+        pool.ok_or_else(|| Reason::NoEndpoint.after("the pool of the route does not exist", SOON))?;
     Ok((route, pool))
 }
 
@@ -198,13 +199,13 @@
     match request.payload_with_max_size(most).await {
         Ok(bytes) => Ok(bytes.clone()),
         Err(salvo::http::ParseError::PayloadTooLarge) => {
-            Err(Reason::TooLarge.with(format!("the body has more than {most} bytes")))
+            Err(Reason::TooLarge.with(format!("the body is larger than {most} bytes")))
         }
-        Err(_) => Err(Reason::Malformed.with("the body broke off")),
+        Err(_) => Err(Reason::Malformed.with("the body is incomplete")),
     }
 }
 
-/// Largest chat body before its route is known, in bytes.
+/// Largest chat body read before its route is known, in bytes.
 const MAX_CHAT: u64 = 64 << 20;
 
 async fn chat_call(
@@ -218,7 +219,7 @@
     let chat = Chat::read(&bytes)?;
     let (route, pool) = allowed(snapshot, &caller, &chat.model)?;
     if bytes.len() as u64 > route.max_body {
-        let message = format!("the body has more than {} bytes", route.max_body);
+        let message = format!("the body is larger than {} bytes", route.max_body);
         return Err(Reason::TooLarge.with(message));
     }
     if !matches!(pool.serves, Serves::Model(_)) {
@@ -278,10 +279,10 @@
     }
 }
 
-/// Most tickets issued at once.
+/// Most tickets issued by one request.
 const MAX_TICKETS: u64 = 100;
 
-/// Issues keys for unrepeatable calls that this box may run without the platform.
+/// Issues tickets: keys of calls that must not run twice, which need no platform call to run.
 async fn tickets(
     shared: &Shared,
     request: &mut Request,
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,4 +1,4 @@
-//! One call as the router understands it, whatever protocol it came by.
+//! A parsed and authenticated call, independent of its protocol.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,63 +15,63 @@
     Chat {
         /// Body for the engine.
         body: Bytes,
-        /// Most output tokens.
+        /// Limit of output tokens.
         limit: u64,
-        /// Whether the caller wants a stream.
+        /// Whether the caller asked for a stream.
         stream: bool,
-        /// Model name as the caller gave it.
+        /// Model name in the request.
         model: Arc<str>,
     },
-    /// A call of a plain service.
+    /// A call to a plain HTTP service.
     Service {
         /// Method.
         method: http::Method,
         /// Path and query after the route's name.
         path: String,
-        /// Headers passed on.
+        /// End-to-end headers.
         headers: http::HeaderMap,
         /// Body.
         body: Bytes,
     },
 }
 
-/// A call that may be driven.
+/// A call ready to be run.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Who calls and pays.
+    /// Calling customer and the budget that pays.
     pub caller: Caller,
     /// Request key, unique for the customer.
     pub key: Arc<str>,
-    /// Whether the caller chose the key, so that retries may come.
+    /// Whether the caller chose the key; only then can there be retries.
     pub keyed: bool,
     /// Name of the route.
     pub route_name: Arc<str>,
-    /// Where it goes.
+    /// The route.
     pub route: Arc<Route>,
-    /// Worst case, in tokens.
+    /// Most tokens that the call can use; they are reserved before it runs.
     pub worst: u64,
-    /// Start of the prompt, for affinity.
+    /// Prefix of the prompt, for affinity.
     pub prefix: Prefix,
-    /// Hash of the request, against a key used twice.
+    /// Hash of the request, to detect a key reused for another request.
     pub fingerprint: u64,
-    /// When it came.
+    /// When it was received.
     pub came: Instant,
     /// What to send.
     pub payload: Payload,
 }
 
 impl Call {
-    /// Kind of work.
+    /// Class of the route.
     pub fn class(&self) -> Class {
         self.route.class
     }
 
-    /// When the caller stops waiting for the first byte.
+    /// Deadline for the first byte of the answer.
     pub fn deadline(&self) -> Instant {
         self.came + Duration::from_millis(self.route.deadline_ms)
     }
 
-    /// Time left until then.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline().saturating_duration_since(Instant::now())
     }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -1,4 +1,4 @@
-//! Reading chat completions, and writing the answers of those that want no stream.
+//! Parses chat completion requests and writes answers that are not streamed.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 
 use crate::outcome::{Reason, Refusal};
 
-/// What a chat request asks for.
+/// A chat completion request.
 #[derive(Debug)]
 pub struct Chat {
-    /// Model name, which is the route's.
+    /// Model name; it names the route.
     pub model: Arc<str>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a stream.
     pub stream: bool,
-    /// Output tokens asked for, if said.
+    /// Limit of output tokens, if the caller sets one.
     pub max_tokens: Option<u64>,
     body: Map<String, Value>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl Chat {
-    /// Reads a body.
+    /// Parses and validates a body.
     pub fn read(body: &[u8]) -> Result<Chat, Refusal> {
         let value: Value = serde_json::from_slice(body)
             .map_err(|error| malformed(&format!("the body is not JSON: {error}")))?;
@@ -56,18 +56,18 @@
         messages.filter_map(|message| message["content"].as_str())
     }
 
-    /// Start of the prompt, for affinity.
+    /// Prefix of the prompt, for affinity.
     pub fn prefix(&self) -> Prefix {
         Prefix::of(self.contents())
     }
 
-    /// Worst case with `limit` output tokens.
+    /// Most tokens that the request can use, with `limit` output tokens.
     pub fn worst(&self, pool: &Pool, limit: u64) -> u64 {
         let bytes: usize = self.contents().map(str::len).sum();
         pool.prompt_bound(bytes as u64) + limit
     }
 
-    /// The body for the engine: always streamed, with usage and the output limit.
+    /// Body for the engine: always streamed, with usage and the output limit.
     pub fn body(mut self, limit: u64) -> Bytes {
         self.body.remove("max_completion_tokens");
         self.body.insert("max_tokens".into(), limit.into());
@@ -95,7 +95,7 @@
     }
 }
 
-/// The answer of a caller that wants no stream.
+/// Body of an answer that is not streamed.
 pub fn completion(
     model: &str,
     key: &str,
@@ -117,7 +117,7 @@
     value.to_string().into()
 }
 
-/// The events that end a stream which was cut at its output limit.
+/// Final events of a stream that is cut off at its output limit.
 pub fn cut_events(key: &str, prompt: u64, output: u64) -> Bytes {
     let value = json!({
         "id": key, "object": "chat.completion.chunk",
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,4 +1,4 @@
-//! Taking and settling claims of unrepeatable requests.
+//! Acquires and settles claims of requests that must not run twice.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,40 +8,41 @@
 
 use crate::shared::Shared;
 
-/// Waits between attempts to settle a claim.
+/// First delay between attempts to settle a claim; it doubles.
 const AGAIN: Duration = Duration::from_millis(100);
-/// Longest wait between attempts.
+/// Longest delay between attempts to settle a claim.
 const AGAIN_MOST: Duration = Duration::from_secs(5);
-/// First wait before looking whether another attempt has answered.
+/// First delay between reads of a claim that another attempt holds; it doubles.
 const LOOK: Duration = Duration::from_millis(40);
-/// Longest such wait.
+/// Longest delay between such reads.
 const LOOK_MOST: Duration = Duration::from_millis(640);
-/// Attempts to take a claim before the platform counts as unreachable.
+/// Writes tried for a claim before the platform counts as unreachable.
 const TRIES: u32 = 6;
 
-/// A claim that this box holds: it may run the request.
+/// A claim held by this box: it may run the request. Dropped before a dispatch, it records that the
+/// request did not run.
 pub struct Held {
     shared: Arc<Shared>,
     claim: Claim,
     settled: bool,
 }
 
-/// Why a claim was not taken.
+/// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Miss {
-    /// The request ran before; this was the answer.
+    /// The request ran before; its stored answer.
     Replay(claim::Answer),
     /// It may have run.
     Unknown,
     /// The key belongs to another request.
     Mismatch,
-    /// The platform did not answer in time; this attempt never runs.
+    /// The platform did not answer in time; this attempt does not run.
     Unreachable,
 }
 
-/// Takes the claim within `patience`; the write lands before this returns.
+/// Acquires the claim within `patience`; its write has landed when this returns it.
 ///
-/// While another attempt holds the claim, its answer is waited for until `left` is over.
+/// While another attempt holds the claim, waits up to `left` for that attempt's answer.
 pub async fn take(
     shared: &Arc<Shared>,
     claim: Claim,
@@ -50,7 +51,8 @@
 ) -> Result<Held, Miss> {
     let end = Instant::now() + left;
     loop {
-        // Whatever happens to the caller, a claim that may have landed is settled by own word.
+        // Created before the write: if this future is cancelled, dropping it settles a claim that
+        // may have landed.
         let held = Held { shared: shared.clone(), claim: claim.clone(), settled: false };
         let miss = match tokio::time::timeout(patience, create(shared, &claim)).await {
             Ok(Ok(())) => return Ok(held),
@@ -102,7 +104,7 @@
     Err(Miss::Unreachable)
 }
 
-/// Waits for the answer of another attempt; `None` once that attempt says that it did not run.
+/// Waits for the answer of another attempt; `None` once that attempt records that it did not run.
 async fn follow(shared: &Shared, mine: &Claim) -> Option<Miss> {
     let name = object_name(&mine.customer, &mine.key);
     let mut wait = LOOK;
@@ -118,12 +120,12 @@
     }
 }
 
-/// A claim for a ticket that runs without one: what became of it is recorded later.
+/// A claim for a ticket, which runs without writing it first: the outcome creates the object.
 pub fn later(shared: &Arc<Shared>, claim: Claim) -> Held {
     Held { shared: shared.clone(), claim, settled: false }
 }
 
-/// What is recorded of a request that this box may not run.
+/// Reads what is recorded of a request that this box may not run.
 pub async fn recorded(shared: &Shared, claim: &Claim) -> Miss {
     match read(shared, &object_name(&claim.customer, &claim.key)).await {
         Ok(Some((found, _))) => match found.decide(claim) {
@@ -136,17 +138,17 @@
 }
 
 impl Held {
-    /// The claim was never ours: nothing to settle.
+    /// Drops the claim without settling it: another attempt owns it.
     fn abandon(mut self) {
         self.settled = true;
     }
 
-    /// The request ran: the claim keeps its answer.
+    /// Records the answer of the request.
     pub fn answered(self, answer: claim::Answer) {
         self.settle(State::Done(answer));
     }
 
-    /// The request was dispatched and nobody knows how it ended: the claim stays open.
+    /// Leaves the claim open: the request was dispatched and its end is unknown.
     pub fn leave_open(self) {
         self.settle(State::Open);
     }
@@ -158,7 +160,7 @@
 }
 
 impl Drop for Held {
-    /// Dropped without an outcome, the request was not dispatched: own word.
+    /// Without an outcome the request was not dispatched.
     fn drop(&mut self) {
         if !self.settled {
             let (shared, claim) = (self.shared.clone(), self.claim.clone());
@@ -185,7 +187,7 @@
                     return;
                 }
             }
-            // A create that was never answered may still land: fence it off with own word.
+            // An unanswered create may still land: an object with the final state makes it fail.
             Ok(None) => {
                 let write = shared.store.put("claim", &name, text.clone(), Expect::Absent).await;
                 if let Write::Landed(_) = write {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a held call to an endpoint, and to another while it was provably not received.
+//! Sends a call to an endpoint, and to another one if the first provably did not receive it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,20 +17,20 @@
     shared::Shared,
 };
 
-/// Endpoints tried for one call, each after the last provably did not receive it.
+/// Most endpoints tried for one call.
 const TRIES: usize = 3;
 
-/// What came of sending.
+/// Result of sending a request to one endpoint.
 pub enum Sent {
-    /// It answers.
+    /// The endpoint answered with these headers; the body follows.
     Answering(Response),
-    /// Provably not received, and how long the endpoint wants nothing from this box, if it said so.
+    /// Provably not run, with the back-off that the endpoint asked for, if any.
     NotReceived { failure: Failure, rest: Option<Duration> },
-    /// It may have been received.
+    /// It may have run.
     Doubt(Unknown),
 }
 
-/// Sends to the chosen endpoint, and to another while it was provably not received.
+/// Sends to the chosen endpoint, then to others as long as each provably did not run the call.
 pub async fn dispatch(
     shared: &Arc<Shared>,
     call: &Call,
@@ -42,7 +42,7 @@
     let dispatch = hold.dispatch();
     loop {
         if hold.is_sealed() {
-            let message = "this box was taken for gone before it dispatched the request";
+            let message = "another box sealed this box's journal before the request was dispatched";
             return Err(Progress::Refused(Reason::Replaced.with(message)));
         }
         let endpoint = flight.target.name.clone();
@@ -96,7 +96,7 @@
     ran: bool,
 }
 
-/// Sends one request; what was received and what was not is told apart.
+/// Sends one request and decides whether it may have run.
 pub async fn send(request: reqwest::RequestBuilder, within: Duration, dispatch: &str) -> Sent {
     let answer = match tokio::time::timeout(within, request.send()).await {
         Ok(Ok(answer)) => answer,
@@ -106,7 +106,7 @@
         Ok(Err(_)) | Err(_) => return Sent::Doubt(Unknown::Silent),
     };
     if answer.status() == http::StatusCode::SERVICE_UNAVAILABLE {
-        // A time that cannot be read is none: no engine of this interface asks for it in another form.
+        // An invalid Retry-After counts as none.
         let rest = retry_after::read(answer.headers()).and_then(Result::ok);
         let refused = answer.json::<Refused>().await;
         return match refused {
@@ -118,7 +118,7 @@
     }
     let echoed = answer.headers().get("x-request-id").and_then(|id| id.to_str().ok());
     match echoed {
-        // An answer to somebody else is never passed on.
+        // The answer belongs to another request.
         Some(echoed) if echoed != dispatch => Sent::Doubt(Unknown::Broken),
         _ => Sent::Answering(answer),
     }
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -1,4 +1,4 @@
-//! Taking one call through claim, money and dispatch.
+//! Runs one call: admission, token reservation, claim, dispatch and answer.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,10 +24,10 @@
     turn,
 };
 
-/// Wait before asking again for a run that another box is about to start.
+/// Interval for looking up a run that another box is about to start.
 const WAIT_SOON: Duration = Duration::from_millis(20);
 
-/// Drives a call to its end and tells its followers.
+/// Runs a call to its end and publishes its progress to its followers.
 pub async fn drive(shared: Arc<Shared>, call: Call, driver: Driver) {
     shared.metrics.under_way.inc();
     let progress = run(&shared, &call, &driver).await;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Follows a run of the same request that another box started, if its engine still has it.
+/// Attaches to a run of the same request started by another box, if its engine still has it.
 async fn elsewhere(shared: &Arc<Shared>, call: &Call, driver: &Driver) -> Option<Progress> {
     let is_chat = matches!(call.payload, Payload::Chat { .. });
     if !call.keyed || !is_chat || !call.route.repeatable {
@@ -100,13 +100,13 @@
     let patience = patience(shared, call);
     let taking = claims::take(shared, claim, patience, call.left());
     let (held, hold) = tokio::join!(taking, hold(shared, call, target));
-    // Whichever is dropped here says "not run" by itself.
+    // If one of the two failed, dropping the other records that the request did not run.
     let held = held.map_err(missed)?;
     let hold = hold.map_err(Progress::Refused)?;
     Ok(Secured { hold, claim: Some(held) })
 }
 
-/// A ticket of this box needs no claim: only this process may run it, once.
+/// A ticket issued by this box needs no claim before the run: only this process may use it, once.
 async fn secure_ticket(
     shared: &Arc<Shared>,
     call: &Call,
@@ -127,16 +127,16 @@
 }
 
 fn claim_unreachable() -> Refusal {
-    let message = "the platform is out of reach, and this call must not run twice";
+    let message = "the platform is unreachable, and this call must not run twice";
     Reason::ClaimUnreachable.after(message, SOON)
 }
 
 fn missed(miss: Miss) -> Progress {
     match miss {
         Miss::Unknown => Progress::Unknown(Unknown::Claimed),
-        Miss::Mismatch => {
-            Progress::Refused(Reason::KeyReused.with("the key was used for another request"))
-        }
+        Miss::Mismatch => Progress::Refused(
+            Reason::KeyReused.with("the key was already used for another request"),
+        ),
         Miss::Unreachable => Progress::Refused(claim_unreachable()),
         Miss::Replay(claim::Answer { body: None, .. }) => Progress::Unknown(Unknown::NotKept),
         Miss::Replay(answer) => {
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! All endpoints of all pools, as this box sees them.
+//! All endpoints of all pools, with their load as this box knows it.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,10 +11,10 @@
 use resource::Serves;
 use serde::Deserialize;
 
-/// Requests at once of an endpoint that does not say how many it takes.
+/// Concurrent requests assumed for an endpoint that reports no number of slots.
 const SLOTS_UNKNOWN: f64 = 1_000.0;
 
-/// Why an endpoint gets no new work; any one suffices.
+/// Who says that an endpoint is leaving; any one suffices.
 #[derive(Debug, Clone, Copy, Default)]
 struct Leaving {
     by_spec: bool,
@@ -42,22 +42,22 @@
     random: ChaCha8Rng,
 }
 
-/// Handle on the endpoints.
+/// The endpoints of all pools.
 pub struct Endpoints {
     state: Mutex<State>,
     zone: Arc<str>,
 }
 
-/// Where a request goes.
+/// The endpoint chosen for a request.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Its address with port.
+    /// Host and port.
     pub address: Arc<str>,
 }
 
-/// What an engine says of itself.
+/// Load report of an engine.
 #[derive(Deserialize)]
 pub struct Load {
     running: u32,
@@ -69,14 +69,14 @@
 }
 
 impl Endpoints {
-    /// No endpoints yet, seen from `zone`.
+    /// Starts without endpoints; those in `zone` will be preferred.
     pub fn new(zone: Arc<str>, seed: u64) -> Endpoints {
         let random = ChaCha8Rng::seed_from_u64(seed);
         let state = State { pools: HashMap::new(), places: HashMap::new(), random };
         Endpoints { state: Mutex::new(state), zone }
     }
 
-    /// Takes over the pools in force; returns endpoints that are leaving since.
+    /// Applies the configured pools; returns endpoints that started to leave.
     pub fn update(&self, snapshot: &Configuration, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
         let mut known = std::mem::take(&mut state.places);
@@ -101,7 +101,7 @@
         state.refresh()
     }
 
-    /// Takes over the platform's list of leaving boxes, by endpoint name.
+    /// Applies the platform's list of hosts; returns endpoints that started to leave.
     pub fn hosts(&self, hosts: &[objects::Host]) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
         for host in hosts {
@@ -112,7 +112,7 @@
         state.refresh()
     }
 
-    /// Chooses an endpoint and counts the request there.
+    /// Chooses an endpoint and counts the request as its load.
     pub fn start(
         &self,
         pool: &str,
@@ -129,15 +129,15 @@
         Some(Target { name: choice.name, address })
     }
 
-    /// A request counted by [`Endpoints::start`] ended.
+    /// Ends a request counted by [`Endpoints::start`].
     pub fn end(&self, pool: &str, endpoint: &str, failure: Option<Failure>, now: u64) {
         if let Some(pool) = self.state.lock().pools.get_mut(pool) {
             pool.end(endpoint, failure, now);
         }
     }
 
-    /// An endpoint turned a request away and wants nothing from this box for so long: what it turns away at once makes it
-    /// look empty.
+    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make the
+    /// endpoint look idle and attract more requests.
     pub fn rest(&self, endpoint: &str, rest: Duration, now: u64) {
         let mut state = self.state.lock();
         let State { pools, places, .. } = &mut *state;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// What a pool can take now, as this box estimates it.
+    /// Estimated load and slots of a pool's available endpoints.
     pub fn capacity(&self, pool: &str, now: u64) -> Capacity {
         let state = self.state.lock();
         let endpoints = state.pools.get(pool).map_or(&[][..], |pool| pool.endpoints());
@@ -156,20 +156,20 @@
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
-            // A service or an engine that reports nothing is taken for wide open.
+            // Without a report, practically unlimited.
             capacity.slots += endpoint.slots().map_or(SLOTS_UNKNOWN, f64::from);
         }
         capacity
     }
 
-    /// Requests under way by pool, for peers.
+    /// Requests in flight by pool, to send to peers.
     pub fn snapshot(&self) -> Vec<(Arc<str>, Vec<Snapshot>)> {
         let state = self.state.lock();
         let told = state.pools.iter().map(|(name, pool)| (name.clone(), pool.snapshot()));
         told.filter(|(_, snapshot)| !snapshot.is_empty()).collect()
     }
 
-    /// A peer told what it has under way.
+    /// Applies a peer's requests in flight.
     pub fn peer(&self, peer: &Arc<str>, told: &[(Arc<str>, Vec<Snapshot>)], now: u64) {
         let mut state = self.state.lock();
         for (name, pool) in &mut state.pools {
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Addresses of the model endpoints of a pool that has `first`, which comes first.
+    /// Addresses of the engines in the pool of endpoint `first`, starting with its own.
     ///
-    /// Empty for plain services: they report no runs, and asking them would be a call.
+    /// Empty for plain services: they report no runs, and the request would be a call to them.
     pub fn engines_beside(&self, first: &str) -> Vec<Arc<str>> {
         let state = self.state.lock();
         let Some(pool) = state.places.get(first).map(|place| place.pool.clone()) else {
@@ -196,7 +196,7 @@
         found.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// The model endpoints.
+    /// All engines, that is, endpoints that serve a model.
     pub fn models(&self) -> Vec<Target> {
         let state = self.state.lock();
         let models = state.places.iter().filter(|(_, place)| place.model);
@@ -205,7 +205,7 @@
             .collect()
     }
 
-    /// Takes over what an engine says; returns endpoints that are leaving since.
+    /// Applies a load report; returns endpoints that started to leave.
     pub fn report(&self, endpoint: &Arc<str>, load: &Load, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
         let State { pools, places, .. } = &mut *state;
@@ -221,7 +221,7 @@
 }
 
 impl State {
-    /// Carries the leaving marks over to the pools; returns those that are new.
+    /// Copies the leaving marks to the pools; returns the endpoints newly marked.
     fn refresh(&mut self) -> Vec<Arc<str>> {
         let mut fresh = Vec::new();
         for (name, place) in &self.places {
--- a/crates/router/src/flight.rs
+++ b/crates/router/src/flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way to an endpoint: what it holds, and where it is counted.
+//! A request in flight to an endpoint: the tokens and the claim it holds, and its load there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,29 +13,29 @@
     shared::Shared,
 };
 
-/// When to come back after a refusal that a moment may cure.
+/// Retry delay for refusals with a transient cause.
 pub const SOON: Duration = Duration::from_secs(1);
 
 /// Everything a call needs to be dispatched.
 pub struct Secured {
-    /// Tokens held and, online, the intent landed.
+    /// Reserved tokens; online, the record of the reservation has landed.
     pub hold: Hold,
-    /// The claim, if the call may not run twice.
+    /// The claim, if the call must not run twice.
     pub claim: Option<Held>,
 }
 
-/// A request counted at an endpoint until it is dropped.
+/// A request that counts as load of its endpoint until dropped.
 pub struct Flight {
     shared: Arc<Shared>,
     pool: Arc<str>,
-    /// Where it goes.
+    /// The endpoint.
     pub target: Target,
-    /// How it went wrong, if it did.
+    /// How the request failed, if it did.
     pub failure: Option<Failure>,
 }
 
 impl Flight {
-    /// Chooses an endpoint other than those tried.
+    /// Chooses an endpoint that was not tried yet.
     pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<Flight> {
         let pool = call.route.pool.clone();
         let target = shared.endpoints.start(&pool, &call.prefix, tried, shared.now())?;
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,4 +1,5 @@
-//! Following configuration: the gate to `accepted`, and what is in force here.
+//! Watches configuration: validates operators' objects, copies valid ones to `accepted` objects and
+//! applies those to this box's snapshot.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -12,18 +13,18 @@
 
 use crate::{reports::note_leaving, shared::Shared};
 
-/// How long the next box in line waits before it does what the home should have done.
+/// Delay for each rank after the owner before a box validates an object in the owner's place.
 const NEXT_IN_LINE: Duration = Duration::from_millis(700);
-/// Boxes in line for one object.
+/// Boxes that may validate one object: its owner and those that stand in for it.
 const LINE: usize = 3;
-/// Lists of members read a second over the whole fleet, whatever its size.
+/// Reads of the member list per second by the whole fleet, whatever its size.
 const LISTS_PER_S: u64 = 20;
-/// Wait after a failed read.
+/// Delay before the first retry of a failed read or write.
 const AGAIN: Duration = Duration::from_millis(200);
 
 const KINDS: [&str; 6] = ["accepted", "budget", "customer", "pool", "route", "destroyed"];
 
-/// Follows the platform's objects for as long as the router runs.
+/// Watches the platform's objects for as long as the router runs.
 pub async fn follow(shared: Arc<Shared>) {
     let mut from = None;
     loop {
@@ -40,7 +41,7 @@
             Err(_) => {
                 shared.health.failed();
                 tokio::time::sleep(AGAIN + shared.jitter(AGAIN)).await;
-                // Others' silence means nothing while this box could not hear them.
+                // This box could not read heartbeats, so missing ones prove nothing.
                 let now = shared.now();
                 shared.members.lock().reset_silence(now);
             }
@@ -48,7 +49,7 @@
     }
 }
 
-/// Reads everything; changes after the first list are seen by the watch.
+/// Reads all objects; the watch delivers whatever changes after the first list.
 async fn load(shared: &Arc<Shared>, from: u64) -> Result<u64, Error> {
     let accepted = shared.store.list("accepted", "").await?;
     let at = accepted.iter().map(|object| object.version).max().unwrap_or(0).max(from);
@@ -86,10 +87,10 @@
     Ok(watch.next)
 }
 
-/// Puts an accepted object in force, if it is newer than what is.
+/// Applies an accepted object if it is newer than the one applied before.
 pub fn put_in_force(shared: &Shared, value: &str) {
     let Ok(accepted) = serde_json::from_str::<Accepted>(value) else {
-        tracing::warn!("an accepted object was not understood and is passed over");
+        tracing::warn!("ignoring an accepted object that cannot be decoded");
         return;
     };
     shared.accepted.lock().keep(&accepted, value);
@@ -113,10 +114,10 @@
     }
 }
 
-/// Reads the list of members now and then, for as long as the router runs.
+/// Reads the member list periodically, for as long as the router runs.
 ///
-/// A watch would wake every box at every beat of every other: the number of reads would grow
-/// with the square of the fleet.
+/// A watch would wake every box at each heartbeat of every other box: reads would grow with the
+/// square of the fleet.
 pub async fn follow_members(shared: Arc<Shared>) {
     let mut known = BTreeSet::new();
     loop {
@@ -133,7 +134,7 @@
                 known = names;
             }
             Err(_) => {
-                // Others' silence means nothing while this box could not hear them.
+                // This box could not read heartbeats, so missing ones prove nothing.
                 let now = shared.now();
                 shared.members.lock().reset_silence(now);
             }
@@ -161,7 +162,8 @@
     }
 }
 
-/// Takes a source to the gate: its home at once, the next boxes in line if nothing happened.
+/// Validates an operator's object: at once on its owner, later on the next boxes by rank, which
+/// find it done if the owner is up.
 fn offer(shared: &Arc<Shared>, kind: Kind, change: Change) {
     let id = object_name(kind, &change.name);
     let rank = shared.rank(&id);
@@ -186,7 +188,7 @@
     });
 }
 
-/// Carries a source through the gate; true once there is nothing left to do.
+/// Validates an operator's object and writes the result; false if it has to be retried.
 async fn accept(shared: &Shared, kind: Kind, change: &Change) -> bool {
     let in_force = shared.config.borrow().version(kind, &change.name);
     if in_force >= change.version {
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/keeper.rs
@@ -1,4 +1,4 @@
-//! What a router does in the background: sign of life, folding, renewing, handing in.
+//! Background tasks: heartbeat, probing the platform, folding outcomes, renewing sessions.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,18 +9,18 @@
 
 use crate::shared::Shared;
 
-/// Tokens that a box expects of a request to a budget it has not served yet.
+/// Tokens expected of the first request to a budget that this box has not served yet.
 const EXPECTED: u64 = 1_024;
-/// Shortest time between two signs of life when configuration changes.
+/// Shortest interval between heartbeats when configuration changes.
 const HURRY: Duration = Duration::from_millis(150);
-/// First wait between probes of an unreachable platform.
+/// First delay between probes of an unreachable platform; it doubles.
 const PROBE: Duration = Duration::from_millis(200);
-/// Longest wait between probes.
+/// Longest delay between probes.
 const PROBE_MOST: Duration = Duration::from_secs(5);
-/// Signs of life a second over the whole fleet, whatever its size.
+/// Heartbeats per second of the whole fleet, whatever its size.
 const BEATS_PER_S: u64 = 20;
 
-/// Shows that this incarnation lives and which configuration it has in force.
+/// Writes this incarnation's member object: a heartbeat with the applied configuration version.
 pub async fn beat(shared: Arc<Shared>) {
     let mut version = 0;
     let mut whose = shared.me();
@@ -47,7 +47,7 @@
         tokio::time::sleep(HURRY.min(every)).await;
         tokio::select! {
             () = tokio::time::sleep(every.saturating_sub(HURRY)) => {}
-            // Others' signs of life move the watch too: only configuration is worth hurrying.
+            // Only new configuration is reported early.
             _ = config.changed() => {}
             () = shared.ended.cancelled() => return,
         }
@@ -77,7 +77,7 @@
     }
 }
 
-/// Asks an unreachable platform now and then, one question at a time.
+/// Probes the platform while it is unreachable, with exponential delays.
 pub async fn probe(shared: Arc<Shared>) {
     loop {
         shared.health.wait_down().await;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Folds, tops up and returns, for every budget in turn.
+/// Periodically folds recorded outcomes into the ledgers, tops up grants and returns unused tokens.
 pub async fn fold(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.money.fold_ms);
     loop {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Removes the journal and the member object of an incarnation that owes and holds nothing.
+/// Deletes the journal and the member object of an incarnation that has nothing left to settle.
 pub async fn remove(shared: &Shared, incarnation: &Incarnation) {
     for kind in ["journal", "member"] {
         if let Ok(Some(object)) = shared.store.get(kind, incarnation.as_str()).await {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Opens another session whenever the current one finds its journal sealed.
+/// Opens a new session whenever another box has sealed the current one's journal.
 pub async fn renew(shared: Arc<Shared>) {
     loop {
         let session = shared.sessions.current();
@@ -137,7 +137,7 @@
     }
 }
 
-/// Ends everything at a planned stop: folds, returns all tokens, closes and removes the journal.
+/// Ends all sessions on shutdown: folds outcomes, returns all tokens, closes and deletes the journals.
 pub async fn leave(shared: &Shared) {
     for incarnation in shared.sessions.leave().await {
         remove(shared, &incarnation).await;
--- a/crates/router/src/lanes.rs
+++ b/crates/router/src/lanes.rs
@@ -1,4 +1,4 @@
-//! Who waits before which pool: limits, classes, fairness.
+//! One fair queue of waiting requests per pool, and the limits of customers and routes.
 
 use std::{
     collections::HashMap,
@@ -21,7 +21,7 @@
     limits: Limits,
 }
 
-/// The lanes of one box.
+/// The queues of one box.
 #[derive(Default)]
 pub struct Lanes {
     state: Mutex<State>,
@@ -29,13 +29,13 @@
 }
 
 impl Lanes {
-    /// Starts whatever may start now.
+    /// Admits waiting requests of a pool as far as its capacity allows.
     pub fn advance(&self, endpoints: &Endpoints, pool: &Arc<str>, now: u64) {
         let mut ahead = 0.0;
         let mut state = self.state.lock();
         loop {
             let mut capacity = endpoints.capacity(pool, now);
-            // What was started here a moment ago is not dispatched yet.
+            // Requests admitted by this loop are not part of the measured load yet.
             capacity.load += ahead;
             let next = state.queues.get_mut(pool).and_then(|queue| queue.next(capacity, now));
             let Some(id) = next else { return };
@@ -55,12 +55,13 @@
             .enter((customer, call.caller.max_in_flight), (route, call.route.max_in_flight))
     }
 
-    /// A call that was counted ended.
+    /// Ends a call counted by [`Lanes::count`].
     pub fn leave(&self, customer: &Arc<str>, route: &Arc<str>) {
         self.state.lock().limits.leave(customer, route);
     }
 
-    /// Offers a call to the pool's gate; its number there, and what tells that its turn came.
+    /// Offers a call to the pool's queue. Returns its id there, the verdict, and a channel that is
+    /// notified once a waiting call is admitted.
     pub fn offer(
         &self,
         endpoints: &Endpoints,
@@ -86,7 +87,7 @@
         (id, verdict, receiver)
     }
 
-    /// A call waits no more.
+    /// Removes a call from the queue.
     pub fn give_up(&self, pool: &Arc<str>, id: u64) {
         let mut state = self.state.lock();
         state.waiters.remove(&id);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,14 @@
 //! The router daemon as a library: everything between a caller and an endpoint.
 //!
-//! [`Router::spawn`] starts one; [`Router::stop`] is the planned stop. The way of a request:
-//! [`http`](self) reads it, `requests` joins retries, `drive` takes it through claim, money and
-//! dispatch, `relay` passes the answer on, and a `transcript` keeps it for whoever asks again.
+//! [`Router::spawn`] starts a router and [`Router::stop`] shuts it down gracefully. A request passes
+//! these modules:
+//!
+//! - `api` parses and authenticates it;
+//! - `requests` joins it with a running request of the same key;
+//! - `drive` waits for admission, reserves tokens, takes the claim if it must not run twice;
+//! - `dispatch` sends it to an endpoint, which `endpoints` chooses;
+//! - `relay` (chat completions) or `service` (other calls) reads the answer;
+//! - `transcript` buffers a streamed answer for the caller and for retries.
 
 mod answer;
 mod answers;
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -16,11 +16,11 @@
     pub class: &'static str,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Reason, where there is one.
+    /// Reason, empty if answered.
     pub reason: &'static str,
 }
 
-/// Labels of platform calls.
+/// Labels of a platform call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Purpose {
     /// Operation.
@@ -29,7 +29,7 @@
     pub kind: String,
 }
 
-/// Labels of a time measured.
+/// Labels of a latency histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct Stage {
     /// Class of the route.
@@ -40,23 +40,23 @@
 #[derive(Clone)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
-    /// Requests by how they ended.
+    /// Finished requests by outcome.
     pub requests: Family<Finished, Counter>,
     /// Tokens charged.
     pub tokens: Counter,
-    /// Requests under way.
+    /// Requests in flight.
     pub under_way: Gauge,
-    /// Platform calls by purpose.
+    /// Platform calls by operation and kind of object.
     pub platform: Family<Purpose, Gauge>,
-    /// Whether the platform answers.
+    /// 1 if the platform is reachable, else 0.
     pub platform_up: Gauge,
     /// Requests paid from the offline part.
     pub offline: Counter,
     /// Journals that this box sealed.
     pub sealed: Counter,
-    /// Times that this box found its own journal sealed.
+    /// Sessions renewed because another box had sealed this box's journal.
     pub renewed: Counter,
-    /// Seconds to the first byte.
+    /// Seconds from the request to the first byte of its answer.
     pub first_byte: Family<Stage, Histogram>,
 }
 
@@ -93,7 +93,7 @@
         metrics
     }
 
-    /// The text that a scraper reads.
+    /// All metrics as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let written = encode(&mut text, &self.registry.lock());
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it gets no whole answer: "not run" or "unknown", and why.
+//! Outcomes without a complete answer: "not run" or "unknown", each with a reason.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Forbidden,
     /// No such route.
     NoRoute,
-    /// The request could not be understood.
+    /// The request is not valid.
     Malformed,
     /// The body is larger than the route allows.
     TooLarge,
@@ -21,43 +21,43 @@
     KeyReused,
     /// The budget has not enough tokens left.
     BudgetExhausted,
-    /// The platform is out of reach and the offline part is used up.
+    /// The platform is unreachable and the offline part is used up.
     OfflineExhausted,
-    /// The platform is out of reach and this call may not run twice.
+    /// The platform is unreachable and this call must not run twice.
     ClaimUnreachable,
-    /// No endpoint could take it.
+    /// No endpoint is available.
     NoEndpoint,
-    /// Too many requests of this customer or on this route.
+    /// Too many requests in flight of this customer or on this route.
     LimitReached,
-    /// Too much work of this class for the time the caller waits.
+    /// The request could not start before its deadline.
     Overloaded,
     /// This router is being stopped.
     Stopping,
-    /// The box found itself replaced.
+    /// Another box sealed this box's journal.
     Replaced,
 }
 
-/// A truthful refusal: the request did not run.
+/// A refusal; it guarantees that the request did not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason, for programs.
     pub reason: Reason,
-    /// For people.
+    /// Explanation, for people.
     pub message: String,
-    /// When to come back, where known.
+    /// Delay before a retry, where known.
     pub retry_after: Option<Duration>,
 }
 
-/// The request was dispatched, but no whole answer came.
+/// Why it is unknown whether the request ran, or what it answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Unknown {
     /// The endpoint did not answer.
     Silent,
-    /// The answer broke off or was not this request's.
+    /// The answer was incomplete, or belonged to another request.
     Broken,
     /// An earlier attempt may have run.
     Claimed,
-    /// It ran, but its answer was not kept.
+    /// It ran, but its answer was not stored.
     NotKept,
 }
 
@@ -102,12 +102,12 @@
         }
     }
 
-    /// The refusal with a message.
+    /// A refusal without a retry delay.
     pub fn with(self, message: impl Into<String>) -> Refusal {
         Refusal { reason: self, message: message.into(), retry_after: None }
     }
 
-    /// The refusal with a message and a time to come back.
+    /// A refusal with a retry delay.
     pub fn after(self, message: impl Into<String>, retry_after: Duration) -> Refusal {
         Refusal { reason: self, message: message.into(), retry_after: Some(retry_after) }
     }
@@ -133,13 +133,13 @@
         }
     }
 
-    /// For people.
+    /// Explanation, for people.
     pub fn message(self) -> &'static str {
         match self {
             Unknown::Silent => "the endpoint did not answer; the request may have run",
-            Unknown::Broken => "the answer broke off; the request may have run",
+            Unknown::Broken => "the answer was incomplete; the request may have run",
             Unknown::Claimed => "an earlier attempt with this key may have run",
-            Unknown::NotKept => "the request ran before; its answer was not kept",
+            Unknown::NotKept => "the request ran before; its answer was not stored",
         }
     }
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other boxes: which are in reach, what they told, and asking them.
+//! Other boxes: which are reachable, their last status, and requests to them.
 
 use std::{
     collections::HashMap,
@@ -15,15 +15,15 @@
 use timeline::{Log, What};
 use wire::{Frame, Message, Peer, Status};
 
-/// Longest wait for an answer.
+/// Timeout of a request to a peer.
 const WITHIN: Duration = Duration::from_millis(250);
-/// Longest wait for a peer that makes a platform call for this box.
+/// Timeout of a request for which the peer calls the platform.
 const CALL_WITHIN: Duration = Duration::from_secs(2);
-/// Peers that carry one entry.
+/// Peers asked to carry one journal entry.
 const CARRIERS: usize = 2;
-/// Peers asked at once for tokens.
+/// Most peers asked for tokens by one request.
 const ASKED: usize = 8;
-/// Exchanges that fail in a row before a peer counts as out of reach.
+/// Consecutive failed exchanges after which a peer counts as unreachable.
 const LOST_AFTER: u32 = 2;
 
 #[derive(Clone)]
@@ -51,19 +51,19 @@
 }
 
 impl Peers {
-    /// No peers yet; questions leave from `source`.
+    /// Starts without peers; connections to them are made from `source`.
     pub fn new(source: IpAddr, zone: Arc<str>, log: Log, seed: u64) -> Peers {
         let state = State { known: HashMap::new(), random: ChaCha8Rng::seed_from_u64(seed) };
         let me = Arc::new(Mutex::new(Incarnation::from("")));
         Peers { state: Arc::new(Mutex::new(state)), me, source, zone, log }
     }
 
-    /// The name under which this box asks from now on.
+    /// Sets the incarnation that this box names as the sender.
     pub fn rename(&self, me: Incarnation) {
         *self.me.lock() = me;
     }
 
-    /// A member object was read.
+    /// Adds or updates a peer from its member object.
     pub fn observe(&self, member: &Member) {
         let Ok(address) = member.peer.parse::<SocketAddr>() else { return };
         let own_box = member.incarnation.box_name() == self.me.lock().box_name();
@@ -79,7 +79,7 @@
         state.known.insert(member.incarnation.clone(), known);
     }
 
-    /// Exchanges with an address given in the settings, whoever answers there.
+    /// Exchanges status with an address from the settings and adds the peer that answers.
     pub async fn seed(&self, address: SocketAddr, told: Status) -> Option<(Incarnation, Status)> {
         let peer = Peer::new(address, self.source);
         let answer = peer.ask(&self.message(Frame::Status(told)), WITHIN).await.ok()?;
@@ -95,12 +95,12 @@
         Some((answer.from, told))
     }
 
-    /// A member object was removed.
+    /// Removes a peer whose member object was deleted.
     pub fn remove(&self, incarnation: &Incarnation) {
         self.state.lock().known.remove(incarnation);
     }
 
-    /// Peers in reach, in random order, those of other zones first if `spread`.
+    /// Reachable peers in random order, those of other zones first if `spread`.
     fn up(&self, spread: bool) -> Vec<(Incarnation, Peer)> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
@@ -113,7 +113,7 @@
         up.into_iter().map(|(name, known)| (name.clone(), known.peer.clone())).collect()
     }
 
-    /// A random few of all known peers, to exchange with.
+    /// Up to `most` random peers, reachable or not.
     pub fn some(&self, most: usize) -> Vec<Incarnation> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
@@ -124,7 +124,7 @@
         names
     }
 
-    /// Names of the peers in reach.
+    /// Names of the reachable peers.
     pub fn in_reach(&self) -> Vec<Incarnation> {
         let state = self.state.lock();
         let up = state.known.iter().filter(|(_, known)| known.up);
@@ -141,13 +141,13 @@
         Some(answer.frame)
     }
 
-    /// Asks one peer by name.
+    /// Sends a request to the peer with this name.
     pub async fn ask_one(&self, name: &Incarnation, frame: Frame) -> Option<Frame> {
         let peer = self.state.lock().known.get(name).map(|known| known.peer.clone())?;
         self.ask(&peer, frame, WITHIN).await
     }
 
-    /// Exchanges what both sides know; `None` if the peer is out of reach.
+    /// Exchanges status with a peer; `None` if it does not answer.
     pub async fn tell(&self, name: &Incarnation, told: Status) -> Option<Status> {
         let answer = self.ask_one(name, Frame::Status(told)).await;
         let told = match answer {
@@ -158,7 +158,7 @@
         told
     }
 
-    /// A peer told something, or did not answer.
+    /// Records a peer's status, or that it did not answer.
     pub fn note(&self, name: &Incarnation, told: Option<Status>) {
         let mut state = self.state.lock();
         let Some(known) = state.known.get_mut(name) else { return };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Makes a platform call through a peer that reaches the platform.
+    /// Makes a platform call through a peer that can reach the platform.
     pub async fn call(&self, question: wire::Question) -> Option<Frame> {
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
@@ -193,7 +193,7 @@
         self.ask(&peer, Frame::Call(question), CALL_WITHIN).await
     }
 
-    /// Whether any peer in reach says that it reaches the platform.
+    /// Whether any reachable peer reports that it can reach the platform.
     pub fn reaches_platform(&self) -> bool {
         let state = self.state.lock();
         let reaches = |known: &Known| known.up && known.told.as_ref().is_some_and(|t| t.platform);
@@ -223,7 +223,7 @@
     }
 
     async fn lend(&self, budget: &Arc<str>, tokens: u64, _: &Incarnation) -> Option<Transfer> {
-        // One after the other: whoever gives debits itself, so asking all would strand tokens.
+        // Sequentially: a lender debits itself, so tokens lent by a second peer would be stranded.
         for (_, peer) in self.up(false).into_iter().take(ASKED) {
             let frame = Frame::Lend { budget: budget.clone(), tokens };
             if let Some(Frame::Lent { transfer: Some(transfer) }) =
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -1,7 +1,8 @@
-//! Where requests with a key are run, kept at the key's home for whoever gets a retry.
+//! Which engine runs a request with a key. Kept on the box that owns the key, so that a retry
+//! received by another box can attach to the run.
 //!
-//! This is a hint: without it a retry at another box may run repeatable work again, which holds
-//! tokens of its own and is billed once. Unrepeatable work never depends on it.
+//! Only a hint: without it a retry on another box may run repeatable work again, which reserves
+//! tokens of its own and is billed once. Requests that must not run twice never rely on it.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,15 +13,16 @@
 use parking_lot::Mutex;
 use wire::{Location, Place};
 
-/// Requests remembered.
+/// Most requests kept; the oldest are dropped first.
 const MOST: usize = 100_000;
-/// Time that a box has from asking to telling where it runs a request, in milliseconds.
+/// Time that a box has between looking up a key and reporting its run, in milliseconds. After it,
+/// another box may run the request.
 const SOON_MS: u64 = 2_000;
 
 type Id = (Arc<str>, Arc<str>);
 
 enum Known {
-    /// This incarnation asked and is about to run it.
+    /// This incarnation looked the key up and is about to run the request.
     Soon {
         by: Incarnation,
         at: u64,
@@ -34,17 +36,17 @@
     order: VecDeque<Id>,
 }
 
-/// Places by customer and key, the oldest forgotten first. Times in milliseconds.
+/// Runs by customer and key. Times in milliseconds.
 #[derive(Default)]
 pub struct Places(Mutex<State>);
 
 impl Places {
-    /// Remembers where a request is run.
+    /// Records where a request runs.
     pub fn note(&self, customer: Arc<str>, key: Arc<str>, place: Place) {
         self.0.lock().put((customer, key), Known::At(place));
     }
 
-    /// Where a request is or was run; if nowhere, `by` is remembered as about to run it.
+    /// Where a request runs or ran; if nowhere, records that `by` is about to run it.
     pub fn find(
         &self,
         customer: &Arc<str>,
@@ -90,7 +92,11 @@
         assert_eq!(find(&a, 0), Location::Nowhere);
         assert_eq!(find(&b, 10), Location::Soon);
         assert_eq!(find(&a, 20), Location::Nowhere);
-        assert_eq!(find(&b, 20 + SOON_MS), Location::Nowhere, "the first one never told");
+        assert_eq!(
+            find(&b, 20 + SOON_MS),
+            Location::Nowhere,
+            "the first box never reported its run"
+        );
         let place = Place { by: b.clone(), endpoint: "e".into(), dispatch: "d".into() };
         places.note("c".into(), "k".into(), place.clone());
         assert_eq!(find(&a, 30), Location::Place(place));
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing the answer of a chat completion on, token by token.
+//! Relays the answer of a chat completion, token by token.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,12 +26,12 @@
     transcript::{End, Transcript},
 };
 
-/// Times that a broken stream is resumed at its engine.
+/// Times that a broken stream is resumed.
 const RESUMES: u32 = 2;
-/// How long a run goes on after its last caller left.
+/// Time that a run goes on after its last caller disconnected.
 const ABANDONED: Duration = Duration::from_millis(300);
 
-/// Sends a held chat completion and relays its stream.
+/// Dispatches a chat completion whose tokens are reserved, and relays its stream.
 pub async fn chat(
     shared: &Arc<Shared>,
     call: &Call,
@@ -40,7 +40,7 @@
     flight: Flight,
 ) -> Progress {
     let Payload::Chat { body, limit, stream, model } = &call.payload else {
-        unreachable!("only chat completions come here");
+        unreachable!("only chat completions are relayed");
     };
     let Secured { hold, claim } = secured;
     let id = hold.dispatch();
@@ -56,7 +56,7 @@
     let (end, mut flight) = match sent {
         Sent::Answering(response) => relay.follow(response, flight, &id).await,
         Sent::Doubt(unknown) => (Err(unknown), flight),
-        Sent::NotReceived { .. } => unreachable!("tried elsewhere or refused"),
+        Sent::NotReceived { .. } => unreachable!("dispatch tries another endpoint or refuses"),
     };
     if end.is_err() {
         flight.failure = Some(Failure::Broken);
@@ -71,9 +71,9 @@
     relay.close(end, charged, model)
 }
 
-/// Follows a run that another box started; `None` if its engine does not have it any more.
+/// Relays a run that another box started; `None` if its engine no longer has it.
 ///
-/// Whoever started the run has recorded it and is charged for it, so nothing is held here.
+/// The box that started the run has recorded it and charges for it, so nothing is reserved here.
 pub async fn attach(
     shared: &Arc<Shared>,
     call: &Call,
@@ -96,7 +96,7 @@
     let read = relay.read(&mut response).await;
     let end = match read {
         Ok(()) => Ok(()),
-        // Nothing was passed on: the request is run anew.
+        // Nothing was sent to the caller yet: run the request again.
         Err(_) if relay.first => return None,
         Err(_) => Err(Unknown::Broken),
     };
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Follows the stream to its end, resuming it at the engine if it breaks.
+    /// Reads the stream to its end, resuming it at the engine if it breaks.
     async fn follow(
         &mut self,
         response: Response,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Waits until nobody has wanted the answer for a while; never for unrepeatable calls.
+    /// Waits until no caller has followed the request for a while; forever if it must not run twice.
     async fn abandoned(&self) {
         let mut since = None;
         loop {
@@ -216,7 +216,7 @@
     fn event(&mut self, event: Bytes) -> Flow {
         match sse::classify(&event) {
             Event::Token if self.counted >= self.limit => {
-                // The engine overshoots: what the caller paid for ends here.
+                // The engine ignores the output limit: end the answer at the reserved tokens.
                 self.pass(chat::cut_events(&self.call.key, self.prompt(), self.counted));
                 self.reason = Some("length".into());
                 self.usage = Some((self.prompt(), self.counted));
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Charges what the engine reported, or leaves it to whoever finds out how the run ended.
+    /// Charges the reported usage. Without one, a background task asks the engine how the run ended.
     fn settle(&self, hold: Hold, end: &Result<(), Unknown>, flight: &Flight) -> u64 {
         match (end, self.usage) {
             (Ok(()), Some((prompt, output))) => {
@@ -330,6 +330,6 @@
 enum Stop {
     /// The stream broke off.
     Broken,
-    /// Nobody wants the answer any more.
+    /// All callers disconnected.
     Abandoned,
 }
--- a/crates/router/src/relayed.rs
+++ b/crates/router/src/relayed.rs
@@ -1,8 +1,8 @@
-//! The platform, reached directly or through a peer that reaches it.
+//! The platform, reached directly or through a peer that can reach it.
 //!
-//! A box whose own way to the platform is cut, but that reaches any peer that is not, keeps full
-//! service: the peer makes its calls. The peer agrees on nothing and keeps nothing; a write whose
-//! answer does not come back is *not known*, as always.
+//! A box that cannot connect to the platform keeps full service while it reaches a peer that can:
+//! the peer makes the calls. The peer only forwards and keeps no state; as on the direct connection,
+//! a write without an answer is *unknown*.
 
 use std::{
     sync::{
@@ -17,12 +17,12 @@
 
 use crate::peers::Peers;
 
-/// Failed direct calls in a row after which peers are asked.
+/// Consecutive failed direct calls after which peers are used.
 const CUT_AFTER: u32 = 2;
-/// One call in this many still goes the direct way while it is taken for cut.
+/// While the direct connection counts as broken, one call in this many still tries it.
 const TRY_DIRECT: u32 = 16;
 
-/// A store with a way round a cut.
+/// A store client that falls back to peers.
 pub struct Relayed {
     direct: Arc<dyn Store>,
     peers: Peers,
@@ -31,12 +31,12 @@
 }
 
 impl Relayed {
-    /// Goes the direct way while it works.
+    /// Uses `direct` while it works.
     pub fn new(direct: Arc<dyn Store>, peers: Peers) -> Relayed {
         Relayed { direct, peers, failures: AtomicU32::new(0), calls: AtomicU32::new(0) }
     }
 
-    /// Whether this box itself reaches the platform, as far as it knows.
+    /// Whether the direct connection works, judged by the last calls.
     pub fn is_direct(&self) -> bool {
         self.failures.load(Ordering::Relaxed) < CUT_AFTER
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Finds out in the background whether the direct way works again.
+    /// Probes the direct connection while it counts as broken. Never returns.
     pub async fn probe(&self, every: Duration) {
         loop {
             tokio::time::sleep(every).await;
@@ -133,7 +133,7 @@
     }
 
     async fn watch(&self, kinds: &[&str], from: u64) -> Result<Watch, Error> {
-        // Configuration comes from peers meanwhile, so a watch is never relayed.
+        // Never relayed: status exchanges with peers bring new configuration.
         let answer = self.direct.watch(kinds, from).await;
         self.note(!matches!(answer, Err(Error::Unreachable { .. })));
         answer
--- a/crates/router/src/render.rs
+++ b/crates/router/src/render.rs
@@ -1,4 +1,4 @@
-//! Writing outcomes to callers in the protocol's shapes.
+//! Writes outcomes as HTTP responses.
 
 use bytes::Bytes;
 use salvo::{Response, http::StatusCode};
@@ -9,9 +9,9 @@
     outcome::{Refusal, Unknown},
 };
 
-/// Header that tells the outcome: `answered`, `not-run` or `unknown`.
+/// Header with the outcome: `answered`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "flintstall-outcome";
-/// Header with the request's key.
+/// Header with the request's idempotency key.
 pub const REQUEST: &str = "x-request-id";
 
 /// Writes a refusal: the request did not run.
@@ -24,7 +24,7 @@
     error(response, refusal.reason.status(), "not-run", reason, &refusal.message, request);
 }
 
-/// Writes that it is not known whether the request ran, or that its answer is lost.
+/// Writes that the request may have run, or that it ran and its answer is lost.
 pub fn unknown(response: &mut Response, unknown: Unknown, request: &str) {
     error(response, unknown.status(), "unknown", unknown.as_str(), unknown.message(), request);
 }
@@ -48,7 +48,7 @@
     let _ = response.write_body(body.to_string());
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 pub fn answer(response: &mut Response, answer: &Answer, request: &str) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     response.status_code(status);
@@ -60,7 +60,7 @@
     let _ = response.write_body(answer.body.clone());
 }
 
-/// The event that ends a broken stream.
+/// Final event of an incomplete stream.
 pub fn error_event(unknown: Unknown) -> Bytes {
     let body = json!({"error": {
         "message": unknown.message(), "type": "unknown", "code": unknown.as_str(),
--- a/crates/router/src/reports.rs
+++ b/crates/router/src/reports.rs
@@ -1,4 +1,4 @@
-//! What engines and the platform say of endpoints, asked for now and then.
+//! Polls engines for their load and the platform for hosts that are leaving.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     shared::Shared,
 };
 
-/// Asks all engines for their load, for as long as the router runs.
+/// Polls all engines for their load, for as long as the router runs.
 pub async fn poll_reports(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.money.report_ms);
     loop {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads the platform's list of boxes, for as long as the router runs.
+/// Polls the platform's list of hosts, for as long as the router runs.
 pub async fn poll_hosts(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.money.beat_ms);
     loop {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Notes endpoints that are leaving on the time line.
+/// Logs endpoints that started to leave.
 pub fn note_leaving(shared: &Shared, endpoints: impl IntoIterator<Item = Arc<str>>) {
     for endpoint in endpoints {
         shared.log.add(What::Leaving { endpoint });
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests by key: retries join the running one or get the recorded answer.
+//! Requests by key: a retry joins the running request or gets its stored answer.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -15,18 +15,18 @@
     transcript::Transcript,
 };
 
-/// How far a request has come, as its callers see it.
+/// Progress of a request, as its callers see it.
 #[derive(Debug, Clone)]
 pub enum Progress {
-    /// No byte of an answer yet.
+    /// No byte of the answer yet.
     Waiting,
-    /// The answer is growing.
+    /// The answer is being streamed, or was.
     Streaming(Arc<Transcript>),
-    /// The whole answer.
+    /// The complete answer, not streamed.
     Answered(Arc<Answer>),
     /// It did not run.
     Refused(Refusal),
-    /// It was dispatched, but no answer came.
+    /// It may have run, but there is no complete answer.
     Unknown(Unknown),
 }
 
@@ -63,31 +63,32 @@
     kept: usize,
 }
 
-/// All requests under way or answered lately on this box.
+/// All requests of this box that are in flight or were answered recently.
 pub struct Requests {
     state: Mutex<State>,
     keep_bytes: usize,
     keep_for: Duration,
 }
 
-/// What a caller found under its key.
+/// What a caller finds under its key.
 pub enum Entered {
-    /// Nothing: this caller's request is to be driven.
+    /// Nothing: the caller has to run the request with the driver.
     New(Driver, Follower),
-    /// The same request: its progress.
+    /// The same request; its progress can be followed.
     Joined(Follower),
     /// Another request under the same key.
     Mismatch,
 }
 
-/// A caller's view; while one exists, somebody wants the answer.
+/// A caller that waits for the answer; while one exists, the request is wanted.
 pub struct Follower {
-    /// Progress of the request.
+    /// Current progress of the request.
     pub progress: watch::Receiver<Progress>,
     _interest: Arc<()>,
 }
 
-/// The side that runs the request and reports its progress.
+/// Publishes the progress of a request while it runs. Dropped before the end, it ends the request
+/// as unknown.
 pub struct Driver {
     requests: Arc<Requests>,
     id: Id,
@@ -96,12 +97,12 @@
 }
 
 impl Requests {
-    /// Keeps up to `keep_bytes` of answers for up to `keep_for`.
+    /// Stores up to `keep_bytes` of answers for up to `keep_for`.
     pub fn new(keep_bytes: usize, keep_for: Duration) -> Requests {
         Requests { state: Mutex::default(), keep_bytes, keep_for }
     }
 
-    /// Enters a request by customer and key.
+    /// Registers a request, or joins the one that has the same customer and key.
     pub fn enter(
         self: &Arc<Self>,
         customer: &Arc<str>,
@@ -130,7 +131,7 @@
         Entered::New(driver, follower)
     }
 
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     pub fn under_way(&self) -> usize {
         let state = self.state.lock();
         state.entries.len() - state.ended.len()
@@ -147,8 +148,8 @@
                 state.kept += bytes;
                 state.ended.push_back((Instant::now(), id.clone(), bytes));
             }
-            // Without a whole answer a retry starts afresh: it may find a claim, a run to follow,
-            // or an answer that came late.
+            // Without a complete answer a retry starts over: it may find a claim, a run to attach
+            // to, or an answer that arrived late.
             false => drop(state.entries.remove(id)),
         }
         while let Some((at, _, _)) = state.ended.front() {
@@ -170,7 +171,7 @@
 }
 
 impl Driver {
-    /// The answer starts to grow.
+    /// The answer started to stream.
     pub fn streaming(&self, transcript: Arc<Transcript>) {
         let state = self.requests.state.lock();
         if let Some(entry) = state.entries.get(&self.id) {
@@ -178,9 +179,9 @@
         }
     }
 
-    /// Whether a caller still follows.
+    /// Whether any caller still follows.
     pub fn is_wanted(&self) -> bool {
-        // The entry itself holds one.
+        // The entry itself holds one reference.
         self.interest.strong_count() > 1
     }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a router.
+//! Starts and stops a router.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,15 +17,15 @@
     shared::Shared,
 };
 
-/// Time for the balancer to notice that the box is not ready any more.
+/// Time for the load balancer to notice that the box is no longer ready.
 const NOTICE: Duration = Duration::from_millis(500);
-/// Time between probes of the direct way to the platform.
+/// Interval between probes of the direct connection to the platform.
 const PROBE_DIRECT: Duration = Duration::from_millis(1_000);
 
 /// Why a router did not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address could not be bound.
+    /// The address for callers or operators could not be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Bind { address: SocketAddr, source: std::io::Error },
     /// The address for other boxes could not be bound.
@@ -45,16 +45,16 @@
 }
 
 impl Router {
-    /// Starts a router that speaks to the platform named in its settings.
+    /// Starts a router on the platform named in its settings.
     ///
-    /// `seed` feeds its random choices, the incarnation's name among them: it must be fresh.
+    /// `seed` must never be reused: the incarnation's name is derived from it.
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Router, Error> {
         let client = Client::open(settings.platform_options());
         let calls = client.calls();
         Router::spawn_on(settings, Arc::new(client), calls, seed).await
     }
 
-    /// Starts a router on a given store.
+    /// Starts a router on the given store.
     pub async fn spawn_on(
         settings: Settings,
         store: Arc<dyn Store>,
@@ -85,22 +85,22 @@
         Ok(Router { shared, callers, operators, peers, handle, servers, loops })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where metrics and health are read.
+    /// Address for metrics and health checks.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes connect, if it takes peers.
+    /// Address for other boxes, if this one accepts peers.
     pub fn peers(&self) -> Option<SocketAddr> {
         self.peers.as_ref().map(wire::Server::address)
     }
 
-    /// The events of this router.
+    /// The event log of this router.
     pub fn log(&self) -> Log {
         self.shared.log.clone()
     }
@@ -115,17 +115,17 @@
         self.shared.me()
     }
 
-    /// Waits until configuration up to a platform version is in force here.
+    /// Waits until all configuration up to a platform version is applied.
     pub async fn wait_watched(&self, version: u64) {
         let _ = self.shared.watched.subscribe().wait_for(|at| *at >= version).await;
     }
 
-    /// Version of a resource in force here.
+    /// Applied version of a resource, 0 if there is none.
     pub fn version(&self, kind: resource::Kind, name: &str) -> u64 {
         self.shared.config.borrow().version(kind, name)
     }
 
-    /// The planned stop: unready first, then every request to its end, then all money returned.
+    /// Shuts down gracefully: reports not ready, finishes all requests, then returns unused tokens.
     pub async fn stop(mut self) {
         let shared = self.shared.clone();
         shared.log.add(What::Stopping);
@@ -150,7 +150,7 @@
         shared.log.add(What::Stopped);
     }
 
-    /// Ends at once, as a crash would: nothing is handed in or returned.
+    /// Ends at once, like a crash: no outcome is written and no token returned.
     pub fn kill(self) {
         drop(self);
     }
@@ -197,15 +197,15 @@
     Ok(Some(server))
 }
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections not accepted yet.
 const BACKLOG: u32 = 1_024;
 
 async fn bind(address: SocketAddr) -> Result<TcpAcceptor, Error> {
     listen(address).context(BindSnafu { address })
 }
 
-/// Listens without Nagle's algorithm: accepted connections inherit that, and the first token of
-/// an answer does not wait for the caller to acknowledge the headers.
+/// Listens with TCP_NODELAY, which accepted connections inherit: the first token of an answer must
+/// not wait for the caller to acknowledge the headers.
 fn listen(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address.is_ipv4() {
         true => TcpSocket::new_v4()?,
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -1,4 +1,4 @@
-//! How a run ended of which nobody got the whole answer.
+//! Settles runs whose complete answer nobody received.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,9 +9,9 @@
 
 use crate::{flight::Flight, shared::Shared};
 
-/// First wait between questions for how a run ended.
+/// First delay between requests for a run's state; it doubles.
 const ASK_AGAIN: Duration = Duration::from_millis(50);
-/// Longest wait between such questions.
+/// Longest delay between such requests.
 const ASK_MOST: Duration = Duration::from_secs(2);
 
 #[derive(Deserialize)]
@@ -22,7 +22,7 @@
     Unknown,
 }
 
-/// Asks an engine how a run stands; `None` without an answer.
+/// Asks an engine for the state of a run; `None` without an answer.
 async fn ask(shared: &Shared, address: &str, dispatch: &str) -> Option<Report> {
     let url = format!("http://{address}/runs/{dispatch}");
     let limit = Duration::from_millis(shared.settings.limits.connect_ms);
@@ -30,7 +30,7 @@
     answer.json().await.ok()
 }
 
-/// Tokens used by a run of `dispatch`, once one of the endpoints says that it ended.
+/// Tokens used by the run of `dispatch`, if an engine of the pool reports that it ended.
 pub async fn ended_run(shared: &Shared, endpoint: &str, dispatch: &str) -> Option<u64> {
     for address in shared.endpoints.engines_beside(endpoint) {
         if let Some(Report::Ended { prompt_tokens, output_tokens }) =
@@ -42,7 +42,7 @@
     None
 }
 
-/// Tells an engine that nobody wants a run any more.
+/// Cancels a run at its engine.
 pub fn cancel(
     shared: Arc<Shared>,
     flight: &Flight,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Cancels a run that nobody follows, and keeps its tokens held until its end is known.
+/// Cancels a run and keeps its tokens reserved until its end is known, or the declared rule decides.
 pub fn ask_until_ended(
     shared: Arc<Shared>,
     hold: Hold,
@@ -83,14 +83,14 @@
     }
 }
 
-/// Ends a request that nobody can account for, by its budget's declared rule.
+/// Ends a request with unknown usage by the rule declared for its budget.
 pub fn rule(shared: &Shared, hold: Hold) {
     let ended = ruled(shared, &hold.record().budget);
     let reserved = hold.record().reserved;
     hold.finish(reserved, ended);
 }
 
-/// How the declared rule of a budget ends a request.
+/// How the rule declared for a budget ends a request with unknown usage.
 pub fn ruled(shared: &Shared, budget: &str) -> Ended {
     let snapshot = shared.config.borrow().clone();
     match snapshot.budgets.get(budget).map(|spec| spec.unresolved) {
--- a/crates/router/src/scrape.rs
+++ b/crates/router/src/scrape.rs
@@ -1,8 +1,8 @@
-//! Figures that are kept elsewhere, taken over when a scraper comes.
+//! Updates metrics whose values are kept outside the registry.
 
 use crate::{metrics::Purpose, shared::Shared};
 
-/// Takes over figures that are kept elsewhere.
+/// Copies such values into the registry; called before each scrape.
 pub fn refresh(shared: &Shared) {
     let metrics = &shared.metrics;
     metrics.platform_up.set(i64::from(shared.health.is_up()));
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -1,7 +1,8 @@
-//! Sealing the journals of incarnations that seem dead, and resolving what they left open.
+//! Seals the journals of incarnations presumed dead and resolves their open records.
 //!
-//! The steps are in the `session` library; this decides when and by whom. The home of an
-//! incarnation goes first and the next boxes follow later, which saves conflicts, nothing else.
+//! The steps are in the `session` crate; this module decides when and by which box. The box ranked
+//! first for an incarnation starts and the next ones follow later. This only avoids write
+//! conflicts: every step is safe if several boxes take it.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,19 +12,19 @@
 
 use crate::{keeper::remove, runs, shared::Shared};
 
-/// Looks between one silent incarnation's seal and the next look at it.
+/// Interval of the check for silent incarnations, and first delay between attempts on one of them.
 const LOOK: Duration = Duration::from_millis(250);
-/// Most time between looks at an incarnation that still holds something.
+/// Longest delay between attempts to wind up one incarnation, in milliseconds.
 const LOOK_MOST: u64 = 10_000;
 
-/// What is known of an incarnation that is being wound up.
+/// State of winding up one incarnation. Times in milliseconds.
 struct Case {
     sealed_at: u64,
     next_look: u64,
     wait: u64,
 }
 
-/// Winds up silent incarnations for as long as the router runs.
+/// Winds up incarnations without a heartbeat, for as long as the router runs.
 pub async fn wind_up(shared: Arc<Shared>) {
     let mut cases: HashMap<Incarnation, Case> = HashMap::new();
     loop {
@@ -73,7 +74,7 @@
             journal
         }
         Sealed::Before(journal) => journal,
-        // It never recorded anything, or was wound up: only its member object is left.
+        // It never recorded anything, or is wound up: only its member object may be left.
         Sealed::Missing => return remove(shared, name).await,
         Sealed::Unknown => return,
     };
@@ -88,7 +89,7 @@
     for budget in windup::budgets(&journal) {
         done &= windup::close_grant(store, &budget, &journal, closing).await;
     }
-    // A write of the dead that was on its way may still land: look again before forgetting it.
+    // A delayed write of the incarnation may still land, so it is forgotten only after that time.
     if done && ruled {
         remove(shared, name).await;
         for budget in windup::budgets(&journal) {
@@ -97,9 +98,9 @@
     }
 }
 
-/// Outcomes of open records that an endpoint reports, or that the declared rule gives.
+/// Outcomes of open records: as an engine reports them or, once `ruled`, by the declared rule.
 ///
-/// An endpoint that never saw a run proves nothing: its sender may still wake up.
+/// An engine that does not know a run proves nothing: a suspended sender may still dispatch it.
 async fn findings(shared: &Shared, journal: &Journal, ruled: bool) -> Vec<Finding> {
     let mut found = Vec::new();
     for record in journal.open_records() {
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: what is passed on, and what is not.
+//! Proxies calls to plain HTTP services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
 /// Largest answer of a plain service, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Headers that belong to one connection, or that the router sets itself.
+/// Hop-by-hop headers, and headers that the router sets or consumes itself.
 const OWN: [&str; 14] = [
     "authorization",
     "connection",
@@ -40,7 +40,7 @@
     "x-request-id",
 ];
 
-/// The headers that are passed on: neither hop-by-hop ones nor those that the router sets.
+/// The headers to forward: all but [`OWN`] and those named by `Connection`.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let listed = headers.get_all("connection");
     let named: Vec<String> = listed
@@ -56,7 +56,7 @@
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// Sends a held call to a plain service and returns its answer.
+/// Dispatches a call whose tokens are reserved to a plain service and returns its answer.
 pub async fn serve(
     shared: &Arc<Shared>,
     call: &Call,
@@ -64,7 +64,7 @@
     flight: Flight,
 ) -> Progress {
     let Payload::Service { method, path, headers, body } = &call.payload else {
-        unreachable!("only calls of plain services come here");
+        unreachable!("only calls to plain services are served");
     };
     let Secured { hold, claim } = secured;
     let send = |address: &str| {
@@ -78,7 +78,7 @@
     let answer = match sent {
         Sent::Answering(response) => read_answer(response, call.left()).await,
         Sent::Doubt(unknown) => Err(unknown),
-        Sent::NotReceived { .. } => unreachable!("tried elsewhere or refused"),
+        Sent::NotReceived { .. } => unreachable!("dispatch tries another endpoint or refuses"),
     };
     match answer {
         Err(unknown) => {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a router daemon: JSON with comments, checked before anything listens.
+//! Settings of the router: JSON with comments, validated before any socket is opened.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,25 +17,25 @@
     /// Region of the box.
     #[serde(default = "region")]
     pub region: Arc<str>,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// How it reaches the platform.
+    /// Connection to the platform.
     pub platform: PlatformSettings,
-    /// Addresses of a few other boxes, for a start without the platform.
+    /// Addresses of other boxes to contact when starting while the platform is unreachable.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Limits towards callers.
+    /// Limits for callers and answers.
     #[serde(default)]
     pub limits: Limits,
-    /// How it handles money.
+    /// Reservation and recording of tokens.
     #[serde(default)]
     pub money: Money,
-    /// What it logs.
+    /// Log format and level.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Addresses that the daemon listens on, as IP numbers with ports.
+/// Addresses that the daemon listens on, as IP addresses with ports.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -43,10 +43,10 @@
     pub callers: SocketAddr,
     /// For metrics and health.
     pub operators: SocketAddr,
-    /// For other boxes; without it the box takes no peers.
+    /// For other boxes; without it the box accepts no peers.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
-    /// Where other boxes reach it, if not at `peers` itself.
+    /// Address announced to other boxes, if different from `peers`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
 }
@@ -57,31 +57,31 @@
 pub struct PlatformSettings {
     /// Base address, such as `http://10.0.0.5:7000`.
     pub address: String,
-    /// Bound on each call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
-    /// How long one watch waits, in milliseconds.
+    /// Time that a watch waits for changes, in milliseconds.
     #[serde(default = "default_watch")]
     pub watch_ms: u64,
 }
 
-/// Limits towards callers.
+/// Limits for callers and answers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Connections at once.
+    /// Concurrent connections.
     pub connections: usize,
-    /// Time for a request's headers, in milliseconds.
+    /// Timeout for a request's headers, in milliseconds.
     pub header_ms: u64,
-    /// Time without a byte on a connection, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_ms: u64,
-    /// Bytes of answers kept for retries.
+    /// Bytes of answers stored for retries.
     pub replay_bytes: usize,
-    /// How long an answer is kept for retries, in milliseconds.
+    /// Time that an answer is stored for retries, in milliseconds.
     pub replay_ms: u64,
-    /// Time for a connection to an endpoint, in milliseconds.
+    /// Timeout for connecting to an endpoint, in milliseconds.
     pub connect_ms: u64,
-    /// Longest planned stop, in milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     pub stop_ms: u64,
 }
 
@@ -99,29 +99,29 @@
     }
 }
 
-/// How a box handles money.
+/// How a box reserves and records tokens.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Money {
-    /// Least time between two journal writes, in milliseconds.
+    /// Shortest interval between two journal writes, in milliseconds.
     pub spacing_ms: u64,
-    /// How often outcomes are folded, in milliseconds.
+    /// Interval for folding outcomes into the ledgers, in milliseconds.
     pub fold_ms: u64,
-    /// How long a request waits for the platform before it turns to the offline part.
+    /// Time that a request waits for the platform before it uses the offline part, in milliseconds.
     pub patience_ms: u64,
     /// Seconds of use that the online part covers.
     pub online_horizon_s: u64,
     /// Seconds of use that the offline part covers at most.
     pub offline_horizon_s: u64,
-    /// How often a box shows that it lives, in milliseconds.
+    /// Heartbeat interval, in milliseconds.
     pub beat_ms: u64,
-    /// Time without a sign of life after which a journal is sealed, in milliseconds.
+    /// Time without a heartbeat after which a box's journal is sealed, in milliseconds.
     pub seal_after_ms: u64,
-    /// Time after the seal when the declared rule decides, in milliseconds.
+    /// Time after sealing at which the declared rule decides open records, in milliseconds.
     pub resolve_after_ms: u64,
-    /// How often endpoints are asked for their load, in milliseconds.
+    /// Interval for polling engines for their load, in milliseconds.
     pub report_ms: u64,
-    /// Budgets that every box gets ready for, used there or not.
+    /// Number of configured budgets up to which each box prepares for all of them, used or not.
     pub ready_budgets: usize,
 }
 
@@ -142,11 +142,11 @@
     }
 }
 
-/// What the daemon logs.
+/// Log format and level.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// For people or for programs.
+    /// Text or JSON.
     pub format: LogFormat,
     /// `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
@@ -158,13 +158,13 @@
     }
 }
 
-/// Form of the log lines.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Text for people.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -181,7 +181,7 @@
 }
 
 impl Settings {
-    /// Reads and checks settings; the error names the key, its line and what is allowed.
+    /// Parses and validates settings; an error names the key, its line and the allowed values.
     pub fn read(text: &str) -> Result<Settings, Error> {
         let (settings, lines) = jsonc::read::<Settings>(text)?;
         match settings.check().first() {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Values out of range.
+    /// Values that are not allowed.
     pub fn check(&self) -> Vec<Violation> {
         let mut found = Vec::new();
         for (path, name) in
@@ -239,7 +239,7 @@
         found
     }
 
-    /// How the platform is reached.
+    /// Options of the platform client.
     pub fn platform_options(&self) -> platform::store::Options {
         platform::store::Options {
             address: self.platform.address.clone(),
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of one router share.
+//! State shared by all tasks of one router.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -24,7 +24,7 @@
     relayed::Relayed, requests::Requests, settings::Settings, texts::Texts, tickets::Tickets,
 };
 
-/// Where questions to peers leave from, if the box takes none itself.
+/// Source address of requests to peers, if the box itself accepts none.
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// Shared state of one router.
@@ -32,7 +32,7 @@
     pub settings: Settings,
     /// The platform, directly or through a peer.
     pub store: Arc<dyn Store>,
-    /// The platform, directly only.
+    /// The platform, over the direct connection only.
     pub direct: Arc<dyn Store>,
     pub relayed: Arc<Relayed>,
     pub peers: Peers,
@@ -61,7 +61,7 @@
 }
 
 impl Shared {
-    /// Opens everything; nothing runs yet.
+    /// Creates the state; starts no tasks.
     pub fn open(
         settings: Settings,
         direct: Arc<dyn Store>,
@@ -142,18 +142,18 @@
         self.sessions.me()
     }
 
-    /// Boxes that live, as this one sees it.
+    /// Number of live boxes, as this one sees it.
     pub fn boxes(&self) -> u64 {
         self.members.lock().boxes(self.now(), self.settings.money.seal_after_ms)
     }
 
-    /// This box's position among the live ones for `key`.
+    /// This box's rank for `key` among the live ones; 0 owns it.
     pub fn rank(&self, key: &str) -> usize {
         let me = self.me();
         self.members.lock().rank(key, &me, self.now(), self.settings.money.seal_after_ms)
     }
 
-    /// The peer that is home to a request's key; `None` if it is this box.
+    /// The peer that owns a request's key, by rendezvous hashing; `None` if this box does.
     fn key_home(&self, customer: &str, key: &str) -> Option<Incarnation> {
         let me = self.me();
         let id = format!("{customer}/{key}");
@@ -162,7 +162,7 @@
         (weight(&home) > weight(&me)).then_some(home)
     }
 
-    /// Where a request with a key is or was run, as its home knows.
+    /// Where a request with a key runs or ran, according to the key's owner.
     pub async fn find_place(&self, customer: &Arc<str>, key: &Arc<str>) -> Location {
         let Some(home) = self.key_home(customer, key) else {
             return self.places.find(customer, key, &self.me(), self.now());
@@ -170,12 +170,12 @@
         let question = Frame::Locate { customer: customer.clone(), key: key.clone() };
         match self.peers.ask_one(&home, question).await {
             Some(Frame::Location(there)) => there,
-            // A home out of reach knows nothing: the request is run here.
+            // The owner is unreachable: run the request here.
             _ => Location::Nowhere,
         }
     }
 
-    /// Tells the home of a request's key where it is run.
+    /// Reports to the owner of a request's key where the request runs.
     pub fn note_place(self: &Arc<Self>, customer: &Arc<str>, key: &Arc<str>, place: Place) {
         match self.key_home(customer, key) {
             None => self.places.note(customer.clone(), key.clone(), place),
@@ -187,12 +187,12 @@
         }
     }
 
-    /// A random part of `most`, against everyone acting at once.
+    /// A random duration up to `most`, so that boxes do not act at the same time.
     pub fn jitter(&self, most: Duration) -> Duration {
         most.mul_f64(self.random.lock().random())
     }
 
-    /// A fresh random number.
+    /// A random number.
     pub fn fresh(&self) -> u64 {
         self.random.lock().random()
     }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -1,4 +1,4 @@
-//! Reading a stream of server-sent events without copying it.
+//! Splits a stream of server-sent events.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
@@ -6,31 +6,31 @@
 /// Largest event accepted from an endpoint, in bytes.
 const MAX_EVENT: usize = 1 << 20;
 
-/// What one event of a completion stream is.
+/// One event of a completion stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A token, passed on as it is.
+    /// A token.
     Token,
-    /// The last event, with what the engine used.
+    /// The tokens used; the last event before the end mark.
     Usage { prompt: u64, completion: u64 },
-    /// The end mark.
+    /// The end mark, `[DONE]`.
     Done,
     /// Anything else, such as a comment.
     Other,
 }
 
-/// An event larger than any engine sends.
+/// An event exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLarge;
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct Scanner {
     rest: BytesMut,
 }
 
 impl Scanner {
-    /// Adds bytes; returns the whole events that they completed, as one slice and one by one.
+    /// Adds bytes; returns the events that they completed.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Vec<Bytes>, TooLarge> {
         let mut events = Vec::new();
         let mut buffer = match self.rest.is_empty() {
@@ -66,7 +66,7 @@
     completion_tokens: u64,
 }
 
-/// Says what an event is; only the last one is decoded.
+/// Classifies an event; only one with usage is parsed as JSON.
 pub fn classify(event: &[u8]) -> Event {
     let Some(data) = event.trim_ascii().strip_prefix(b"data:") else { return Event::Other };
     let data = data.trim_ascii_start();
@@ -99,7 +99,7 @@
     content: Option<String>,
 }
 
-/// Text and finish reason of an event, for callers that want no stream.
+/// Text and finish reason of an event.
 pub fn text(event: &[u8]) -> (String, Option<String>) {
     let data = event.trim_ascii().strip_prefix(b"data:").unwrap_or_default();
     let Ok(chunk) = serde_json::from_slice::<Chunk>(data) else { return Default::default() };
--- a/crates/router/src/texts.rs
+++ b/crates/router/src/texts.rs
@@ -1,16 +1,16 @@
-//! Texts of accepted objects, kept for boxes that are cut off from the platform.
+//! Accepted objects as stored by the platform, to serve peers that cannot reach it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use config::Accepted;
 use resource::Kind;
 
-/// Accepted objects as they came, for peers that are cut off from the platform.
+/// Newest text of each accepted object, with its source version.
 #[derive(Debug, Default)]
 pub struct Texts(BTreeMap<(Kind, Arc<str>), (u64, Arc<str>)>);
 
 impl Texts {
-    /// Keeps the text of an accepted object, if it is newer.
+    /// Stores the text of an accepted object unless it has one as new.
     pub fn keep(&mut self, accepted: &Accepted, text: &str) {
         let id = (accepted.kind, accepted.name.clone());
         let older = self.0.get(&id).is_none_or(|(source, _)| *source < accepted.source);
@@ -19,7 +19,7 @@
         }
     }
 
-    /// All of them.
+    /// Texts of all objects.
     pub fn texts(&self) -> Vec<Arc<str>> {
         self.0.values().map(|(_, text)| text.clone()).collect()
     }
--- a/crates/router/src/tickets.rs
+++ b/crates/router/src/tickets.rs
@@ -1,17 +1,17 @@
-//! Keys issued beforehand, each bound to the box that issued it.
+//! Request keys issued in advance, each bound to the process that issued it.
 //!
-//! An unrepeatable call needs a claim in the platform before it runs. A ticket needs none: only
-//! the process that issued it may run it, and that process remembers which it has used. So a
-//! desk that took tickets while all was well goes on working through an outage. A ticket of a
-//! box that is gone is never run by another: whether it ran is then *unknown*.
+//! A call that must not run twice needs a claim in the platform before it runs. A ticket needs none:
+//! only the process that issued it may run it, and that process remembers which ones are used. A
+//! caller that holds tickets can therefore go on through a platform outage. After that process has
+//! ended, no other runs the ticket: whether it ran is then *unknown*.
 
 use std::{collections::HashMap, sync::Arc};
 
 use parking_lot::Mutex;
 
-/// What every ticket starts with; callers may not choose such keys themselves.
+/// Prefix of every ticket. A key with this prefix that was not issued here is never run here.
 const PREFIX: &str = "ticket.";
-/// Tickets outstanding on one box.
+/// Most unused tickets of one box.
 const MOST: usize = 100_000;
 
 /// What a key is to this box.
@@ -19,9 +19,9 @@
 pub enum Kind {
     /// Not a ticket.
     Plain,
-    /// Issued here for this customer and not used.
+    /// Issued here to this customer and unused.
     Fresh,
-    /// Issued here, but used or another customer's.
+    /// Issued here, but used or issued to another customer.
     Used,
     /// Issued by another process.
     Foreign,
@@ -35,12 +35,12 @@
 }
 
 impl Tickets {
-    /// No tickets yet; `secret` must be random, it tells this process's tickets from others'.
+    /// Starts without tickets; `secret` must be random: it marks this process's tickets.
     pub fn new(secret: u64) -> Tickets {
         Tickets { secret: format!("{secret:016x}"), fresh: Mutex::default() }
     }
 
-    /// Issues a ticket to a customer; `fresh` must be random. `None` if too many are out.
+    /// Issues a ticket to a customer; `fresh` must be random. `None` if too many are unused.
     pub fn issue(&self, customer: &Arc<str>, fresh: u64) -> Option<Arc<str>> {
         let key: Arc<str> = format!("{PREFIX}{}.{fresh:016x}", self.secret).into();
         let mut out = self.fresh.lock();
@@ -50,7 +50,7 @@
         })
     }
 
-    /// What a key of a customer is to this box.
+    /// Classifies a customer's key.
     pub fn kind(&self, customer: &str, key: &str) -> Kind {
         let Some(rest) = key.strip_prefix(PREFIX) else { return Kind::Plain };
         if !rest.starts_with(&self.secret) {
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Uses a ticket up; true for one caller only.
+    /// Consumes a ticket; true for one caller only.
     pub fn use_up(&self, customer: &str, key: &str) -> bool {
         let fresh = self.kind(customer, key) == Kind::Fresh;
         fresh && self.fresh.lock().remove(key).is_some()
     }
 
-    /// Gives a ticket back whose call was not dispatched.
+    /// Restores a ticket whose call was not dispatched.
     pub fn give_back(&self, customer: &Arc<str>, key: &Arc<str>) {
         self.fresh.lock().insert(key.clone(), customer.clone());
     }
--- a/crates/router/src/transcript.rs
+++ b/crates/router/src/transcript.rs
@@ -1,4 +1,4 @@
-//! The answer of one request as it grows, read by its caller and by retries of the same key.
+//! The streamed answer of one request, read by its caller and by retries with the same key.
 
 use std::sync::{
     Arc,
@@ -12,15 +12,15 @@
 
 use crate::outcome::Unknown;
 
-/// Bytes that the writer may be ahead of the fastest reader before it pauses.
+/// Bytes that the writer may be ahead of the fastest reader before it has to wait.
 const AHEAD: usize = 256 << 10;
 
 /// How an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Whole.
+    /// Complete.
     Whole,
-    /// Broken off.
+    /// Incomplete.
     Broken(Unknown),
 }
 
@@ -32,7 +32,7 @@
     end: Option<End>,
 }
 
-/// An answer's bytes, growing until it has an end.
+/// Bytes of an answer, appended until it has an end.
 #[derive(Debug, Default)]
 pub struct Transcript {
     state: Mutex<State>,
@@ -42,7 +42,7 @@
 }
 
 impl Transcript {
-    /// Adds bytes.
+    /// Appends bytes.
     pub fn push(&self, part: Bytes) {
         let mut state = self.state.lock();
         state.bytes += part.len();
@@ -51,28 +51,28 @@
         self.changed.notify_waiters();
     }
 
-    /// Ends the answer.
+    /// Ends the answer; only the first end counts.
     pub fn end(&self, end: End) {
         self.state.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Whether it ended whole.
+    /// Whether the answer is complete.
     pub fn is_whole(&self) -> bool {
         self.state.lock().end == Some(End::Whole)
     }
 
-    /// Bytes so far.
+    /// Length so far, in bytes.
     pub fn bytes(&self) -> usize {
         self.state.lock().bytes
     }
 
-    /// Number of callers reading it.
+    /// Number of readers.
     pub fn readers(&self) -> usize {
         self.readers.load(Ordering::Relaxed)
     }
 
-    /// Waits while the fastest reader is far behind, so that the engine feels a slow caller.
+    /// Waits while the fastest reader is far behind: applies backpressure to the engine.
     pub async fn wait_drained(&self) {
         loop {
             let drained = self.drained.notified();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Reads from the start; a broken answer ends with an error event, never a clean end.
+    /// Reads from the start. An incomplete answer ends with an error event.
     pub fn stream(self: &Arc<Self>) -> impl Stream<Item = Result<Bytes, std::io::Error>> + use<> {
         let reader = Reader::open(self.clone());
         stream::unfold(reader, |mut reader| async move {
--- a/crates/router/src/turn.rs
+++ b/crates/router/src/turn.rs
@@ -1,4 +1,4 @@
-//! Waiting for a turn before a pool, or being refused early.
+//! Admission: a request waits in its pool's queue, or is refused early.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,10 +11,10 @@
     shared::Shared,
 };
 
-/// Time between looks at a queue that nobody of this box wakes.
+/// Interval for rechecking the queue: load that other boxes put on the pool wakes nobody here.
 const LOOK: Duration = Duration::from_millis(10);
 
-/// A request that may be dispatched; it is counted until this is dropped.
+/// An admitted request. Counts against the limits of its customer and route until dropped.
 pub struct Permit {
     shared: Arc<Shared>,
     customer: Arc<str>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Leaves the queue when its request does.
+/// Removes a request from the queue when dropped.
 struct Place<'a> {
     lanes: &'a Lanes,
     pool: &'a Arc<str>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Waits until a call may be dispatched, or refuses it; either way it has not run.
+/// Waits until a call may be dispatched, or refuses it.
 pub async fn enter(shared: &Arc<Shared>, call: &Call) -> Result<Permit, Refusal> {
     let lanes = &shared.lanes;
     let (customer, route) = (&call.caller.customer, &call.route_name);
@@ -76,13 +76,13 @@
 
 fn limit_reached(reached: Exceeded) -> Refusal {
     let message = match reached {
-        Exceeded::Customer => "too many requests of this customer are under way on this box",
-        Exceeded::Route => "too many requests of this route are under way on this box",
+        Exceeded::Customer => "the customer has too many requests in flight on this box",
+        Exceeded::Route => "the route has too many requests in flight on this box",
     };
     Reason::LimitReached.after(message, Duration::from_secs(1))
 }
 
 fn overloaded(after: Duration) -> Refusal {
-    let message = "the request cannot start before its caller stops waiting";
+    let message = "the request cannot start before its deadline";
     Reason::Overloaded.after(message, after)
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are refused before anything listens, naming key, line and allowed range.
+//! Invalid settings are refused with the key, its line and the allowed values.
 
 use proptest::prelude::*;
 use router::Settings;
