--- a/crates/config/src/accepted.rs
+++ b/crates/config/src/accepted.rs
@@ -55,7 +55,7 @@
 
 /// Validates a source at `version` and decides whether it replaces the object accepted from source
 /// version `accepted`. A `value` of `None` is a deletion.
-pub fn gate(
+pub fn validate(
     kind: Kind,
     name: &str,
     version: u64,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
 //! Accepted configuration. The version of each resource only ever increases.
 //!
 //! Operators write objects, called sources. Boxes validate them and copy valid ones to `accepted`
-//! objects, which are all that a box applies. [`gate`] decides whether a source is accepted, and a
+//! objects, which are all that a box applies. [`validate`] decides whether a source is accepted, and a
 //! [`Snapshot`] is what one box has applied.
 
 mod accepted;
 mod snapshot;
 
-pub use accepted::{Accepted, Verdict, gate, object_name};
+pub use accepted::{Accepted, Verdict, object_name, validate};
 pub use snapshot::{Caller, Snapshot};
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, StatusCode};
 use parking_lot::Mutex;
-use platform::played::Told;
+use platform::fixtures::ForwardedHead;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -17,11 +17,11 @@
 
 /// A request as it arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     /// Method and path.
     pub line: String,
     /// What the router said about it.
-    pub told: Told,
+    pub head: ForwardedHead,
     /// Body.
     pub body: Vec<u8>,
     /// Number of the connection that it came on.
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// Answers whole, with a length.
-    Whole(StatusCode, HeaderMap, String),
+    Complete(StatusCode, HeaderMap, String),
     /// Answers whole, and sends this after it.
-    Extra(StatusCode, HeaderMap, String, String),
+    TrailingData(StatusCode, HeaderMap, String, String),
     /// Answers without a length and closes.
     Unframed(HeaderMap, String),
     /// Answers without a length and resets the connection.
@@ -42,7 +42,7 @@
     /// Sends events with pauses between them, in chunks.
     Events(HeaderMap, Vec<String>, Duration),
     /// Sends some events and closes without the end.
-    Torn(HeaderMap, Vec<String>),
+    Truncated(HeaderMap, Vec<String>),
     /// Closes without an answer.
     Close,
     /// Reads on and never answers.
@@ -53,25 +53,27 @@
     CrashUnframed(HeaderMap, Duration),
 }
 
-type Script = dyn Fn(&Arrived) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 #[derive(Default)]
 struct Seen {
-    arrived: Vec<Arrived>,
+    arrived: Vec<ReceivedRequest>,
     connections: usize,
     closed: usize,
 }
 
 /// A running endpoint on loopback; it ends when dropped.
-pub struct Scripted {
+pub struct ScriptedEndpoint {
     address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     task: JoinHandle<()>,
 }
 
-impl Scripted {
+impl ScriptedEndpoint {
     /// Binds a free loopback port and answers as `script` says.
-    pub async fn spawn(script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static) -> Scripted {
+    pub async fn spawn(
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
         let seen: Arc<Mutex<Seen>> = Arc::default();
@@ -90,7 +92,7 @@
                 }
             }
         });
-        Scripted { address, seen, task }
+        ScriptedEndpoint { address, seen, task }
     }
 
     /// Where it listens.
@@ -99,7 +101,7 @@
     }
 
     /// Every request that arrived, in order.
-    pub fn arrived(&self) -> Vec<Arrived> {
+    pub fn arrived(&self) -> Vec<ReceivedRequest> {
         self.seen.lock().arrived.clone()
     }
 
@@ -119,7 +121,7 @@
     }
 }
 
-impl Drop for Scripted {
+impl Drop for ScriptedEndpoint {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -153,7 +155,11 @@
     seen.lock().closed += 1;
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, connection: usize) -> Option<Arrived> {
+async fn read(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    connection: usize,
+) -> Option<ReceivedRequest> {
     let end = loop {
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
@@ -180,7 +186,7 @@
     }
     let body = buffer[end..end + length].to_vec();
     buffer.drain(..end + length);
-    Some(Arrived { line, told: Told::read(&headers), body, connection })
+    Some(ReceivedRequest { line, head: ForwardedHead::read(&headers), body, connection })
 }
 
 fn head(status: StatusCode, headers: &HeaderMap, framing: &str) -> String {
@@ -203,10 +209,10 @@
 async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
-        Reply::Whole(status, headers, body) => {
+        Reply::Complete(status, headers, body) => {
             stream.write_all(whole(status, &headers, &body).as_bytes()).await.is_ok()
         }
-        Reply::Extra(status, headers, body, extra) => {
+        Reply::TrailingData(status, headers, body, extra) => {
             let bytes = whole(status, &headers, &body) + &extra;
             stream.write_all(bytes.as_bytes()).await.is_ok()
         }
@@ -234,7 +240,7 @@
             }
             stream.write_all(b"0\r\n\r\n").await.is_ok()
         }
-        Reply::Torn(headers, events) => {
+        Reply::Truncated(headers, events) => {
             let chunks: String = events.iter().map(|event| chunk(event)).collect();
             let bytes = head(StatusCode::OK, &headers, CHUNKED) + &chunks;
             let _ = stream.write_all(bytes.as_bytes()).await;
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -12,7 +12,7 @@
 mod samples;
 
 pub use audit::{Audit, Figures};
-pub use caller::{Ask, Caller, Got, Outcome};
+pub use caller::{Caller, Outcome, Request, Response};
 pub use fleet::{Fleet, Plan};
 pub use node::Node;
 pub use samples::{Sample, api_key, resources};
