--- a/crates/admit/src/limit.rs
+++ b/crates/admit/src/limit.rs
@@ -1,17 +1,17 @@
-//! Requests under way at once, by customer and by route.
+//! Limits of concurrent requests, by customer and by route.
 
 use std::{collections::HashMap, sync::Arc};
 
-/// Which limit a request ran into.
+/// Which limit a request exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exceeded {
-    /// Too many of this customer.
+    /// Too many requests of this customer.
     Customer,
-    /// Too many on this route.
+    /// Too many requests on this route.
     Route,
 }
 
-/// Counts of one box.
+/// Concurrent requests of one box.
 #[derive(Debug, Default)]
 pub struct Limits {
     customers: HashMap<Arc<str>, u32>,
@@ -19,17 +19,17 @@
 }
 
 impl Limits {
-    /// Counts a request in, unless a limit is reached.
+    /// Counts a request that begins, unless a limit is reached.
     pub fn enter(
         &mut self,
-        (customer, most_of_customer): (&Arc<str>, u32),
-        (route, most_of_route): (&Arc<str>, u32),
+        (customer, customer_max): (&Arc<str>, u32),
+        (route, route_max): (&Arc<str>, u32),
     ) -> Result<(), Exceeded> {
-        let of = |counts: &HashMap<Arc<str>, u32>, name| counts.get(name).copied().unwrap_or(0);
-        if of(&self.customers, customer) >= most_of_customer {
+        let count = |counts: &HashMap<Arc<str>, u32>, name| counts.get(name).copied().unwrap_or(0);
+        if count(&self.customers, customer) >= customer_max {
             return Err(Exceeded::Customer);
         }
-        if of(&self.routes, route) >= most_of_route {
+        if count(&self.routes, route) >= route_max {
             return Err(Exceeded::Route);
         }
         *self.customers.entry(customer.clone()).or_default() += 1;
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Counts a request out.
+    /// Removes a request that ended from the counts.
     pub fn leave(&mut self, customer: &Arc<str>, route: &Arc<str>) {
         for (counts, name) in [(&mut self.customers, customer), (&mut self.routes, route)] {
             if let Some(count) = counts.get_mut(name) {
@@ -54,10 +54,11 @@
     use super::*;
 
     #[test]
-    fn limits_hold_and_free_again() {
+    fn limits_are_enforced_and_released() {
         let mut limits = Limits::default();
         let (customer, route): (Arc<str>, Arc<str>) = ("c".into(), "r".into());
-        let mut enter = |most_c, most_r| limits.enter((&customer, most_c), (&route, most_r));
+        let mut enter =
+            |customer_max, route_max| limits.enter((&customer, customer_max), (&route, route_max));
         assert_eq!(enter(2, 9), Ok(()));
         assert_eq!(enter(2, 9), Ok(()));
         assert_eq!(enter(2, 9), Err(Exceeded::Customer));
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a box knows of one endpoint.
+//! State of one endpoint, as one box knows it.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,33 +7,33 @@
 use crate::{
     availability::Departure,
     back_off::BackOff,
-    cold::Cold,
+    cold::Throttle,
     limit::{Limit, LimitSignal},
     pace::Pace,
 };
 
-/// Own counts remembered, one each [`SAMPLE_MS`].
+/// Number of remembered samples of this box's own request count, one per [`SAMPLE_MS`].
 const SAMPLES: usize = 128;
-/// Milliseconds between two remembered counts.
+/// Milliseconds between two samples.
 const SAMPLE_MS: u64 = 50;
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 const EJECT_AFTER: u32 = 3;
-/// First time that an endpoint is passed over, in milliseconds; doubles with each failure after.
-const EJECT_MS: u64 = 1_000;
-/// Longest time that an endpoint is passed over, in milliseconds.
-const EJECT_MOST_MS: u64 = 30_000;
-/// A new endpoint gets a growing share for this long, in milliseconds.
+/// First ejection time in milliseconds; doubles with each further failure.
+const EJECTION_MS: u64 = 1_000;
+/// Longest ejection time in milliseconds.
+const MAX_EJECTION_MS: u64 = 30_000;
+/// Time in milliseconds over which a new endpoint is ramped up to its full share.
 const SLOW_START_MS: u64 = 5_000;
-/// A reported queue fades to a third in this time, in milliseconds: about what an engine needs to
-/// read a long prompt.
-const BACKLOG_MS: f64 = 300.0;
-/// A prompt of another box counts for so long at most, in milliseconds, if nobody tells that it was
-/// read: longer than an engine takes to read the longest one.
-const PROMPT_MOST_MS: u64 = 2_000;
-/// Age at which a report counts for nothing, in milliseconds.
-const REPORT_MOST_MS: u64 = 15_000;
-
-/// A load report of an endpoint, taken at `at` on this box's clock.
+/// Time constant in milliseconds by which a reported queue decays: about as long as an engine needs
+/// to prefill a long prompt.
+const QUEUE_DECAY_MS: f64 = 300.0;
+/// Time in milliseconds after which a peer's prompt no longer counts, even if nobody reported the
+/// end of its prefill. Longer than any prefill takes.
+const PROMPT_TTL_MS: u64 = 2_000;
+/// Age in milliseconds at which a load report no longer counts.
+const REPORT_TTL_MS: u64 = 15_000;
+
+/// A load report of an endpoint, taken at `at` by this box's clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// When the endpoint counted, in milliseconds.
@@ -42,43 +42,41 @@
     pub running: u32,
     /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that its batch takes.
+    /// Capacity of its batch, in requests.
     pub slots: u32,
 }
 
-/// A prompt that another box sent to an endpoint, which has to read it before others.
+/// Published by a box that sends a prompt to an endpoint, and again with size 0 once it is
+/// prefilled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// Number of the prompt at the box that sent it.
+    /// Number of the prompt, unique at the box that sent it.
     pub number: u64,
-    /// Size of what is to be read; 0 once it was.
+    /// Size to prefill; 0 once that is done.
     pub size: u64,
-    /// Hashes of its blocks, which the endpoint holds from then on; 3% to 14% fewer tokens of shared
-    /// parts are read again where others know them.
+    /// Hashes of the prompt's blocks, which the endpoint caches from then on.
     pub blocks: Arc<[u64]>,
 }
 
-/// Why a dispatch did not end well.
+/// Why a request to an endpoint failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// No connection, or no first byte in time.
     Silent,
-    /// It refused before running.
+    /// The endpoint refused the request before running it.
     Refused,
-    /// The stream broke.
+    /// The stream broke off.
     Broken,
 }
 
 /// State of one endpoint on one box.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Name of the endpoint.
     pub name: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Gets no new work: by pool spec, platform list or the operator.
+    /// Gets no new work, by pool specification, platform list or operator.
     pub leaving: bool,
     report: Option<Report>,
     in_flight: u32,
@@ -87,46 +85,47 @@
     failures: u32,
     ejected_until: u64,
     new_since: Option<u64>,
-    /// Requests of this box whose answer has not begun, and what of their prompts is to be read.
+    /// Requests of this box whose answer has not begun, and the size of their prompts still to
+    /// prefill.
     unanswered: u32,
-    unread: u64,
-    prompts: Vec<Told>,
-    /// How little it bears for now.
-    pub cold: Cold,
-    /// The same for one that was silent: it may have started again.
-    pub doubt: Cold,
-    /// How fast it makes events of streams.
+    prefill_size: u64,
+    peer_prompts: Vec<PeerPrompt>,
+    /// Rate limiter while the endpoint is cold.
+    pub cold: Throttle,
+    /// Rate limiter after the endpoint was silent: it may have restarted and be cold.
+    pub suspected_cold: Throttle,
+    /// Time that it takes between two events of a stream.
     pub pace: Pace,
-    /// What it said of how much it takes; `None` while it never named a limit.
+    /// Newest rate limit that it signaled; `None` if it never named one.
     limit_signal: Option<LimitSignal>,
-    /// While it names a limit, this box gets no turn there until then.
-    closed_until: u64,
-    /// What it asked this box for.
+    /// While it names a limit, this box asks for no permit before this time.
+    permits_deferred_until: u64,
+    /// Back-off that it asked this box for.
     pub back_off: BackOff,
-    /// It said itself that it leaves.
+    /// Set once it signaled that it leaves.
     pub departure: Option<Departure>,
 }
 
-/// A prompt that another box told of.
+/// A prompt that another box published.
 #[derive(Debug, Clone)]
-struct Told {
+struct PeerPrompt {
     by: Arc<str>,
     number: u64,
     size: u64,
     at: u64,
 }
 
-/// What others should know of an endpoint.
+/// What a box reports to its peers about one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Requests that the sender has under way there.
+    /// Requests of the sender in flight there.
     pub in_flight: u32,
 }
 
 impl Endpoint {
-    /// An endpoint first seen at `now`; `warm` if the whole pool is new.
+    /// A new endpoint, first seen at `now`. It gets its full share at once if it is `warm`, because
+    /// the whole pool is new.
     pub fn new(name: Arc<str>, zone: Arc<str>, now: u64, warm: bool) -> Endpoint {
         Endpoint {
             name,
@@ -140,29 +139,29 @@
             ejected_until: 0,
             new_since: (!warm).then_some(now),
             unanswered: 0,
-            unread: 0,
-            prompts: Vec::new(),
-            cold: Cold::default(),
-            doubt: Cold::default(),
+            prefill_size: 0,
+            peer_prompts: Vec::new(),
+            cold: Throttle::default(),
+            suspected_cold: Throttle::default(),
             pace: Pace::default(),
             limit_signal: None,
-            closed_until: 0,
+            permits_deferred_until: 0,
             back_off: BackOff::default(),
             departure: None,
         }
     }
 
-    /// What it said of how much it takes, if it ever named a limit.
+    /// Its newest limit signal, if it ever named a limit.
     pub fn limit_signal(&self) -> Option<LimitSignal> {
         self.limit_signal
     }
 
-    /// Requests that it takes from all boxes together, while it says so.
+    /// Rate limit over all boxes together, if it names one.
     pub fn limit(&self) -> Option<Limit> {
         self.limit_signal?.limit
     }
 
-    /// It said how much it takes; says whether that changes what this box knows.
+    /// Takes over a limit signal; returns whether the limit changed.
     pub fn update_limit(&mut self, limit_signal: LimitSignal) -> bool {
         let before = self.limit();
         match &self.limit_signal {
@@ -172,19 +171,19 @@
         }
         let is_new = self.limit() != before;
         if is_new {
-            self.closed_until = 0;
+            self.permits_deferred_until = 0;
         }
         is_new
     }
 
-    /// This box gets no turn there for so many milliseconds.
+    /// Asks for no permit there for `ms` milliseconds.
     pub fn defer_permits(&mut self, ms: u64, now: u64) {
-        self.closed_until = now + ms;
+        self.permits_deferred_until = now + ms;
     }
 
-    /// Milliseconds until this box may ask for a turn there, if it needs one.
-    pub fn turn_wait_ms(&self, now: u64) -> u64 {
-        self.limit().map_or(0, |_| self.closed_until.saturating_sub(now))
+    /// Milliseconds until this box may ask for a permit; 0 if the endpoint names no limit.
+    pub fn permit_wait_ms(&self, now: u64) -> u64 {
+        self.limit().map_or(0, |_| self.permits_deferred_until.saturating_sub(now))
     }
 
     /// Whether it gets no new work any more.
@@ -192,67 +191,63 @@
         self.leaving || self.departure.is_some_and(|departure| departure.until <= now)
     }
 
-    /// Whether it wants no request now, not even one that was meant for it before.
+    /// Whether it gets no request now, not even one that was already assigned to it.
     pub fn refuses_requests(&self, now: u64) -> bool {
         self.has_left(now) || self.back_off.remaining_ms(now) > 0
     }
 
-    /// Milliseconds until this box may send it a request after a rest.
-    pub fn rest_wait_ms(&self, now: u64) -> u64 {
+    /// Milliseconds until its back-off lets this box send a request.
+    pub fn back_off_wait_ms(&self, now: u64) -> u64 {
         self.back_off.wait_ms(self.unanswered, now)
     }
 
-    /// A request was dispatched.
+    /// Records a request that was sent to it.
     pub fn start(&mut self, now: u64) {
-        self.cold.sent(now);
-        self.doubt.sent(now);
+        self.cold.record_sent(now);
+        self.suspected_cold.record_sent(now);
         self.in_flight += 1;
         self.sample(now);
     }
 
-    /// A request was sent of whose prompt this much is to be read.
+    /// Records a prompt that was sent to it, `size` of which is to be prefilled.
     pub fn start_prefill(&mut self, size: u64) {
         self.unanswered += 1;
-        self.unread += size;
+        self.prefill_size += size;
     }
 
-    /// Its answer began, or it ended without one.
+    /// Ends the prefill of a prompt, because its answer began or its request ended without one.
     pub fn finish_prefill(&mut self, size: u64) {
         self.unanswered = self.unanswered.saturating_sub(1);
-        self.unread = self.unread.saturating_sub(size);
+        self.prefill_size = self.prefill_size.saturating_sub(size);
     }
 
-    /// Another box told of a prompt that it sent, or that it was read.
+    /// Records a prompt that another box published, or the end of its prefill.
     pub fn receive_prompt(&mut self, by: &Arc<str>, prompt: &Prompt, now: u64) {
-        let same = |receive_prompt: &Told| {
-            receive_prompt.by == *by && receive_prompt.number == prompt.number
-        };
-        self.prompts.retain(|receive_prompt| {
-            !same(receive_prompt) && receive_prompt.at + PROMPT_MOST_MS > now
-        });
+        let same = |known: &PeerPrompt| known.by == *by && known.number == prompt.number;
+        self.peer_prompts.retain(|known| !same(known) && known.at + PROMPT_TTL_MS > now);
         if prompt.size > 0 {
             let (by, number, size) = (by.clone(), prompt.number, prompt.size);
-            self.prompts.push(Told { by, number, size, at: now });
+            self.peer_prompts.push(PeerPrompt { by, number, size, at: now });
         }
     }
 
-    /// Size of prompts that are to be read before a new one: those of this box, and those of
-    /// others. They tell of large ones; besides, a `typical` one is counted for each request of
-    /// others that the endpoint reported to wait, which fades with the age of the report.
-    pub fn backlog(&self, typical: f64, now: u64) -> f64 {
+    /// Size of prompts that are to be prefilled before a new one: those of this box, and those of
+    /// others. Other boxes publish only large prompts; so, if that gives more, a prompt of size
+    /// `mean_prefill` is counted for each request of others in the reported queue, decaying with
+    /// the age of the report.
+    pub fn backlog(&self, mean_prefill: f64, now: u64) -> f64 {
         let waiting = self.report.map_or(0.0, |report| {
             let waiting = f64::from(report.waiting.saturating_sub(self.unanswered));
             let age = now.saturating_sub(report.at) as f64;
-            waiting * (-age / BACKLOG_MS).exp()
+            waiting * (-age / QUEUE_DECAY_MS).exp()
         });
-        let receive_prompt =
-            self.prompts.iter().filter(|receive_prompt| receive_prompt.at + PROMPT_MOST_MS > now);
-        let receive_prompt: u64 = receive_prompt.map(|receive_prompt| receive_prompt.size).sum();
-        // Those that were told of may be the ones that wait.
-        self.unread as f64 + (waiting * typical).max(receive_prompt as f64)
+        let published = self.peer_prompts.iter().filter(|prompt| prompt.at + PROMPT_TTL_MS > now);
+        let published: u64 = published.map(|prompt| prompt.size).sum();
+        // Published prompts may be the ones in the reported queue, so they are not added up.
+        self.prefill_size as f64 + (waiting * mean_prefill).max(published as f64)
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn end(&mut self, now: u64, failure: Option<Failure>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.sample(now);
@@ -262,15 +257,15 @@
                 self.ejected_until = 0;
             }
             Some(Failure::Refused) => {}
-            Some(Failure::Silent | Failure::Broken) => self.fail(now),
+            Some(Failure::Silent | Failure::Broken) => self.record_failure(now),
         }
     }
 
-    fn fail(&mut self, now: u64) {
+    fn record_failure(&mut self, now: u64) {
         self.failures += 1;
         if self.failures >= EJECT_AFTER {
             let doublings = (self.failures - EJECT_AFTER).min(10);
-            self.ejected_until = now + (EJECT_MS << doublings).min(EJECT_MOST_MS);
+            self.ejected_until = now + (EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         }
     }
 
@@ -284,7 +279,7 @@
         }
     }
 
-    /// A report came in; an older one than known is dropped.
+    /// Takes over a load report, unless a newer one is known.
     pub fn report(&mut self, report: Report) {
         let newer = self.report.is_none_or(|known| known.at <= report.at);
         if newer {
@@ -292,21 +287,21 @@
         }
     }
 
-    /// A peer told what it has under way there.
-    pub fn peer(&mut self, peer: &Arc<str>, in_flight: u32, now: u64) {
+    /// Takes over the number of requests that a peer has in flight there.
+    pub fn receive_peer_load(&mut self, peer: &Arc<str>, in_flight: u32, now: u64) {
         match self.peers.iter_mut().find(|(name, ..)| name == peer) {
             Some(known) => (known.1, known.2) = (in_flight, now),
             None => self.peers.push((peer.clone(), in_flight, now)),
         }
-        self.peers.retain(|(_, _, at)| at + REPORT_MOST_MS > now);
+        self.peers.retain(|(_, _, at)| at + REPORT_TTL_MS > now);
     }
 
-    fn own_at(&self, at: u64) -> u32 {
+    fn own_in_flight_at(&self, at: u64) -> u32 {
         let known = self.samples.iter().rev().find(|(sampled, _)| *sampled <= at);
         known.map_or(0, |(_, count)| *count)
     }
 
-    /// Requests that this box has under way there.
+    /// Requests of this box in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -316,16 +311,16 @@
         self.unanswered
     }
 
-    /// Estimated requests at the endpoint now, over all boxes.
+    /// Estimated number of requests at the endpoint now, over all boxes.
     pub fn load(&self, now: u64) -> f64 {
-        let receive_prompt: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
-        let known = f64::from(self.in_flight) + f64::from(receive_prompt);
-        let fresh = self.report.filter(|report| report.at + REPORT_MOST_MS > now);
+        let by_peers: u32 = self.peers.iter().map(|(_, count, _)| count).sum();
+        let known = f64::from(self.in_flight) + f64::from(by_peers);
+        let fresh = self.report.filter(|report| report.at + REPORT_TTL_MS > now);
         let Some(report) = fresh else { return known };
         let reported = f64::from(report.running + report.waiting);
-        let change = f64::from(self.in_flight) - f64::from(self.own_at(report.at));
+        let change = f64::from(self.in_flight) - f64::from(self.own_in_flight_at(report.at));
         let corrected = (reported + change).max(f64::from(self.in_flight));
-        // A fresh report outweighs what peers told; a late one does not.
+        // A fresh report outweighs what peers reported; an old one does not.
         let age = now.saturating_sub(report.at) as f64;
         let trust = 1.0 / (1.0 + age / 500.0);
         match self.peers.is_empty() {
@@ -334,27 +329,27 @@
         }
     }
 
-    /// Requests that the batch takes, if reported.
+    /// Capacity of its batch in requests, if reported.
     pub fn slots(&self) -> Option<u32> {
         self.report.map(|report| report.slots)
     }
 
-    /// Whether failures put it aside at `now`.
+    /// Whether it is ejected at `now`.
     pub fn is_ejected(&self, now: u64) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it was ejected, and the time is over: the next request is its probe.
+    /// Whether its ejection is over and the next request is to probe it.
     pub fn wants_probe(&self, now: u64) -> bool {
         self.failures >= EJECT_AFTER && !self.is_ejected(now) && self.in_flight == 0
     }
 
-    /// Whether it was ejected and a probe is under way.
+    /// Whether its ejection is over and a probe is in flight.
     pub fn is_probed(&self, now: u64) -> bool {
         self.failures >= EJECT_AFTER && !self.is_ejected(now) && self.in_flight > 0
     }
 
-    /// Load is multiplied by this while the endpoint is new.
+    /// Factor by which its load is multiplied while it is new.
     pub fn slow_start(&self, now: u64) -> f64 {
         match self.new_since.map(|since| now.saturating_sub(since)) {
             Some(age) if age < SLOW_START_MS => 4.0 - 3.0 * age as f64 / SLOW_START_MS as f64,
--- a/crates/flintbench/src/load.rs
+++ b/crates/flintbench/src/load.rs
@@ -151,7 +151,7 @@
 ) {
     let mut to = to;
     for _ in 0..=RETRIES {
-        let got = caller.ask(to, ask).await;
+        let got = caller.send(to, ask).await;
         if matches!(got.outcome, Outcome::Answered | Outcome::NotRun) {
             return;
         }
--- a/crates/flintbench/src/money.rs
+++ b/crates/flintbench/src/money.rs
@@ -176,7 +176,7 @@
         tokio::time::sleep(NOTICED).await;
         scene.balancer.set(index, None);
         scene.fleet.restart(index).await;
-        scene.balancer.set(index, Some(scene.fleet.to(index)));
+        scene.balancer.set(index, Some(scene.fleet.callers_address(index)));
     }
     let arrivals = load.await.expect("the load runs to its end");
     let lasting = scene.ms(1.0);
@@ -271,8 +271,8 @@
         let mut sent = tokio::task::JoinSet::new();
         for nth in 0..10 {
             let (caller, ask) = (scene.fleet.caller.clone(), ask.clone());
-            let to = scene.fleet.to(nth % scene.boxes);
-            sent.spawn(async move { caller.ask(to, &ask).await });
+            let to = scene.fleet.callers_address(nth % scene.boxes);
+            sent.spawn(async move { caller.send(to, &ask).await });
         }
         while sent.join_next().await.is_some() {}
     }
@@ -331,7 +331,7 @@
     scene.fleet.platform.set(|faults| faults.down = false);
     scene.fleet.set_partition(&cut, false);
     scene.fleet.restart(4).await;
-    scene.balancer.set(4, Some(scene.fleet.to(4)));
+    scene.balancer.set(4, Some(scene.fleet.callers_address(4)));
     let arrivals = load.await.expect("the load runs to its end");
     scene.fleet.platform.set(|faults| faults.drop_responses = 0.0);
     let (from, to) = (scene.ms(0.3), scene.ms(0.6));
@@ -359,7 +359,7 @@
         let arrivals = scene.load().await.expect("the load runs to its end");
         let lasting = scene.ms(1.0);
         let mut first = Times::default();
-        first.extend(scene.fleet.caller.responses().iter().map(|got| got.first));
+        first.extend(scene.fleet.caller.responses().iter().map(|got| got.time_to_first_byte));
         let sent = Sent { arrivals, faults: Vec::new(), lasting, extra: Vec::new() };
         last = scene.close(sent).await;
         sound &= last.sound;
--- a/crates/flintbench/src/path.rs
+++ b/crates/flintbench/src/path.rs
@@ -71,19 +71,19 @@
     for number in 0..requests {
         let chat = Request::chat("dental", "bornova", &format!("lat-{number}"));
         let ask = Request { output: 1, max_tokens: 1, ..chat };
-        let straight = caller.ask(engine, &ask).await;
-        let through = caller.ask(fleet.to(0), &ask).await;
+        let straight = caller.send(engine, &ask).await;
+        let through = caller.send(fleet.callers_address(0), &ask).await;
         // The first requests open connections.
         if number >= 20 {
-            direct.add(straight.first);
-            routed.add(through.first);
+            direct.add(straight.time_to_first_byte);
+            routed.add(through.time_to_first_byte);
         }
     }
     (direct, routed)
 }
 
 async fn throughput(fleet: &Fleet, requests: u64) -> (f64, f64, f64) {
-    let to = fleet.to(0);
+    let to = fleet.callers_address(0);
     let cpu_before = thread_cpu("box-0");
     let start = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
@@ -107,7 +107,7 @@
     for number in 0..count {
         let chat = Request::chat("dental", "bornova", &format!("lane-{lane}-{number}"));
         let ask = Request { output: 1, max_tokens: 1, ..chat };
-        let got = caller.ask(to, &ask).await;
+        let got = caller.send(to, &ask).await;
         answered += u64::from(got.outcome == Outcome::Answered);
     }
     answered
--- a/crates/flintstall/src/audit.rs
+++ b/crates/flintstall/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of a gateway fleet's book and bills.
+//! Audits the book and the bills of a gateway fleet.
 
 use std::sync::Arc;
 
@@ -9,43 +9,43 @@
 use snafu::ResultExt;
 
 use crate::{
-    decode::decode,
     error::{Error, MissingSnafu, PlatformSnafu},
     exit::Code,
-    output::Form,
+    input::parse_object,
+    output::Format,
     paint::{Tone, paint},
     table::Table,
 };
 
-/// The audit, and what the operator wants of endpoints.
+/// JSON output: the audit and the evacuated availability zones.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(flatten)]
     audit: &'a ledger::Audit,
-    /// Availability zones whose endpoints are to get no more work.
+    /// Availability zones whose endpoints get no new requests.
     evacuated_zones: &'a [Arc<str>],
 }
 
-/// Prints the audit; fails if something does not fit.
-pub async fn audit(client: &Client, form: Form) -> Result<Code, Error> {
+/// Prints the audit; the exit code is a failure if there are findings.
+pub async fn audit(client: &Client, format: Format) -> Result<Code, Error> {
     let found = client.get(BOOK.0, BOOK.1).await.context(PlatformSnafu)?;
     let Some(object) = found else {
         return MissingSnafu { kind: BOOK.0, name: BOOK.1 }.fail();
     };
-    let book: Book = decode(&object.value)?;
+    let book: Book = parse_object(&object.value)?;
     let pages = client.list(BILLS, "").await.context(PlatformSnafu)?;
     let mut bills: Vec<Bill> = Vec::new();
     for page in &pages {
-        bills.extend(decode::<Page>(&page.value)?.bills);
+        bills.extend(parse_object::<Page>(&page.value)?.bills);
     }
     let audit = ledger::audit(&book, &bills);
     let zones = client.list(platform::EVACUATIONS, "").await.context(PlatformSnafu)?;
     let zones: Vec<Arc<str>> = zones.into_iter().map(|object| object.name).collect();
-    match form {
-        Form::Json => {
+    match format {
+        Format::Json => {
             println!("{}", serde_json::json!(Report { audit: &audit, evacuated_zones: &zones }))
         }
-        Form::Table => print(&audit, &zones),
+        Format::Table => print(&audit, &zones),
     }
     Ok(if audit.findings.is_empty() { Code::Success } else { Code::Failure })
 }
@@ -74,9 +74,9 @@
                 format!("{customer} is overspent by {by} tokens")
             }
             Finding::BilledTwice { customer, key } => {
-                format!("request {key} of {customer} stands on two bills")
+                format!("request {key} of {customer} is on two bills")
             }
-            Finding::NumberTwice { by, n } => format!("{by} gave the bill number {n} twice"),
+            Finding::NumberTwice { by, n } => format!("{by} used the bill number {n} twice"),
         };
         println!("{}", paint(Tone::Bad, &text));
     }
@@ -85,9 +85,9 @@
         println!("{tokens} tokens of {holder} wait for the word of {witness}");
     }
     if !zones.is_empty() {
-        println!("no more work goes to endpoints in: {}", zones.join(", "));
+        println!("evacuated zones, whose endpoints get no new requests: {}", zones.join(", "));
     }
     if audit.findings.is_empty() {
-        println!("everything fits");
+        println!("no discrepancies found");
     }
 }
--- a/crates/flintstall/src/main.rs
+++ b/crates/flintstall/src/main.rs
@@ -1,9 +1,9 @@
-//! The operators' client: it writes and watches resources in the platform, never a box.
+//! The operators' client: writes and watches resources in the platform; never connects to a box.
 
 mod apply;
 mod audit;
 mod cli;
-mod decode;
+mod input;
 mod error;
 mod events;
 mod exit;
--- a/crates/gateway/src/fleet/promises.rs
+++ b/crates/gateway/src/fleet/promises.rs
@@ -1,4 +1,4 @@
-//! What other boxes promised this one to keep untouched: the witness's side of a promise.
+//! Promises of other boxes to this one, their witness, to leave tokens untouched.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,73 +8,74 @@
 use ledger::{Incarnation, Promise};
 use parking_lot::Mutex;
 
-/// What other boxes promised this one.
+/// Promises of other boxes to this one.
 #[derive(Debug, Clone, Default)]
-pub struct Promises(Arc<Mutex<Kept>>);
+pub struct Promises(Arc<Mutex<State>>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct State {
     promises: HashMap<Incarnation, Record>,
-    /// Nothing is taken any more.
+    /// Whether new promises are refused.
     closed: bool,
 }
 
 #[derive(Debug)]
 struct Record {
     promise: Promise,
-    /// The box died: nothing newer is taken.
+    /// The holder died: no newer promise is accepted.
     sealed: bool,
 }
 
-/// What became of a promise.
+/// Result of offering a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It counts now.
+    /// The promise is in force.
     Accepted,
-    /// A newer one counts, or the box that promised counts as dead.
+    /// A newer promise is in force, or the holder counts as dead.
     Rejected,
-    /// This box is no witness any more: no promise counts.
+    /// This box is no longer a witness: none of the holder's promises is in force.
     Closed,
 }
 
 impl Promises {
-    /// Takes a promise.
-    pub fn take(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
-        let mut kept = self.0.lock();
-        let known = kept.promises.get(holder);
+    /// Accepts a promise if it is newer than the last one and not sealed.
+    pub fn accept(&self, holder: &Incarnation, promise: Promise) -> Acceptance {
+        let mut state = self.0.lock();
+        let known = state.promises.get(holder);
         let is_sealed = known.is_some_and(|known| known.sealed);
         let is_newer = known.is_none_or(|known| {
             let (old, new) = (&known.promise, &promise);
             (new.term, new.number) > (old.term, old.number)
         });
         match is_newer && !is_sealed {
-            // Whoever is told so is bound by nothing that it promised here.
-            _ if kept.closed && !is_sealed => {
-                kept.promises.remove(holder);
+            // The answer releases the holder from all promises that it made here.
+            _ if state.closed && !is_sealed => {
+                state.promises.remove(holder);
                 Acceptance::Closed
             }
             false => Acceptance::Rejected,
             true => {
-                kept.promises.insert(holder.clone(), Record { promise, sealed: false });
+                state.promises.insert(holder.clone(), Record { promise, sealed: false });
                 Acceptance::Accepted
             }
         }
     }
 
-    /// What a box that died had promised last under a naming. Nothing newer is taken from then on.
+    /// Seals the promises of a box that died: accepts no newer ones, and returns the last one if it
+    /// was made in `term`.
     pub fn seal(&self, holder: &Incarnation, term: u64) -> Option<BTreeMap<Arc<str>, u64>> {
-        let mut kept = self.0.lock();
-        let record = kept.promises.get_mut(holder)?;
+        let mut state = self.0.lock();
+        let record = state.promises.get_mut(holder)?;
         record.sealed = true;
         (record.promise.term == term).then(|| record.promise.tokens.clone())
     }
 
-    /// Forgets lives of boxes that are not listed any more.
-    pub fn retain(&self, stands: impl Fn(&Incarnation) -> bool) {
-        self.0.lock().promises.retain(|name, _| stands(name));
+    /// Forgets incarnations that are not listed any more.
+    pub fn retain(&self, is_listed: impl Fn(&Incarnation) -> bool) {
+        self.0.lock().promises.retain(|name, _| is_listed(name));
     }
 
-    /// Takes no promise any more; what was promised before can still be told of boxes that died.
+    /// Accepts no more promises; those of dead boxes can still be sealed.
     pub fn close(&self) {
         self.0.lock().closed = true;
     }
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -1,9 +1,9 @@
-//! Answering other boxes.
+//! Serves requests of other boxes.
 //!
-//! Only boxes that are known are answered, but for one that greets, draws tokens or hands bills over: a box may have
-//! started a moment ago, or while this one did not reach the store, and it names this life of the box that it
-//! asks, of which 64 random bits are known to the store and the fleet alone. Whoever seals a promise must know
-//! the whole name of the box that made it, for the same reason.
+//! Most requests are served to known boxes only. A box that announces itself, draws tokens or hands
+//! over bills may be unknown: it may have just started, or this box may not reach the store. Such a
+//! request names the incarnation of the receiver, whose 64 random bits only the store and the fleet
+//! know. Sealing a promise requires the incarnation of the box that made it, for the same reason.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,16 +18,16 @@
     tokens::{bills::Bills, borrower::Borrower, funds::Funds},
 };
 
-/// Longest wait of a box that asks for tokens, while this one frees some that it promised to keep:
-/// half of the time after which that box asks the next ones.
-const WITHIN: Duration = Duration::from_millis(25);
-/// Time for a settlement that brings what another box draws: a few calls of the store. Then other
-/// keepers are asked.
-const FROM_STORE: Duration = Duration::from_millis(100);
+/// Longest wait for promised tokens to be released for a box that borrows: half of its timeout for
+/// one lender.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(25);
+/// Longest wait for a settlement that covers a draw, before other keepers are asked: a few calls to
+/// the store.
+const SETTLEMENT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Answers other boxes.
+/// Handler of requests from other boxes.
 pub struct PeerService {
-    /// This life of the box.
+    /// This incarnation of the box.
     pub me: Incarnation,
     pub funds: Funds,
     pub peers: Peers,
@@ -36,40 +36,40 @@
     pub bills: Bills,
     pub view: View,
     pub permits: Permits,
-    /// Whether this box is about to stop.
+    /// Whether a planned stop has begun.
     pub stopping: watch::Receiver<bool>,
 }
 
 impl PeerService {
-    /// Takes over what another box tells, and passes on what it needs.
+    /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
             return Frame::Refused { reason: "another life of this box is meant".into() };
         }
-        let believed = self.funds.receive_report(from, &draw.items);
-        if !believed {
+        let is_accepted = self.funds.receive_report(from, &draw.items);
+        if !is_accepted {
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
         let leaves = *self.stopping.borrow();
-        if !draw.leaves && !leaves {
-            let until = Instant::now() + Duration::from_millis(draw.within_ms);
+        if !draw.is_stopping && !leaves {
+            let deadline = Instant::now() + Duration::from_millis(draw.within_ms);
             for demand in draw.items.iter().filter(|demand| demand.need > 0) {
-                self.pass_on(from, demand, until).await;
+                self.pass_on(from, demand, deadline).await;
             }
         }
         let (items, cut) =
             (self.funds.supplies(from, &draw.items), self.funds.is_store_unreachable());
-        Frame::Drawn(Drawn { items, cut, leaves })
+        Frame::Drawn(Drawn { items, is_store_unreachable: cut, is_stopping: leaves })
     }
 
-    async fn pass_on(&self, to: &Incarnation, demand: &Demand, until: Instant) {
-        let from_store = until.min(Instant::now() + FROM_STORE);
-        if self.funds.pass_on(to, demand, from_store).await {
+    async fn pass_on(&self, to: &Incarnation, demand: &Demand, deadline: Instant) {
+        let settlement_deadline = deadline.min(Instant::now() + SETTLEMENT_TIMEOUT);
+        if self.funds.pass_on(to, demand, settlement_deadline).await {
             return;
         }
         let pass_on = || self.funds.try_pass_on(to, demand).then_some(());
         let customer = &demand.customer;
-        let borrowed = self.borrower.borrow_until(customer, demand.least, until, pass_on).await;
+        let borrowed = self.borrower.borrow_until(customer, demand.least, deadline, pass_on).await;
         if borrowed.is_none() {
             tracing::info!(
                 event = "tokens_not_passed_on",
@@ -82,7 +82,7 @@
     }
 
     async fn lend(&self, to: &Incarnation, customer: &Arc<str>, wanted: u64) -> Frame {
-        self.funds.wait_for_release(customer, wanted, Instant::now() + WITHIN).await;
+        self.funds.wait_for_release(customer, wanted, Instant::now() + RELEASE_TIMEOUT).await;
         let transfer = self.funds.lend(customer, wanted, &self.me, to);
         tracing::info!(
             event = "tokens_passed_on",
@@ -94,8 +94,9 @@
         Frame::Lent { transfer }
     }
 
-    /// A later life of the same box asks, or any box that is known here: it knows the whole name of the
-    /// life that ended, of which 64 bits are random, from the book.
+    /// Seals the promise of an incarnation that ended. The sender is a later incarnation of the
+    /// same box or any known box; it proves that it read the book by naming the incarnation, of
+    /// which 64 bits are random.
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
@@ -114,9 +115,9 @@
 
 #[async_trait::async_trait]
 impl wire::Answer for PeerService {
-    async fn answer(&self, question: Message) -> Message {
-        self.peers.note_heard();
-        let frame = match question.frame {
+    async fn answer(&self, request: Message) -> Message {
+        self.peers.record_contact();
+        let frame = match request.frame {
             Frame::Lend { .. }
             | Frame::Promise(_)
             | Frame::Prompt(_)
@@ -125,15 +126,15 @@
             | Frame::PermitRequest(_)
             | Frame::Limit { .. }
             | Frame::Departure { .. }
-                if !self.peers.knows(&question.from) =>
+                if !self.peers.knows(&request.from) =>
             {
-                self.peers.note_unknown();
+                self.peers.report_stale_list();
                 Frame::Refused { reason: "this box is not known here yet".into() }
             }
-            Frame::Lend { budget, tokens } => self.lend(&question.from, &budget, tokens).await,
+            Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
                 let number = promise.number;
-                match self.peers.promises.take(&question.from, promise) {
+                match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
                     Acceptance::Rejected => {
                         Frame::Refused { reason: "a newer promise or a seal is known".into() }
@@ -142,7 +143,7 @@
                 }
             }
             Frame::Prompt(prompt) => {
-                self.endpoints.receive_prompt(&question.from.as_str().into(), &prompt);
+                self.endpoints.receive_prompt(&request.from.as_str().into(), &prompt);
                 Frame::Done
             }
             Frame::Crash { name, report } => {
@@ -150,14 +151,14 @@
                 Frame::Done
             }
             Frame::PermitRequest(permit) => {
-                Frame::PermitReply(self.permits.answer(permit, question.from.as_str()).await)
+                Frame::PermitReply(self.permits.answer(permit, request.from.as_str()).await)
             }
             Frame::Limit { endpoint, limit } => {
                 self.view.receive_limit(&endpoint, limit);
                 Frame::Done
             }
             Frame::Greet { to, sender } if to == self.me => {
-                self.view.receive_greeting(&question.from, sender);
+                self.view.receive_greeting(&request.from, sender);
                 Frame::Done
             }
             Frame::Departure { endpoint, address } => {
@@ -173,7 +174,7 @@
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
                     event = "bills_taken_over",
-                    of = question.from.as_str(),
+                    of = request.from.as_str(),
                     pages = pages.len()
                 );
                 self.bills.take_over(pages);
@@ -182,15 +183,15 @@
             Frame::Subscribe(_) if *self.stopping.borrow() => {
                 Frame::Refused { reason: "this box is about to stop itself".into() }
             }
-            Frame::Subscribe(listen) if listen.watcher != self.me => {
+            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
                 Frame::Refused { reason: "another life of this box is meant".into() }
             }
-            Frame::Subscribe(listen) => match self.view.updates(&listen).await {
+            Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
                 None => Frame::Refused { reason: "this box does not look at the store yet".into() },
             },
-            Frame::Draw(draw) => self.draw(&question.from, draw).await,
-            Frame::Seal { holder, term } => self.seal(&question.from, &holder, term),
+            Frame::Draw(draw) => self.draw(&request.from, draw).await,
+            Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
             _ => Frame::Refused { reason: "no question that boxes ask each other".into() },
         };
         self.peers.message(frame)
--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -1,16 +1,12 @@
-//! Requests whose connections to an endpoint broke, and whether the endpoint ended under them.
+//! Detects requests that crash endpoints.
 //!
-//! A connection breaks for many reasons; only an endpoint that ended counts against a request. It is asked by
-//! a connection: a port that is closed refuses it at once, and one that answers, or cannot be reached, shows
-//! nothing. Until that is known, some 20 ms, a request for which it decides waits at this box, so that the box
-//! does not send it to the next endpoint meanwhile. It is never put in quarantine for what is not proved: an innocent
-//! request whose answers broke off at three endpoints that stood was refused for a day. In a model of nine engines,
-//! 80 guilty requests and callers that come again within 10 ms, 238 engines end and 12 innocent requests wait so; where
-//! unproved ends count, 238 end and 6 innocent requests are refused for a day; where they do not, 318 end.
+//! A connection breaks for many reasons; only a crash of the endpoint counts against a request. After a broken
+//! connection this box therefore probes the endpoint by connecting to it: a closed port proves a crash, anything else
+//! proves nothing. While the probe runs, requests whose verdict depends on it wait, so that they are not sent to the
+//! next endpoint. Unconfirmed crashes never quarantine a request, since connections to healthy endpoints break too.
 //!
-//! A caller may leave, or its time be over, before the endpoint ends under its request: no connection of it breaks
-//! then. So what was given up at an endpoint is remembered for a moment, and reported with its end, which other
-//! requests or other boxes see.
+//! If the caller disconnects or the deadline passes before the endpoint crashes, no connection of the request breaks.
+//! Abandoned requests are therefore remembered for a while, and added to the report of a crash that follows.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -33,33 +29,33 @@
 
 use crate::clock::{Clock, Moment};
 
-/// Time for all connections to an endpoint that ended to break, so that one report names all its requests.
-const GATHER: Duration = Duration::from_millis(20);
-/// Longest wait of a request for ends to be proved, twice what takes longest where the endpoint's machine answers. Where
-/// it does not, its caller is told to come again when the connection is given up.
-const PROVED_WITHIN: Duration = Duration::from_millis(50);
-/// Reports that wait for the task that passes them on; it takes each at once.
-const WAITING: usize = 256;
-
-/// Time for which a request that was given up counts as being at its endpoint, in milliseconds: some engines run
-/// it although its connection is closed, and end within a second of beginning.
-const GIVEN_UP: u64 = 5_000;
-/// Requests given up that are remembered, some 100 bytes each.
-const MOST_GIVEN_UP: usize = 1_024;
-
-/// What a connection to an endpoint shows.
+/// Delay before the probe, so that all connections to a crashed endpoint break and one report names all its requests.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Longest wait of a request for the probe. If the endpoint's machine does not respond by then, the request is refused
+/// and its caller retries after the connect timeout.
+const PROBE_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Capacity of the queue to the task that publishes reports.
+const REPORT_QUEUE_CAPACITY: usize = 256;
+
+/// Time in milliseconds for which an abandoned request counts as running at its endpoint: some engines run a request
+/// although its connection is closed, and crash on it.
+const ABANDONED_TTL_MS: u64 = 5_000;
+/// Maximum number of abandoned requests remembered.
+const MAX_ABANDONED: usize = 1_024;
+
+/// What probing an endpoint shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// Its port is closed.
+    /// The port is closed.
     Ended,
-    /// It takes connections.
+    /// The endpoint accepts connections.
     Running,
-    /// Nothing answers.
+    /// The endpoint does not respond.
     Unreachable,
 }
 
 impl Liveness {
-    /// Name for log lines.
+    /// Name in log lines.
     fn as_str(self) -> &'static str {
         match self {
             Liveness::Ended => "ended",
@@ -69,15 +65,15 @@
     }
 }
 
-/// Finds out whether an endpoint ended.
+/// Probes whether an endpoint crashed.
 pub type Prober = Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Liveness> + Send + Sync>;
 
-/// Finds it out by a connection, which may take so long to come up.
-pub fn connect_prober(within: Duration) -> Prober {
+/// A prober that connects to the endpoint, with this timeout.
+pub fn connect_prober(connect_timeout: Duration) -> Prober {
     Box::new(move |address| {
         Box::pin(async move {
-            sleep(GATHER).await;
-            match timeout(within, TcpStream::connect(address)).await {
+            sleep(PROBE_DELAY).await;
+            match timeout(connect_timeout, TcpStream::connect(address)).await {
                 Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Liveness::Ended,
                 Ok(Err(_)) | Err(_) => Liveness::Unreachable,
                 Ok(Ok(_)) => Liveness::Running,
@@ -86,108 +82,112 @@
     })
 }
 
-/// A report of this box with its name.
+/// A report of this box and its name in the store.
 pub type NamedReport = (Arc<str>, Report);
 
-/// What this box knows of requests that end endpoints.
+/// Requests that crash endpoints, as known to this box.
 #[derive(Debug, Clone)]
 pub struct Crashes(Arc<Shared>);
 
 struct Shared {
-    me: Incarnation,
-    prove: Prober,
+    incarnation: Incarnation,
+    prober: Prober,
     started: Moment,
     state: Mutex<State>,
     reports: mpsc::Sender<NamedReport>,
-    /// Raised with each end of which it is known whether it is one.
-    proofs: watch::Sender<u64>,
+    /// Counts completed probes; wakes requests that wait for one.
+    probes: watch::Sender<u64>,
 }
 
 impl fmt::Debug for Shared {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Shared").field("me", &self.me).finish_non_exhaustive()
+        f.debug_struct("Shared").field("me", &self.incarnation).finish_non_exhaustive()
     }
 }
 
 #[derive(Debug)]
 struct State {
-    record: Registry,
-    /// Requests whose connections to this life of an endpoint broke, until it is known whether it ended.
-    unproved: HashMap<Arc<str>, Vec<Fingerprint>>,
-    /// Requests given up at a life of an endpoint, by the millisecond.
-    given_up: VecDeque<(u64, Arc<str>, Fingerprint)>,
-    /// Number of the next report.
-    next: u64,
+    registry: Registry,
+    /// Requests whose connections broke, by endpoint instance, until the probe completes.
+    unconfirmed: HashMap<Arc<str>, Vec<Fingerprint>>,
+    /// Abandoned requests with the time in milliseconds and the endpoint instance, oldest first.
+    abandoned: VecDeque<(u64, Arc<str>, Fingerprint)>,
+    /// Sequence number of the last report.
+    last_number: u64,
 }
 
 impl State {
-    /// Takes out what was given up lately at a life of an endpoint that ended.
-    fn take_given_up(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
-        let since = now_ms.saturating_sub(GIVEN_UP);
-        self.given_up.retain(|(at, ..)| *at >= since);
-        let (there, elsewhere): (VecDeque<_>, VecDeque<_>) =
-            self.given_up.drain(..).partition(|(_, at, _)| **at == *instance);
-        self.given_up = elsewhere;
-        there.into_iter().map(|(.., request)| request).collect()
+    /// Removes and returns the requests abandoned recently at a crashed endpoint instance.
+    fn take_abandoned(&mut self, instance: &str, now_ms: u64) -> Vec<Fingerprint> {
+        let since = now_ms.saturating_sub(ABANDONED_TTL_MS);
+        self.abandoned.retain(|(at, ..)| *at >= since);
+        let (matching, others): (VecDeque<_>, VecDeque<_>) =
+            self.abandoned.drain(..).partition(|(_, at_instance, _)| **at_instance == *instance);
+        self.abandoned = others;
+        matching.into_iter().map(|(.., request)| request).collect()
     }
 }
 
 impl Crashes {
-    /// Nothing is known yet; reports of this box come out at the other end.
+    /// Starts without reports; reports of this box are sent to the returned receiver.
     pub fn open(
-        me: Incarnation,
+        incarnation: Incarnation,
         limits: Limits,
-        prove: Prober,
+        prober: Prober,
         clock: &Clock,
     ) -> (Crashes, mpsc::Receiver<NamedReport>) {
-        let (reports, named) = mpsc::channel(WAITING);
-        let (unproved, given_up) = Default::default();
-        let state = State { record: Registry::new(limits), unproved, given_up, next: 0 };
+        let (reports, receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let (unconfirmed, abandoned) = Default::default();
+        let state =
+            State { registry: Registry::new(limits), unconfirmed, abandoned, last_number: 0 };
         let (started, state) = (clock.now(), Mutex::new(state));
-        let proofs = watch::channel(0).0;
-        (Crashes(Arc::new(Shared { me, prove, started, state, reports, proofs })), named)
+        let probes = watch::channel(0).0;
+        (
+            Crashes(Arc::new(Shared { incarnation, prober, started, state, reports, probes })),
+            receiver,
+        )
     }
 
-    /// Takes over a report, with the version of the store if it has one.
+    /// Records a report of any box, with its version in the store if it has one.
     pub fn receive_report(&self, name: &Arc<str>, version: Option<u64>, report: Report) {
         let (now_s, now_ms) = (unix_s(), self.now_ms());
         let mut state = self.0.state.lock();
-        let given_up = match &report.finding {
-            Finding::Ended { endpoint } => state.take_given_up(endpoint, now_ms),
+        let abandoned = match &report.finding {
+            Finding::Ended { endpoint } => state.take_abandoned(endpoint, now_ms),
             Finding::Answered => Vec::new(),
         };
         let finding = report.finding.clone();
-        let innocent = state.record.take(name, version, report, now_s, now_ms);
+        let innocent = state.registry.add_report(name, version, report, now_s, now_ms);
         drop(state);
-        if !given_up.is_empty() {
-            self.report(finding, given_up);
+        if !abandoned.is_empty() {
+            self.report(finding, abandoned);
         }
         if !innocent.is_empty() {
             self.report(Finding::Answered, innocent);
         }
     }
 
-    /// A report counts no more.
+    /// Removes a report.
     pub fn forget(&self, name: &str) {
-        self.0.state.lock().record.forget(name);
+        self.0.state.lock().registry.forget(name);
     }
 
-    /// Drops reports that are too old, and says whether this one counts.
+    /// Drops expired reports; returns whether this one still counts.
     pub fn contains(&self, name: &str) -> bool {
         let mut state = self.0.state.lock();
-        state.record.expire(unix_s());
-        state.record.contains(name)
+        state.registry.expire(unix_s());
+        state.registry.contains(name)
     }
 
-    /// Whether a request may be run; waits a moment where that hangs on ends that are still to be proved.
+    /// Whether a request may run; waits briefly if that depends on a probe in progress.
     pub async fn verdict(&self, request: &Fingerprint, until: Instant) -> Verdict {
-        let until = until.min(Instant::now() + PROVED_WITHIN);
-        let mut proofs = self.0.proofs.subscribe();
+        let until = until.min(Instant::now() + PROBE_WAIT_TIMEOUT);
+        let mut probes = self.0.probes.subscribe();
         loop {
-            proofs.borrow_and_update();
+            probes.borrow_and_update();
             let verdict = self.verdict_now(request);
-            let is_open = matches!(verdict, Verdict::Unconfirmed { .. });
-            if !is_open || timeout_at(until, proofs.changed()).await.is_err() {
+            let is_pending = matches!(verdict, Verdict::Unconfirmed { .. });
+            if !is_pending || timeout_at(until, probes.changed()).await.is_err() {
                 return verdict;
             }
         }
@@ -195,25 +195,25 @@
 
     fn verdict_now(&self, request: &Fingerprint) -> Verdict {
         let state = self.0.state.lock();
-        let broken = state.unproved.iter().filter(|(_, requests)| requests.contains(request));
-        let lives: Vec<Arc<str>> = broken.map(|(instance, _)| instance.clone()).collect();
-        state.record.verdict(request, &lives, unix_s())
+        let suspected = state.unconfirmed.iter().filter(|(_, requests)| requests.contains(request));
+        let instances: Vec<Arc<str>> = suspected.map(|(instance, _)| instance.clone()).collect();
+        state.registry.verdict(request, &instances, unix_s())
     }
 
-    /// Number of reports that count, and of requests that are not run for them.
+    /// Number of reports that count, and of quarantined requests.
     pub fn counts(&self) -> (usize, usize) {
         let state = self.0.state.lock();
-        (state.record.len(), state.record.quarantined())
+        (state.registry.len(), state.registry.quarantined())
     }
 
-    /// A request goes to an endpoint.
+    /// Watches a request that is sent to an endpoint.
     pub fn watch(&self, instance: &Arc<str>, address: SocketAddr, request: &Fingerprint) -> Watch {
         Watch {
             crashes: self.clone(),
             instance: instance.clone(),
             address,
             request: request.clone(),
-            is_over: false,
+            is_resolved: false,
             is_framed: true,
         }
     }
@@ -222,13 +222,13 @@
         self.0.started.elapsed().as_millis() as u64
     }
 
-    /// Makes a report of this box, which counts here at once.
+    /// Creates a report of this box, which takes effect here at once.
     fn report(&self, finding: Finding, requests: Vec<Fingerprint>) {
         let report = Report { finding, requests, at_s: unix_s() };
         let name: Arc<str> = {
             let mut state = self.0.state.lock();
-            state.next += 1;
-            format!("{}.{:06}", self.0.me, state.next).into()
+            state.last_number += 1;
+            format!("{}.{:06}", self.0.incarnation, state.last_number).into()
         };
         self.receive_report(&name, None, report.clone());
         if let Err(error) = self.0.reports.try_send((name, report)) {
@@ -236,72 +236,72 @@
         }
     }
 
-    /// Finds out whether an endpoint ended, and reports so.
-    async fn prove(self, instance: Arc<str>, address: SocketAddr) {
-        let found = (self.0.prove)(address).await;
-        let requests = self.0.state.lock().unproved.remove(&instance).unwrap_or_default();
-        let (count, shows) = (requests.len(), found.as_str());
+    /// Probes an endpoint, and reports a crash.
+    async fn probe(self, instance: Arc<str>, address: SocketAddr) {
+        let liveness = (self.0.prober)(address).await;
+        let requests = self.0.state.lock().unconfirmed.remove(&instance).unwrap_or_default();
+        let (count, name) = (requests.len(), liveness.as_str());
         tracing::info!(
             event = "connections_broke",
             endpoint = &*instance,
-            found = shows,
+            found = name,
             requests = count
         );
-        if found == Liveness::Ended {
+        if liveness == Liveness::Ended {
             self.report(Finding::Ended { endpoint: instance }, requests);
         }
-        self.0.proofs.send_modify(|count| *count += 1);
+        self.0.probes.send_modify(|count| *count += 1);
     }
 }
 
-/// A request at an endpoint.
+/// Watches one request at an endpoint; dropped without an outcome, the request counts as abandoned.
 #[derive(Debug)]
 pub struct Watch {
     crashes: Crashes,
     instance: Arc<str>,
     address: SocketAddr,
     request: Fingerprint,
-    /// It is known what became of it there.
-    is_over: bool,
-    /// The end of its answer can be told from a connection that broke.
+    /// The outcome at the endpoint is known.
+    is_resolved: bool,
+    /// The end of the response is distinguishable from a broken connection.
     is_framed: bool,
 }
 
 impl Watch {
-    /// The endpoint did not run it, or ran it and stands.
+    /// The endpoint did not run the request, or survived it.
     pub fn ended(&mut self) {
-        self.is_over = true;
+        self.is_resolved = true;
     }
 
-    /// Its connection broke before the whole answer was there.
+    /// The connection broke before the response was complete.
     pub fn broke(&mut self) {
-        self.is_over = true;
+        self.is_resolved = true;
         let mut state = self.crashes.0.state.lock();
-        let requests = state.unproved.entry(self.instance.clone()).or_default();
+        let requests = state.unconfirmed.entry(self.instance.clone()).or_default();
         let is_first = requests.is_empty();
         if !requests.contains(&self.request) {
             requests.push(self.request.clone());
         }
         drop(state);
-        // There is no runtime while the process ends.
+        // There is no runtime during process shutdown.
         if let (true, Ok(runtime)) = (is_first, tokio::runtime::Handle::try_current()) {
-            runtime.spawn(self.crashes.clone().prove(self.instance.clone(), self.address));
+            runtime.spawn(self.crashes.clone().probe(self.instance.clone(), self.address));
         }
     }
 
-    /// Its answer ends with its connection: it looks the same if the endpoint ended.
+    /// The close of the connection marks the end of the response, which looks the same as a crash.
     pub fn unframed(&mut self) {
         self.is_framed = false;
     }
 
-    /// The endpoint ran it and answered whole.
+    /// The endpoint ran the request and its response is complete.
     pub fn answered(&mut self) {
         if !self.is_framed {
             return;
         }
-        self.is_over = true;
+        self.is_resolved = true;
         let now_ms = self.crashes.now_ms();
-        let is_cleared = self.crashes.0.state.lock().record.answered(&self.request, now_ms);
+        let is_cleared = self.crashes.0.state.lock().registry.answered(&self.request, now_ms);
         if is_cleared {
             self.crashes.report(Finding::Answered, vec![self.request.clone()]);
         }
@@ -309,21 +309,21 @@
 }
 
 impl Drop for Watch {
-    /// It was given up: the endpoint may still run it.
+    /// Records the request as abandoned: the endpoint may still run it.
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_resolved {
             return;
         }
         let now_ms = self.crashes.now_ms();
         let mut state = self.crashes.0.state.lock();
-        state.given_up.push_back((now_ms, self.instance.clone(), self.request.clone()));
-        if state.given_up.len() > MOST_GIVEN_UP {
-            state.given_up.pop_front();
+        state.abandoned.push_back((now_ms, self.instance.clone(), self.request.clone()));
+        if state.abandoned.len() > MAX_ABANDONED {
+            state.abandoned.pop_front();
         }
     }
 }
 
 fn unix_s() -> u64 {
-    // A clock before 1970 only makes reports look old.
+    // A clock set before 1970 only makes reports look expired.
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for one try, and what is learned from how it went.
+//! Selection of an endpoint for each attempt, and the state learned from outcomes.
 
 mod departures;
 mod limits;
@@ -26,115 +26,107 @@
     table::Table,
 };
 
-/// Tokens of prompt that weigh as much as one request under way. An engine of the deployments
-/// reads about 40 tokens a millisecond and takes some 5 ms for a step, so that 2,000 tokens delay
-/// everything beside them by ten steps.
+/// Prompt tokens that count as much as one request in flight. Processing them delays all other requests of an engine
+/// by several decoding steps.
 const TOKENS_PER_REQUEST: f64 = 2_000.0;
-/// Weight of a token of the prompt that an engine would have to read, beside one that waits there:
-/// what waits costs nothing while the first event is in time, what is read displaces other prompts.
-/// Against 2, 15% to 26% fewer tokens of shared parts were read again, and no more answers late.
-const READING: f64 = 4.5;
-/// Weight of a request that an engine is answering: one more in a batch makes a step longer by
-/// less than a hundredth.
-const UNDER_WAY: f64 = 0.05;
-/// Another availability zone weighs as much as this many tokens of prompt would, in requests: the
-/// way there takes half a millisecond, the time to read 20 tokens.
-const OTHER_ZONE: f64 = 0.02;
-/// Requests at an engine, as a multiple of the mean, above which a prompt that it holds does not
-/// count any more.
+/// Weight of an uncached prompt token of this request, relative to one already queued at the engine. Queued tokens
+/// only cost waiting time; processing an uncached prompt also evicts other prompts from the engine's cache.
+const PREFILL_WEIGHT: f64 = 4.5;
+/// Weight of a request whose response an engine is generating; one more in a batch makes a step only slightly longer.
+const IN_FLIGHT_WEIGHT: f64 = 0.05;
+/// Penalty for another availability zone, in requests; reflects the network latency.
+const OTHER_ZONE_PENALTY: f64 = 0.02;
+/// Load of an engine, as a multiple of the mean, above which its cached prompts are ignored.
 const BOUNDED_LOAD: f64 = 3.0;
-/// Endpoints drawn at random to compare, where prompts make the difference.
-const DRAWS: usize = 4;
-/// Endpoints that a shared part of a prompt hashes to: one, and another for when it is busy.
-const HOMES: usize = 2;
+/// Endpoints sampled at random for comparison, for services with engines.
+const RANDOM_CANDIDATES: usize = 4;
+/// Owners of a prefix: the endpoint that it hashes to, and another for when that one is busy.
+const PREFIX_OWNERS: usize = 2;
 
-/// Tokens of the shared part of a prompt from which on it is kept at engines that are not slow: an
-/// engine of the deployments needs some 50 ms to read as many, while streams beside it pause. Where
-/// a third of the engines took a third longer, 7.8% instead of 9.9% of all answers were late so.
-const LARGE: u64 = 2_000;
+/// Tokens of a shared prefix from which it is owned only by engines that are not slow: processing it pauses all streams
+/// of the engine.
+const LARGE_PREFIX_TOKENS: u64 = 2_000;
 
-/// A chosen endpoint.
+/// A selected endpoint.
 #[derive(Debug, Clone)]
 pub struct Chosen {
-    /// Name of this life of it, on all boxes.
+    /// Name of the instance, the same on all boxes.
     pub instance: Arc<str>,
-    /// Id of the endpoint.
     pub id: Arc<str>,
-    /// Where it listens.
     pub address: SocketAddr,
-    /// Tokens of the prompt that it probably holds.
-    pub held: u64,
-    /// Requests there, as far as this box can tell.
+    /// Prompt tokens that it probably has cached.
+    pub cached_tokens: u64,
+    /// Requests at the endpoint, as estimated by this box.
     pub load: f64,
-    /// How much it takes, while it names that.
+    /// Its rate limit, if it names one.
     pub limit: Option<Limit>,
-    /// How long ago it said that it leaves, if it did.
+    /// Time since it began draining.
     pub leaves: Option<Duration>,
-    /// How much longer it wants nothing from this box, if it said so.
-    pub rest: Option<Duration>,
+    /// Remaining back-off.
+    pub back_off: Option<Duration>,
 }
 
-/// A life of an endpoint and its availability zone.
-type Placed = (Arc<str>, Arc<str>);
+/// An endpoint instance and its availability zone.
+type Located = (Arc<str>, Arc<str>);
 
-/// Where a life of an endpoint is found.
+/// A listed endpoint instance.
 #[derive(Debug, Clone)]
-struct Found {
+struct Listing {
     id: Arc<str>,
     address: SocketAddr,
-    /// Heartbeat that told last how long it is cold.
+    /// Heartbeat from which the cold time was last read.
     heartbeat: u64,
 }
 
-/// Name of a life of an endpoint: what was learned of an earlier one is not known of it.
-fn life_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
-    match entry.started {
+/// Name of an endpoint instance; distinct per start, so that nothing learned of an earlier one applies.
+fn instance_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
+    match entry.life {
         Some(instance) => format!("{id} {instance}").into(),
         None => id.clone(),
     }
 }
 
-/// All endpoints that take work, by service.
+/// All endpoints that accept requests, by service.
 #[derive(Debug)]
 pub struct Endpoints {
     zone: Arc<str>,
     cold: settings::Cold,
     started: Moment,
     state: Mutex<State>,
-    unread: Mutex<signals::Unread>,
+    unread: Mutex<signals::UnreadHeaders>,
 }
 
 #[derive(Debug)]
 struct State {
     random: SmallRng,
     services: HashMap<Arc<str>, Pool>,
-    /// By the names of their lives.
-    found: HashMap<Arc<str>, Found>,
-    /// Lives that said that they leave, also while they are not listed.
-    left: departures::Left,
-    /// Availability zones that are to get no more work.
+    /// Listed instances by name.
+    listed: HashMap<Arc<str>, Listing>,
+    /// Draining instances, listed or not.
+    departures: departures::Departures,
+    /// Evacuated availability zones.
     evacuated: BTreeSet<Arc<str>>,
-    /// What cold endpoints bear, by service.
+    /// Request rates that cold endpoints can take, by service.
     allowances: HashMap<Arc<str>, Allowance>,
-    /// The boxes of the fleet, once they are known.
+    /// The boxes of the fleet, once known.
     fleet: Option<Fleet>,
 }
 
 impl State {
-    /// Endpoints of zones that are to get no more work leave, all others do not. Those of a zone that is
-    /// taken back may be cold and not have said so yet.
+    /// Marks exactly the endpoints of evacuated zones as leaving. Endpoints of a zone that is no longer evacuated count
+    /// as cold, since they may be cold without having reported it yet.
     fn mark_leaving(&mut self, now: u64) {
         for pool in self.services.values_mut() {
-            let back = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
-            back.iter().for_each(|instance| pool.mark_cold(instance, None, now));
+            let restored = pool.set_leaving(|endpoint| self.evacuated.contains(&endpoint.zone));
+            restored.iter().for_each(|instance| pool.mark_cold(instance, None, now));
             pool.set_departures(|instance| {
-                self.left.get(instance, self.found.get(instance)?.address)
+                self.departures.get(instance, self.listed.get(instance)?.address)
             });
         }
     }
 
-    /// Pools know what their cold endpoints bear, and who shares that.
-    fn share(&mut self, now: u64) {
+    /// Passes to pools the allowances of their cold endpoints and the boxes that share these.
+    fn apply_allowances(&mut self, now: u64) {
         for (service, pool) in &mut self.services {
             pool.set_allowance(self.allowances.get(service).copied(), now);
             if let Some(fleet) = &self.fleet {
@@ -143,25 +135,25 @@
         }
     }
 
-    /// An endpoint says how long it is cold. Told again of the same heartbeat, nothing is new.
+    /// Applies the cold time of an entry, once per heartbeat.
     fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
-        let known =
-            self.found.get(instance).is_some_and(|found| found.heartbeat == entry.heartbeat);
-        if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !known) {
+        let is_applied =
+            self.listed.get(instance).is_some_and(|listed| listed.heartbeat == entry.beat);
+        if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !is_applied) {
             pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
         }
     }
 }
 
 impl Endpoints {
-    /// No endpoints yet, seen from a box in `zone`.
+    /// Starts without endpoints, for a box in `zone`.
     pub fn new(zone: Arc<str>, cold: settings::Cold, clock: &Clock, seed: u64) -> Endpoints {
         let random = SmallRng::seed_from_u64(seed);
         let state = State {
             random,
             services: HashMap::new(),
-            found: HashMap::new(),
-            left: departures::Left::default(),
+            listed: HashMap::new(),
+            departures: departures::Departures::default(),
             evacuated: BTreeSet::new(),
             allowances: HashMap::new(),
             fleet: None,
@@ -174,85 +166,88 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Takes over who takes work; returns the addresses that are of no more use.
+    /// Replaces the endpoints that accept requests; returns the addresses no longer in use.
     pub fn update<'a>(
         &self,
         ready: impl Iterator<Item = (&'a Arc<str>, &'a Entry)>,
     ) -> Vec<SocketAddr> {
         let now = self.now();
         let mut engines: HashSet<Arc<str>> = HashSet::new();
-        let mut listed: BTreeMap<Arc<str>, Vec<Placed>> = BTreeMap::new();
-        let mut found: HashMap<Arc<str>, Found> = HashMap::new();
+        let mut by_service: BTreeMap<Arc<str>, Vec<Located>> = BTreeMap::new();
+        let mut listed: HashMap<Arc<str>, Listing> = HashMap::new();
         let mut cold: Vec<(Arc<str>, &Entry)> = Vec::new();
         for (id, entry) in ready {
-            let instance = life_name(id, entry);
-            let of = listed.entry(entry.service.clone()).or_default();
-            of.push((instance.clone(), entry.zone.clone()));
+            let instance = instance_name(id, entry);
+            let instances = by_service.entry(entry.service.clone()).or_default();
+            instances.push((instance.clone(), entry.zone.clone()));
             if entry.cold > Duration::ZERO {
                 cold.push((instance.clone(), entry));
             }
-            let (id, address, heartbeat) = (id.clone(), entry.address, entry.heartbeat);
-            found.insert(instance, Found { id, address, heartbeat });
+            let (id, address, heartbeat) = (id.clone(), entry.address, entry.beat);
+            listed.insert(instance, Listing { id, address, heartbeat });
             if entry.engine {
                 engines.insert(entry.service.clone());
             }
         }
         let state = &mut *self.state.lock();
         for (service, pool) in &mut state.services {
-            if !listed.contains_key(service) {
+            if !by_service.contains_key(service) {
                 pool.update([], now);
             }
         }
-        for (service, mut list) in listed {
+        for (service, mut list) in by_service {
             list.sort();
             let engines = engines.contains(&service);
             let fresh = || Pool::new(self.zone.clone(), weights(engines));
             state.services.entry(service).or_insert_with(fresh).update(list, now);
         }
-        state.share(now);
+        state.apply_allowances(now);
         for (instance, entry) in cold {
             state.mark_cold(&instance, entry, now);
         }
-        let before = std::mem::replace(&mut state.found, found);
-        let State { left, found, .. } = &mut *state;
-        left.keep(|instance| found.contains_key(instance), now);
+        let previously_listed = std::mem::replace(&mut state.listed, listed);
+        let State { departures, listed, .. } = &mut *state;
+        departures.refresh(|instance| listed.contains_key(instance), now);
         state.mark_leaving(now);
-        let stays = |instance: &Arc<str>, at: &Found| {
-            state.found.get(instance).is_some_and(|found| found.address == at.address)
+        let is_listed = |instance: &Arc<str>, previous: &Listing| {
+            state.listed.get(instance).is_some_and(|listed| listed.address == previous.address)
         };
-        let gone = before.into_iter().filter(|(instance, at)| !stays(instance, at));
-        gone.map(|(_, found)| found.address).collect()
+        let gone = previously_listed
+            .into_iter()
+            .filter(|(instance, previous)| !is_listed(instance, previous));
+        gone.map(|(_, listed)| listed.address).collect()
     }
 
-    /// Takes over what the operator says of services.
+    /// Applies the configuration of services.
     pub fn configure(&self, table: &Table) {
         let settings::Cold { factor, extra } = self.cold;
         let allowance = |service: &Service| Allowance {
             per_s: service.cold_per_s * factor + extra,
             duration_ms: (service.cold_s * 1_000.0) as u64,
         };
-        let bound = table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
+        let with_allowance =
+            table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
         let mut state = self.state.lock();
         state.allowances =
-            bound.map(|service| (service.name.clone(), allowance(service))).collect();
-        state.share(self.now());
+            with_allowance.map(|service| (service.name.clone(), allowance(service))).collect();
+        state.apply_allowances(self.now());
     }
 
-    /// Takes over which boxes there are.
+    /// Sets the boxes of the fleet.
     pub fn set_fleet(&self, fleet: Fleet) {
         let mut state = self.state.lock();
         state.fleet = Some(fleet);
-        state.share(self.now());
+        state.apply_allowances(self.now());
     }
 
-    /// Number of endpoints that are cold.
+    /// Number of cold endpoints.
     pub fn count_cold(&self) -> usize {
         let now = self.now();
         self.state.lock().services.values().map(|pool| pool.cold(now)).sum()
     }
 
-    /// Time after which a request of this rank that no endpoint of a service took is to come again; `None` if there is no
-    /// endpoint that stays.
+    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if every
+    /// endpoint is leaving.
     pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
         let now = self.now();
         let state = &mut *self.state.lock();
@@ -260,7 +255,7 @@
         pool.retry_after_ms(rank, now).map(Duration::from_millis)
     }
 
-    /// Sends nothing more to these zones, and to all others again; says whether that is new.
+    /// Replaces the evacuated zones; returns whether that is a change.
     pub fn evacuate(&self, zones: &BTreeSet<Arc<str>>) -> bool {
         let mut state = self.state.lock();
         let changes = state.evacuated != *zones;
@@ -269,44 +264,44 @@
         changes
     }
 
-    /// Number of zones that are to get no more work.
+    /// Number of evacuated zones.
     pub fn evacuated(&self) -> usize {
         self.state.lock().evacuated.len()
     }
 
-    /// Chooses an endpoint of a service that is not in `tried`.
+    /// Selects an endpoint of a service that is not in `tried`.
     pub fn choose(
         &self,
         service: &str,
-        offer: Candidates,
+        candidates: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
     ) -> Option<Chosen> {
         let now = self.now();
         let state = &mut *self.state.lock();
         let pool = state.services.get_mut(service)?;
-        let choice = pool.choose_from(offer, prefix, tried, now, &mut state.random)?;
-        let Found { id, address, .. } = state.found.get(&choice.name)?.clone();
-        let Choice { name: instance, held, load } = choice;
+        let choice = pool.choose_from(candidates, prefix, tried, now, &mut state.random)?;
+        let Listing { id, address, .. } = state.listed.get(&choice.name)?.clone();
+        let Choice { name: instance, cached: cached_tokens, load } = choice;
         let endpoint = pool.get(&instance)?;
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
-        let rest = Some(endpoint.back_off.remaining_ms(now)).filter(|ms| *ms > 0);
-        let rest = rest.map(Duration::from_millis);
-        Some(Chosen { instance, id, address, held, load, limit, leaves, rest })
+        let back_off = Some(endpoint.back_off.remaining_ms(now)).filter(|ms| *ms > 0);
+        let back_off = back_off.map(Duration::from_millis);
+        Some(Chosen { instance, id, address, cached_tokens, load, limit, leaves, back_off })
     }
 
-    /// A request goes to an endpoint; returns how much of its prompt is to be read there.
+    /// Counts a request that is sent to an endpoint; returns the prompt tokens that the endpoint has to process.
     pub fn start(&self, service: &str, chosen: &Chosen, prefix: &Prefix) -> u64 {
         let now = self.now();
         let mut state = self.state.lock();
         let Some(pool) = state.services.get_mut(service) else { return 0 };
         pool.start(&chosen.instance, prefix, now);
-        pool.start_prefill(&chosen.instance, prefix, chosen.held)
+        pool.start_prefill(&chosen.instance, prefix, chosen.cached_tokens)
     }
 
-    /// Another box told of a prompt.
+    /// Accepts the announcement of a prompt by another box.
     pub fn receive_prompt(&self, by: &Arc<str>, prompt: &Prompt) {
         let now = self.now();
         let services = &mut self.state.lock().services;
@@ -316,21 +311,21 @@
         }
     }
 
-    /// The answer of a request began, or it ended without one.
+    /// The endpoint has processed a prompt: the response began, or the request ended without one.
     pub fn finish_prefill(&self, service: &str, id: &str, missing: u64) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
             pool.finish_prefill(id, missing);
         }
     }
 
-    /// A stream of an endpoint brought an event so long after the one before.
+    /// Records the time between two events of a stream.
     pub fn record_gap(&self, service: &str, id: &str, gap: Duration) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
             pool.record_gap(id, gap.as_secs_f64() * 1_000.0);
         }
     }
 
-    /// A request ended there.
+    /// A request at an endpoint ended.
     pub fn end(&self, service: &str, id: &str, failure: Option<Failure>) {
         let now = self.now();
         if let Some(pool) = self.state.lock().services.get_mut(service) {
@@ -338,7 +333,7 @@
         }
     }
 
-    /// Whether another endpoint of a service than this one takes a request now.
+    /// Whether another endpoint of the service accepts a request now.
     pub fn has_alternative(&self, service: &str, instance: &str) -> bool {
         let now = self.now();
         let state = self.state.lock();
@@ -346,19 +341,19 @@
     }
 }
 
-/// What weighs how much: at engines the prompts to be read, elsewhere the requests under way.
+/// Weights for the selection: engines are compared by prompts to process, other endpoints by requests in flight.
 fn weights(engines: bool) -> Weights {
     match engines {
         false => Weights::default(),
         true => Weights {
             size_per_request: TOKENS_PER_REQUEST,
-            prefill: READING,
-            in_flight: UNDER_WAY,
-            other_zone: OTHER_ZONE,
+            prefill: PREFILL_WEIGHT,
+            in_flight: IN_FLIGHT_WEIGHT,
+            other_zone: OTHER_ZONE_PENALTY,
             bounded_load: BOUNDED_LOAD,
-            random_candidates: DRAWS,
-            prefix_owners: HOMES,
-            large_prefix: LARGE,
+            random_candidates: RANDOM_CANDIDATES,
+            prefix_owners: PREFIX_OWNERS,
+            large_prefix: LARGE_PREFIX_TOKENS,
         },
     }
 }
--- a/crates/gateway/src/proxy/event_counter.rs
+++ b/crates/gateway/src/proxy/event_counter.rs
@@ -1,39 +1,39 @@
-//! Counts the events of a stream as its bytes pass by.
+//! Counts the server-sent events of a stream as its bytes are relayed.
 
-/// Counts ends of events: an empty line after a line with content.
+/// Counts completed events. An event ends with an empty line after a line with content.
 #[derive(Debug, Default, Clone)]
 pub struct EventCounter {
     events: u64,
     /// Whether the current event has a line with content.
-    filled: bool,
+    event_has_content: bool,
     /// Whether the current line has content.
-    in_line: bool,
+    line_has_content: bool,
 }
 
 impl EventCounter {
-    /// Takes in the next bytes.
+    /// Processes the next bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
                 b'\r' => {}
-                b'\n' if self.in_line => self.in_line = false,
-                b'\n' if self.filled => {
+                b'\n' if self.line_has_content => self.line_has_content = false,
+                b'\n' if self.event_has_content => {
                     self.events += 1;
-                    self.filled = false;
+                    self.event_has_content = false;
                 }
                 b'\n' => {}
-                _ => (self.in_line, self.filled) = (true, true),
+                _ => (self.line_has_content, self.event_has_content) = (true, true),
             }
         }
     }
 
-    /// Events that ended so far.
+    /// Number of completed events.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether the stream is inside an event.
     pub fn is_in_event(&self) -> bool {
-        self.filled
+        self.event_has_content
     }
 }
--- a/crates/gateway/src/sync/signals.rs
+++ b/crates/gateway/src/sync/signals.rs
@@ -1,8 +1,9 @@
-//! What endpoints said of themselves in answers to this box, on its way to all others.
+//! Publishes signals of endpoints to all other boxes.
 //!
-//! A box that has not heard of a limit, or that an endpoint leaves, goes on to send until an answer tells it. So each is told
-//! to the homes of news, which pass it on to all boxes within milliseconds. Of limits only who hands out turns needs the
-//! figure itself, and hears it with each question; to the others news says that a turn is needed, or not any more.
+//! A box that does not know of a limit, or that an endpoint leaves, would continue to send until an
+//! answer shows it. So signals are sent to the watchers, which pass them on to all boxes within
+//! milliseconds. Only the issuer of permits needs the value of a limit, and gets it with each
+//! request for a permit; the other boxes learn only whether a permit is needed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,28 +15,28 @@
     sync::view::View,
 };
 
-/// Time between two words of a box to which an endpoint said that it leaves, while the entry of that says nothing of it: a
-/// home of news that started since has not heard.
-const TELL_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval at which a box repeats that an endpoint leaves, until the endpoint's entry shows it: a
+/// watcher that started since does not know.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Tells of words for as long as the box runs.
+/// Publishes signals for as long as the box runs.
 pub async fn publish(
     view: View,
     peers: Peers,
     endpoints: Arc<Endpoints>,
-    mut told: mpsc::Receiver<Announcement>,
+    mut announcements: mpsc::Receiver<Announcement>,
 ) {
     loop {
         let own = endpoints.own_departures();
-        let word = tokio::select! {
-            word = told.recv() => word,
-            () = sleep(TELL_EVERY), if !own.is_empty() => {
+        let announcement = tokio::select! {
+            announcement = announcements.recv() => announcement,
+            () = sleep(REPEAT_INTERVAL), if !own.is_empty() => {
                 own.iter().for_each(|(instance, address)| peers.publish_departure(instance, *address));
                 continue;
             }
         };
-        let Some(word) = word else { return };
-        match word {
+        let Some(announcement) = announcement else { return };
+        match announcement {
             Announcement::LimitChanged { instance } => {
                 publish_limit(&view, &peers, &endpoints, &instance, false)
             }
@@ -57,8 +58,8 @@
     instance: &Arc<str>,
     is_repeated: bool,
 ) {
-    let Some(said) = endpoints.limit_notice(instance) else { return };
-    if view.receive_limit(instance, said.limit) || is_repeated {
-        peers.publish_limit(instance, said.limit);
+    let Some(notice) = endpoints.limit_notice(instance) else { return };
+    if view.receive_limit(instance, notice.limit) || is_repeated {
+        peers.publish_limit(instance, notice.limit);
     }
 }
--- a/crates/gateway/src/sync/subscriber.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -1,10 +1,11 @@
-//! Where a box gets its news: from the store if it is a home, else from one, in the end from the store.
+//! Chooses the source of this box's updates: the store itself if it is a watcher, else a watcher,
+//! and the store as a fallback.
 //!
-//! The time that news may take is bounded by what endpoints and callers rely on: 2 s on the smallest
-//! deployments. A home that is paused or gone is noticed after [`SIGN`] and [`LATE`], one that is cut off
-//! from the store says so itself within 1.3 s; the next home answers within some milliseconds, or not
-//! within [`LATE`]; a read of the store takes a quarter of a second where it is slow. So 1.7 s at worst,
-//! where no two of these come together.
+//! Endpoints and callers rely on updates within a bounded time, 2 s in the strictest deployments. A
+//! watcher that is suspended or gone is noticed after [`HEARTBEAT_INTERVAL`] plus
+//! [`ANSWER_TIMEOUT`]; one that cannot reach the store reports that itself (see `watcher`). The next
+//! watcher answers within [`ANSWER_TIMEOUT`] or is skipped. If none does, the box watches the store
+//! itself.
 
 use std::time::Duration;
 
@@ -20,60 +21,59 @@
     clock::Dataset,
     fleet::{entry::BOXES, peers::Peers, watchers::Watchers},
     outage::Probe,
-    sync::watcher::{Looking, Setup},
+    sync::watcher::{Setup, Watcher},
 };
 
-/// Time after which a home without news answers all the same.
-const SIGN: Duration = Duration::from_millis(500);
-/// Longest time for the answer to come besides: many times the way there and back between availability
-/// zones, with room for a box that is busy.
-const LATE: Duration = Duration::from_millis(300);
-/// The same for all that a home knows: some 100 KB to each of 50 listeners over its link.
-const LATE_WHOLE: Duration = Duration::from_millis(600);
-/// Pause before homes are asked once more where none answered: those that stand by begin to look when
-/// they are asked, which takes a few calls of the store.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Longest random pause before a box looks itself because it heard nobody, so that boxes that lost the
-/// same homes do not read the store at the same moment.
-const SPREAD: Duration = Duration::from_millis(200);
-/// How long it looks then, before it asks homes again; up to half more at random.
-const ON_ITS_OWN: Duration = Duration::from_secs(5);
-/// A box that stands by looks for this long after it was asked last: longer than its listeners' other
-/// homes take to start again.
-const STANDS_IN: Duration = Duration::from_secs(10);
-/// Time between two looks at the store itself while the home that is listened to does not reach it and
-/// no other home does: the store may turn away just these. At random up to half longer. Where all boxes
-/// have lost the store, 295 of them make 150 such reads a second, at a tenth of the price of a call.
-const OWN_LOOK: Duration = Duration::from_millis(1_500);
-/// Longest time for its answer: a store that is slow takes half of it.
-const OWN_LOOK_WITHIN: Duration = Duration::from_millis(500);
-/// Time for a home to find the store once it is back, two of its looks: a box that finds it sooner goes
-/// on to listen. Of 40 boxes 18 read the store by themselves at its return before.
-const RETURN: Duration = Duration::from_millis(1_000);
-/// Time between two looks whether this box is a home.
-const ROLE: Duration = Duration::from_millis(500);
-/// Longest wait of a start for the other boxes to be known.
-const KNOWN: Duration = Duration::from_secs(3);
+/// Time after which a watcher without updates answers anyway, as a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Additional time allowed for the answer: many times the round trip between availability zones,
+/// with a margin for a busy box.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The same for a full snapshot, which a watcher may have to send to all its subscribers at once.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause before watchers are asked again if none answered: standby watchers start to watch when
+/// they are asked, which takes a few calls to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest random delay before a box without a source watches the store itself, so that boxes that
+/// lost the same watchers do not read the store at the same moment.
+const MAX_FALLBACK_DELAY: Duration = Duration::from_millis(200);
+/// How long it watches then before it asks watchers again; up to half longer at random.
+const FALLBACK_TIME: Duration = Duration::from_secs(5);
+/// A standby watcher keeps watching for this long after the last request: longer than the other
+/// watchers of its subscribers take to restart.
+const STANDBY_TIME: Duration = Duration::from_secs(10);
+/// Interval at which a box probes the store itself while no watcher reaches it, up to half longer
+/// at random: the store may be reachable from here only. Long enough that a whole fleet may do so
+/// during an outage; each probe is a cheap read.
+const OWN_PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Timeout of that probe: twice the latency of a slow store.
+const OWN_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for a watcher to reach the store again after an outage, two of its probes. A box that finds
+/// the store first waits this long before it reads the store itself.
+const RECOVERY_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval at which a box checks whether it is a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest time that a starting box waits to learn of other boxes.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Gets the news of one box.
+/// Receives the updates of this box.
 pub struct Subscriber {
     peers: Peers,
     setup: Setup,
-    /// Set once this box has read which others there are.
+    /// Set once this box has read the list of boxes.
     listed: watch::Receiver<Option<u64>>,
     random: SmallRng,
 }
 
-/// What a box has heard of the home that it listens to.
+/// State of the subscription to one watcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Heard {
-    home: Incarnation,
+struct Subscription {
+    watcher: Incarnation,
     last: u64,
-    away: bool,
+    is_store_unreachable: bool,
 }
 
 impl Subscriber {
-    /// Knows nothing yet.
     pub fn new(
         peers: Peers,
         setup: Setup,
@@ -83,226 +83,263 @@
         Subscriber { peers, setup, listed, random: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Gets news for as long as the box runs.
+    /// Receives updates for as long as the box runs.
     pub async fn run(mut self) {
         self.wait_for_others().await;
         loop {
             if self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me()) {
-                self.look("home", None).await;
-            } else if self.was_asked() {
-                self.look("asked", None).await;
-            } else if !self.listen().await {
-                let time = self.spread(ON_ITS_OWN);
-                self.look("alone", Some(time)).await;
+                self.watch_store("home", None).await;
+            } else if self.has_subscribers() {
+                self.watch_store("asked", None).await;
+            } else if !self.subscribe().await {
+                let time = self.jitter(FALLBACK_TIME);
+                self.watch_store("alone", Some(time)).await;
             }
         }
     }
 
-    /// Boxes that start together know few others at first; one that starts later knows them at once.
+    /// Waits until this box knows others or has read the list: boxes that start together know few
+    /// others at first.
     async fn wait_for_others(&mut self) {
         let peers = self.peers.clone();
         let listed = async {
             while peers.is_empty() && self.listed.borrow().is_none() {
-                let _ = timeout(AGAIN, self.listed.changed()).await;
+                let _ = timeout(RETRY_DELAY, self.listed.changed()).await;
             }
         };
-        let _ = timeout(KNOWN, listed).await;
+        let _ = timeout(DISCOVERY_TIMEOUT, listed).await;
     }
 
-    fn was_asked(&self) -> bool {
-        self.setup.view.asked().is_some_and(|at| at.elapsed() < STANDS_IN)
+    fn has_subscribers(&self) -> bool {
+        self.setup.view.last_subscribed().is_some_and(|at| at.elapsed() < STANDBY_TIME)
     }
 
-    /// Looks at the store for as long as this box is a home or was asked lately, or for a time.
-    async fn look(&self, why: &str, time: Option<Duration>) {
+    /// Watches the store for as long as this box is a watcher or was asked recently, or for `time`.
+    async fn watch_store(&self, why: &str, time: Option<Duration>) {
         tracing::info!(event = "news_from_store", why);
         let probe = if why == "home" { Probe::Eager } else { Probe::Lazy };
-        let looking = Looking::spawn(&self.setup, probe);
+        let watcher_tasks = Watcher::spawn(&self.setup, probe);
         let began = Instant::now();
         loop {
-            sleep(ROLE).await;
-            let is_home = self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me());
-            let goes_on = match time {
-                _ if is_home && probe == Probe::Lazy => false,
-                Some(time) => began.elapsed() < time || self.was_asked(),
-                None => is_home || self.was_asked(),
+            sleep(ROLE_CHECK_INTERVAL).await;
+            let is_watcher =
+                self.peers.is_empty() || self.peers.watchers().is_active(self.peers.me());
+            let continues = match time {
+                _ if is_watcher && probe == Probe::Lazy => false,
+                Some(time) => began.elapsed() < time || self.has_subscribers(),
+                None => is_watcher || self.has_subscribers(),
             };
-            if !goes_on {
-                drop(looking);
-                self.setup.view.start_over();
+            if !continues {
+                drop(watcher_tasks);
+                self.setup.view.reset_loaded();
                 return;
             }
         }
     }
 
-    /// Listens to homes until this box is to look itself; `false` if none answers.
-    async fn listen(&mut self) -> bool {
-        let mut heard: Option<Heard> = None;
-        let mut lost = Instant::now();
-        let mut next_look = Instant::now();
-        // Whether this box looked at the store itself since the home lost it, and found nothing.
-        let mut in_vain = false;
+    /// Subscribes to watchers until this box should watch the store itself; returns false if no
+    /// watcher answers.
+    async fn subscribe(&mut self) -> bool {
+        let mut subscription: Option<Subscription> = None;
+        let mut last_contact = Instant::now();
+        let mut next_probe = Instant::now();
+        // Whether this box probed the store itself during the outage and did not reach it either.
+        let mut probed_in_vain = false;
         loop {
             let watchers = self.peers.watchers();
-            if watchers.is_active(self.peers.me()) || self.was_asked() || self.peers.is_empty() {
+            if watchers.is_active(self.peers.me())
+                || self.has_subscribers()
+                || self.peers.is_empty()
+            {
                 return true;
             }
-            let stays = heard.filter(|heard| watchers.all().any(|home| *home == heard.home));
-            heard = match stays {
-                Some(known) => self.listen_on(known).await,
-                None => self.find(&watchers).await,
+            let current = subscription.filter(|subscription| {
+                watchers.all().any(|watcher| *watcher == subscription.watcher)
+            });
+            subscription = match current {
+                Some(known) => self.next_updates(known).await,
+                None => self.find_watcher(&watchers).await,
             };
-            match &heard {
-                Some(known) if known.away && next_look <= Instant::now() => {
+            match &subscription {
+                Some(known) if known.is_store_unreachable && next_probe <= Instant::now() => {
                     match self.reaches_store().await {
-                        true if in_vain => heard = self.after_return(&known.clone()).await,
+                        true if probed_in_vain => {
+                            subscription = self.resume_after_outage(&known.clone()).await
+                        }
                         true => return false,
-                        false => in_vain = true,
+                        false => probed_in_vain = true,
                     }
-                    if heard.is_none() {
+                    if subscription.is_none() {
                         return false;
                     }
-                    next_look = Instant::now() + self.spread(OWN_LOOK);
-                    lost = Instant::now();
+                    next_probe = Instant::now() + self.jitter(OWN_PROBE_INTERVAL);
+                    last_contact = Instant::now();
                 }
                 Some(known) => {
-                    in_vain &= known.away;
-                    lost = Instant::now();
+                    probed_in_vain &= known.is_store_unreachable;
+                    last_contact = Instant::now();
                 }
-                None if lost.elapsed() > SIGN + LATE + self.patience() => {
-                    sleep(SPREAD.mul_f64(self.random.random())).await;
+                None if last_contact.elapsed()
+                    > HEARTBEAT_INTERVAL + ANSWER_TIMEOUT + self.search_time() =>
+                {
+                    sleep(MAX_FALLBACK_DELAY.mul_f64(self.random.random())).await;
                     return false;
                 }
-                None => sleep(AGAIN).await,
+                None => sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    /// Whether the store answers this box, though no home reaches it.
+    /// Whether the store answers this box, although no watcher reaches it.
     async fn reaches_store(&self) -> bool {
         let Setup { store, name, .. } = &self.setup;
-        store.answers(BOXES, name, OWN_LOOK_WITHIN).await.is_ok()
+        store.ping(BOXES, name, OWN_PROBE_TIMEOUT).await.is_ok()
     }
 
-    /// This box found the store again before the home said so: what the home tells a little later, if it
-    /// reaches the store by then.
-    async fn after_return(&self, heard: &Heard) -> Option<Heard> {
-        sleep(RETURN).await;
-        let updates = self.ask(&heard.home, Some(heard.last), true, Duration::ZERO).await?;
-        let now = Heard { last: updates.last, away: updates.away_ms.is_some(), ..heard.clone() };
-        self.setup.view.hear(updates);
-        (!now.away).then_some(now)
+    /// This box reached the store again before its watcher reported that. Gives the watcher time to
+    /// reach it too, and continues the subscription if it does.
+    async fn resume_after_outage(&self, subscription: &Subscription) -> Option<Subscription> {
+        sleep(RECOVERY_DELAY).await;
+        let updates = self
+            .request_updates(&subscription.watcher, Some(subscription.last), true, Duration::ZERO)
+            .await?;
+        let now = Subscription {
+            last: updates.last,
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
+            ..subscription.clone()
+        };
+        self.setup.view.apply(updates);
+        (!now.is_store_unreachable).then_some(now)
     }
 
-    /// A time, at random up to half longer.
-    fn spread(&mut self, time: Duration) -> Duration {
+    /// A duration, up to half longer at random.
+    fn jitter(&mut self, time: Duration) -> Duration {
         time.mul_f64(1.0 + self.random.random::<f64>() / 2.0)
     }
 
-    /// How long homes are looked for after the last one was found silent. A box that knows nothing yet
-    /// is not in use, and boxes that start together are no homes at first.
-    fn patience(&self) -> Duration {
+    /// How long to look for a watcher after the last one was silent. A box without a configuration
+    /// serves no requests yet, and boxes that start together have no watchers at first.
+    fn search_time(&self) -> Duration {
         match self.setup.view.knows_config() {
-            true => AGAIN,
-            false => KNOWN,
+            true => RETRY_DELAY,
+            false => DISCOVERY_TIMEOUT,
         }
     }
 
-    /// Hears the next news of a home; `None` if it is silent.
-    async fn listen_on(&self, heard: Heard) -> Option<Heard> {
+    /// Waits for the next updates of a watcher; `None` if it is silent.
+    async fn next_updates(&self, subscription: Subscription) -> Option<Subscription> {
         let suspensions = self.setup.watchdog.suspensions();
-        let listened = self.ask(&heard.home, Some(heard.last), heard.away, SIGN);
+        let request = self.request_updates(
+            &subscription.watcher,
+            Some(subscription.last),
+            subscription.is_store_unreachable,
+            HEARTBEAT_INTERVAL,
+        );
         let updates = tokio::select! {
-            updates = listened => updates?,
-            // Another box wants this one to look.
-            () = self.setup.view.wanted() => return Some(heard),
-            // The home may be gone, and the connection to it dead.
+            updates = request => updates?,
+            // Another box asks this one to watch the store.
+            () = self.setup.view.watch_requested() => return Some(subscription),
+            // After a suspension the watcher may be gone and the connection dead.
             () = self.setup.watchdog.next_suspension(suspensions) => return None,
         };
-        let now = Heard { last: updates.last, away: updates.away_ms.is_some(), ..heard.clone() };
-        let lost_store = now.away && !heard.away;
-        self.setup.view.hear(updates);
+        let now = Subscription {
+            last: updates.last,
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
+            ..subscription.clone()
+        };
+        let lost_store = now.is_store_unreachable && !subscription.is_store_unreachable;
+        self.setup.view.apply(updates);
         match lost_store {
-            true => self.in_touch(&heard.home).await.or(Some(now)),
+            true => self.find_reachable(&subscription.watcher).await.or(Some(now)),
             false => Some(now),
         }
     }
 
-    /// Another home, which reaches the store.
-    async fn in_touch(&self, not: &Incarnation) -> Option<Heard> {
+    /// Subscribes to another watcher, one that reaches the store.
+    async fn find_reachable(&self, excluded: &Incarnation) -> Option<Subscription> {
         let watchers = self.peers.watchers();
-        for home in
-            watchers.first.iter().filter(|home| *home != not && self.peers.is_reachable(home))
+        for watcher in watchers
+            .active
+            .iter()
+            .filter(|watcher| *watcher != excluded && self.peers.is_reachable(watcher))
         {
-            match self.ask(home, None, true, Duration::ZERO).await {
-                Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
+            match self.request_updates(watcher, None, true, Duration::ZERO).await {
+                Some(updates) if updates.store_unreachable_ms.is_none() => {
+                    return self.receive_snapshot(watcher).await;
+                }
                 _ => {}
             }
         }
         None
     }
 
-    /// The first home that answers and reaches the store; if none does, one that answers; in the end one
-    /// that stands by.
-    async fn find(&self, watchers: &Watchers) -> Option<Heard> {
-        let awake = |home: &&Incarnation| self.peers.is_reachable(home);
-        let mut away = None;
-        for home in watchers.first.iter().filter(awake) {
-            match self.ask(home, None, true, Duration::ZERO).await {
-                Some(updates) if updates.away_ms.is_none() => return self.whole(home).await,
-                Some(_) => away = away.or(Some(home)),
+    /// Subscribes to the first watcher that answers and reaches the store; if none does, to one
+    /// that answers; as a last resort to a standby watcher.
+    async fn find_watcher(&self, watchers: &Watchers) -> Option<Subscription> {
+        let is_reachable = |watcher: &&Incarnation| self.peers.is_reachable(watcher);
+        let mut cut_off = None;
+        for watcher in watchers.active.iter().filter(is_reachable) {
+            match self.request_updates(watcher, None, true, Duration::ZERO).await {
+                Some(updates) if updates.store_unreachable_ms.is_none() => {
+                    return self.receive_snapshot(watcher).await;
+                }
+                Some(_) => cut_off = cut_off.or(Some(watcher)),
                 None => {}
             }
         }
-        if let Some(home) = away {
-            return self.whole(home).await;
+        if let Some(watcher) = cut_off {
+            return self.receive_snapshot(watcher).await;
         }
-        for home in watchers.standby.iter().filter(awake) {
-            match self.whole(home).await {
+        for watcher in watchers.standby.iter().filter(is_reachable) {
+            match self.receive_snapshot(watcher).await {
                 None => {}
-                heard => return heard,
+                subscription => return subscription,
             }
         }
         None
     }
 
-    /// All that a home knows.
-    async fn whole(&self, home: &Incarnation) -> Option<Heard> {
+    /// Receives a full snapshot from a watcher.
+    async fn receive_snapshot(&self, watcher: &Incarnation) -> Option<Subscription> {
         let suspensions = self.setup.watchdog.suspensions();
-        let updates = self.ask(home, Some(0), false, Duration::ZERO).await?;
-        let heard = self.take(home, updates);
-        if !heard.away {
-            self.setup.watchdog.read(Dataset::Config, suspensions);
-            self.setup.watchdog.read(Dataset::Endpoints, suspensions);
+        let updates = self.request_updates(watcher, Some(0), false, Duration::ZERO).await?;
+        let subscription = self.apply_snapshot(watcher, updates);
+        if !subscription.is_store_unreachable {
+            self.setup.watchdog.mark_read(Dataset::Config, suspensions);
+            self.setup.watchdog.mark_read(Dataset::Endpoints, suspensions);
         }
-        Some(heard)
+        Some(subscription)
     }
 
-    fn take(&self, home: &Incarnation, updates: Update) -> Heard {
+    fn apply_snapshot(&self, watcher: &Incarnation, updates: Update) -> Subscription {
         tracing::info!(
             event = "news_from_home",
-            home = home.as_str(),
+            home = watcher.as_str(),
             changes = updates.changes.len(),
-            whole = updates.whole,
-            away_ms = updates.away_ms,
+            whole = updates.is_snapshot,
+            away_ms = updates.store_unreachable_ms,
         );
-        let heard =
-            Heard { home: home.clone(), last: updates.last, away: updates.away_ms.is_some() };
-        self.setup.view.hear(updates);
-        heard
+        let subscription = Subscription {
+            watcher: watcher.clone(),
+            last: updates.last,
+            is_store_unreachable: updates.store_unreachable_ms.is_some(),
+        };
+        self.setup.view.apply(updates);
+        subscription
     }
 
-    async fn ask(
+    async fn request_updates(
         &self,
-        home: &Incarnation,
+        watcher: &Incarnation,
         since: Option<u64>,
-        away: bool,
+        is_store_unreachable: bool,
         wait: Duration,
     ) -> Option<Update> {
         let wait_ms = wait.as_millis() as u64;
         let config = self.setup.view.config_at();
-        let listen = Subscribe { watcher: home.clone(), since, config, away, wait_ms };
-        let late = if since == Some(0) { LATE_WHOLE } else { LATE };
-        self.peers.listen(listen, wait + late).await
+        let request =
+            Subscribe { watcher: watcher.clone(), since, config, is_store_unreachable, wait_ms };
+        let timeout_margin = if since == Some(0) { SNAPSHOT_TIMEOUT } else { ANSWER_TIMEOUT };
+        self.peers.subscribe(request, wait + timeout_margin).await
     }
 }
--- a/crates/gateway/src/sync/view/limits.rs
+++ b/crates/gateway/src/sync/view/limits.rs
@@ -1,58 +1,62 @@
-//! Limits that endpoints name, as boxes tell them: the store knows nothing of them.
+//! Rate limits that endpoints name. Boxes publish them to each other; they are not in the store.
 
 use std::sync::Arc;
 
 use balance::Limit;
 use wire::LimitNotice;
 
-use super::{State, View, note_unreadable};
+use super::{State, View, log_unreadable};
 
-/// Kind under which limits are told.
+/// Kind of these updates.
 pub const LIMITS: &str = "limits";
-/// Version of all that the store does not know.
+/// Version of objects that are not in the store.
 const NOT_STORED: u64 = 0;
 
 impl View {
-    /// Takes over a limit that a box tells, this one or another, nothing where the endpoint named none; says whether
-    /// that is news. A limit that changes with each answer is not: boxes would be told of it all the time.
+    /// Takes over a limit from this box or another one, `None` if the endpoint named none; returns
+    /// whether it is to be published. Small changes are not, because a limit may change with each
+    /// answer.
     pub fn receive_limit(&self, endpoint: &Arc<str>, limit: Option<Limit>) -> bool {
-        let text = limit.map(|limit| serde_json::to_string(&limit).expect("it always serializes"));
+        let text =
+            limit.map(|limit| serde_json::to_string(&limit).expect("limits always serialize"));
         let mut state = self.0.state.lock();
-        let told = state
+        let published = state
             .change_log
             .value(LIMITS, endpoint)
             .map(|text| serde_json::from_str::<Limit>(&text));
-        let is_news = match (limit, told) {
-            (Some(limit), Some(Ok(told))) => !limit.is_close(told),
+        let is_new = match (limit, published) {
+            (Some(limit), Some(Ok(published))) => !limit.is_close(published),
             (None, None) => false,
             _ => true,
         };
-        if is_news {
-            self.take_limit(&mut state, endpoint, text.as_deref());
+        if is_new {
+            self.apply_limit(&mut state, endpoint, text.as_deref());
             drop(state);
-            self.tell();
+            self.notify();
         }
-        is_news
+        is_new
     }
 
-    /// A limit as the shelf of a home holds it, or that the endpoint names none any more.
-    pub(super) fn take_limit(&self, state: &mut State, endpoint: &Arc<str>, text: Option<&str>) {
+    /// Takes over a limit from the change log of a watcher; `None` if the endpoint names none any
+    /// more.
+    pub(super) fn apply_limit(&self, state: &mut State, endpoint: &Arc<str>, text: Option<&str>) {
         let limit = match text.map(serde_json::from_str::<Limit>).transpose() {
             Ok(limit) => limit,
-            Err(error) => return note_unreadable(LIMITS, endpoint, &error),
+            Err(error) => return log_unreadable(LIMITS, endpoint, &error),
         };
         if state.change_log.put(LIMITS, endpoint, NOT_STORED, text) {
-            // It is told once, so it holds at once; an answer to a request that is sent from now on knows better.
+            // Counts as signaled just now, so that it takes effect at once; any answer to a later
+            // request replaces it.
             let endpoint = endpoint.clone();
-            let said = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
-            self.0.uses.endpoints.receive_limit(&said, "news");
+            let notice = LimitNotice { endpoint, limit, sent_ms: 0, answered_ms: 0 };
+            self.0.consumers.endpoints.receive_limit(&notice, "news");
         }
     }
 }
 
 impl State {
-    /// What an endpoint named goes with it.
-    pub(super) fn unshelve_limits(&mut self, is_known: impl Fn(&str) -> bool) {
+    /// Removes limits of unknown endpoints from the change log.
+    pub(super) fn drop_limits(&mut self, is_known: impl Fn(&str) -> bool) {
         for (endpoint, _) in self.change_log.names(LIMITS) {
             if !is_known(&endpoint) {
                 self.change_log.put(LIMITS, &endpoint, NOT_STORED, None);
--- a/crates/gateway/src/tokens/bills.rs
+++ b/crates/gateway/src/tokens/bills.rs
@@ -1,10 +1,10 @@
 //! Bills of finished requests, written to the store page by page.
 //!
-//! A page is named by the incarnation and a number and is only ever created, and what stands on it
-//! does not change once it was sent. So writing it again after a lost answer changes nothing, and
-//! each request stands on one bill. A box that loses
-//! power loses the bills of its last seconds; their tokens count as spent all the same. One that
-//! stops by plan while the store is away hands its pages to another box, which writes them.
+//! A page is named by the incarnation and a number. It is only ever created, and its content is
+//! fixed once it was sent, so that writing it again after a lost answer changes nothing and each
+//! request is billed once. A box that dies loses the bills that it has not written; their tokens
+//! count as spent nevertheless. A box that stops while the store is unreachable hands its pages
+//! over to another box, which writes them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,10 +15,12 @@
 use tokio::time::Instant;
 use wire::BillPage;
 
-/// Time between two pages of a box, so that few bills are lost with it and few calls made.
-const PAGE_EVERY: Duration = Duration::from_secs(10);
-/// Bills on one page at most: some 200 bytes each, a fifth of the largest value.
-const PAGE_BILLS: usize = 1_000;
+/// Interval between two pages of a box: short, so that few bills are lost if it dies, but long
+/// enough to keep store calls rare.
+const PAGE_INTERVAL: Duration = Duration::from_secs(10);
+/// Most bills on one page. At about 200 bytes each, a page takes a fifth of the largest value that
+/// the store accepts.
+const MAX_BILLS_PER_PAGE: usize = 1_000;
 
 /// Bills of this box that are not written yet.
 #[derive(Debug, Clone)]
@@ -28,28 +30,28 @@
 struct State {
     by: Incarnation,
     open: Vec<Bill>,
-    n: u64,
+    last_number: u64,
     page: u64,
-    /// Bills on the page that was sent last, until it is known to be there: it may have landed, and
-    /// what came since belongs on the next one.
+    /// Number of bills on the page that was sent last, until it is known to be written. The page
+    /// may have landed, so later bills belong on the next one.
     sent: Option<usize>,
     written: Instant,
-    /// Pages of other boxes that this one writes.
-    carried: Vec<BillPage>,
+    /// Pages of other boxes, to be written by this one.
+    taken_over: Vec<BillPage>,
 }
 
 impl State {
-    /// The next page and the bills on it.
+    /// Returns the next page and the number of bills on it.
     fn next(&mut self) -> Option<(BillPage, usize)> {
-        let count = self.sent.unwrap_or(self.open.len().min(PAGE_BILLS));
+        let count = self.sent.unwrap_or(self.open.len().min(MAX_BILLS_PER_PAGE));
         if count == 0 {
             return None;
         }
         self.sent = Some(count);
-        Some((sheet(&self.by, self.page, self.open[..count].to_vec()), count))
+        Some((bill_page(&self.by, self.page, self.open[..count].to_vec()), count))
     }
 
-    /// The page that was sent last is there.
+    /// Removes the bills of the page that was written.
     fn written(&mut self, count: usize) {
         self.open.drain(..count);
         self.page += 1;
@@ -59,23 +61,23 @@
 }
 
 impl Bills {
-    /// No bills yet.
+    /// Starts without bills.
     pub fn open(by: Incarnation) -> Bills {
-        let (open, carried) = (Vec::new(), Vec::new());
+        let (open, taken_over) = (Vec::new(), Vec::new());
         let (page, sent, written) = (0, None, Instant::now());
-        let state = State { by, open, n: 0, page, sent, written, carried };
+        let state = State { by, open, last_number: 0, page, sent, written, taken_over };
         Bills(Arc::new(Mutex::new(state)))
     }
 
-    /// Bills a request that ended.
+    /// Adds the bill of a request that ended.
     pub fn add(&self, customer: &Arc<str>, key: &Arc<str>, tokens: u64, ended: Ended) {
         let mut state = self.0.lock();
-        state.n += 1;
+        state.last_number += 1;
         let bill = Bill {
             key: key.clone(),
             customer: customer.clone(),
             by: state.by.clone(),
-            n: state.n,
+            n: state.last_number,
             part: Part::Offline,
             tokens,
             ended,
@@ -84,21 +86,21 @@
         state.open.push(bill);
     }
 
-    /// Bills that are not written yet.
+    /// Number of bills of this box and pages of others that are not written yet.
     pub fn waiting(&self) -> usize {
         let state = self.0.lock();
-        state.open.len() + state.carried.len()
+        state.open.len() + state.taken_over.len()
     }
 
-    /// Takes over pages of a box that ends.
+    /// Takes over pages of a box that stops.
     pub fn take_over(&self, pages: Vec<BillPage>) {
-        self.0.lock().carried.extend(pages);
+        self.0.lock().taken_over.extend(pages);
     }
 
-    /// Takes out all that is not written, as pages for another box to write.
+    /// Removes all that is not written, as pages for another box to write.
     pub fn hand_over(&self) -> Vec<BillPage> {
         let mut state = self.0.lock();
-        let mut pages = std::mem::take(&mut state.carried);
+        let mut pages = std::mem::take(&mut state.taken_over);
         while let Some((page, count)) = state.next() {
             pages.push(page);
             state.written(count);
@@ -108,19 +110,21 @@
 
     fn next(&self, all: bool) -> Option<(BillPage, usize)> {
         let mut state = self.0.lock();
-        let due = all || state.written.elapsed() >= PAGE_EVERY || state.open.len() >= PAGE_BILLS;
+        let due = all
+            || state.written.elapsed() >= PAGE_INTERVAL
+            || state.open.len() >= MAX_BILLS_PER_PAGE;
         due.then(|| state.next()).flatten()
     }
 
-    /// Writes pages of other boxes; stops at the first that fails.
-    async fn write_carried(&self, store: &Client) {
+    /// Writes the pages of other boxes; stops at the first failure.
+    async fn write_taken_over(&self, store: &Client) {
         loop {
-            let Some(BillPage { name, text }) = self.0.lock().carried.last().cloned() else {
+            let Some(BillPage { name, text }) = self.0.lock().taken_over.last().cloned() else {
                 return;
             };
             match store.replace(BILLS, &name, &text, Expect::Absent).await {
                 Put::Landed(_) | Put::Refused(_) => {
-                    self.0.lock().carried.retain(|page| page.name != name);
+                    self.0.lock().taken_over.retain(|page| page.name != name);
                     tracing::info!(event = "bills_written_for_another", page = name);
                 }
                 Put::Failed(reason) | Put::Unknown(reason) => {
@@ -131,15 +135,15 @@
         }
     }
 
-    /// Writes pages that are due, or all there are; stops at the first that fails.
+    /// Writes the pages that are due, or all bills; stops at the first failure.
     ///
-    /// Only one task may do this: what is written goes by position.
+    /// Must not run concurrently: the written bills are removed by position.
     pub async fn write(&self, store: &Client, all: bool) {
-        self.write_carried(store).await;
+        self.write_taken_over(store).await;
         while let Some((BillPage { name, text }, count)) = self.next(all) {
             let put = store.replace(BILLS, &name, &text, Expect::Absent).await;
             match put {
-                // A page that is there already was written by an earlier call of this box.
+                // The page exists already if an earlier attempt of this box landed.
                 Put::Landed(_) | Put::Refused(_) => {
                     self.0.lock().written(count);
                     tracing::info!(event = "bills_written", page = name, count);
@@ -154,7 +158,7 @@
     }
 }
 
-fn sheet(by: &Incarnation, page: u64, bills: Vec<Bill>) -> BillPage {
+fn bill_page(by: &Incarnation, page: u64, bills: Vec<Bill>) -> BillPage {
     let text = serde_json::to_string(&Page { bills }).expect("bills always serialize");
     BillPage { name: format!("{by}.{page:06}"), text }
 }
--- a/crates/gateway/src/tokens/funds/transfers.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -1,4 +1,4 @@
-//! Tokens between boxes: those that a keeper passes on, and those that keepers lend each other.
+//! Tokens that move between boxes: passed on by a keeper, or lent by one keeper to another.
 
 use std::sync::Arc;
 
@@ -9,44 +9,45 @@
 use crate::tokens::wallet::Wallet;
 
 impl Funds {
-    /// What a keeper is told, and what is wanted of it for a request that waits, if there is
-    /// anything to say.
-    pub fn demands(&self, keeper: &Incarnation, asked: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
+    /// Returns the demands to send to a keeper, including the tokens that a `waiting` request
+    /// needs. They report what was used and returned of the keeper's tokens.
+    pub fn demands(&self, keeper: &Incarnation, waiting: Option<(&Arc<str>, u64)>) -> Vec<Demand> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let all = state.wallets.iter_mut().filter_map(|(customer, wallet)| {
-            let worst = asked.filter(|(name, _)| *name == customer).map(|(_, worst)| worst);
-            wallet.demands(customer, keeper, worst, now)
+            let worst = waiting.filter(|(name, _)| *name == customer).map(|(_, worst)| worst);
+            wallet.demand(customer, keeper, worst, now)
         });
         all.collect()
     }
 
-    /// A keeper answered what it was told.
-    pub fn drawn(&self, keeper: &Incarnation, told: &[Demand], given: &[Supply]) {
+    /// Applies a keeper's answer to these demands.
+    pub fn receive_supply(&self, keeper: &Incarnation, demands: &[Demand], supplies: &[Supply]) {
         let mut state = self.0.state.lock();
-        for (told, given) in told.iter().zip(given) {
-            let wallet = state.wallets.get_mut(&told.customer);
-            let wallet = wallet.filter(|_| told.customer == given.customer);
+        for (demand, supply) in demands.iter().zip(supplies) {
+            let wallet = state.wallets.get_mut(&demand.customer);
+            let wallet = wallet.filter(|_| demand.customer == supply.customer);
             if let Some(wallet) = wallet {
-                wallet.drawn(keeper, told.share, given);
+                wallet.drawn(keeper, demand.share, supply);
             }
         }
     }
 
-    /// Counts a request that waits for tokens of a keeper, while what is returned lives.
-    pub fn lacking(&self, customer: &Arc<str>, worst: u64) -> Lacking<'_> {
-        self.0.state.lock().wallets.entry(customer.clone()).or_default().lacking += worst;
-        Lacking { funds: self, customer: customer.clone(), worst }
+    /// Counts a request that waits for a keeper's tokens, until the returned guard is dropped.
+    pub fn waiting_for_keeper(&self, customer: &Arc<str>, worst: u64) -> KeeperWait<'_> {
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().waiting_for_keeper +=
+            worst;
+        KeeperWait { funds: self, customer: customer.clone(), worst }
     }
 
-    /// Keepers that are to be told something.
-    pub fn keepers_to_tell(&self) -> Vec<Incarnation> {
+    /// Returns the keepers to which used or idle tokens are to be reported.
+    pub fn keepers_to_report_to(&self) -> Vec<Incarnation> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         let mut keepers = Vec::new();
         for wallet in state.wallets.values_mut() {
             for keeper in wallet.keepers().cloned().collect::<Vec<_>>() {
-                if !keepers.contains(&keeper) && wallet.has_news(&keeper, now) {
+                if !keepers.contains(&keeper) && wallet.has_unreported(&keeper, now) {
                     keepers.push(keeper);
                 }
             }
@@ -54,7 +55,7 @@
         keepers
     }
 
-    /// Keepers that passed something on.
+    /// Returns the keepers that have passed tokens on to this box.
     pub fn keepers(&self) -> Vec<Incarnation> {
         let state = self.0.state.lock();
         let mut keepers: Vec<_> =
@@ -64,59 +65,61 @@
         keepers
     }
 
-    /// Gives everything back to a keeper that is not held for a request; what to tell it then.
+    /// Returns all tokens of a keeper that are not reserved, as demands to send to it.
     pub fn return_all(&self, keeper: &Incarnation) -> Vec<Demand> {
         let mut state = self.0.state.lock();
         let wallets = state.wallets.iter_mut();
         wallets.filter_map(|(customer, wallet)| wallet.return_all(customer, keeper)).collect()
     }
 
-    /// As a keeper: takes over what another box tells. Says whether all of it was believed.
-    pub fn receive_report(&self, from: &Incarnation, told: &[Demand]) -> bool {
+    /// On a keeper: applies the totals in another box's demands. Returns whether all of them were
+    /// accepted.
+    pub fn receive_report(&self, from: &Incarnation, demands: &[Demand]) -> bool {
         let mut state = self.0.state.lock();
         state.wallets.values_mut().for_each(|wallet| wallet.close_earlier(from));
-        let mut believed = true;
-        for told in told {
-            let wallet = state.wallets.entry(told.customer.clone()).or_default();
-            believed &= wallet.receive_report(from, told.share);
+        let mut accepted = true;
+        for demand in demands {
+            let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+            accepted &= wallet.receive_report(from, demand.share);
         }
-        believed
+        accepted
     }
 
-    /// As a keeper: passes on what another box needs, waiting until `until` for a settlement that
-    /// brings it. Says whether it was there.
-    pub async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) -> bool {
-        let pass_on = || self.try_pass_on(to, told).then_some(());
-        self.obtain(&told.customer, told.least, until, pass_on).await.is_some()
+    /// On a keeper: passes on the tokens that another box needs, waiting until `until` for a
+    /// settlement that brings them. Returns whether it did.
+    pub async fn pass_on(&self, to: &Incarnation, demand: &Demand, until: Instant) -> bool {
+        let pass_on = || self.try_pass_on(to, demand).then_some(());
+        self.obtain(&demand.customer, demand.least, until, pass_on).await.is_some()
     }
 
-    /// As a keeper: passes on what another box needs if it is here.
-    pub fn try_pass_on(&self, to: &Incarnation, told: &Demand) -> bool {
+    /// On a keeper: passes on the tokens that another box needs if they are here. Returns whether
+    /// it did.
+    pub fn try_pass_on(&self, to: &Incarnation, demand: &Demand) -> bool {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let wallet = state.wallets.entry(told.customer.clone()).or_default();
-        let given = wallet.pass_on(to, told, now);
+        let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+        let passed = wallet.pass_on(to, demand, now);
         let due = wallet.is_promise_due(now);
-        state.drew = Some(now);
+        state.last_draw = Some(now);
         drop(state);
         if due {
             self.0.promise_due.notify_one();
         }
-        given
+        passed
     }
 
-    /// As a keeper: what another box is answered.
-    pub fn given(&self, to: &Incarnation, told: &[Demand]) -> Vec<Supply> {
+    /// On a keeper: returns the answers to another box's demands.
+    pub fn supplies(&self, to: &Incarnation, demands: &[Demand]) -> Vec<Supply> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
-        let given = told.iter().map(|told| {
-            let wallet = state.wallets.entry(told.customer.clone()).or_default();
-            wallet.given(&told.customer, to, told.least, now)
+        let supplies = demands.iter().map(|demand| {
+            let wallet = state.wallets.entry(demand.customer.clone()).or_default();
+            wallet.supplies(&demand.customer, to, demand.least, now)
         });
-        given.collect()
+        supplies.collect()
     }
 
-    /// Passes tokens on to another box, as many as `wanted` and this box can spare.
+    /// Lends tokens to another box, up to `wanted` and as many as this box can spare.
     pub fn lend(
         &self,
         customer: &Arc<str>,
@@ -128,52 +131,52 @@
         state.wallets.get_mut(customer)?.lend(wanted, from, to, Instant::now())
     }
 
-    /// Takes over tokens that another box passed on.
+    /// Adds tokens that another box lent.
     pub fn receive(&self, customer: &Arc<str>, transfer: Transfer) {
         self.0.state.lock().wallets.entry(customer.clone()).or_default().receive(transfer);
     }
 
-    /// Whether other boxes had too little for a request of this size a moment ago.
-    pub fn are_others_dry(&self, customer: &str, worst: u64) -> bool {
+    /// Whether other boxes recently had too few tokens for a request of this size.
+    pub fn are_others_exhausted(&self, customer: &str, worst: u64) -> bool {
         let now = Instant::now();
         let state = self.0.state.lock();
         let wallet = state.wallets.get(customer);
-        wallet.is_some_and(|wallet| wallet.are_others_dry(worst, now))
+        wallet.is_some_and(|wallet| wallet.are_others_exhausted(worst, now))
     }
 
-    /// Other boxes had too little for a request of this size.
-    pub fn note_others_dry(&self, customer: &str, worst: u64) {
+    /// Records that other boxes had too few tokens for a request of this size.
+    pub fn note_others_exhausted(&self, customer: &str, worst: u64) {
         let mut state = self.0.state.lock();
         if let Some(wallet) = state.wallets.get_mut(customer) {
-            wallet.note_others_dry(worst, Instant::now());
+            wallet.note_others_exhausted(worst, Instant::now());
         }
     }
 
-    /// What a request of this size lacks, with a little for the ones after it.
+    /// Returns how many tokens a request of this size lacks, with some for the requests after it.
     pub fn missing(&self, customer: &str, worst: u64) -> u64 {
         let now = Instant::now();
         let mut state = self.0.state.lock();
         state.wallets.get_mut(customer).map_or(worst, |wallet| wallet.missing(worst, now))
     }
 
-    /// The lock under which one request at a time asks other boxes for a customer's tokens.
-    pub fn asking(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
-        self.0.state.lock().wallets.entry(customer.clone()).or_default().asking.clone()
+    /// Returns the lock that lets one request per customer ask other boxes at a time.
+    pub fn ask_lock(&self, customer: &Arc<str>) -> Arc<tokio::sync::Mutex<()>> {
+        self.0.state.lock().wallets.entry(customer.clone()).or_default().ask_lock.clone()
     }
 }
 
-/// A request that waits for tokens of a keeper, counted while this lives.
-pub struct Lacking<'a> {
+/// Counts a request that waits for a keeper's tokens, until dropped.
+pub struct KeeperWait<'a> {
     funds: &'a Funds,
     customer: Arc<str>,
     worst: u64,
 }
 
-impl Drop for Lacking<'_> {
+impl Drop for KeeperWait<'_> {
     fn drop(&mut self) {
         let mut state = self.funds.0.state.lock();
         if let Some(wallet) = state.wallets.get_mut(&self.customer) {
-            wallet.lacking = wallet.lacking.saturating_sub(self.worst);
+            wallet.waiting_for_keeper = wallet.waiting_for_keeper.saturating_sub(self.worst);
         }
     }
 }
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -1,4 +1,5 @@
-//! One customer's tokens between boxes: what keepers lend each other, and both sides of what they pass on.
+//! One customer's tokens between boxes: tokens that keepers lend each other, and both sides of what
+//! a keeper passes on.
 
 use std::sync::Arc;
 
@@ -7,15 +8,17 @@
 
 use super::{RESERVE_S, Wallet};
 
-/// Seconds of use that a box gets from its keeper beyond what a request lacks, and keeps: enough
-/// for most requests to find their tokens here, and little to be lost with the box.
+/// Seconds of use that a box requests from its keeper beyond what a request lacks, and keeps in
+/// reserve. Enough for most requests to find their tokens here, while little is lost if the box
+/// dies.
 const AHEAD_S: f64 = 1.5;
 
 impl Wallet {
-    /// Passes up to `wanted` tokens on.
+    /// Lends up to `wanted` tokens to another box.
     ///
-    /// Only tokens that the book knows to be here and that no promise keeps are passed on: whoever
-    /// tells of it first, the grant of this box covers it, also when it is dead by then.
+    /// Only tokens that the book has granted to this box and that are not promised are lent.
+    /// Whichever side reports the transfer first, this box's grant covers it, even if the box has
+    /// died since.
     pub fn lend(
         &mut self,
         wanted: u64,
@@ -23,125 +26,130 @@
         to: &Incarnation,
         now: Instant,
     ) -> Option<Transfer> {
-        let reserve = self.rate.over(RESERVE_S, now);
-        let spare = self.own().saturating_sub(reserve.max(self.received + self.kept));
-        let tokens = self.account.take(Part::Offline, wanted.min(spare));
+        let reserve = self.rate.used_in(RESERVE_S, now);
+        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.kept));
+        let tokens = self.account.remove(Part::Offline, wanted.min(spare));
         if tokens == 0 {
             return None;
         }
-        self.given += 1;
-        let transfer = Transfer { from: from.clone(), n: self.given, to: to.clone(), tokens };
+        self.last_transfer += 1;
+        let transfer =
+            Transfer { from: from.clone(), n: self.last_transfer, to: to.clone(), tokens };
         self.transfers.push(transfer.clone());
         Some(transfer)
     }
 
-    /// Takes over tokens that another box passed on.
+    /// Adds tokens that another box lent.
     pub fn receive(&mut self, transfer: Transfer) {
         self.account.add(Part::Offline, transfer.tokens);
-        self.received += transfer.tokens;
+        self.borrowed += transfer.tokens;
         self.transfers.push(transfer);
     }
 
-    /// What a keeper is told of this customer, and what is wanted of it for a request that waits;
-    /// `None` where there is nothing to say. What is given back is out of the account then.
-    pub fn demands(
+    /// Returns the demand to send to a keeper for this customer, with the tokens that a waiting
+    /// request needs; `None` if there is nothing to report. Tokens that it returns are taken out of
+    /// the account here.
+    pub fn demand(
         &mut self,
         customer: &Arc<str>,
         keeper: &Incarnation,
         worst: Option<u64>,
         now: Instant,
     ) -> Option<Demand> {
-        let ahead = self.rate.over(AHEAD_S, now);
+        let ahead = self.rate.used_in(AHEAD_S, now);
         let lacks = |tokens: u64| tokens.saturating_sub(self.open());
         let least = worst.map_or(0, lacks);
-        // One question is for all that wait: of a box with 200 requests a second for one customer,
-        // most would wait too long if each asked in turn.
-        let need = worst.map_or(0, |worst| lacks(worst.max(self.lacking)));
+        // One demand covers all waiting requests. If each asked in turn, most of them would time
+        // out on a busy box.
+        let need = worst.map_or(0, |worst| lacks(worst.max(self.waiting_for_keeper)));
         if worst.is_none() {
-            self.give_back(keeper, ahead);
+            self.return_surplus(keeper, ahead);
         }
-        let says = need > 0 || self.loans.has_news(keeper);
-        let share = self.loans.share(keeper);
-        says.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
+        let due = need > 0 || self.keeper_shares.has_unreported(keeper);
+        let share = self.keeper_shares.share(keeper);
+        due.then(|| Demand { customer: customer.clone(), share, need, least, ahead })
     }
 
-    /// Gives tokens back to a keeper beyond twice what is kept of them: otherwise what requests
-    /// did not use would lie in every box.
-    fn give_back(&mut self, keeper: &Incarnation, keep: u64) {
+    /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
+    /// Otherwise every box would accumulate tokens that its requests did not use.
+    fn return_surplus(&mut self, keeper: &Incarnation, keep: u64) {
         let free = self.open();
         if free > 2 * keep {
-            let returned = self.loans.give_back(keeper, free - keep);
-            let taken = self.account.take(Part::Offline, returned);
-            debug_assert_eq!(taken, returned, "what keepers passed on and is not used is free");
+            let returned = self.keeper_shares.return_tokens(keeper, free - keep);
+            let taken = self.account.remove(Part::Offline, returned);
+            debug_assert_eq!(taken, returned, "unused tokens of keepers are free");
         }
     }
 
-    /// Gives everything back to a keeper that is not held for a request.
+    /// Returns all tokens of a keeper that are not reserved.
     pub fn return_all(&mut self, customer: &Arc<str>, keeper: &Incarnation) -> Option<Demand> {
-        self.give_back(keeper, 0);
-        let share = self.loans.share(keeper);
-        let says = self.loans.has_news(keeper);
-        says.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
+        self.return_surplus(keeper, 0);
+        let share = self.keeper_shares.share(keeper);
+        let due = self.keeper_shares.has_unreported(keeper);
+        due.then(|| Demand { customer: customer.clone(), share, need: 0, least: 0, ahead: 0 })
     }
 
-    /// Whether a keeper is to be told something.
-    pub fn has_news(&mut self, keeper: &Incarnation, now: Instant) -> bool {
-        let idle = self.open() > 2 * self.rate.over(AHEAD_S, now);
-        self.loans.has_news(keeper) || (idle && self.loans.share(keeper).outstanding() > 0)
+    /// Whether used or idle tokens are to be reported to a keeper.
+    pub fn has_unreported(&mut self, keeper: &Incarnation, now: Instant) -> bool {
+        let idle = self.open() > 2 * self.rate.used_in(AHEAD_S, now);
+        self.keeper_shares.has_unreported(keeper)
+            || (idle && self.keeper_shares.share(keeper).outstanding() > 0)
     }
 
-    /// A keeper answered what it was told.
-    pub fn drawn(&mut self, keeper: &Incarnation, told: Share, given: &Supply) {
-        let new = self.loans.receive(keeper, given.given);
+    /// Applies a keeper's answer to a demand with the `reported` totals.
+    pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
+        let new = self.keeper_shares.receive(keeper, supply.given);
         self.account.add(Part::Offline, new);
-        self.loans.heard(keeper, told);
-        self.used_told = self.used_told.max(Some(given.used));
+        self.keeper_shares.acknowledge(keeper, reported);
+        self.reported_used = self.reported_used.max(Some(supply.used));
     }
 
-    /// Keepers that passed something on.
+    /// Returns the keepers that have passed tokens on to this box.
     pub fn keepers(&self) -> impl Iterator<Item = &Incarnation> {
-        self.loans.keepers()
+        self.keeper_shares.keepers()
     }
 
-    /// As a keeper: a later life of a box is here, so that its earlier ones are dead.
+    /// On a keeper: closes the accounts of earlier incarnations of a box, which are dead since a
+    /// later one is running.
     pub fn close_earlier(&mut self, than: &Incarnation) {
-        self.lost += self.passed.close_earlier(than);
+        self.lost += self.box_shares.close_earlier(than);
     }
 
-    /// As a keeper: another box tells what became of its tokens. Says whether it was believed.
-    pub fn receive_report(&mut self, from: &Incarnation, told: Share) -> bool {
-        let Some(news) = self.passed.receive_report(from, told) else { return false };
-        self.charged += news.used;
-        self.requests += news.requests;
-        self.account.add(Part::Offline, news.returned);
+    /// On a keeper: applies the totals that another box reports. Returns whether they were
+    /// accepted.
+    pub fn receive_report(&mut self, from: &Incarnation, reported: Share) -> bool {
+        let Some(delta) = self.box_shares.receive_report(from, reported) else { return false };
+        self.charged += delta.used;
+        self.requests += delta.requests;
+        self.account.add(Part::Offline, delta.returned);
         true
     }
 
-    /// As a keeper: passes tokens on if there are enough for one request, up to what all need that
-    /// wait, and some for those after them.
-    pub fn pass_on(&mut self, to: &Incarnation, told: &Demand, now: Instant) -> bool {
-        let under_way = self.passed.total(to).saturating_sub(told.share.given);
-        let least = told.least.saturating_sub(under_way);
-        // Tokens that were lent to this box are passed on, too: the book counts them with the
-        // lender until either side tells, and never with the box that gets them here.
+    /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
+    /// waiting requests and some for later ones. Returns whether it did.
+    pub fn pass_on(&mut self, to: &Incarnation, demand: &Demand, now: Instant) -> bool {
+        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.given);
+        let least = demand.least.saturating_sub(in_transit);
+        // Borrowed tokens may be passed on as well: the book counts them with the lender until one
+        // side reports the transfer, and never with the box that gets them here.
         let spare = self.own().saturating_sub(self.kept);
-        if spare < least || self.passed.is_closed(to) || self.given_up {
+        if spare < least || self.box_shares.is_closed(to) || self.abandoned {
             return false;
         }
-        let need = told.need.saturating_sub(under_way).min(spare);
-        let ahead = if need > 0 { self.ahead(told.ahead, spare - need, now) } else { 0 };
-        let tokens = self.account.take(Part::Offline, need + ahead);
-        self.passed.pass_on(to, tokens);
+        let need = demand.need.saturating_sub(in_transit).min(spare);
+        let ahead = if need > 0 { self.ahead(demand.ahead, spare - need, now) } else { 0 };
+        let tokens = self.account.remove(Part::Offline, need + ahead);
+        self.box_shares.pass_on(to, tokens);
         self.rate.add(tokens, now);
         self.peak = self.peak.max(least);
         true
     }
 
-    /// Part of what a box wants ahead that it gets: half of what is here is for others, and where
-    /// that does not last for all, each gets its part by use. With equal parts for 18 boxes, one
-    /// that had nine tenths of a customer's requests got four of them ahead.
+    /// Returns how much of what a box requests ahead it gets. Half of the spare tokens is for other
+    /// boxes; if the rest does not last for all, it is split by use, since equal parts would starve
+    /// the busiest box.
     fn ahead(&mut self, wanted: u64, spare: u64, now: Instant) -> u64 {
-        let all = self.rate.over(AHEAD_S, now).max(wanted);
+        let all = self.rate.used_in(AHEAD_S, now).max(wanted);
         match all {
             0 => 0,
             all => {
@@ -150,15 +158,21 @@
         }
     }
 
-    /// As a keeper: what a box that asked is answered.
-    pub fn given(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
-        let dry = self.is_dry(need) && self.are_others_dry(need, now);
+    /// On a keeper: returns the answer to another box's demand.
+    pub fn supplies(
+        &self,
+        customer: &Arc<str>,
+        to: &Incarnation,
+        need: u64,
+        now: Instant,
+    ) -> Supply {
+        let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
-        Supply { customer: customer.clone(), given: self.passed.total(to), used, dry }
+        Supply { customer: customer.clone(), given: self.box_shares.total(to), used, dry }
     }
 
-    /// Tokens passed on as a keeper and not known to be used or given back.
+    /// Tokens passed on as a keeper, and not reported as used or returned.
     pub fn outstanding(&self) -> u64 {
-        self.passed.outstanding()
+        self.box_shares.outstanding()
     }
 }
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -37,7 +37,7 @@
 }
 
 async fn run(shared: &Arc<Shared>, call: &Call, driver: &Driver) -> Progress {
-    shared.log.request(&call.key, &call.caller.budget, EventKind::Received);
+    shared.log.add_for_request(&call.key, &call.caller.budget, EventKind::Received);
     if let Some(progress) = elsewhere(shared, call, driver).await {
         return progress;
     }
@@ -182,10 +182,10 @@
 fn note_held(shared: &Shared, call: &Call, hold: &Hold) {
     let (tokens, offline) = (hold.record().reserved, hold.is_offline());
     let budget = &call.caller.budget;
-    shared.log.request(&call.key, budget, EventKind::Reserved { tokens, offline });
+    shared.log.add_for_request(&call.key, budget, EventKind::Reserved { tokens, offline });
     match offline {
         true => drop(shared.metrics.offline.inc()),
-        false => shared.log.request(&call.key, budget, EventKind::Recorded),
+        false => shared.log.add_for_request(&call.key, budget, EventKind::Recorded),
     }
 }
 
@@ -202,5 +202,5 @@
         Progress::Unknown(_) => EventKind::Unknown { reason: reason.into() },
         Progress::Waiting | Progress::Streaming(_) | Progress::Answered(_) => return,
     };
-    shared.log.request(&call.key, &call.caller.budget, what);
+    shared.log.add_for_request(&call.key, &call.caller.budget, what);
 }
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/keeper.rs
@@ -111,7 +111,7 @@
     let snapshot = shared.config.borrow().clone();
     if snapshot.budgets.len() <= shared.settings.money.ready_budgets {
         for budget in snapshot.budgets.keys() {
-            session.funds.expect(budget, EXPECTED);
+            session.funds.prepare(budget, EXPECTED);
         }
     }
 }
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -95,7 +95,7 @@
     if done && ruled {
         remove(shared, name).await;
         for budget in recovery::budgets(&journal) {
-            recovery::forget(store, &budget, name).await;
+            recovery::forget_grant(store, &budget, name).await;
         }
     }
 }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -27,8 +27,10 @@
 impl Session {
     /// Opens a session for a new incarnation.
     pub fn open(incarnation: Incarnation, setup: &Setup) -> Session {
-        let Setup { store, health, config, options, min_write_interval, log, peers, .. } = setup.clone();
-        let recorder = Recorder::spawn(incarnation, store.clone(), health.clone(), min_write_interval);
+        let Setup { store, health, config, options, min_write_interval, log, peers, .. } =
+            setup.clone();
+        let recorder =
+            Recorder::spawn(incarnation, store.clone(), health.clone(), min_write_interval);
         let funds = Funds::new(recorder.clone(), store, health, config, options, log);
         Session { recorder, funds: Arc::new(funds), peers, borrowed: Arc::default() }
     }
@@ -181,7 +183,7 @@
     }
 
     /// Unique id of this attempt, sent to the endpoint.
-    pub fn dispatch(&self) -> String {
+    pub fn attempt_id(&self) -> String {
         format!("{}-{}", self.session.incarnation(), self.record.n)
     }
 
--- a/crates/session/tests/world/mod.rs
+++ b/crates/session/tests/world/mod.rs
@@ -93,7 +93,7 @@
         let mut taken = 0;
         for (index, (way, carried, _)) in all.into_iter().enumerate() {
             let runs = *way.condition.borrow() == Condition::Running;
-            if index != self.me && runs && carried.take(by.clone(), entry.clone()) {
+            if index != self.me && runs && carried.insert(by.clone(), entry.clone()) {
                 taken += 1;
                 if let Entry::Record(record) = entry {
                     let id = format!("{by}-{}", record.n);
@@ -309,7 +309,7 @@
                 truth.lock().refused.insert(key);
                 return;
             }
-            let id = hold.dispatch();
+            let id = hold.attempt_id();
             if hold.is_offline() {
                 truth.lock().carriers.entry(id.clone()).or_default().push(way.clone());
             }
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -202,7 +202,7 @@
         }
         headers
     };
-    let headers = name(fixtures::answered(&arrived.head.id, None));
+    let headers = name(fixtures::response_headers(&arrived.head.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
     // Whoever asks for rest runs nothing.
     let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
--- a/crates/timeline/src/clock.rs
+++ b/crates/timeline/src/clock.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment: wall-clock milliseconds and a counter that keeps causal order.
+/// Hybrid logical timestamp: wall-clock milliseconds and a counter that keeps causal order.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp {
-    /// Milliseconds since 1970, as far as the clocks agree.
+    /// Milliseconds since the Unix epoch, of the most advanced wall clock seen.
     pub ms: u64,
-    /// Order within the millisecond.
+    /// Orders timestamps with the same `ms`.
     pub count: u32,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// The clock of one process.
+/// Hybrid logical clock of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Clock {
     last: Timestamp,
 }
 
 impl Clock {
-    /// A stamp later than all before it.
+    /// Returns a timestamp later than all issued or observed before.
     pub fn tick(&mut self, wall_ms: u64) -> Timestamp {
         self.last = match wall_ms > self.last.ms {
             true => Timestamp { ms: wall_ms, count: 0 },
@@ -46,9 +46,9 @@
         self.last
     }
 
-    /// Takes over a stamp that came with a message.
-    pub fn observe(&mut self, seen: Timestamp, wall_ms: u64) {
-        self.last = self.last.max(seen);
+    /// Advances the clock past the timestamp of a received message.
+    pub fn observe(&mut self, received: Timestamp, wall_ms: u64) {
+        self.last = self.last.max(received);
         self.tick(wall_ms);
     }
 }
@@ -61,10 +61,10 @@
 
     proptest! {
         #[test]
-        fn effects_come_after_causes(walls in prop::collection::vec((0u64..50, 0usize..3), 1..60)) {
+        fn effects_are_ordered_after_causes(readings in prop::collection::vec((0u64..50, 0usize..3), 1..60)) {
             let mut clocks = vec![Clock::default(); 3];
             let mut last = Timestamp::default();
-            for (wall, at) in walls {
+            for (wall, at) in readings {
                 clocks[at].observe(last, wall);
                 let next = clocks[at].tick(wall);
                 prop_assert!(next > last);
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -1,4 +1,4 @@
-//! The events of one process: stamped, rendered by `tracing`, the newest kept in a ring.
+//! Event log of one process: writes events through `tracing` and keeps the newest in memory.
 
 use std::{
     collections::VecDeque,
@@ -10,17 +10,17 @@
 
 use crate::{Clock, Event, EventKind, Timestamp};
 
-/// Events kept in memory.
-const RING: usize = 4_096;
+/// Number of events kept in memory.
+const MAX_EVENTS_KEPT: usize = 4_096;
 
 struct State {
     clock: Clock,
     seq: u64,
     by: Arc<str>,
-    ring: VecDeque<Event>,
+    recent: VecDeque<Event>,
 }
 
-/// Handle on the event log of one process.
+/// Handle to the event log of one process.
 #[derive(Clone)]
 pub struct Log(Arc<Mutex<State>>);
 
@@ -33,27 +33,28 @@
 impl Log {
     /// Opens a log for the incarnation `by`.
     pub fn open(by: impl Into<Arc<str>>) -> Log {
-        let state = State { clock: Clock::default(), seq: 0, by: by.into(), ring: VecDeque::new() };
+        let state =
+            State { clock: Clock::default(), seq: 0, by: by.into(), recent: VecDeque::new() };
         Log(Arc::new(Mutex::new(state)))
     }
 
-    /// Goes on under another incarnation's name.
-    pub fn rename(&self, by: impl Into<Arc<str>>) {
+    /// Sets the incarnation that later events are recorded under.
+    pub fn set_incarnation(&self, by: impl Into<Arc<str>>) {
         self.0.lock().by = by.into();
     }
 
-    /// Adds an event of the process itself.
+    /// Adds an event that belongs to no request or budget.
     pub fn add(&self, what: EventKind) {
         self.push(what, None, None);
     }
 
     /// Adds an event of one request.
-    pub fn request(&self, request: &Arc<str>, budget: &Arc<str>, what: EventKind) {
+    pub fn add_for_request(&self, request: &Arc<str>, budget: &Arc<str>, what: EventKind) {
         self.push(what, Some(request.clone()), Some(budget.clone()));
     }
 
     /// Adds an event of one budget.
-    pub fn budget(&self, budget: &Arc<str>, what: EventKind) {
+    pub fn add_for_budget(&self, budget: &Arc<str>, what: EventKind) {
         self.push(what, None, Some(budget.clone()));
     }
 
@@ -66,25 +67,25 @@
             let line = serde_json::to_string(&event).expect("events always serialize");
             tracing::info!(target: "timeline", event = %line);
         }
-        if state.ring.len() == RING {
-            state.ring.pop_front();
+        if state.recent.len() == MAX_EVENTS_KEPT {
+            state.recent.pop_front();
         }
-        state.ring.push_back(event);
+        state.recent.push_back(event);
     }
 
-    /// The stamp to send along with a message.
+    /// Returns a new timestamp, to be sent with a message.
     pub fn stamp(&self) -> Timestamp {
         self.0.lock().clock.tick(wall_ms())
     }
 
-    /// Takes over the stamp of a message that came in.
-    pub fn observe(&self, seen: Timestamp) {
-        self.0.lock().clock.observe(seen, wall_ms());
+    /// Advances the clock past the timestamp of a received message.
+    pub fn observe(&self, received: Timestamp) {
+        self.0.lock().clock.observe(received, wall_ms());
     }
 
-    /// The newest events, oldest first.
+    /// The events kept in memory, oldest first.
     pub fn events(&self) -> Vec<Event> {
-        self.0.lock().ring.iter().cloned().collect()
+        self.0.lock().recent.iter().cloned().collect()
     }
 }
 
