--- a/crates/config/src/accepted.rs
+++ b/crates/config/src/accepted.rs
@@ -43,7 +43,7 @@
     /// Write this accepted object.
     Accept(Accepted),
     /// The accepted object is already as new.
-    Keep,
+    UpToDate,
     /// The source is invalid: the last accepted spec stays, and the reason is reported in `status`.
     Invalid { reason: String },
 }
@@ -63,7 +63,7 @@
     accepted: Option<u64>,
 ) -> Verdict {
     if accepted.is_some_and(|accepted| accepted >= version) {
-        return Verdict::Keep;
+        return Verdict::UpToDate;
     }
     let Some(text) = value else {
         return Verdict::Accept(Accepted::deleted(kind, name, version));
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -34,8 +34,8 @@
     pub destroyed: BTreeMap<Arc<str>, Arc<Destroyed>>,
     /// Applied source version of each resource, deleted ones included.
     versions: BTreeMap<(Kind, Arc<str>), u64>,
-    newest: u64,
-    sum: u64,
+    newest_version: u64,
+    version_sum: u64,
 }
 
 impl Snapshot {
@@ -65,8 +65,8 @@
             }
         }
         let before = self.versions.insert(id, accepted.source).unwrap_or(0);
-        self.sum = self.sum.wrapping_add(accepted.source - before);
-        self.newest = self.newest.max(accepted.source);
+        self.version_sum = self.version_sum.wrapping_add(accepted.source - before);
+        self.newest_version = self.newest_version.max(accepted.source);
         Ok(true)
     }
 
@@ -91,14 +91,14 @@
     }
 
     /// The newest applied source version.
-    pub fn newest(&self) -> u64 {
-        self.newest
+    pub fn newest_version(&self) -> u64 {
+        self.newest_version
     }
 
-    /// Sum of all applied source versions. It grows with every change, so a box with a lower sum lacks
-    /// a change.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    /// Sum of all applied source versions. It grows with every change, so a box with a lower sum
+    /// lacks a change.
+    pub fn version_sum(&self) -> u64 {
+        self.version_sum
     }
 
     /// Whether an incarnation was declared destroyed.
--- a/crates/config/tests/forwards.rs
+++ b/crates/config/tests/monotonic.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_invalid_source_is_not_accepted_and_says_why() {
+fn an_invalid_source_is_refused_with_a_reason() {
     let verdict =
         validate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
     let Verdict::Invalid { reason } = verdict else { panic!("{verdict:?}") };
@@ -18,7 +18,7 @@
 
 proptest! {
     #[test]
-    fn the_newest_version_seen_is_in_force(versions in prop::collection::vec(1u64..40, 1..30)) {
+    fn the_newest_version_is_applied(versions in prop::collection::vec(1u64..40, 1..30)) {
         let mut snapshot = Snapshot::default();
         let mut newest = 0;
         for version in versions {
@@ -35,7 +35,7 @@
             let paid = snapshot.budgets.get("b").map(|budget| budget.paid);
             prop_assert_eq!(paid, (newest % 7 != 0).then_some(newest));
             let again = validate(Kind::Budget, "b", newest, None, Some(newest));
-            prop_assert!(matches!(again, Verdict::Keep));
+            prop_assert!(matches!(again, Verdict::UpToDate));
         }
     }
 }
--- a/crates/router/src/texts.rs
+++ b/crates/router/src/accepted.rs
@@ -7,11 +7,11 @@
 
 /// Newest text of each accepted object, with its source version.
 #[derive(Debug, Default)]
-pub struct Texts(BTreeMap<(Kind, Arc<str>), (u64, Arc<str>)>);
+pub struct AcceptedObjects(BTreeMap<(Kind, Arc<str>), (u64, Arc<str>)>);
 
-impl Texts {
+impl AcceptedObjects {
     /// Stores the text of an accepted object unless it has one as new.
-    pub fn keep(&mut self, accepted: &Accepted, text: &str) {
+    pub fn insert(&mut self, accepted: &Accepted, text: &str) {
         let id = (accepted.kind, accepted.name.clone());
         let older = self.0.get(&id).is_none_or(|(source, _)| *source < accepted.source);
         if older {
--- a/crates/router/src/turn.rs
+++ b/crates/router/src/admission.rs
@@ -6,69 +6,70 @@
 
 use crate::{
     call::Call,
-    lanes::Lanes,
     outcome::{Reason, Refusal},
+    queues::Queues,
     shared::Shared,
 };
 
 /// Interval for rechecking the queue: load that other boxes put on the pool wakes nobody here.
-const LOOK: Duration = Duration::from_millis(10);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An admitted request. Counts against the limits of its customer and route until dropped.
-pub struct Permit {
+pub struct Admission {
     shared: Arc<Shared>,
     customer: Arc<str>,
     route: Arc<str>,
     pool: Arc<str>,
 }
 
-impl Drop for Permit {
+impl Drop for Admission {
     fn drop(&mut self) {
-        let lanes = &self.shared.lanes;
-        lanes.leave(&self.customer, &self.route);
-        lanes.advance(&self.shared.endpoints, &self.pool, self.shared.now());
+        let queues = &self.shared.queues;
+        queues.leave(&self.customer, &self.route);
+        queues.advance(&self.shared.endpoints, &self.pool, self.shared.now());
     }
 }
 
 /// Removes a request from the queue when dropped.
-struct Place<'a> {
-    lanes: &'a Lanes,
+struct QueueEntry<'a> {
+    queues: &'a Queues,
     pool: &'a Arc<str>,
     id: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        self.lanes.give_up(self.pool, self.id);
+        self.queues.cancel(self.pool, self.id);
     }
 }
 
 /// Waits until a call may be dispatched, or refuses it.
-pub async fn enter(shared: &Arc<Shared>, call: &Call) -> Result<Permit, Refusal> {
-    let lanes = &shared.lanes;
+pub async fn acquire(shared: &Arc<Shared>, call: &Call) -> Result<Admission, Refusal> {
+    let queues = &shared.queues;
     let (customer, route) = (&call.caller.customer, &call.route_name);
-    lanes.count(call).map_err(limit_reached)?;
+    queues.count(call).map_err(limit_reached)?;
     let pool = call.route.pool.clone();
-    let permit = Permit {
+    let admission = Admission {
         shared: shared.clone(),
         customer: customer.clone(),
         route: route.clone(),
         pool: pool.clone(),
     };
-    let (id, verdict, mut turn) = lanes.offer(&shared.endpoints, call, shared.now());
+    let (id, verdict, mut admitted) = queues.offer(&shared.endpoints, call, shared.now());
     match verdict {
-        Verdict::Run => return Ok(permit),
+        Verdict::Run => return Ok(admission),
         Verdict::Refuse { after } => return Err(overloaded(Duration::from_millis(after))),
         Verdict::Wait => {}
     }
-    let _place = Place { lanes, pool: &pool, id };
+    let _entry = QueueEntry { queues, pool: &pool, id };
     let end = call.deadline();
     loop {
         tokio::select! {
-            started = &mut turn => {
-                return started.map(|()| permit).map_err(|_| overloaded(LOOK));
+            started = &mut admitted => {
+                return started.map(|()| admission).map_err(|_| overloaded(RECHECK_INTERVAL));
             }
-            () = tokio::time::sleep(LOOK) => lanes.advance(&shared.endpoints, &pool, shared.now()),
+            () = tokio::time::sleep(RECHECK_INTERVAL) =>
+                queues.advance(&shared.endpoints, &pool, shared.now()),
             () = tokio::time::sleep_until(end) => return Err(overloaded(Duration::from_secs(1))),
         }
     }
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -14,16 +14,16 @@
     call::{Call, Payload},
     chat::Chat,
     drive::drive,
-    flight::SOON,
+    in_flight::RETRY_DELAY,
     outcome::{Reason, Refusal},
     render,
-    requests::{Entered, Follower, Progress},
+    requests::{Follower, Progress, Registration},
     service::end_to_end,
     shared::Shared,
 };
 
 /// Longest request key, in bytes.
-const MAX_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// Handles requests of callers.
 pub struct Callers(pub Arc<Shared>);
@@ -40,13 +40,13 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        let came = Instant::now();
+        let received_at = Instant::now();
         let shared = &self.0;
-        let (key, keyed) = match request_key(shared, request) {
+        let (key, has_caller_key) = match request_key(shared, request) {
             Ok(key) => key,
             Err(refusal) => return render::refusal(response, &refusal, "-"),
         };
-        match self.respond(request, response, &key, keyed, came).await {
+        match self.respond(request, response, &key, has_caller_key, received_at).await {
             Ok(()) => {}
             Err(refusal) => render::refusal(response, &refusal, &key),
         }
@@ -59,8 +59,8 @@
         request: &mut Request,
         response: &mut Response,
         key: &Arc<str>,
-        keyed: bool,
-        came: Instant,
+        has_caller_key: bool,
+        received_at: Instant,
     ) -> Result<(), Refusal> {
         let snapshot = self.0.config.borrow().clone();
         let caller = authenticate(&snapshot, request)?;
@@ -82,30 +82,30 @@
             }
             _ => return Err(Reason::NoRoute.with("no route for this path and method")),
         };
-        let call = Call { key: key.clone(), keyed, came, ..call };
+        let call = Call { key: key.clone(), has_caller_key, received_at, ..call };
         self.answer(call, response).await
     }
 
     async fn answer(&self, call: Call, response: &mut Response) -> Result<(), Refusal> {
         let shared = &self.0;
         let (customer, key) = (call.caller.customer.clone(), call.key.clone());
-        let mut follower = match shared.requests.enter(&customer, &key, call.fingerprint) {
-            Entered::Mismatch => {
+        let mut follower = match shared.requests.register(&customer, &key, call.fingerprint) {
+            Registration::Mismatch => {
                 return Err(Reason::KeyReused.with("the key was already used for another request"));
             }
-            Entered::Joined(follower) => {
-                let what = timeline::EventKind::Replayed;
-                shared.log.add_for_request(&key, &call.caller.budget, what);
+            Registration::Joined(follower) => {
+                let event = timeline::EventKind::Replayed;
+                shared.log.add_for_request(&key, &call.caller.budget, event);
                 follower
             }
-            Entered::New(driver, follower) => {
+            Registration::New(driver, follower) => {
                 shared.tasks.spawn(drive(shared.clone(), call, driver));
                 follower
             }
         };
         let changed = follower.progress.wait_for(|now| !matches!(now, Progress::Waiting)).await;
         let progress = changed.map(|now| now.clone());
-        let progress = progress.unwrap_or(Progress::Unknown(crate::outcome::Unknown::Broken));
+        let progress = progress.unwrap_or(Progress::Unknown(crate::outcome::Unknown::Incomplete));
         write(progress, follower, response, &key)
     }
 }
@@ -151,16 +151,16 @@
 
 fn request_key(shared: &Shared, request: &Request) -> Result<(Arc<str>, bool), Refusal> {
     match request.headers().get("idempotency-key") {
-        None => Ok((format!("auto-{:016x}", shared.fresh()).into(), false)),
+        None => Ok((format!("auto-{:016x}", shared.random_u64()).into(), false)),
         Some(value) => {
             let text = value.to_str().unwrap_or_default();
             let fits = !text.is_empty()
-                && text.len() <= MAX_KEY
+                && text.len() <= MAX_KEY_BYTES
                 && text.bytes().all(|byte| byte.is_ascii_graphic());
             match fits {
                 true => Ok((text.into(), true)),
                 false => Err(Reason::Malformed.with(format!(
-                    "the idempotency key must be 1 to {MAX_KEY} visible ASCII characters"
+                    "the idempotency key must be 1 to {MAX_KEY_BYTES} visible ASCII characters"
                 ))),
             }
         }
@@ -185,8 +185,9 @@
         return Err(Reason::Forbidden.with(format!("`{name}` is not open to this customer")));
     }
     let pool = snapshot.pools.get(&route.pool);
-    let pool =
-        pool.ok_or_else(|| Reason::NoEndpoint.after("the pool of the route does not exist", SOON))?;
+    let pool = pool.ok_or_else(|| {
+        Reason::NoEndpoint.after("the pool of the route does not exist", RETRY_DELAY)
+    })?;
     Ok((route, pool))
 }
 
@@ -194,19 +195,19 @@
     route.customers.is_empty() || route.customers.contains(&caller.customer)
 }
 
-async fn body(request: &mut Request, most: u64) -> Result<Bytes, Refusal> {
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    match request.payload_with_max_size(most).await {
+async fn body(request: &mut Request, max_bytes: u64) -> Result<Bytes, Refusal> {
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    match request.payload_with_max_size(max_bytes).await {
         Ok(bytes) => Ok(bytes.clone()),
         Err(salvo::http::ParseError::PayloadTooLarge) => {
-            Err(Reason::TooLarge.with(format!("the body is larger than {most} bytes")))
+            Err(Reason::TooLarge.with(format!("the body is larger than {max_bytes} bytes")))
         }
         Err(_) => Err(Reason::Malformed.with("the body is incomplete")),
     }
 }
 
 /// Largest chat body read before its route is known, in bytes.
-const MAX_CHAT: u64 = 64 << 20;
+const MAX_CHAT_BYTES: u64 = 64 << 20;
 
 async fn chat_call(
     snapshot: &Snapshot,
@@ -214,8 +215,8 @@
     caller: Caller,
 ) -> Result<Call, Refusal> {
     let open = snapshot.routes.values().filter(|route| may_use(route, &caller));
-    let most = open.map(|route| route.max_body).max().unwrap_or(0).min(MAX_CHAT);
-    let bytes = body(request, most).await?;
+    let max_bytes = open.map(|route| route.max_body).max().unwrap_or(0).min(MAX_CHAT_BYTES);
+    let bytes = body(request, max_bytes).await?;
     let chat = Chat::read(&bytes)?;
     let (route, pool) = allowed(snapshot, &caller, &chat.model)?;
     if bytes.len() as u64 > route.max_body {
@@ -226,15 +227,15 @@
         return Err(Reason::NoRoute.with(format!("`{}` is not a model", chat.model)));
     }
     let limit = chat.max_tokens.unwrap_or(route.max_output).min(route.max_output);
-    let (worst, prefix) = (chat.worst(pool, limit), chat.prefix());
+    let (worst_case, prefix) = (chat.worst_case(pool, limit), chat.prefix());
     let (model, stream) = (chat.model.clone(), chat.stream);
     let route_name = model.clone();
     Ok(Call {
-        worst,
+        worst_case,
         prefix,
         fingerprint: xxh3_64_with_seed(&bytes, 1),
         payload: Payload::Chat { body: chat.body(limit), limit, stream, model },
-        ..empty(caller, route_name, route)
+        ..base_call(caller, route_name, route)
     })
 }
 
@@ -257,24 +258,24 @@
     let headers = end_to_end(request.headers());
     let route_name = name.into();
     Ok(Call {
-        worst: cost,
+        worst_case: cost,
         fingerprint: xxh3_64_with_seed(&bytes, seed),
         payload: Payload::Service { method, path, headers, body: bytes },
-        ..empty(caller, route_name, route)
+        ..base_call(caller, route_name, route)
     })
 }
 
-fn empty(caller: Caller, route_name: Arc<str>, route: &Arc<Route>) -> Call {
+fn base_call(caller: Caller, route_name: Arc<str>, route: &Arc<Route>) -> Call {
     Call {
         caller,
         key: "".into(),
-        keyed: false,
+        has_caller_key: false,
         route_name,
         route: route.clone(),
-        worst: 0,
+        worst_case: 0,
         prefix: balance::Prefix::default(),
         fingerprint: 0,
-        came: Instant::now(),
+        received_at: Instant::now(),
         payload: Payload::Chat { body: Bytes::new(), limit: 0, stream: false, model: "".into() },
     }
 }
@@ -295,7 +296,7 @@
     let count = count.ok_or_else(|| {
         Reason::Malformed.with(format!("`count` must be a whole number from 1 to {MAX_TICKETS}"))
     })?;
-    let issue = |_| shared.tickets.issue(&caller.customer, shared.fresh());
+    let issue = |_| shared.tickets.issue(&caller.customer, shared.random_u64());
     let issued: Vec<_> = (0..count).filter_map(issue).collect();
     let _ = response.add_header("content-type", "application/json", true);
     let _ = response.write_body(json!({"tickets": issued}).to_string());
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -43,19 +43,19 @@
     /// Request key, unique for the customer.
     pub key: Arc<str>,
     /// Whether the caller chose the key; only then can there be retries.
-    pub keyed: bool,
+    pub has_caller_key: bool,
     /// Name of the route.
     pub route_name: Arc<str>,
     /// The route.
     pub route: Arc<Route>,
     /// Most tokens that the call can use; they are reserved before it runs.
-    pub worst: u64,
+    pub worst_case: u64,
     /// Prefix of the prompt, for affinity.
     pub prefix: Prefix,
     /// Hash of the request, to detect a key reused for another request.
     pub fingerprint: u64,
     /// When it was received.
-    pub came: Instant,
+    pub received_at: Instant,
     /// What to send.
     pub payload: Payload,
 }
@@ -68,11 +68,11 @@
 
     /// Deadline for the first byte of the answer.
     pub fn deadline(&self) -> Instant {
-        self.came + Duration::from_millis(self.route.deadline_ms)
+        self.received_at + Duration::from_millis(self.route.deadline_ms)
     }
 
     /// Time left until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline().saturating_duration_since(Instant::now())
     }
 }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -62,7 +62,7 @@
     }
 
     /// Most tokens that the request can use, with `limit` output tokens.
-    pub fn worst(&self, pool: &Pool, limit: u64) -> u64 {
+    pub fn worst_case(&self, pool: &Pool, limit: u64) -> u64 {
         let bytes: usize = self.contents().map(str::len).sum();
         pool.max_prompt_tokens(bytes as u64) + limit
     }
@@ -118,7 +118,7 @@
 }
 
 /// Final events of a stream that is cut off at its output limit.
-pub fn cut_events(key: &str, prompt: u64, output: u64) -> Bytes {
+pub fn truncation_events(key: &str, prompt: u64, output: u64) -> Bytes {
     let value = json!({
         "id": key, "object": "chat.completion.chunk",
         "choices": [{"index": 0, "delta": {}, "finish_reason": "length"}],
@@ -136,7 +136,7 @@
     use super::*;
 
     #[test]
-    fn faults_are_named() {
+    fn invalid_bodies_are_refused_with_the_field() {
         let cases = [
             ("{", "not JSON"),
             ("[]", "no object"),
@@ -156,7 +156,7 @@
 
     proptest! {
         #[test]
-        fn any_body_is_read_or_refused(body in prop::collection::vec(any::<u8>(), 0..200)) {
+        fn any_body_is_parsed_or_refused(body in prop::collection::vec(any::<u8>(), 0..200)) {
             if let Err(refusal) = Chat::read(&body) {
                 prop_assert_eq!(refusal.reason, Reason::Malformed);
             }
@@ -169,7 +169,7 @@
             let pool: Pool = serde_json::from_value(json!({
                 "serves": {"model": {"bytes_per_token": 1}}, "endpoints": [],
             })).unwrap();
-            prop_assert_eq!(chat.worst(&pool, limit), content.len() as u64 + limit);
+            prop_assert_eq!(chat.worst_case(&pool, limit), content.len() as u64 + limit);
         }
     }
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -9,19 +9,19 @@
 use crate::shared::Shared;
 
 /// First delay between attempts to settle a claim; it doubles.
-const AGAIN: Duration = Duration::from_millis(100);
+const SETTLE_DELAY: Duration = Duration::from_millis(100);
 /// Longest delay between attempts to settle a claim.
-const AGAIN_MOST: Duration = Duration::from_secs(5);
+const MAX_SETTLE_DELAY: Duration = Duration::from_secs(5);
 /// First delay between reads of a claim that another attempt holds; it doubles.
-const LOOK: Duration = Duration::from_millis(40);
+const POLL_DELAY: Duration = Duration::from_millis(40);
 /// Longest delay between such reads.
-const LOOK_MOST: Duration = Duration::from_millis(640);
+const MAX_POLL_DELAY: Duration = Duration::from_millis(640);
 /// Writes tried for a claim before the platform counts as unreachable.
-const TRIES: u32 = 6;
+const MAX_WRITES: u32 = 6;
 
 /// A claim held by this box: it may run the request. Dropped before a dispatch, it records that the
 /// request did not run.
-pub struct Held {
+pub struct Guard {
     shared: Arc<Shared>,
     claim: Claim,
     settled: bool,
@@ -29,7 +29,7 @@
 
 /// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Miss {
+pub enum NotAcquired {
     /// The request ran before; its stored answer.
     Replay(claim::Answer),
     /// It may have run.
@@ -40,51 +40,51 @@
     Unreachable,
 }
 
-/// Acquires the claim within `patience`; its write has landed when this returns it.
+/// Acquires the claim within `timeout`; its write has landed when this returns it.
 ///
-/// While another attempt holds the claim, waits up to `left` for that attempt's answer.
-pub async fn take(
+/// While another attempt holds the claim, waits up to `time_left` for that attempt's answer.
+pub async fn acquire(
     shared: &Arc<Shared>,
     claim: Claim,
-    patience: Duration,
-    left: Duration,
-) -> Result<Held, Miss> {
-    let end = Instant::now() + left;
+    timeout: Duration,
+    time_left: Duration,
+) -> Result<Guard, NotAcquired> {
+    let end = Instant::now() + time_left;
     loop {
         // Created before the write: if this future is cancelled, dropping it settles a claim that
         // may have landed.
-        let held = Held { shared: shared.clone(), claim: claim.clone(), settled: false };
-        let miss = match tokio::time::timeout(patience, create(shared, &claim)).await {
-            Ok(Ok(())) => return Ok(held),
-            Ok(Err(Miss::Unreachable)) | Err(_) => return Err(Miss::Unreachable),
-            Ok(Err(miss)) => miss,
+        let guard = Guard { shared: shared.clone(), claim: claim.clone(), settled: false };
+        let error = match tokio::time::timeout(timeout, create(shared, &claim)).await {
+            Ok(Ok(())) => return Ok(guard),
+            Ok(Err(NotAcquired::Unreachable)) | Err(_) => return Err(NotAcquired::Unreachable),
+            Ok(Err(error)) => error,
         };
-        held.abandon();
-        if miss != Miss::Unknown {
-            return Err(miss);
+        guard.discard();
+        if error != NotAcquired::Unknown {
+            return Err(error);
         }
-        match tokio::time::timeout_at(end, follow(shared, &claim)).await {
-            Ok(Some(miss)) => return Err(miss),
+        match tokio::time::timeout_at(end, wait_for_answer(shared, &claim)).await {
+            Ok(Some(error)) => return Err(error),
             Ok(None) => {}
-            Err(_) => return Err(Miss::Unknown),
+            Err(_) => return Err(NotAcquired::Unknown),
         }
     }
 }
 
-async fn read(shared: &Shared, name: &str) -> Result<Option<(Claim, u64)>, Miss> {
+async fn read(shared: &Shared, name: &str) -> Result<Option<(Claim, u64)>, NotAcquired> {
     let found = shared.store.get("claim", name).await.map_err(|_| {
         shared.health.record_failure();
-        Miss::Unreachable
+        NotAcquired::Unreachable
     })?;
     let Some(object) = found else { return Ok(None) };
-    let claim = serde_json::from_str(&object.value).map_err(|_| Miss::Unknown)?;
+    let claim = serde_json::from_str(&object.value).map_err(|_| NotAcquired::Unknown)?;
     Ok(Some((claim, object.version)))
 }
 
-async fn create(shared: &Shared, mine: &Claim) -> Result<(), Miss> {
+async fn create(shared: &Shared, mine: &Claim) -> Result<(), NotAcquired> {
     let name = object_name(&mine.customer, &mine.key);
     let mut expect = Expect::Absent;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITES {
         let write = shared.store.put("claim", &name, mine.to_json(), expect).await;
         if let Write::Landed(_) = write {
             shared.health.record_success();
@@ -95,25 +95,25 @@
             Some((claim, version)) => match claim.decide(mine) {
                 Decision::Own => return Ok(()),
                 Decision::Take => Expect::Version(version),
-                Decision::Replay(answer) => return Err(Miss::Replay(answer)),
-                Decision::Unknown => return Err(Miss::Unknown),
-                Decision::Mismatch => return Err(Miss::Mismatch),
+                Decision::Replay(answer) => return Err(NotAcquired::Replay(answer)),
+                Decision::Unknown => return Err(NotAcquired::Unknown),
+                Decision::Mismatch => return Err(NotAcquired::Mismatch),
             },
         };
     }
-    Err(Miss::Unreachable)
+    Err(NotAcquired::Unreachable)
 }
 
 /// Waits for the answer of another attempt; `None` once that attempt records that it did not run.
-async fn follow(shared: &Shared, mine: &Claim) -> Option<Miss> {
+async fn wait_for_answer(shared: &Shared, mine: &Claim) -> Option<NotAcquired> {
     let name = object_name(&mine.customer, &mine.key);
-    let mut wait = LOOK;
+    let mut delay = POLL_DELAY;
     loop {
-        tokio::time::sleep(wait + shared.jitter(wait)).await;
-        wait = (wait * 2).min(LOOK_MOST);
+        tokio::time::sleep(delay + shared.jitter(delay)).await;
+        delay = (delay * 2).min(MAX_POLL_DELAY);
         let Ok(Some((claim, _))) = read(shared, &name).await else { continue };
         match claim.decide(mine) {
-            Decision::Replay(answer) => return Some(Miss::Replay(answer)),
+            Decision::Replay(answer) => return Some(NotAcquired::Replay(answer)),
             Decision::Take => return None,
             Decision::Unknown | Decision::Own | Decision::Mismatch => {}
         }
@@ -121,25 +121,25 @@
 }
 
 /// A claim for a ticket, which runs without writing it first: the outcome creates the object.
-pub fn later(shared: &Arc<Shared>, claim: Claim) -> Held {
-    Held { shared: shared.clone(), claim, settled: false }
+pub fn deferred(shared: &Arc<Shared>, claim: Claim) -> Guard {
+    Guard { shared: shared.clone(), claim, settled: false }
 }
 
 /// Reads what is recorded of a request that this box may not run.
-pub async fn recorded(shared: &Shared, claim: &Claim) -> Miss {
+pub async fn read_outcome(shared: &Shared, claim: &Claim) -> NotAcquired {
     match read(shared, &object_name(&claim.customer, &claim.key)).await {
         Ok(Some((found, _))) => match found.decide(claim) {
-            Decision::Replay(answer) => Miss::Replay(answer),
-            Decision::Mismatch => Miss::Mismatch,
-            Decision::Own | Decision::Unknown | Decision::Take => Miss::Unknown,
+            Decision::Replay(answer) => NotAcquired::Replay(answer),
+            Decision::Mismatch => NotAcquired::Mismatch,
+            Decision::Own | Decision::Unknown | Decision::Take => NotAcquired::Unknown,
         },
-        Ok(None) | Err(_) => Miss::Unknown,
+        Ok(None) | Err(_) => NotAcquired::Unknown,
     }
 }
 
-impl Held {
+impl Guard {
     /// Drops the claim without settling it: another attempt owns it.
-    fn abandon(mut self) {
+    fn discard(mut self) {
         self.settled = true;
     }
 
@@ -159,7 +159,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Guard {
     /// Without an outcome the request was not dispatched.
     fn drop(&mut self) {
         if !self.settled {
@@ -172,7 +172,7 @@
 async fn settle(shared: Arc<Shared>, claim: Claim, state: State) {
     let name = object_name(&claim.customer, &claim.key);
     let text = claim.with(state.clone()).to_json();
-    let mut wait = AGAIN;
+    let mut delay = SETTLE_DELAY;
     loop {
         match shared.store.get("claim", &name).await {
             Ok(Some(object)) => {
@@ -197,9 +197,9 @@
             Err(_) => shared.health.record_failure(),
         }
         tokio::select! {
-            () = tokio::time::sleep(wait + shared.jitter(wait)) => {}
+            () = tokio::time::sleep(delay + shared.jitter(delay)) => {}
             () = shared.ended.cancelled() => return,
         }
-        wait = (wait * 2).min(AGAIN_MOST);
+        delay = (delay * 2).min(MAX_SETTLE_DELAY);
     }
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -11,23 +11,23 @@
 
 use crate::{
     call::Call,
-    flight::{Flight, no_endpoint},
+    in_flight::{InFlight, no_endpoint},
     outcome::{Reason, Unknown},
     requests::Progress,
     shared::Shared,
 };
 
 /// Most endpoints tried for one call.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// Result of sending a request to one endpoint.
 pub enum Sent {
     /// The endpoint answered with these headers; the body follows.
-    Answering(Response),
+    Answered(Response),
     /// Provably not run, with the back-off that the endpoint asked for, if any.
-    NotReceived { failure: Failure, rest: Option<Duration> },
+    NotRun { failure: Failure, back_off: Option<Duration> },
     /// It may have run.
-    Doubt(Unknown),
+    Uncertain(Unknown),
 }
 
 /// Sends to the chosen endpoint, then to others as long as each provably did not run the call.
@@ -35,54 +35,54 @@
     shared: &Arc<Shared>,
     call: &Call,
     hold: &Hold,
-    mut flight: Flight,
+    mut in_flight: InFlight,
     build: impl Fn(&str) -> reqwest::RequestBuilder,
-) -> Result<(Flight, Sent), Progress> {
+) -> Result<(InFlight, Sent), Progress> {
     let mut tried = Vec::new();
-    let dispatch = hold.attempt_id();
+    let attempt_id = hold.attempt_id();
     loop {
         if hold.is_sealed() {
             let message = "another box sealed this box's journal before the request was dispatched";
             return Err(Progress::Refused(Reason::Replaced.with(message)));
         }
-        let endpoint = flight.target.name.clone();
-        let what = EventKind::Dispatched { endpoint: endpoint.clone() };
-        shared.log.add_for_request(&call.key, &call.caller.budget, what);
-        let request = build(&flight.target.address)
-            .header("x-request-id", &dispatch)
+        let endpoint = in_flight.target.name.clone();
+        let event = EventKind::Dispatched { endpoint: endpoint.clone() };
+        shared.log.add_for_request(&call.key, &call.caller.budget, event);
+        let request = build(&in_flight.target.address)
+            .header("x-request-id", &attempt_id)
             .header("idempotency-key", format!("{}.{}", call.caller.customer, call.key))
             .header("x-budget", &*call.caller.budget)
             .header("x-priority", call.class().priority().to_string())
             .header("x-stamp", shared.log.stamp().to_string());
-        let sent = send(request, call.left(), &dispatch).await;
+        let sent = send(request, call.time_left(), &attempt_id).await;
         match sent {
-            Sent::NotReceived { failure, rest } => {
-                if let Some(rest) = rest {
-                    shared.endpoints.rest(&flight.target.name, rest, shared.now());
+            Sent::NotRun { failure, back_off } => {
+                if let Some(back_off) = back_off {
+                    shared.endpoints.back_off(&in_flight.target.name, back_off, shared.now());
                 }
-                flight.failure = Some(failure);
+                in_flight.failure = Some(failure);
                 tried.push(endpoint);
-                drop(flight);
-                let next = (tried.len() < TRIES).then(|| Flight::start(shared, call, &tried));
-                flight = next.flatten().ok_or_else(|| Progress::Refused(no_endpoint()))?;
+                drop(in_flight);
+                let next = (tried.len() < MAX_TRIES).then(|| InFlight::start(shared, call, &tried));
+                in_flight = next.flatten().ok_or_else(|| Progress::Refused(no_endpoint()))?;
             }
-            Sent::Doubt(_) => {
-                flight.failure = Some(Failure::Silent);
-                return Ok((flight, sent));
+            Sent::Uncertain(_) => {
+                in_flight.failure = Some(Failure::Silent);
+                return Ok((in_flight, sent));
             }
-            Sent::Answering(_) => {
-                note_place(shared, call, &flight, &dispatch);
-                return Ok((flight, sent));
+            Sent::Answered(_) => {
+                report_place(shared, call, &in_flight, &attempt_id);
+                return Ok((in_flight, sent));
             }
         }
     }
 }
 
-fn note_place(shared: &Arc<Shared>, call: &Call, flight: &Flight, dispatch: &str) {
-    if call.keyed && call.route.repeatable {
-        let endpoint = flight.target.address.clone();
-        let place = Place { by: shared.me(), endpoint, dispatch: dispatch.into() };
-        shared.note_place(&call.caller.customer, &call.key, place);
+fn report_place(shared: &Arc<Shared>, call: &Call, in_flight: &InFlight, attempt_id: &str) {
+    if call.has_caller_key && call.route.repeatable {
+        let endpoint = in_flight.target.address.clone();
+        let place = Place { by: shared.me(), endpoint, dispatch: attempt_id.into() };
+        shared.report_place(&call.caller.customer, &call.key, place);
     }
 }
 
@@ -97,29 +97,29 @@
 }
 
 /// Sends one request and decides whether it may have run.
-pub async fn send(request: reqwest::RequestBuilder, within: Duration, dispatch: &str) -> Sent {
-    let answer = match tokio::time::timeout(within, request.send()).await {
+pub async fn send(request: reqwest::RequestBuilder, timeout: Duration, attempt_id: &str) -> Sent {
+    let answer = match tokio::time::timeout(timeout, request.send()).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) if error.is_connect() => {
-            return Sent::NotReceived { failure: Failure::Silent, rest: None };
+            return Sent::NotRun { failure: Failure::Silent, back_off: None };
         }
-        Ok(Err(_)) | Err(_) => return Sent::Doubt(Unknown::Silent),
+        Ok(Err(_)) | Err(_) => return Sent::Uncertain(Unknown::NoResponse),
     };
     if answer.status() == http::StatusCode::SERVICE_UNAVAILABLE {
         // An invalid Retry-After counts as none.
-        let rest = retry_after::read(answer.headers()).and_then(Result::ok);
+        let back_off = retry_after::read(answer.headers()).and_then(Result::ok);
         let refused = answer.json::<Refused>().await;
         return match refused {
             Ok(Refused { error: RefusedError { ran: false } }) => {
-                Sent::NotReceived { failure: Failure::Refused, rest }
+                Sent::NotRun { failure: Failure::Refused, back_off }
             }
-            _ => Sent::Doubt(Unknown::Broken),
+            _ => Sent::Uncertain(Unknown::Incomplete),
         };
     }
     let echoed = answer.headers().get("x-request-id").and_then(|id| id.to_str().ok());
     match echoed {
         // The answer belongs to another request.
-        Some(echoed) if echoed != dispatch => Sent::Doubt(Unknown::Broken),
-        _ => Sent::Answering(answer),
+        Some(echoed) if echoed != attempt_id => Sent::Uncertain(Unknown::Incomplete),
+        _ => Sent::Answered(answer),
     }
 }
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -9,81 +9,85 @@
 use wire::Location;
 
 use crate::{
+    admission,
     answer::Answer,
     call::{Call, Payload},
-    claims::{self, Miss},
+    claims::{self, NotAcquired},
     endpoints::Target,
-    flight::{Flight, SOON, Secured, no_endpoint},
-    metrics::Finished,
+    in_flight::{InFlight, Prepared, RETRY_DELAY, no_endpoint},
+    metrics::RequestLabels,
     outcome::{Reason, Refusal, Unknown},
     relay,
     requests::{Driver, Progress},
     service,
     shared::Shared,
     tickets::Kind,
-    turn,
 };
 
 /// Interval for looking up a run that another box is about to start.
-const WAIT_SOON: Duration = Duration::from_millis(20);
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a call to its end and publishes its progress to its followers.
 pub async fn drive(shared: Arc<Shared>, call: Call, driver: Driver) {
-    shared.metrics.under_way.inc();
+    shared.metrics.in_flight.inc();
     let progress = run(&shared, &call, &driver).await;
-    note(&shared, &call, &progress);
+    record_outcome(&shared, &call, &progress);
     driver.end(progress);
-    shared.metrics.under_way.dec();
+    shared.metrics.in_flight.dec();
 }
 
 async fn run(shared: &Arc<Shared>, call: &Call, driver: &Driver) -> Progress {
     shared.log.add_for_request(&call.key, &call.caller.budget, EventKind::Received);
-    if let Some(progress) = elsewhere(shared, call, driver).await {
+    if let Some(progress) = attach_to_other_run(shared, call, driver).await {
         return progress;
     }
-    let _permit = match turn::enter(shared, call).await {
+    let _admission = match admission::acquire(shared, call).await {
         Ok(permit) => permit,
         Err(refusal) => return Progress::Refused(refusal),
     };
-    let Some(flight) = Flight::start(shared, call, &[]) else {
+    let Some(in_flight) = InFlight::start(shared, call, &[]) else {
         return Progress::Refused(no_endpoint());
     };
-    let secured = match secure(shared, call, &flight.target).await {
-        Ok(secured) => secured,
+    let prepared = match prepare(shared, call, &in_flight.target).await {
+        Ok(prepared) => prepared,
         Err(progress) => return progress,
     };
     match &call.payload {
-        Payload::Chat { .. } => relay::chat(shared, call, driver, secured, flight).await,
-        Payload::Service { .. } => service::serve(shared, call, secured, flight).await,
+        Payload::Chat { .. } => relay::chat(shared, call, driver, prepared, in_flight).await,
+        Payload::Service { .. } => service::serve(shared, call, prepared, in_flight).await,
     }
 }
 
 /// Attaches to a run of the same request started by another box, if its engine still has it.
-async fn elsewhere(shared: &Arc<Shared>, call: &Call, driver: &Driver) -> Option<Progress> {
+async fn attach_to_other_run(
+    shared: &Arc<Shared>,
+    call: &Call,
+    driver: &Driver,
+) -> Option<Progress> {
     let is_chat = matches!(call.payload, Payload::Chat { .. });
-    if !call.keyed || !is_chat || !call.route.repeatable {
+    if !call.has_caller_key || !is_chat || !call.route.repeatable {
         return None;
     }
     loop {
         match shared.find_place(&call.caller.customer, &call.key).await {
             Location::Nowhere => return None,
             Location::Place(place) => return relay::attach(shared, call, driver, &place).await,
-            Location::Soon if call.left() < WAIT_SOON => return None,
-            Location::Soon => tokio::time::sleep(WAIT_SOON).await,
+            Location::Soon if call.time_left() < LOOKUP_INTERVAL => return None,
+            Location::Soon => tokio::time::sleep(LOOKUP_INTERVAL).await,
         }
     }
 }
 
-async fn secure(shared: &Arc<Shared>, call: &Call, target: &Target) -> Result<Secured, Progress> {
+async fn prepare(shared: &Arc<Shared>, call: &Call, target: &Target) -> Result<Prepared, Progress> {
     if call.route.repeatable {
         let hold = hold(shared, call, target).await.map_err(Progress::Refused)?;
-        return Ok(Secured { hold, claim: None });
+        return Ok(Prepared { hold, claim: None });
     }
     let claim = Claim {
         customer: call.caller.customer.clone(),
         key: call.key.clone(),
         by: shared.me(),
-        attempt: shared.fresh(),
+        attempt: shared.random_u64(),
         fingerprint: call.fingerprint,
         state: claim::State::Open,
     };
@@ -92,35 +96,35 @@
             return Err(Progress::Refused(claim_unreachable()));
         }
         Kind::Plain => {}
-        Kind::Fresh => return secure_ticket(shared, call, target, claim).await,
+        Kind::Unused => return prepare_ticket(shared, call, target, claim).await,
         Kind::Used | Kind::Foreign => {
-            return Err(missed(claims::recorded(shared, &claim).await));
+            return Err(not_acquired(claims::read_outcome(shared, &claim).await));
         }
     }
-    let patience = patience(shared, call);
-    let taking = claims::take(shared, claim, patience, call.left());
-    let (held, hold) = tokio::join!(taking, hold(shared, call, target));
+    let platform_timeout = platform_timeout(shared, call);
+    let taking = claims::acquire(shared, claim, platform_timeout, call.time_left());
+    let (guard, hold) = tokio::join!(taking, hold(shared, call, target));
     // If one of the two failed, dropping the other records that the request did not run.
-    let held = held.map_err(missed)?;
+    let guard = guard.map_err(not_acquired)?;
     let hold = hold.map_err(Progress::Refused)?;
-    Ok(Secured { hold, claim: Some(held) })
+    Ok(Prepared { hold, claim: Some(guard) })
 }
 
 /// A ticket issued by this box needs no claim before the run: only this process may use it, once.
-async fn secure_ticket(
+async fn prepare_ticket(
     shared: &Arc<Shared>,
     call: &Call,
     target: &Target,
     claim: Claim,
-) -> Result<Secured, Progress> {
+) -> Result<Prepared, Progress> {
     let customer = &call.caller.customer;
-    if !shared.tickets.use_up(customer, &call.key) {
-        return Err(missed(claims::recorded(shared, &claim).await));
+    if !shared.tickets.consume(customer, &call.key) {
+        return Err(not_acquired(claims::read_outcome(shared, &claim).await));
     }
     match hold(shared, call, target).await {
-        Ok(hold) => Ok(Secured { hold, claim: Some(claims::later(shared, claim)) }),
+        Ok(hold) => Ok(Prepared { hold, claim: Some(claims::deferred(shared, claim)) }),
         Err(refusal) => {
-            shared.tickets.give_back(customer, &call.key);
+            shared.tickets.restore(customer, &call.key);
             Err(Progress::Refused(refusal))
         }
     }
@@ -128,18 +132,20 @@
 
 fn claim_unreachable() -> Refusal {
     let message = "the platform is unreachable, and this call must not run twice";
-    Reason::ClaimUnreachable.after(message, SOON)
+    Reason::ClaimUnreachable.after(message, RETRY_DELAY)
 }
 
-fn missed(miss: Miss) -> Progress {
-    match miss {
-        Miss::Unknown => Progress::Unknown(Unknown::Claimed),
-        Miss::Mismatch => Progress::Refused(
+fn not_acquired(error: NotAcquired) -> Progress {
+    match error {
+        NotAcquired::Unknown => Progress::Unknown(Unknown::Claimed),
+        NotAcquired::Mismatch => Progress::Refused(
             Reason::KeyReused.with("the key was already used for another request"),
         ),
-        Miss::Unreachable => Progress::Refused(claim_unreachable()),
-        Miss::Replay(claim::Answer { body: None, .. }) => Progress::Unknown(Unknown::NotKept),
-        Miss::Replay(answer) => {
+        NotAcquired::Unreachable => Progress::Refused(claim_unreachable()),
+        NotAcquired::Replay(claim::Answer { body: None, .. }) => {
+            Progress::Unknown(Unknown::NotStored)
+        }
+        NotAcquired::Replay(answer) => {
             let mut headers = http::HeaderMap::new();
             if let Ok(value) = answer.content_type.parse() {
                 headers.insert(http::header::CONTENT_TYPE, value);
@@ -150,8 +156,8 @@
     }
 }
 
-fn patience(shared: &Shared, call: &Call) -> Duration {
-    Duration::from_millis(shared.settings.money.patience_ms).min(call.left())
+fn platform_timeout(shared: &Shared, call: &Call) -> Duration {
+    Duration::from_millis(shared.settings.money.patience_ms).min(call.time_left())
 }
 
 async fn hold(shared: &Arc<Shared>, call: &Call, target: &Target) -> Result<Hold, Refusal> {
@@ -161,12 +167,13 @@
         customer: call.caller.customer.clone(),
         key: call.key.clone(),
         part: Part::Online,
-        reserved: call.worst,
+        reserved: call.worst_case,
         endpoint: target.name.clone(),
         outcome: None,
     };
-    let hold = shared.sessions.hold(record, patience(shared, call)).await.map_err(refused)?;
-    note_held(shared, call, &hold);
+    let hold =
+        shared.sessions.hold(record, platform_timeout(shared, call)).await.map_err(refused)?;
+    log_reservation(shared, call, &hold);
     Ok(hold)
 }
 
@@ -174,12 +181,12 @@
     let message = denied.to_string();
     match denied {
         Rejection::Exhausted | Rejection::Missing => Reason::BudgetExhausted.with(message),
-        Rejection::OfflineExhausted => Reason::OfflineExhausted.after(message, SOON),
-        Rejection::Replaced => Reason::Replaced.after(message, SOON),
+        Rejection::OfflineExhausted => Reason::OfflineExhausted.after(message, RETRY_DELAY),
+        Rejection::Replaced => Reason::Replaced.after(message, RETRY_DELAY),
     }
 }
 
-fn note_held(shared: &Shared, call: &Call, hold: &Hold) {
+fn log_reservation(shared: &Shared, call: &Call, hold: &Hold) {
     let (tokens, offline) = (hold.record().reserved, hold.is_offline());
     let budget = &call.caller.budget;
     shared.log.add_for_request(&call.key, budget, EventKind::Reserved { tokens, offline });
@@ -189,18 +196,18 @@
     }
 }
 
-fn note(shared: &Shared, call: &Call, progress: &Progress) {
+fn record_outcome(shared: &Shared, call: &Call, progress: &Progress) {
     let (outcome, reason) = match progress {
         Progress::Refused(refusal) => ("not-run", refusal.reason.as_str()),
         Progress::Unknown(unknown) => ("unknown", unknown.as_str()),
         Progress::Waiting | Progress::Streaming(_) | Progress::Answered(_) => ("answered", ""),
     };
     let class = call.class().as_str();
-    shared.metrics.requests.get_or_create(&Finished { class, outcome, reason }).inc();
-    let what = match progress {
+    shared.metrics.requests.get_or_create(&RequestLabels { class, outcome, reason }).inc();
+    let event = match progress {
         Progress::Refused(_) => EventKind::Refused { reason: reason.into() },
         Progress::Unknown(_) => EventKind::Unknown { reason: reason.into() },
         Progress::Waiting | Progress::Streaming(_) | Progress::Answered(_) => return,
     };
-    shared.log.add_for_request(&call.key, &call.caller.budget, what);
+    shared.log.add_for_request(&call.key, &call.caller.budget, event);
 }
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 
 /// Concurrent requests assumed for an endpoint that reports no number of slots.
-const SLOTS_UNKNOWN: f64 = 1_000.0;
+const DEFAULT_SLOTS: f64 = 1_000.0;
 
 /// Who says that an endpoint is leaving; any one suffices.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct Entry {
     pool: Arc<str>,
     address: Arc<str>,
     model: bool,
@@ -38,7 +38,7 @@
 
 struct State {
     pools: HashMap<Arc<str>, Pool>,
-    places: HashMap<Arc<str>, Place>,
+    entries: HashMap<Arc<str>, Entry>,
     random: ChaCha8Rng,
 }
 
@@ -72,29 +72,29 @@
     /// Starts without endpoints; those in `zone` will be preferred.
     pub fn new(zone: Arc<str>, seed: u64) -> Endpoints {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        let state = State { pools: HashMap::new(), places: HashMap::new(), random };
+        let state = State { pools: HashMap::new(), entries: HashMap::new(), random };
         Endpoints { state: Mutex::new(state), zone }
     }
 
     /// Applies the configured pools; returns endpoints that started to leave.
     pub fn update(&self, snapshot: &Configuration, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
-        let mut known = std::mem::take(&mut state.places);
+        let mut known = std::mem::take(&mut state.entries);
         for (name, spec) in &snapshot.pools {
             let list = spec.endpoints.iter().map(|e| (e.name.clone(), e.zone.clone()));
             let fresh = || Pool::new(self.zone.clone(), Weights::default());
             state.pools.entry(name.clone()).or_insert_with(fresh).update(list, now);
             for endpoint in &spec.endpoints {
                 let before = known.remove(&endpoint.name);
-                let mut leaving = before.map_or(Leaving::default(), |place| place.leaving);
+                let mut leaving = before.map_or(Leaving::default(), |entry| entry.leaving);
                 leaving.by_spec = endpoint.leaving;
-                let place = Place {
+                let entry = Entry {
                     pool: name.clone(),
                     address: endpoint.address.clone(),
                     model: matches!(spec.serves, Workload::Model(_)),
                     leaving,
                 };
-                state.places.insert(endpoint.name.clone(), place);
+                state.entries.insert(endpoint.name.clone(), entry);
             }
         }
         state.pools.retain(|name, _| snapshot.pools.contains_key(name));
@@ -102,11 +102,11 @@
     }
 
     /// Applies the platform's list of hosts; returns endpoints that started to leave.
-    pub fn hosts(&self, hosts: &[objects::Host]) -> Vec<Arc<str>> {
+    pub fn apply_hosts(&self, hosts: &[objects::Host]) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
         for host in hosts {
-            if let Some(place) = state.places.get_mut(&host.name) {
-                place.leaving.by_host = host.leaving;
+            if let Some(entry) = state.entries.get_mut(&host.name) {
+                entry.leaving.by_host = host.leaving;
             }
         }
         state.refresh()
@@ -121,11 +121,11 @@
         now: u64,
     ) -> Option<Target> {
         let mut state = self.state.lock();
-        let State { pools, places, random } = &mut *state;
+        let State { pools, entries, random } = &mut *state;
         let pool = pools.get_mut(pool)?;
         let choice = pool.choose(prefix, tried, now, random)?;
         pool.start(&choice.name, prefix, now);
-        let address = places.get(&choice.name)?.address.clone();
+        let address = entries.get(&choice.name)?.address.clone();
         Some(Target { name: choice.name, address })
     }
 
@@ -136,13 +136,13 @@
         }
     }
 
-    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make the
-    /// endpoint look idle and attract more requests.
-    pub fn rest(&self, endpoint: &str, rest: Duration, now: u64) {
+    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make
+    /// the endpoint look idle and attract more requests.
+    pub fn back_off(&self, endpoint: &str, back_off: Duration, now: u64) {
         let mut state = self.state.lock();
-        let State { pools, places, .. } = &mut *state;
-        let pool = places.get(endpoint).and_then(|place| pools.get_mut(&place.pool));
-        let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+        let State { pools, entries, .. } = &mut *state;
+        let pool = entries.get(endpoint).and_then(|entry| pools.get_mut(&entry.pool));
+        let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
         if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
             tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
         }
@@ -157,7 +157,7 @@
         for endpoint in usable {
             capacity.load += endpoint.load(now);
             // Without a report, practically unlimited.
-            capacity.slots += endpoint.slots().map_or(SLOTS_UNKNOWN, f64::from);
+            capacity.slots += endpoint.slots().map_or(DEFAULT_SLOTS, f64::from);
         }
         capacity
     }
@@ -165,15 +165,20 @@
     /// Requests in flight by pool, to send to peers.
     pub fn snapshot(&self) -> Vec<(Arc<str>, Vec<Snapshot>)> {
         let state = self.state.lock();
-        let told = state.pools.iter().map(|(name, pool)| (name.clone(), pool.snapshot()));
-        told.filter(|(_, snapshot)| !snapshot.is_empty()).collect()
+        let reported = state.pools.iter().map(|(name, pool)| (name.clone(), pool.snapshot()));
+        reported.filter(|(_, snapshot)| !snapshot.is_empty()).collect()
     }
 
     /// Applies a peer's requests in flight.
-    pub fn peer(&self, peer: &Arc<str>, told: &[(Arc<str>, Vec<Snapshot>)], now: u64) {
+    pub fn receive_peer_load(
+        &self,
+        peer: &Arc<str>,
+        reported: &[(Arc<str>, Vec<Snapshot>)],
+        now: u64,
+    ) {
         let mut state = self.state.lock();
         for (name, pool) in &mut state.pools {
-            let of_pool = told.iter().find(|(told, _)| told == name);
+            let of_pool = reported.iter().find(|(reported, _)| reported == name);
             pool.receive_peer_load(peer, of_pool.map_or(&[], |(_, snapshots)| snapshots), now);
         }
     }
@@ -181,39 +186,39 @@
     /// Addresses of the engines in the pool of endpoint `first`, starting with its own.
     ///
     /// Empty for plain services: they report no runs, and the request would be a call to them.
-    pub fn engines_beside(&self, first: &str) -> Vec<Arc<str>> {
+    pub fn pool_engines(&self, first: &str) -> Vec<Arc<str>> {
         let state = self.state.lock();
-        let Some(pool) = state.places.get(first).map(|place| place.pool.clone()) else {
+        let Some(pool) = state.entries.get(first).map(|entry| entry.pool.clone()) else {
             return Vec::new();
         };
         let mut found: Vec<(bool, Arc<str>)> = state
-            .places
+            .entries
             .iter()
-            .filter(|(_, place)| place.model && place.pool == pool)
-            .map(|(name, place)| (&**name != first, place.address.clone()))
+            .filter(|(_, entry)| entry.model && entry.pool == pool)
+            .map(|(name, entry)| (&**name != first, entry.address.clone()))
             .collect();
         found.sort();
         found.into_iter().map(|(_, address)| address).collect()
     }
 
     /// All engines, that is, endpoints that serve a model.
-    pub fn models(&self) -> Vec<Target> {
+    pub fn engines(&self) -> Vec<Target> {
         let state = self.state.lock();
-        let models = state.places.iter().filter(|(_, place)| place.model);
-        models
-            .map(|(name, place)| Target { name: name.clone(), address: place.address.clone() })
+        let engines = state.entries.iter().filter(|(_, entry)| entry.model);
+        engines
+            .map(|(name, entry)| Target { name: name.clone(), address: entry.address.clone() })
             .collect()
     }
 
     /// Applies a load report; returns endpoints that started to leave.
-    pub fn report(&self, endpoint: &Arc<str>, load: &Load, now: u64) -> Vec<Arc<str>> {
+    pub fn receive_load(&self, endpoint: &Arc<str>, load: &Load, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
-        let State { pools, places, .. } = &mut *state;
-        let Some(place) = places.get_mut(endpoint) else { return Vec::new() };
-        place.leaving.by_report = load.leaving;
+        let State { pools, entries, .. } = &mut *state;
+        let Some(entry) = entries.get_mut(endpoint) else { return Vec::new() };
+        entry.leaving.by_report = load.leaving;
         let at = now.saturating_sub(load.age_ms);
         let (running, waiting, slots) = (load.running, load.waiting, load.slots);
-        if let Some(pool) = pools.get_mut(&place.pool) {
+        if let Some(pool) = pools.get_mut(&entry.pool) {
             pool.report(endpoint, Report { at, running, waiting, slots });
         }
         state.refresh()
@@ -224,13 +229,13 @@
     /// Copies the leaving marks to the pools; returns the endpoints newly marked.
     fn refresh(&mut self) -> Vec<Arc<str>> {
         let mut fresh = Vec::new();
-        for (name, place) in &self.places {
-            let endpoint = self.pools.get_mut(&place.pool).and_then(|pool| pool.get_mut(name));
+        for (name, entry) in &self.entries {
+            let endpoint = self.pools.get_mut(&entry.pool).and_then(|pool| pool.get_mut(name));
             let Some(endpoint) = endpoint else { continue };
-            if place.leaving.any() && !endpoint.leaving {
+            if entry.leaving.any() && !endpoint.leaving {
                 fresh.push(name.clone());
             }
-            endpoint.leaving = place.leaving.any();
+            endpoint.leaving = entry.leaving.any();
         }
         fresh
     }
--- a/crates/router/src/relayed.rs
+++ b/crates/router/src/fallback.rs
@@ -1,8 +1,8 @@
 //! The platform, reached directly or through a peer that can reach it.
 //!
 //! A box that cannot connect to the platform keeps full service while it reaches a peer that can:
-//! the peer makes the calls. The peer only forwards and keeps no state; as on the direct connection,
-//! a write without an answer is *unknown*.
+//! the peer makes the calls. The peer only forwards and keeps no state. As on the direct
+//! connection, a write without an answer is *unknown*.
 
 use std::{
     sync::{
@@ -18,35 +18,37 @@
 use crate::peers::Peers;
 
 /// Consecutive failed direct calls after which peers are used.
-const CUT_AFTER: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 /// While the direct connection counts as broken, one call in this many still tries it.
-const TRY_DIRECT: u32 = 16;
+const CALLS_PER_DIRECT_TRY: u32 = 16;
 
 /// A store client that falls back to peers.
-pub struct Relayed {
+pub struct Fallback {
     direct: Arc<dyn Store>,
     peers: Peers,
     failures: AtomicU32,
     calls: AtomicU32,
 }
 
-impl Relayed {
+impl Fallback {
     /// Uses `direct` while it works.
-    pub fn new(direct: Arc<dyn Store>, peers: Peers) -> Relayed {
-        Relayed { direct, peers, failures: AtomicU32::new(0), calls: AtomicU32::new(0) }
+    pub fn new(direct: Arc<dyn Store>, peers: Peers) -> Fallback {
+        Fallback { direct, peers, failures: AtomicU32::new(0), calls: AtomicU32::new(0) }
     }
 
     /// Whether the direct connection works, judged by the last calls.
     pub fn is_direct(&self) -> bool {
-        self.failures.load(Ordering::Relaxed) < CUT_AFTER
+        self.failures.load(Ordering::Relaxed) < MAX_FAILURES
     }
 
-    fn goes_direct(&self) -> bool {
+    fn use_direct(&self) -> bool {
         let nth = self.calls.fetch_add(1, Ordering::Relaxed);
-        self.is_direct() || nth.is_multiple_of(TRY_DIRECT) || !self.peers.reaches_platform()
+        self.is_direct()
+            || nth.is_multiple_of(CALLS_PER_DIRECT_TRY)
+            || !self.peers.reaches_platform()
     }
 
-    fn note(&self, reached: bool) {
+    fn record_result(&self, reached: bool) {
         match reached {
             true => self.failures.store(0, Ordering::Relaxed),
             false => drop(self.failures.fetch_add(1, Ordering::Relaxed)),
@@ -54,17 +56,17 @@
     }
 
     /// Probes the direct connection while it counts as broken. Never returns.
-    pub async fn probe(&self, every: Duration) {
+    pub async fn probe(&self, interval: Duration) {
         loop {
-            tokio::time::sleep(every).await;
+            tokio::time::sleep(interval).await;
             if !self.is_direct() {
                 let answer = self.direct.get("member", "probe").await;
-                self.note(!matches!(answer, Err(Error::Unreachable { .. })));
+                self.record_result(!matches!(answer, Err(Error::Unreachable { .. })));
             }
         }
     }
 
-    async fn objects(&self, question: PlatformCall) -> Result<Vec<Object>, Error> {
+    async fn relay_read(&self, question: PlatformCall) -> Result<Vec<Object>, Error> {
         match self.peers.call(question).await {
             Some(Frame::Found { objects: Some(objects) }) => {
                 Ok(objects.into_iter().map(object).collect())
@@ -73,7 +75,7 @@
         }
     }
 
-    async fn written(&self, question: PlatformCall) -> Write {
+    async fn relay_write(&self, question: PlatformCall) -> Write {
         match self.peers.call(question).await {
             Some(Frame::Written(write)) => match write {
                 wire::Write::Landed(version) => Write::Landed(version),
@@ -92,51 +94,52 @@
 }
 
 #[async_trait::async_trait]
-impl Store for Relayed {
+impl Store for Fallback {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, Error> {
-        if self.goes_direct() {
+        if self.use_direct() {
             let answer = self.direct.get(kind, name).await;
-            self.note(!matches!(answer, Err(Error::Unreachable { .. })));
+            self.record_result(!matches!(answer, Err(Error::Unreachable { .. })));
             return answer;
         }
         let question = PlatformCall::Get { kind: kind.into(), name: name.into() };
-        Ok(self.objects(question).await?.into_iter().next())
+        Ok(self.relay_read(question).await?.into_iter().next())
     }
 
     async fn list(&self, kind: &str, prefix: &str) -> Result<Vec<Object>, Error> {
-        if self.goes_direct() {
+        if self.use_direct() {
             let answer = self.direct.list(kind, prefix).await;
-            self.note(!matches!(answer, Err(Error::Unreachable { .. })));
+            self.record_result(!matches!(answer, Err(Error::Unreachable { .. })));
             return answer;
         }
-        self.objects(PlatformCall::List { kind: kind.into(), prefix: prefix.into() }).await
+        self.relay_read(PlatformCall::List { kind: kind.into(), prefix: prefix.into() }).await
     }
 
     async fn put(&self, kind: &str, name: &str, value: String, expect: Expect) -> Write {
-        if self.goes_direct() {
+        if self.use_direct() {
             let write = self.direct.put(kind, name, value, expect).await;
-            self.note(matches!(write, Write::Landed(_) | Write::Refused));
+            self.record_result(matches!(write, Write::Landed(_) | Write::Refused));
             return write;
         }
         let version = match expect {
             Expect::Absent => 0,
             Expect::Version(version) => version,
         };
-        self.written(PlatformCall::Put { kind: kind.into(), name: name.into(), value, version })
+        self.relay_write(PlatformCall::Put { kind: kind.into(), name: name.into(), value, version })
             .await
     }
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write {
-        if self.goes_direct() {
+        if self.use_direct() {
             return self.direct.delete(kind, name, version).await;
         }
-        self.written(PlatformCall::Delete { kind: kind.into(), name: name.into(), version }).await
+        self.relay_write(PlatformCall::Delete { kind: kind.into(), name: name.into(), version })
+            .await
     }
 
     async fn watch(&self, kinds: &[&str], from: u64) -> Result<Watch, Error> {
         // Never relayed: status exchanges with peers bring new configuration.
         let answer = self.direct.watch(kinds, from).await;
-        self.note(!matches!(answer, Err(Error::Unreachable { .. })));
+        self.record_result(!matches!(answer, Err(Error::Unreachable { .. })));
         answer
     }
 
--- a/crates/router/src/flight.rs
+++ b/crates/router/src/in_flight.rs
@@ -7,25 +7,25 @@
 
 use crate::{
     call::Call,
-    claims::Held,
+    claims::Guard,
     endpoints::Target,
     outcome::{Reason, Refusal},
     shared::Shared,
 };
 
 /// Retry delay for refusals with a transient cause.
-pub const SOON: Duration = Duration::from_secs(1);
+pub const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Everything a call needs to be dispatched.
-pub struct Secured {
+pub struct Prepared {
     /// Reserved tokens; online, the record of the reservation has landed.
     pub hold: Hold,
     /// The claim, if the call must not run twice.
-    pub claim: Option<Held>,
+    pub claim: Option<Guard>,
 }
 
 /// A request that counts as load of its endpoint until dropped.
-pub struct Flight {
+pub struct InFlight {
     shared: Arc<Shared>,
     pool: Arc<str>,
     /// The endpoint.
@@ -34,16 +34,16 @@
     pub failure: Option<Failure>,
 }
 
-impl Flight {
+impl InFlight {
     /// Chooses an endpoint that was not tried yet.
-    pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<Flight> {
+    pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<InFlight> {
         let pool = call.route.pool.clone();
         let target = shared.endpoints.start(&pool, &call.prefix, tried, shared.now())?;
-        Some(Flight { shared: shared.clone(), pool, target, failure: None })
+        Some(InFlight { shared: shared.clone(), pool, target, failure: None })
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.shared.now();
         self.shared.endpoints.end(&self.pool, &self.target.name, self.failure, now);
@@ -52,5 +52,5 @@
 
 /// The refusal when no endpoint can take a call.
 pub fn no_endpoint() -> Refusal {
-    Reason::NoEndpoint.after("no endpoint can take the request", SOON)
+    Reason::NoEndpoint.after("no endpoint can take the request", RETRY_DELAY)
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -11,7 +11,7 @@
 
 /// Labels of a finished request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Finished {
+pub struct RequestLabels {
     /// Class of the route.
     pub class: &'static str,
     /// `answered`, `not-run` or `unknown`.
@@ -22,7 +22,7 @@
 
 /// Labels of a platform call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Purpose {
+pub struct CallLabels {
     /// Operation.
     pub operation: String,
     /// Kind of object.
@@ -31,7 +31,7 @@
 
 /// Labels of a latency histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Stage {
+pub struct ClassLabel {
     /// Class of the route.
     pub class: &'static str,
 }
@@ -41,13 +41,13 @@
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
     /// Finished requests by outcome.
-    pub requests: Family<Finished, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Tokens charged.
     pub tokens: Counter,
     /// Requests in flight.
-    pub under_way: Gauge,
+    pub in_flight: Gauge,
     /// Platform calls by operation and kind of object.
-    pub platform: Family<Purpose, Gauge>,
+    pub platform: Family<CallLabels, Gauge>,
     /// 1 if the platform is reachable, else 0.
     pub platform_up: Gauge,
     /// Requests paid from the offline part.
@@ -57,7 +57,7 @@
     /// Sessions renewed because another box had sealed this box's journal.
     pub renewed: Counter,
     /// Seconds from the request to the first byte of its answer.
-    pub first_byte: Family<Stage, Histogram>,
+    pub first_byte: Family<ClassLabel, Histogram>,
 }
 
 fn histogram() -> Histogram {
@@ -71,7 +71,7 @@
             registry: Arc::new(Mutex::new(Registry::with_prefix("flintstall"))),
             requests: Family::default(),
             tokens: Counter::default(),
-            under_way: Gauge::default(),
+            in_flight: Gauge::default(),
             platform: Family::default(),
             platform_up: Gauge::default(),
             offline: Counter::default(),
@@ -82,7 +82,7 @@
         let mut registry = metrics.registry.lock();
         registry.register("requests", "Requests by outcome", metrics.requests.clone());
         registry.register("tokens", "Tokens charged", metrics.tokens.clone());
-        registry.register("requests_under_way", "Requests now", metrics.under_way.clone());
+        registry.register("requests_under_way", "Requests now", metrics.in_flight.clone());
         registry.register("platform_calls", "Platform calls so far", metrics.platform.clone());
         registry.register("platform_up", "Platform reachable", metrics.platform_up.clone());
         registry.register("offline_requests", "Paid offline", metrics.offline.clone());
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -52,13 +52,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Unknown {
     /// The endpoint did not answer.
-    Silent,
+    NoResponse,
     /// The answer was incomplete, or belonged to another request.
-    Broken,
+    Incomplete,
     /// An earlier attempt may have run.
     Claimed,
     /// It ran, but its answer was not stored.
-    NotKept,
+    NotStored,
 }
 
 impl Reason {
@@ -117,29 +117,29 @@
     /// Name for programs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Unknown::Silent => "endpoint_silent",
-            Unknown::Broken => "answer_broken",
+            Unknown::NoResponse => "endpoint_silent",
+            Unknown::Incomplete => "answer_broken",
             Unknown::Claimed => "claimed",
-            Unknown::NotKept => "answer_not_kept",
+            Unknown::NotStored => "answer_not_kept",
         }
     }
 
     /// HTTP status.
     pub fn status(self) -> StatusCode {
         match self {
-            Unknown::Silent => StatusCode::GATEWAY_TIMEOUT,
-            Unknown::Broken => StatusCode::BAD_GATEWAY,
-            Unknown::Claimed | Unknown::NotKept => StatusCode::CONFLICT,
+            Unknown::NoResponse => StatusCode::GATEWAY_TIMEOUT,
+            Unknown::Incomplete => StatusCode::BAD_GATEWAY,
+            Unknown::Claimed | Unknown::NotStored => StatusCode::CONFLICT,
         }
     }
 
     /// Explanation, for people.
     pub fn message(self) -> &'static str {
         match self {
-            Unknown::Silent => "the endpoint did not answer; the request may have run",
-            Unknown::Broken => "the answer was incomplete; the request may have run",
+            Unknown::NoResponse => "the endpoint did not answer; the request may have run",
+            Unknown::Incomplete => "the answer was incomplete; the request may have run",
             Unknown::Claimed => "an earlier attempt with this key may have run",
-            Unknown::NotKept => "the request ran before; its answer was not stored",
+            Unknown::NotStored => "the request ran before; its answer was not stored",
         }
     }
 }
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/peer_service.rs
@@ -6,16 +6,16 @@
 use objects::{Expect, Store};
 use wire::{Answer, Frame, Message, PlatformCall, Status, Value};
 
-use crate::{follow::put_in_force, shared::Shared};
+use crate::{shared::Shared, sync::apply_accepted};
 
 /// Fleet size up to which every box exchanges status with every other in each round.
-const FEW: u64 = 9;
+const MAX_FULL_MESH: u64 = 9;
 /// Peers per round in a larger fleet.
 const FANOUT: usize = 2;
 /// Length of a round in a small fleet; it grows with the number of boxes.
-const TURN: Duration = Duration::from_millis(300);
+const ROUND: Duration = Duration::from_millis(300);
 /// Longest round.
-const TURN_MOST: Duration = Duration::from_millis(2_400);
+const MAX_ROUND: Duration = Duration::from_millis(2_400);
 
 /// Answers requests of other boxes.
 pub struct PeerService(pub Arc<Shared>);
@@ -34,19 +34,19 @@
 
 async fn answer(shared: &Arc<Shared>, question: Message) -> Frame {
     match question.frame {
-        Frame::Status(told) => {
-            let reply = told_by(shared);
-            shared.peers.note(&question.from, Some(told.clone()));
-            take(shared, &question.from, told);
+        Frame::Status(status) => {
+            let reply = own_status(shared);
+            shared.peers.record_status(&question.from, Some(status.clone()));
+            apply_status(shared, &question.from, status);
             Frame::Status(reply)
         }
         Frame::Carry { by, entries } => {
-            let taken =
+            let accepted =
                 entries.into_iter().filter(|e| shared.replicas.insert(by.clone(), e.clone()));
-            Frame::Taken { count: taken.count() as u64 }
+            Frame::Taken { count: accepted.count() as u64 }
         }
         Frame::Accepted => Frame::Objects { objects: shared.accepted.lock().texts() },
-        Frame::Call(question) => call(shared, question).await,
+        Frame::Call(question) => call_platform(shared, question).await,
         Frame::Spare { budget, .. } => {
             let returned = shared.sessions.current().funds.return_surplus(&budget).await;
             Frame::Spared { returned }
@@ -55,13 +55,13 @@
             let transfer = shared.sessions.lend(&budget, tokens, &question.from);
             if let Some(transfer) = &transfer {
                 let to = transfer.to.as_str().into();
-                let what = timeline::EventKind::Transferred { to, tokens: transfer.tokens };
-                shared.log.add_for_budget(&budget, what);
+                let event = timeline::EventKind::Transferred { to, tokens: transfer.tokens };
+                shared.log.add_for_budget(&budget, event);
             }
             Frame::Lent { transfer }
         }
         Frame::Note { customer, key, place } => {
-            shared.places.note(customer, key, place);
+            shared.places.record(customer, key, place);
             Frame::Done
         }
         Frame::Locate { customer, key } => {
@@ -102,7 +102,7 @@
 }
 
 /// Makes a platform call for a peer, over this box's direct connection only: no chains of relays.
-async fn call(shared: &Shared, question: PlatformCall) -> Frame {
+async fn call_platform(shared: &Shared, question: PlatformCall) -> Frame {
     let store = &shared.direct;
     let value = |object: objects::Object| Value {
         kind: object.kind,
@@ -121,15 +121,15 @@
         }
         PlatformCall::Put { kind, name, value, version } => {
             let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
-            Frame::Written(written(store.put(&kind, &name, value, expect).await))
+            Frame::Written(to_wire(store.put(&kind, &name, value, expect).await))
         }
         PlatformCall::Delete { kind, name, version } => {
-            Frame::Written(written(store.delete(&kind, &name, version).await))
+            Frame::Written(to_wire(store.delete(&kind, &name, version).await))
         }
     }
 }
 
-fn written(write: objects::Write) -> wire::Write {
+fn to_wire(write: objects::Write) -> wire::Write {
     match write {
         objects::Write::Landed(version) => wire::Write::Landed(version),
         objects::Write::Refused => wire::Write::Refused,
@@ -138,64 +138,66 @@
     }
 }
 
-fn told_by(shared: &Shared) -> Status {
+fn own_status(shared: &Shared) -> Status {
     let snapshot = shared.config.borrow().clone();
     Status {
         in_flight: shared.endpoints.snapshot(),
-        newest: snapshot.newest(),
-        versions: snapshot.sum(),
-        platform: shared.relayed.is_direct() && shared.health.is_up(),
+        newest: snapshot.newest_version(),
+        versions: snapshot.version_sum(),
+        platform: shared.fallback.is_direct() && shared.health.is_up(),
     }
 }
 
 /// Applies a peer's status; true if the peer has configuration that this box lacks.
-fn take(shared: &Shared, from: &Incarnation, told: Status) -> bool {
+fn apply_status(shared: &Shared, from: &Incarnation, status: Status) -> bool {
     let now = shared.now();
     let name: Arc<str> = from.box_name().into();
-    shared.endpoints.peer(&name, &told.in_flight, now);
+    shared.endpoints.receive_peer_load(&name, &status.in_flight, now);
     let snapshot = shared.config.borrow();
-    told.newest > snapshot.newest() || told.versions > snapshot.sum()
+    status.newest > snapshot.newest_version() || status.versions > snapshot.version_sum()
 }
 
 /// Exchanges status with random peers in rounds, for as long as the router runs.
-pub async fn exchange(shared: Arc<Shared>) {
+pub async fn gossip(shared: Arc<Shared>) {
     loop {
         let boxes = shared.boxes();
-        let turn = (TURN * u32::try_from(boxes / FEW).unwrap_or(1).max(1)).min(TURN_MOST);
-        tokio::time::sleep(turn / 2 + shared.jitter(turn)).await;
-        seed(&shared).await;
-        let fanout = if boxes <= FEW { boxes as usize } else { FANOUT };
-        let asked = shared.peers.some(fanout).into_iter().map(|name| exchange_one(&shared, name));
-        futures_util::future::join_all(asked).await;
+        let round =
+            (ROUND * u32::try_from(boxes / MAX_FULL_MESH).unwrap_or(1).max(1)).min(MAX_ROUND);
+        tokio::time::sleep(round / 2 + shared.jitter(round)).await;
+        contact_seeds(&shared).await;
+        let fanout = if boxes <= MAX_FULL_MESH { boxes as usize } else { FANOUT };
+        let exchanges =
+            shared.peers.sample(fanout).into_iter().map(|name| gossip_with(&shared, name));
+        futures_util::future::join_all(exchanges).await;
     }
 }
 
 /// Contacts the peer addresses in the settings while no peer is known.
-async fn seed(shared: &Arc<Shared>) {
-    if !shared.peers.some(1).is_empty() {
+async fn contact_seeds(shared: &Arc<Shared>) {
+    if !shared.peers.sample(1).is_empty() {
         return;
     }
     for address in &shared.settings.peers {
-        if let Some((name, told)) = shared.peers.seed(*address, told_by(shared)).await {
-            learn(shared, &name, told).await;
+        if let Some((name, status)) = shared.peers.seed(*address, own_status(shared)).await {
+            receive_status(shared, &name, status).await;
         }
     }
 }
 
-async fn exchange_one(shared: &Arc<Shared>, name: Incarnation) {
-    if let Some(told) = shared.peers.tell(&name, told_by(shared)).await {
-        learn(shared, &name, told).await;
+async fn gossip_with(shared: &Arc<Shared>, name: Incarnation) {
+    if let Some(status) = shared.peers.exchange_status(&name, own_status(shared)).await {
+        receive_status(shared, &name, status).await;
     }
 }
 
-async fn learn(shared: &Arc<Shared>, name: &Incarnation, told: Status) {
+async fn receive_status(shared: &Arc<Shared>, name: &Incarnation, status: Status) {
     let now = shared.now();
     shared.members.lock().touch(name, now);
-    if take(shared, name, told)
+    if apply_status(shared, name, status)
         && let Some(Frame::Objects { objects }) = shared.peers.ask_one(name, Frame::Accepted).await
     {
         for object in objects {
-            put_in_force(shared, &object);
+            apply_accepted(shared, &object);
         }
         // A box that starts without the platform becomes ready with its peers' configuration.
         shared.watched.send_if_modified(|watched| {
@@ -206,11 +208,11 @@
     }
 }
 
-/// Writes journal entries carried for boxes that are gone to the platform, while it is reachable.
-pub async fn hand_in(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.money.seal_after_ms);
+/// Writes replicated journal entries of boxes that are gone to the platform, while it is reachable.
+pub async fn write_replicas(shared: Arc<Shared>) {
+    let interval = Duration::from_millis(shared.settings.money.seal_after_ms);
     loop {
-        tokio::time::sleep(every / 2 + shared.jitter(every)).await;
+        tokio::time::sleep(interval / 2 + shared.jitter(interval)).await;
         if !shared.health.is_up() {
             continue;
         }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -16,27 +16,27 @@
 use wire::{Frame, Message, Peer, Status};
 
 /// Timeout of a request to a peer.
-const WITHIN: Duration = Duration::from_millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of a request for which the peer calls the platform.
-const CALL_WITHIN: Duration = Duration::from_secs(2);
-/// Peers asked to carry one journal entry.
-const CARRIERS: usize = 2;
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Peers asked to store a replica of one journal entry.
+const MAX_REPLICAS: usize = 2;
 /// Most peers asked for tokens by one request.
-const ASKED: usize = 8;
+const MAX_ASKED: usize = 8;
 /// Consecutive failed exchanges after which a peer counts as unreachable.
-const LOST_AFTER: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 
 #[derive(Clone)]
-struct Known {
+struct PeerState {
     peer: Peer,
     zone: Arc<str>,
     failures: u32,
-    up: bool,
-    told: Option<Status>,
+    reachable: bool,
+    status: Option<Status>,
 }
 
 struct State {
-    known: HashMap<Incarnation, Known>,
+    known: HashMap<Incarnation, PeerState>,
     random: ChaCha8Rng,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Sets the incarnation that this box names as the sender.
-    pub fn rename(&self, me: Incarnation) {
+    pub fn set_incarnation(&self, me: Incarnation) {
         *self.me.lock() = me;
     }
 
@@ -75,24 +75,24 @@
         }
         let peer = Peer::new(address, self.source);
         let zone = member.zone.clone();
-        let known = Known { peer, zone, failures: 0, up: false, told: None };
+        let known = PeerState { peer, zone, failures: 0, reachable: false, status: None };
         state.known.insert(member.incarnation.clone(), known);
     }
 
     /// Exchanges status with an address from the settings and adds the peer that answers.
-    pub async fn seed(&self, address: SocketAddr, told: Status) -> Option<(Incarnation, Status)> {
+    pub async fn seed(&self, address: SocketAddr, status: Status) -> Option<(Incarnation, Status)> {
         let peer = Peer::new(address, self.source);
-        let answer = peer.ask(&self.message(Frame::Status(told)), WITHIN).await.ok()?;
-        let Frame::Status(told) = answer.frame else { return None };
-        let known = Known {
+        let answer = peer.ask(&self.message(Frame::Status(status)), REQUEST_TIMEOUT).await.ok()?;
+        let Frame::Status(status) = answer.frame else { return None };
+        let known = PeerState {
             peer,
             zone: self.zone.clone(),
             failures: 0,
-            up: true,
-            told: Some(told.clone()),
+            reachable: true,
+            status: Some(status.clone()),
         };
         self.state.lock().known.entry(answer.from.clone()).or_insert(known);
-        Some((answer.from, told))
+        Some((answer.from, status))
     }
 
     /// Removes a peer whose member object was deleted.
@@ -101,42 +101,42 @@
     }
 
     /// Reachable peers in random order, those of other zones first if `spread`.
-    fn up(&self, spread: bool) -> Vec<(Incarnation, Peer)> {
+    fn reachable(&self, spread: bool) -> Vec<(Incarnation, Peer)> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
-        let mut up: Vec<_> = known.iter().filter(|(_, known)| known.up).collect();
-        up.sort_by(|a, b| a.0.cmp(b.0));
-        up.shuffle(random);
+        let mut reachable: Vec<_> = known.iter().filter(|(_, known)| known.reachable).collect();
+        reachable.sort_by(|a, b| a.0.cmp(b.0));
+        reachable.shuffle(random);
         if spread {
-            up.sort_by_key(|(_, known)| known.zone == self.zone);
+            reachable.sort_by_key(|(_, known)| known.zone == self.zone);
         }
-        up.into_iter().map(|(name, known)| (name.clone(), known.peer.clone())).collect()
+        reachable.into_iter().map(|(name, known)| (name.clone(), known.peer.clone())).collect()
     }
 
-    /// Up to `most` random peers, reachable or not.
-    pub fn some(&self, most: usize) -> Vec<Incarnation> {
+    /// Up to `max` random peers, reachable or not.
+    pub fn sample(&self, max: usize) -> Vec<Incarnation> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
         let mut names: Vec<Incarnation> = known.keys().cloned().collect();
         names.sort();
         names.shuffle(random);
-        names.truncate(most);
+        names.truncate(max);
         names
     }
 
     /// Names of the reachable peers.
-    pub fn in_reach(&self) -> Vec<Incarnation> {
+    pub fn reachable_names(&self) -> Vec<Incarnation> {
         let state = self.state.lock();
-        let up = state.known.iter().filter(|(_, known)| known.up);
-        up.map(|(name, _)| name.clone()).collect()
+        let reachable = state.known.iter().filter(|(_, known)| known.reachable);
+        reachable.map(|(name, _)| name.clone()).collect()
     }
 
     fn message(&self, frame: Frame) -> Message {
         Message { from: self.me.lock().clone(), stamp: self.log.stamp(), frame }
     }
 
-    async fn ask(&self, peer: &Peer, frame: Frame, within: Duration) -> Option<Frame> {
-        let answer = peer.ask(&self.message(frame), within).await.ok()?;
+    async fn ask(&self, peer: &Peer, frame: Frame, timeout: Duration) -> Option<Frame> {
+        let answer = peer.ask(&self.message(frame), timeout).await.ok()?;
         self.log.observe(answer.stamp);
         Some(answer.frame)
     }
@@ -144,38 +144,38 @@
     /// Sends a request to the peer with this name.
     pub async fn ask_one(&self, name: &Incarnation, frame: Frame) -> Option<Frame> {
         let peer = self.state.lock().known.get(name).map(|known| known.peer.clone())?;
-        self.ask(&peer, frame, WITHIN).await
+        self.ask(&peer, frame, REQUEST_TIMEOUT).await
     }
 
     /// Exchanges status with a peer; `None` if it does not answer.
-    pub async fn tell(&self, name: &Incarnation, told: Status) -> Option<Status> {
-        let answer = self.ask_one(name, Frame::Status(told)).await;
-        let told = match answer {
-            Some(Frame::Status(told)) => Some(told),
+    pub async fn exchange_status(&self, name: &Incarnation, status: Status) -> Option<Status> {
+        let answer = self.ask_one(name, Frame::Status(status)).await;
+        let status = match answer {
+            Some(Frame::Status(status)) => Some(status),
             _ => None,
         };
-        self.note(name, told.clone());
-        told
+        self.record_status(name, status.clone());
+        status
     }
 
     /// Records a peer's status, or that it did not answer.
-    pub fn note(&self, name: &Incarnation, told: Option<Status>) {
+    pub fn record_status(&self, name: &Incarnation, status: Option<Status>) {
         let mut state = self.state.lock();
         let Some(known) = state.known.get_mut(name) else { return };
-        let was = known.up;
-        match told {
-            Some(told) => {
+        let was = known.reachable;
+        match status {
+            Some(status) => {
                 known.failures = 0;
-                known.up = true;
-                known.told = Some(told);
+                known.reachable = true;
+                known.status = Some(status);
             }
             None => {
                 known.failures += 1;
-                known.up &= known.failures < LOST_AFTER;
+                known.reachable &= known.failures < MAX_FAILURES;
             }
         }
         let peer = name.as_str().into();
-        match (was, known.up) {
+        match (was, known.reachable) {
             (false, true) => self.log.add(EventKind::PeerBack { peer }),
             (true, false) => self.log.add(EventKind::PeerLost { peer }),
             _ => {}
@@ -186,17 +186,19 @@
     pub async fn call(&self, question: wire::PlatformCall) -> Option<Frame> {
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
-            let told = state.known.get(name).and_then(|known| known.told.as_ref());
-            told.is_some_and(|told| told.platform)
+            let status = state.known.get(name).and_then(|known| known.status.as_ref());
+            status.is_some_and(|status| status.platform)
         };
-        let (_, peer) = self.up(false).into_iter().find(|(name, _)| reaches(name))?;
-        self.ask(&peer, Frame::Call(question), CALL_WITHIN).await
+        let (_, peer) = self.reachable(false).into_iter().find(|(name, _)| reaches(name))?;
+        self.ask(&peer, Frame::Call(question), PLATFORM_CALL_TIMEOUT).await
     }
 
     /// Whether any reachable peer reports that it can reach the platform.
     pub fn reaches_platform(&self) -> bool {
         let state = self.state.lock();
-        let reaches = |known: &Known| known.up && known.told.as_ref().is_some_and(|t| t.platform);
+        let reaches = |known: &PeerState| {
+            known.reachable && known.status.as_ref().is_some_and(|t| t.platform)
+        };
         state.known.values().any(reaches)
     }
 }
@@ -204,30 +206,33 @@
 #[async_trait::async_trait]
 impl session::Peers for Peers {
     async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
-        let asked = self.up(true).into_iter().take(CARRIERS).map(|(_, peer)| async move {
-            let frame = Frame::Carry { by: by.clone(), entries: vec![entry.clone()] };
-            self.ask(&peer, frame, WITHIN).await
-        });
-        let answers = futures_util::future::join_all(asked).await;
-        let took = |answer: &&Option<Frame>| matches!(answer, Some(Frame::Taken { count: 1.. }));
-        answers.iter().filter(took).count()
+        let requests =
+            self.reachable(true).into_iter().take(MAX_REPLICAS).map(|(_, peer)| async move {
+                let frame = Frame::Carry { by: by.clone(), entries: vec![entry.clone()] };
+                self.ask(&peer, frame, REQUEST_TIMEOUT).await
+            });
+        let answers = futures_util::future::join_all(requests).await;
+        let accepted =
+            |answer: &&Option<Frame>| matches!(answer, Some(Frame::Taken { count: 1.. }));
+        answers.iter().filter(accepted).count()
     }
 
     async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool {
-        let asked = self.up(false).into_iter().take(ASKED).map(|(_, peer)| async move {
-            let frame = Frame::Spare { budget: budget.clone(), tokens };
-            self.ask(&peer, frame, CALL_WITHIN).await
-        });
-        let answers = futures_util::future::join_all(asked).await;
+        let requests =
+            self.reachable(false).into_iter().take(MAX_ASKED).map(|(_, peer)| async move {
+                let frame = Frame::Spare { budget: budget.clone(), tokens };
+                self.ask(&peer, frame, PLATFORM_CALL_TIMEOUT).await
+            });
+        let answers = futures_util::future::join_all(requests).await;
         answers.iter().any(|answer| matches!(answer, Some(Frame::Spared { returned: true })))
     }
 
     async fn lend(&self, budget: &Arc<str>, tokens: u64, _: &Incarnation) -> Option<Transfer> {
         // Sequentially: a lender debits itself, so tokens lent by a second peer would be stranded.
-        for (_, peer) in self.up(false).into_iter().take(ASKED) {
+        for (_, peer) in self.reachable(false).into_iter().take(MAX_ASKED) {
             let frame = Frame::Lend { budget: budget.clone(), tokens };
             if let Some(Frame::Lent { transfer: Some(transfer) }) =
-                self.ask(&peer, frame, WITHIN).await
+                self.ask(&peer, frame, REQUEST_TIMEOUT).await
             {
                 return Some(transfer);
             }
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -14,25 +14,25 @@
 use wire::{Location, Place};
 
 /// Most requests kept; the oldest are dropped first.
-const MOST: usize = 100_000;
+const MAX_PLACES: usize = 100_000;
 /// Time that a box has between looking up a key and reporting its run, in milliseconds. After it,
 /// another box may run the request.
-const SOON_MS: u64 = 2_000;
+const START_TIMEOUT_MS: u64 = 2_000;
 
 type Id = (Arc<str>, Arc<str>);
 
-enum Known {
+enum Entry {
     /// This incarnation looked the key up and is about to run the request.
-    Soon {
+    Starting {
         by: Incarnation,
         at: u64,
     },
-    At(Place),
+    Running(Place),
 }
 
 #[derive(Default)]
 struct State {
-    places: HashMap<Id, Known>,
+    places: HashMap<Id, Entry>,
     order: VecDeque<Id>,
 }
 
@@ -42,8 +42,8 @@
 
 impl Places {
     /// Records where a request runs.
-    pub fn note(&self, customer: Arc<str>, key: Arc<str>, place: Place) {
-        self.0.lock().put((customer, key), Known::At(place));
+    pub fn record(&self, customer: Arc<str>, key: Arc<str>, place: Place) {
+        self.0.lock().put((customer, key), Entry::Running(place));
     }
 
     /// Where a request runs or ran; if nowhere, records that `by` is about to run it.
@@ -57,23 +57,25 @@
         let mut state = self.0.lock();
         let id = (customer.clone(), key.clone());
         match state.places.get(&id) {
-            Some(Known::At(place)) => return Location::Place(place.clone()),
-            Some(Known::Soon { by: other, at }) if other != by && at + SOON_MS > now => {
+            Some(Entry::Running(place)) => return Location::Place(place.clone()),
+            Some(Entry::Starting { by: other, at })
+                if other != by && at + START_TIMEOUT_MS > now =>
+            {
                 return Location::Soon;
             }
-            Some(Known::Soon { .. }) | None => {}
+            Some(Entry::Starting { .. }) | None => {}
         }
-        state.put(id, Known::Soon { by: by.clone(), at: now });
+        state.put(id, Entry::Starting { by: by.clone(), at: now });
         Location::Nowhere
     }
 }
 
 impl State {
-    fn put(&mut self, id: Id, known: Known) {
-        if self.places.insert(id.clone(), known).is_none() {
+    fn put(&mut self, id: Id, entry: Entry) {
+        if self.places.insert(id.clone(), entry).is_none() {
             self.order.push_back(id);
         }
-        while self.order.len() > MOST {
+        while self.order.len() > MAX_PLACES {
             let oldest = self.order.pop_front();
             oldest.and_then(|id| self.places.remove(&id));
         }
@@ -85,7 +87,7 @@
     use super::*;
 
     #[test]
-    fn one_asker_runs_and_the_others_wait_for_it() {
+    fn only_the_first_box_to_look_a_key_up_runs_it() {
         let places = Places::default();
         let (a, b) = (Incarnation::from("a.1"), Incarnation::from("b.1"));
         let find = |by, now| places.find(&"c".into(), &"k".into(), by, now);
@@ -93,12 +95,12 @@
         assert_eq!(find(&b, 10), Location::Soon);
         assert_eq!(find(&a, 20), Location::Nowhere);
         assert_eq!(
-            find(&b, 20 + SOON_MS),
+            find(&b, 20 + START_TIMEOUT_MS),
             Location::Nowhere,
             "the first box never reported its run"
         );
         let place = Place { by: b.clone(), endpoint: "e".into(), dispatch: "d".into() };
-        places.note("c".into(), "k".into(), place.clone());
+        places.record("c".into(), "k".into(), place.clone());
         assert_eq!(find(&a, 30), Location::Place(place));
     }
 }
--- a/crates/router/src/lanes.rs
+++ b/crates/router/src/queues.rs
@@ -23,23 +23,23 @@
 
 /// The queues of one box.
 #[derive(Default)]
-pub struct Lanes {
+pub struct Queues {
     state: Mutex<State>,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
-impl Lanes {
+impl Queues {
     /// Admits waiting requests of a pool as far as its capacity allows.
     pub fn advance(&self, endpoints: &Endpoints, pool: &Arc<str>, now: u64) {
-        let mut ahead = 0.0;
+        let mut admitted = 0.0;
         let mut state = self.state.lock();
         loop {
             let mut capacity = endpoints.capacity(pool, now);
             // Requests admitted by this loop are not part of the measured load yet.
-            capacity.load += ahead;
+            capacity.load += admitted;
             let next = state.queues.get_mut(pool).and_then(|queue| queue.next(capacity, now));
             let Some(id) = next else { return };
-            ahead += 1.0;
+            admitted += 1.0;
             if let Some(waiter) = state.waiters.remove(&id) {
                 let _ = waiter.send(());
             }
@@ -55,7 +55,7 @@
             .enter((customer, call.caller.max_in_flight), (route, call.route.max_in_flight))
     }
 
-    /// Ends a call counted by [`Lanes::count`].
+    /// Ends a call counted by [`Queues::count`].
     pub fn leave(&self, customer: &Arc<str>, route: &Arc<str>) {
         self.state.lock().limits.leave(customer, route);
     }
@@ -68,13 +68,13 @@
         call: &Call,
         now: u64,
     ) -> (u64, Verdict, oneshot::Receiver<()>) {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let request = Request {
             id,
             class: call.class(),
             customer: call.caller.customer.clone(),
             weight: call.caller.weight,
-            deadline: now + call.left().as_millis() as u64,
+            deadline: now + call.time_left().as_millis() as u64,
         };
         let capacity = endpoints.capacity(&call.route.pool, now);
         let (sender, receiver) = oneshot::channel();
@@ -88,7 +88,7 @@
     }
 
     /// Removes a call from the queue.
-    pub fn give_up(&self, pool: &Arc<str>, id: u64) {
+    pub fn cancel(&self, pool: &Arc<str>, id: u64) {
         let mut state = self.state.lock();
         state.waiters.remove(&id);
         if let Some(queue) = state.queues.get_mut(pool) {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -16,52 +16,52 @@
     call::{Call, Payload},
     chat,
     dispatch::{Sent, dispatch, send},
-    flight::{Flight, Secured},
-    metrics::Stage,
+    in_flight::{InFlight, Prepared},
+    metrics::ClassLabel,
     outcome::Unknown,
     requests::{Driver, Progress},
-    runs::{ask_until_ended, cancel},
+    runs::{cancel, poll_until_ended},
     shared::Shared,
     sse::{self, Event, Scanner},
     transcript::{End, Transcript},
 };
 
 /// Times that a broken stream is resumed.
-const RESUMES: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 /// Time that a run goes on after its last caller disconnected.
-const ABANDONED: Duration = Duration::from_millis(300);
+const ABANDON_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Dispatches a chat completion whose tokens are reserved, and relays its stream.
 pub async fn chat(
     shared: &Arc<Shared>,
     call: &Call,
     driver: &Driver,
-    secured: Secured,
-    flight: Flight,
+    prepared: Prepared,
+    in_flight: InFlight,
 ) -> Progress {
     let Payload::Chat { body, limit, stream, model } = &call.payload else {
         unreachable!("only chat completions are relayed");
     };
-    let Secured { hold, claim } = secured;
+    let Prepared { hold, claim } = prepared;
     let id = hold.attempt_id();
     let send = |address: &str| {
         let url = format!("http://{address}/v1/chat/completions");
         shared.http.post(url).header(CONTENT_TYPE, "application/json").body(body.clone())
     };
-    let (flight, sent) = match dispatch(shared, call, &hold, flight, send).await {
+    let (in_flight, sent) = match dispatch(shared, call, &hold, in_flight, send).await {
         Ok(sent) => sent,
         Err(progress) => return progress,
     };
     let mut relay = Relay::new(shared, call, driver, *limit, *stream);
-    let (end, mut flight) = match sent {
-        Sent::Answering(response) => relay.follow(response, flight, &id).await,
-        Sent::Doubt(unknown) => (Err(unknown), flight),
-        Sent::NotReceived { .. } => unreachable!("dispatch tries another endpoint or refuses"),
+    let (end, mut in_flight) = match sent {
+        Sent::Answered(response) => relay.read_to_end(response, in_flight, &id).await,
+        Sent::Uncertain(unknown) => (Err(unknown), in_flight),
+        Sent::NotRun { .. } => unreachable!("dispatch tries another endpoint or refuses"),
     };
     if end.is_err() {
-        flight.failure = Some(Failure::Broken);
+        in_flight.failure = Some(Failure::Broken);
     }
-    let charged = relay.settle(hold, &end, &flight);
+    let charged = relay.settle(hold, &end, &in_flight);
     if let Some(claim) = claim {
         match &end {
             Ok(()) => claim.answered(relay.claim_answer(model)),
@@ -86,7 +86,8 @@
     }
     let url = format!("http://{}/runs/{}/stream", place.endpoint, place.dispatch);
     let request = shared.http.get(url);
-    let Sent::Answering(mut response) = send(request, call.left(), &place.dispatch).await else {
+    let Sent::Answered(mut response) = send(request, call.time_left(), &place.dispatch).await
+    else {
         return None;
     };
     if !response.status().is_success() {
@@ -97,8 +98,8 @@
     let end = match read {
         Ok(()) => Ok(()),
         // Nothing was sent to the caller yet: run the request again.
-        Err(_) if relay.first => return None,
-        Err(_) => Err(Unknown::Broken),
+        Err(_) if relay.nothing_sent => return None,
+        Err(_) => Err(Unknown::Incomplete),
     };
     shared.log.add_for_request(&call.key, &call.caller.budget, EventKind::Replayed);
     Some(relay.close(end, 0, model))
@@ -110,17 +111,17 @@
     driver: &'a Driver,
     limit: u64,
     transcript: Arc<Transcript>,
-    streams: bool,
-    counted: u64,
+    is_streamed: bool,
+    token_count: u64,
     usage: Option<(u64, u64)>,
     text: String,
-    reason: Option<String>,
-    first: bool,
+    finish_reason: Option<String>,
+    nothing_sent: bool,
 }
 
 enum Flow {
-    More,
-    Whole,
+    Continue,
+    Complete,
 }
 
 impl<'a> Relay<'a> {
@@ -129,7 +130,7 @@
         call: &'a Call,
         driver: &'a Driver,
         limit: u64,
-        streams: bool,
+        is_streamed: bool,
     ) -> Relay<'a> {
         Relay {
             shared,
@@ -137,40 +138,40 @@
             driver,
             limit,
             transcript: Arc::new(Transcript::default()),
-            streams,
-            counted: 0,
+            is_streamed,
+            token_count: 0,
             usage: None,
             text: String::new(),
-            reason: None,
-            first: true,
+            finish_reason: None,
+            nothing_sent: true,
         }
     }
 
     /// Reads the stream to its end, resuming it at the engine if it breaks.
-    async fn follow(
+    async fn read_to_end(
         &mut self,
         response: Response,
-        flight: Flight,
-        dispatch: &str,
-    ) -> (Result<(), Unknown>, Flight) {
+        in_flight: InFlight,
+        attempt_id: &str,
+    ) -> (Result<(), Unknown>, InFlight) {
         let mut response = response;
         if !response.status().is_success() {
-            return (Err(Unknown::Broken), flight);
+            return (Err(Unknown::Incomplete), in_flight);
         }
-        for _ in 0..=RESUMES {
+        for _ in 0..=MAX_RESUMES {
             match self.read(&mut response).await {
-                Ok(()) => return (Ok(()), flight),
-                Err(Stop::Abandoned) => return (Err(Unknown::Broken), flight),
+                Ok(()) => return (Ok(()), in_flight),
+                Err(Stop::Abandoned) => return (Err(Unknown::Incomplete), in_flight),
                 Err(Stop::Broken) => {}
             }
-            let url = format!("http://{}/runs/{dispatch}/stream", flight.target.address);
-            let request = self.shared.http.get(url).query(&[("from", self.counted)]);
-            match send(request, self.call.left().max(ABANDONED), dispatch).await {
-                Sent::Answering(again) if again.status().is_success() => response = again,
-                _ => return (Err(Unknown::Broken), flight),
+            let url = format!("http://{}/runs/{attempt_id}/stream", in_flight.target.address);
+            let request = self.shared.http.get(url).query(&[("from", self.token_count)]);
+            match send(request, self.call.time_left().max(ABANDON_TIMEOUT), attempt_id).await {
+                Sent::Answered(again) if again.status().is_success() => response = again,
+                _ => return (Err(Unknown::Incomplete), in_flight),
             }
         }
-        (Err(Unknown::Broken), flight)
+        (Err(Unknown::Incomplete), in_flight)
     }
 
     async fn read(&mut self, response: &mut Response) -> Result<(), Stop> {
@@ -183,11 +184,11 @@
             let Ok(Some(bytes)) = chunk else { return Err(Stop::Broken) };
             let events = scanner.push(&bytes).map_err(|_| Stop::Broken)?;
             for event in events {
-                if let Flow::Whole = self.event(event) {
+                if let Flow::Complete = self.event(event) {
                     return Ok(());
                 }
             }
-            if self.streams {
+            if self.is_streamed {
                 tokio::select! {
                     () = self.transcript.wait_drained() => {}
                     () = self.abandoned() => return Err(Stop::Abandoned),
@@ -196,18 +197,19 @@
         }
     }
 
-    /// Waits until no caller has followed the request for a while; forever if it must not run twice.
+    /// Waits until no caller has followed the request for a while. Never returns if it must not run
+    /// twice.
     async fn abandoned(&self) {
         let mut since = None;
         loop {
-            tokio::time::sleep(ABANDONED / 3).await;
+            tokio::time::sleep(ABANDON_TIMEOUT / 3).await;
             let wanted = self.driver.is_wanted() || !self.call.route.repeatable;
             since = match (wanted, since) {
                 (true, _) => None,
                 (false, None) => Some(tokio::time::Instant::now()),
                 (false, some) => some,
             };
-            if since.is_some_and(|at| at.elapsed() >= ABANDONED) {
+            if since.is_some_and(|at| at.elapsed() >= ABANDON_TIMEOUT) {
                 return;
             }
         }
@@ -215,78 +217,82 @@
 
     fn event(&mut self, event: Bytes) -> Flow {
         match sse::classify(&event) {
-            Event::Token if self.counted >= self.limit => {
+            Event::Token if self.token_count >= self.limit => {
                 // The engine ignores the output limit: end the answer at the reserved tokens.
-                self.pass(chat::cut_events(&self.call.key, self.prompt(), self.counted));
-                self.reason = Some("length".into());
-                self.usage = Some((self.prompt(), self.counted));
-                return Flow::Whole;
+                self.forward(chat::truncation_events(
+                    &self.call.key,
+                    self.prompt(),
+                    self.token_count,
+                ));
+                self.finish_reason = Some("length".into());
+                self.usage = Some((self.prompt(), self.token_count));
+                return Flow::Complete;
             }
             Event::Token => {
-                self.counted += 1;
+                self.token_count += 1;
                 self.collect(&event);
-                self.pass(event);
+                self.forward(event);
             }
             Event::Usage { prompt, completion } => {
                 self.usage = Some((prompt, completion));
                 self.collect(&event);
-                self.pass(event);
+                self.forward(event);
             }
             Event::Done => {
-                self.pass(event);
-                return Flow::Whole;
+                self.forward(event);
+                return Flow::Complete;
             }
             Event::Other => {}
         }
-        Flow::More
+        Flow::Continue
     }
 
     fn prompt(&self) -> u64 {
-        self.call.worst.saturating_sub(self.limit)
+        self.call.worst_case.saturating_sub(self.limit)
     }
 
     fn collect(&mut self, event: &[u8]) {
-        if !self.streams {
-            let (text, reason) = sse::text(event);
+        if !self.is_streamed {
+            let (text, finish_reason) = sse::text(event);
             self.text.push_str(&text);
-            self.reason = reason.or(self.reason.take());
+            self.finish_reason = finish_reason.or(self.finish_reason.take());
         }
     }
 
-    fn pass(&mut self, event: Bytes) {
-        if std::mem::take(&mut self.first) {
+    fn forward(&mut self, event: Bytes) {
+        if std::mem::take(&mut self.nothing_sent) {
             let class = self.call.class().as_str();
-            let seconds = self.call.came.elapsed().as_secs_f64();
-            self.shared.metrics.first_byte.get_or_create(&Stage { class }).observe(seconds);
-            if self.streams {
+            let seconds = self.call.received_at.elapsed().as_secs_f64();
+            self.shared.metrics.first_byte.get_or_create(&ClassLabel { class }).observe(seconds);
+            if self.is_streamed {
                 self.driver.streaming(self.transcript.clone());
             }
         }
-        if self.streams {
+        if self.is_streamed {
             self.transcript.push(event);
         }
     }
 
-    /// Charges the reported usage. Without one, a background task asks the engine how the run ended.
-    fn settle(&self, hold: Hold, end: &Result<(), Unknown>, flight: &Flight) -> u64 {
+    /// Charges the reported usage. Without one, a task asks the engine how the run ended.
+    fn settle(&self, hold: Hold, end: &Result<(), Unknown>, in_flight: &InFlight) -> u64 {
         match (end, self.usage) {
             (Ok(()), Some((prompt, output))) => {
-                let overshot = output >= self.limit && self.counted >= self.limit;
+                let overshot = output >= self.limit && self.token_count >= self.limit;
                 if overshot {
-                    self.shared.tasks.spawn(cancel(self.shared.clone(), flight, &hold));
+                    self.shared.tasks.spawn(cancel(self.shared.clone(), in_flight, &hold));
                 }
                 hold.finish(prompt + output, Ended::Answered)
             }
             _ => {
-                let asking = ask_until_ended(self.shared.clone(), hold, flight);
-                self.shared.tasks.spawn(asking);
+                let polling = poll_until_ended(self.shared.clone(), hold, in_flight);
+                self.shared.tasks.spawn(polling);
                 0
             }
         }
     }
 
     fn claim_answer(&self, model: &str) -> claim::Answer {
-        let body = (!self.streams).then(|| self.completion(model));
+        let body = (!self.is_streamed).then(|| self.completion(model));
         let text = body.and_then(|body| String::from_utf8(body.to_vec()).ok());
         claim::Answer {
             status: 200,
@@ -296,9 +302,9 @@
     }
 
     fn completion(&self, model: &str) -> Bytes {
-        let (prompt, output) = self.usage.unwrap_or((self.prompt(), self.counted));
-        let reason = self.reason.as_deref().unwrap_or("stop");
-        chat::completion(model, &self.call.key, &self.text, reason, prompt, output)
+        let (prompt, output) = self.usage.unwrap_or((self.prompt(), self.token_count));
+        let finish_reason = self.finish_reason.as_deref().unwrap_or("stop");
+        chat::completion(model, &self.call.key, &self.text, finish_reason, prompt, output)
     }
 
     fn close(self, end: Result<(), Unknown>, charged: u64, model: &str) -> Progress {
@@ -311,13 +317,13 @@
                 EventKind::Answered { tokens: charged },
             );
         }
-        match (end, self.streams, self.first) {
+        match (end, self.is_streamed, self.nothing_sent) {
             (Ok(()), true, _) => {
-                self.transcript.end(End::Whole);
+                self.transcript.end(End::Complete);
                 Progress::Streaming(self.transcript)
             }
             (Err(unknown), true, false) => {
-                self.transcript.end(End::Broken(unknown));
+                self.transcript.end(End::Incomplete(unknown));
                 Progress::Streaming(self.transcript)
             }
             (Err(unknown), ..) => Progress::Unknown(unknown),
--- a/crates/router/src/reports.rs
+++ b/crates/router/src/reports.rs
@@ -11,16 +11,17 @@
 
 /// Polls all engines for their load, for as long as the router runs.
 pub async fn poll_reports(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.money.report_ms);
+    let interval = Duration::from_millis(shared.settings.money.report_ms);
     loop {
-        tokio::time::sleep(every / 2 + shared.jitter(every)).await;
-        let asked = shared.endpoints.models().into_iter().map(|target| ask(&shared, target));
-        let left = futures_util::future::join_all(asked).await;
-        note_leaving(&shared, left.into_iter().flatten());
+        tokio::time::sleep(interval / 2 + shared.jitter(interval)).await;
+        let polls =
+            shared.endpoints.engines().into_iter().map(|target| poll_engine(&shared, target));
+        let leaving = futures_util::future::join_all(polls).await;
+        log_leaving(&shared, leaving.into_iter().flatten());
     }
 }
 
-async fn ask(shared: &Shared, target: Target) -> Vec<Arc<str>> {
+async fn poll_engine(shared: &Shared, target: Target) -> Vec<Arc<str>> {
     let url = format!("http://{}/load", target.address);
     let limit = Duration::from_millis(shared.settings.limits.connect_ms);
     let sent = shared.http.get(url).timeout(limit).send().await;
@@ -28,28 +29,28 @@
         return Vec::new();
     };
     match answer.json::<Load>().await {
-        Ok(load) => shared.endpoints.report(&target.name, &load, shared.now()),
+        Ok(load) => shared.endpoints.receive_load(&target.name, &load, shared.now()),
         Err(_) => Vec::new(),
     }
 }
 
 /// Polls the platform's list of hosts, for as long as the router runs.
 pub async fn poll_hosts(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.money.beat_ms);
+    let interval = Duration::from_millis(shared.settings.money.beat_ms);
     loop {
-        tokio::time::sleep(every / 2 + shared.jitter(every)).await;
+        tokio::time::sleep(interval / 2 + shared.jitter(interval)).await;
         if !shared.health.is_up() {
             continue;
         }
         match shared.store.hosts().await {
-            Ok(hosts) => note_leaving(&shared, shared.endpoints.hosts(&hosts)),
+            Ok(hosts) => log_leaving(&shared, shared.endpoints.apply_hosts(&hosts)),
             Err(_) => shared.health.record_failure(),
         }
     }
 }
 
 /// Logs endpoints that started to leave.
-pub fn note_leaving(shared: &Shared, endpoints: impl IntoIterator<Item = Arc<str>>) {
+pub fn log_leaving(shared: &Shared, endpoints: impl IntoIterator<Item = Arc<str>>) {
     for endpoint in endpoints {
         shared.log.add(EventKind::Leaving { endpoint });
     }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -31,9 +31,9 @@
 }
 
 impl Progress {
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match self {
-            Progress::Streaming(transcript) => transcript.is_whole(),
+            Progress::Streaming(transcript) => transcript.is_complete(),
             Progress::Answered(_) => true,
             Progress::Waiting | Progress::Refused(_) | Progress::Unknown(_) => false,
         }
@@ -60,18 +60,18 @@
 struct State {
     entries: HashMap<Id, Entry>,
     ended: VecDeque<(Instant, Id, usize)>,
-    kept: usize,
+    stored_bytes: usize,
 }
 
 /// All requests of this box that are in flight or were answered recently.
 pub struct Requests {
     state: Mutex<State>,
-    keep_bytes: usize,
-    keep_for: Duration,
+    max_bytes: usize,
+    max_age: Duration,
 }
 
 /// What a caller finds under its key.
-pub enum Entered {
+pub enum Registration {
     /// Nothing: the caller has to run the request with the driver.
     New(Driver, Follower),
     /// The same request; its progress can be followed.
@@ -97,24 +97,24 @@
 }
 
 impl Requests {
-    /// Stores up to `keep_bytes` of answers for up to `keep_for`.
-    pub fn new(keep_bytes: usize, keep_for: Duration) -> Requests {
-        Requests { state: Mutex::default(), keep_bytes, keep_for }
+    /// Stores up to `max_bytes` of answers for up to `max_age`.
+    pub fn new(max_bytes: usize, max_age: Duration) -> Requests {
+        Requests { state: Mutex::default(), max_bytes, max_age }
     }
 
     /// Registers a request, or joins the one that has the same customer and key.
-    pub fn enter(
+    pub fn register(
         self: &Arc<Self>,
         customer: &Arc<str>,
         key: &Arc<str>,
         fingerprint: u64,
-    ) -> Entered {
+    ) -> Registration {
         let id = (customer.clone(), key.clone());
         let mut state = self.state.lock();
         if let Some(entry) = state.entries.get(&id) {
             return match entry.fingerprint == fingerprint {
-                true => Entered::Joined(entry.follower()),
-                false => Entered::Mismatch,
+                true => Registration::Joined(entry.follower()),
+                false => Registration::Mismatch,
             };
         }
         let interest = Arc::new(());
@@ -128,24 +128,24 @@
         state.entries.insert(id.clone(), entry);
         drop(state);
         let driver = Driver { requests: self.clone(), id, interest: weak, done: false };
-        Entered::New(driver, follower)
+        Registration::New(driver, follower)
     }
 
     /// Number of requests that have not ended.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         let state = self.state.lock();
         state.entries.len() - state.ended.len()
     }
 
     fn end(&self, id: &Id, progress: Progress) {
         let mut state = self.state.lock();
-        let whole = progress.is_whole();
+        let complete = progress.is_complete();
         let bytes = progress.bytes();
         let Some(entry) = state.entries.get(id) else { return };
         entry.progress.send_replace(progress);
-        match whole {
+        match complete {
             true => {
-                state.kept += bytes;
+                state.stored_bytes += bytes;
                 state.ended.push_back((Instant::now(), id.clone(), bytes));
             }
             // Without a complete answer a retry starts over: it may find a claim, a run to attach
@@ -153,11 +153,11 @@
             false => drop(state.entries.remove(id)),
         }
         while let Some((at, _, _)) = state.ended.front() {
-            if state.kept <= self.keep_bytes && at.elapsed() < self.keep_for {
+            if state.stored_bytes <= self.max_bytes && at.elapsed() < self.max_age {
                 break;
             }
             if let Some((_, oldest, bytes)) = state.ended.pop_front() {
-                state.kept -= bytes;
+                state.stored_bytes -= bytes;
                 state.entries.remove(&oldest);
             }
         }
@@ -195,7 +195,7 @@
 impl Drop for Driver {
     fn drop(&mut self) {
         if !self.done {
-            self.requests.end(&self.id, Progress::Unknown(Unknown::Broken));
+            self.requests.end(&self.id, Progress::Unknown(Unknown::Incomplete));
         }
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -10,17 +10,19 @@
 use tokio::{net::TcpSocket, task::JoinHandle};
 
 use crate::{
-    answers::{self, PeerService},
     api::{Callers, Operators},
-    follow, keeper, reports, sealer,
+    background,
+    peer_service::{self, PeerService},
+    reports, sealer,
     settings::Settings,
     shared::Shared,
+    sync,
 };
 
 /// Time for the load balancer to notice that the box is no longer ready.
-const NOTICE: Duration = Duration::from_millis(500);
+const READINESS_DELAY: Duration = Duration::from_millis(500);
 /// Interval between probes of the direct connection to the platform.
-const PROBE_DIRECT: Duration = Duration::from_millis(1_000);
+const DIRECT_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a router did not start.
 #[derive(Debug, Snafu)]
@@ -41,7 +43,7 @@
     peers: Option<wire::Server>,
     handle: ServerHandle,
     servers: Vec<JoinHandle<()>>,
-    loops: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
 impl Router {
@@ -51,11 +53,11 @@
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Router, Error> {
         let client = Client::open(settings.platform_options());
         let calls = client.calls();
-        Router::spawn_on(settings, Arc::new(client), calls, seed).await
+        Router::spawn_with_store(settings, Arc::new(client), calls, seed).await
     }
 
     /// Starts a router on the given store.
-    pub async fn spawn_on(
+    pub async fn spawn_with_store(
         settings: Settings,
         store: Arc<dyn Store>,
         calls: Calls,
@@ -80,9 +82,9 @@
             tokio::spawn(async move { Server::new(operators).serve(watch).await }),
         ];
         shared.log.add(EventKind::Started);
-        let loops = spawn_loops(&shared);
+        let tasks = spawn_tasks(&shared);
         let (callers, operators) = addresses;
-        Ok(Router { shared, callers, operators, peers, handle, servers, loops })
+        Ok(Router { shared, callers, operators, peers, handle, servers, tasks })
     }
 
     /// Address for callers.
@@ -130,22 +132,22 @@
         let shared = self.shared.clone();
         shared.log.add(EventKind::Stopping);
         shared.stopping.send_replace(true);
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(READINESS_DELAY).await;
         let limit = Duration::from_millis(shared.settings.limits.stop_ms);
         self.handle.stop_graceful(limit);
         let callers = self.servers.remove(0);
         let _ = callers.await;
         shared.tasks.close();
         let _ = tokio::time::timeout(limit, async {
-            while shared.requests.under_way() > 0 || !shared.sessions.is_idle() {
+            while shared.requests.in_flight() > 0 || !shared.sessions.is_idle() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         })
         .await;
-        for task in self.loops.drain(..) {
+        for task in self.tasks.drain(..) {
             task.abort();
         }
-        let _ = tokio::time::timeout(limit, keeper::leave(&shared)).await;
+        let _ = tokio::time::timeout(limit, background::close_sessions(&shared)).await;
         shared.ended.cancel();
         shared.log.add(EventKind::Stopped);
     }
@@ -160,31 +162,31 @@
     fn drop(&mut self) {
         self.shared.ended.cancel();
         self.handle.stop_forceful();
-        for task in self.servers.iter().chain(&self.loops) {
+        for task in self.servers.iter().chain(&self.tasks) {
             task.abort();
         }
     }
 }
 
-fn spawn_loops(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
+fn spawn_tasks(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
     vec![
-        tokio::spawn(follow::follow(shared.clone())),
-        tokio::spawn(follow::follow_members(shared.clone())),
-        tokio::spawn(keeper::beat(shared.clone())),
-        tokio::spawn(keeper::probe(shared.clone())),
-        tokio::spawn(keeper::fold(shared.clone())),
-        tokio::spawn(keeper::renew(shared.clone())),
+        tokio::spawn(sync::watch_config(shared.clone())),
+        tokio::spawn(sync::poll_members(shared.clone())),
+        tokio::spawn(background::send_heartbeats(shared.clone())),
+        tokio::spawn(background::probe_platform(shared.clone())),
+        tokio::spawn(background::fold_outcomes(shared.clone())),
+        tokio::spawn(background::renew_sessions(shared.clone())),
         tokio::spawn(sealer::wind_up(shared.clone())),
         tokio::spawn(reports::poll_reports(shared.clone())),
         tokio::spawn(reports::poll_hosts(shared.clone())),
-        tokio::spawn(answers::exchange(shared.clone())),
-        tokio::spawn(answers::hand_in(shared.clone())),
+        tokio::spawn(peer_service::gossip(shared.clone())),
+        tokio::spawn(peer_service::write_replicas(shared.clone())),
         tokio::spawn(probe_direct(shared.clone())),
     ]
 }
 
 async fn probe_direct(shared: Arc<Shared>) {
-    shared.relayed.probe(PROBE_DIRECT).await;
+    shared.fallback.probe(DIRECT_PROBE_INTERVAL).await;
 }
 
 async fn bind_peers(shared: &Arc<Shared>) -> Result<Option<wire::Server>, Error> {
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -7,12 +7,12 @@
 use serde::Deserialize;
 use session::Hold;
 
-use crate::{flight::Flight, shared::Shared};
+use crate::{in_flight::InFlight, shared::Shared};
 
 /// First delay between requests for a run's state; it doubles.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+const POLL_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between such requests.
-const ASK_MOST: Duration = Duration::from_secs(2);
+const MAX_POLL_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
@@ -23,18 +23,18 @@
 }
 
 /// Asks an engine for the state of a run; `None` without an answer.
-async fn ask(shared: &Shared, address: &str, dispatch: &str) -> Option<Report> {
-    let url = format!("http://{address}/runs/{dispatch}");
+async fn ask(shared: &Shared, address: &str, attempt_id: &str) -> Option<Report> {
+    let url = format!("http://{address}/runs/{attempt_id}");
     let limit = Duration::from_millis(shared.settings.limits.connect_ms);
     let answer = shared.http.get(url).timeout(limit).send().await.ok()?;
     answer.json().await.ok()
 }
 
-/// Tokens used by the run of `dispatch`, if an engine of the pool reports that it ended.
-pub async fn ended_run(shared: &Shared, endpoint: &str, dispatch: &str) -> Option<u64> {
-    for address in shared.endpoints.engines_beside(endpoint) {
+/// Tokens used by the run of `attempt_id`, if an engine of the pool reports that it ended.
+pub async fn reported_usage(shared: &Shared, endpoint: &str, attempt_id: &str) -> Option<u64> {
+    for address in shared.endpoints.pool_engines(endpoint) {
         if let Some(Report::Ended { prompt_tokens, output_tokens }) =
-            ask(shared, &address, dispatch).await
+            ask(shared, &address, attempt_id).await
         {
             return Some(prompt_tokens + output_tokens);
         }
@@ -45,53 +45,54 @@
 /// Cancels a run at its engine.
 pub fn cancel(
     shared: Arc<Shared>,
-    flight: &Flight,
+    in_flight: &InFlight,
     hold: &Hold,
 ) -> impl Future<Output = ()> + Send + use<> {
-    let url = format!("http://{}/runs/{}/cancel", flight.target.address, hold.attempt_id());
+    let url = format!("http://{}/runs/{}/cancel", in_flight.target.address, hold.attempt_id());
     async move {
         let limit = Duration::from_millis(shared.settings.limits.connect_ms);
         let _ = shared.http.post(url).timeout(limit).send().await;
     }
 }
 
-/// Cancels a run and keeps its tokens reserved until its end is known, or the declared rule decides.
-pub fn ask_until_ended(
+/// Cancels a run and keeps its tokens reserved until its end is known or the declared rule
+/// decides.
+pub fn poll_until_ended(
     shared: Arc<Shared>,
     hold: Hold,
-    flight: &Flight,
+    in_flight: &InFlight,
 ) -> impl Future<Output = ()> + Send + use<> {
-    let address = flight.target.address.clone();
-    let cancel = cancel(shared.clone(), flight, &hold);
+    let address = in_flight.target.address.clone();
+    let cancel = cancel(shared.clone(), in_flight, &hold);
     async move {
         cancel.await;
-        let dispatch = hold.attempt_id();
+        let attempt_id = hold.attempt_id();
         let end = tokio::time::Instant::now()
             + Duration::from_millis(shared.settings.money.resolve_after_ms);
-        let mut wait = ASK_AGAIN;
+        let mut delay = POLL_DELAY;
         while tokio::time::Instant::now() < end {
             if let Some(Report::Ended { prompt_tokens, output_tokens }) =
-                ask(&shared, &address, &dispatch).await
+                ask(&shared, &address, &attempt_id).await
             {
                 hold.finish(prompt_tokens + output_tokens, Ended::Broken);
                 return;
             }
-            tokio::time::sleep(wait + shared.jitter(wait)).await;
-            wait = (wait * 2).min(ASK_MOST);
+            tokio::time::sleep(delay + shared.jitter(delay)).await;
+            delay = (delay * 2).min(MAX_POLL_DELAY);
         }
-        rule(&shared, hold);
+        settle_by_rule(&shared, hold);
     }
 }
 
 /// Ends a request with unknown usage by the rule declared for its budget.
-pub fn rule(shared: &Shared, hold: Hold) {
-    let ended = ruled(shared, &hold.record().budget);
+pub fn settle_by_rule(shared: &Shared, hold: Hold) {
+    let ended = outcome_by_rule(shared, &hold.record().budget);
     let reserved = hold.record().reserved;
     hold.finish(reserved, ended);
 }
 
 /// How the rule declared for a budget ends a request with unknown usage.
-pub fn ruled(shared: &Shared, budget: &str) -> Ended {
+pub fn outcome_by_rule(shared: &Shared, budget: &str) -> Ended {
     let snapshot = shared.config.borrow().clone();
     match snapshot.budgets.get(budget).map(|spec| spec.unresolved) {
         Some(UnresolvedPolicy::BillNothing) => Ended::Waived,
--- a/crates/router/src/scrape.rs
+++ b/crates/router/src/scrape.rs
@@ -1,6 +1,6 @@
 //! Updates metrics whose values are kept outside the registry.
 
-use crate::{metrics::Purpose, shared::Shared};
+use crate::{metrics::CallLabels, shared::Shared};
 
 /// Copies such values into the registry; called before each scrape.
 pub fn refresh(shared: &Shared) {
@@ -8,7 +8,7 @@
     metrics.platform_up.set(i64::from(shared.health.is_up()));
     for ((operation, kind), count) in shared.calls.snapshot() {
         let operation = format!("{operation:?}").to_lowercase();
-        let purpose = Purpose { operation, kind: kind.to_string() };
-        metrics.platform.get_or_create(&purpose).set(count.calls as i64);
+        let labels = CallLabels { operation, kind: kind.to_string() };
+        metrics.platform.get_or_create(&labels).set(count.calls as i64);
     }
 }
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -10,25 +10,25 @@
 use session::recovery::{self, Finding, Sealed};
 use timeline::EventKind;
 
-use crate::{keeper::remove, runs, shared::Shared};
+use crate::{background::delete_incarnation, runs, shared::Shared};
 
 /// Interval of the check for silent incarnations, and first delay between attempts on one of them.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest delay between attempts to wind up one incarnation, in milliseconds.
-const LOOK_MOST: u64 = 10_000;
+const MAX_DELAY_MS: u64 = 10_000;
 
 /// State of winding up one incarnation. Times in milliseconds.
 struct Case {
     sealed_at: u64,
-    next_look: u64,
-    wait: u64,
+    next_attempt: u64,
+    delay: u64,
 }
 
 /// Winds up incarnations without a heartbeat, for as long as the router runs.
 pub async fn wind_up(shared: Arc<Shared>) {
     let mut cases: HashMap<Incarnation, Case> = HashMap::new();
     loop {
-        tokio::time::sleep(LOOK / 2 + shared.jitter(LOOK)).await;
+        tokio::time::sleep(CHECK_INTERVAL / 2 + shared.jitter(CHECK_INTERVAL)).await;
         if !shared.health.is_up() {
             continue;
         }
@@ -38,13 +38,13 @@
             let now = shared.now();
             let case = cases.entry(name.clone()).or_insert(Case {
                 sealed_at: now,
-                next_look: now,
-                wait: LOOK.as_millis() as u64,
+                next_attempt: now,
+                delay: CHECK_INTERVAL.as_millis() as u64,
             });
-            if now >= case.next_look {
+            if now >= case.next_attempt {
                 wind_up_one(&shared, &name, case).await;
-                case.wait = (case.wait * 2).min(LOOK_MOST);
-                case.next_look = shared.now() + case.wait;
+                case.delay = (case.delay * 2).min(MAX_DELAY_MS);
+                case.next_attempt = shared.now() + case.delay;
             }
         }
     }
@@ -57,12 +57,12 @@
         shared.sessions.former().iter().map(|session| session.incarnation().clone()).collect();
     let members = shared.members.lock();
     let silent = members.silent(&me, now, after);
-    let mine = |name: &Incarnation| former.contains(name);
-    let turn = |name: &Incarnation| {
+    let is_own = |name: &Incarnation| former.contains(name);
+    let is_due = |name: &Incarnation| {
         let rank = members.rank(name.as_str(), &me, now, after) as u64;
         members.silent(&me, now, after + rank * after / 2).contains(name)
     };
-    silent.into_iter().filter(|name| !mine(name) && turn(name)).collect()
+    silent.into_iter().filter(|name| !is_own(name) && is_due(name)).collect()
 }
 
 async fn wind_up_one(shared: &Arc<Shared>, name: &Incarnation, case: &mut Case) {
@@ -75,16 +75,16 @@
         }
         Sealed::Before(journal) => journal,
         // It never recorded anything, or is wound up: only its member object may be left.
-        Sealed::Missing => return remove(shared, name).await,
+        Sealed::Missing => return delete_incarnation(shared, name).await,
         Sealed::Unknown => return,
     };
     let waited = Duration::from_millis(shared.now().saturating_sub(case.sealed_at));
-    let ruled = waited >= Duration::from_millis(shared.settings.money.resolve_after_ms);
-    let findings = findings(shared, &journal, ruled).await;
+    let rule_applies = waited >= Duration::from_millis(shared.settings.money.resolve_after_ms);
+    let findings = findings(shared, &journal, rule_applies).await;
     let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else {
         return;
     };
-    note_resolved(shared, name, &findings);
+    log_resolved(shared, name, &findings);
     let destroyed = shared.config.borrow().is_destroyed(name.as_str());
     let closing = if destroyed { Closing::Destroyed } else { Closing::Sealed };
     let mut done = journal.open_records().next().is_none();
@@ -92,26 +92,27 @@
         done &= recovery::close_grant(store, &budget, &journal, closing).await;
     }
     // A delayed write of the incarnation may still land, so it is forgotten only after that time.
-    if done && ruled {
-        remove(shared, name).await;
+    if done && rule_applies {
+        delete_incarnation(shared, name).await;
         for budget in recovery::budgets(&journal) {
             recovery::forget_grant(store, &budget, name).await;
         }
     }
 }
 
-/// Outcomes of open records: as an engine reports them or, once `ruled`, by the declared rule.
+/// Outcomes of open records: as an engine reports them or, if `rule_applies`, by the declared
+/// rule.
 ///
 /// An engine that does not know a run proves nothing: a suspended sender may still dispatch it.
-async fn findings(shared: &Shared, journal: &Journal, ruled: bool) -> Vec<Finding> {
+async fn findings(shared: &Shared, journal: &Journal, rule_applies: bool) -> Vec<Finding> {
     let mut found = Vec::new();
     for record in journal.open_records() {
-        let dispatch = format!("{}-{}", journal.incarnation, record.n);
-        let reported = runs::ended_run(shared, &record.endpoint, &dispatch).await;
+        let attempt_id = format!("{}-{}", journal.incarnation, record.n);
+        let reported = runs::reported_usage(shared, &record.endpoint, &attempt_id).await;
         let (charged, ended, evidence) = match reported {
             Some(tokens) => (tokens.min(record.reserved), Ended::Broken, Evidence::Reported),
-            None if ruled => {
-                (record.reserved, runs::ruled(shared, &record.budget), Evidence::Ruled)
+            None if rule_applies => {
+                (record.reserved, runs::outcome_by_rule(shared, &record.budget), Evidence::Ruled)
             }
             None => continue,
         };
@@ -120,7 +121,7 @@
     found
 }
 
-fn note_resolved(shared: &Shared, name: &Incarnation, findings: &[Finding]) {
+fn log_resolved(shared: &Shared, name: &Incarnation, findings: &[Finding]) {
     for finding in findings {
         let incarnation = name.as_str().into();
         shared.log.add(EventKind::Resolved { incarnation, tokens: finding.charged });
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -12,10 +12,10 @@
     answer::Answer,
     call::{Call, Payload},
     dispatch::{Sent, dispatch},
-    flight::{Flight, Secured},
+    in_flight::{InFlight, Prepared},
     outcome::Unknown,
     requests::Progress,
-    runs::rule,
+    runs::settle_by_rule,
     shared::Shared,
 };
 
@@ -23,7 +23,7 @@
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Hop-by-hop headers, and headers that the router sets or consumes itself.
-const OWN: [&str; 14] = [
+const NOT_FORWARDED: [&str; 14] = [
     "authorization",
     "connection",
     "content-length",
@@ -40,7 +40,7 @@
     "x-request-id",
 ];
 
-/// The headers to forward: all but [`OWN`] and those named by `Connection`.
+/// The headers to forward: all but [`NOT_FORWARDED`] and those named by `Connection`.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let listed = headers.get_all("connection");
     let named: Vec<String> = listed
@@ -50,76 +50,77 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     let passes = |name: &HeaderName| {
-        !OWN.contains(&name.as_str()) && !named.iter().any(|listed| listed == name.as_str())
+        !NOT_FORWARDED.contains(&name.as_str())
+            && !named.iter().any(|listed| listed == name.as_str())
     };
-    let kept = headers.iter().filter(|(name, _)| passes(name));
-    kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+    let forwarded = headers.iter().filter(|(name, _)| passes(name));
+    forwarded.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
 /// Dispatches a call whose tokens are reserved to a plain service and returns its answer.
 pub async fn serve(
     shared: &Arc<Shared>,
     call: &Call,
-    secured: Secured,
-    flight: Flight,
+    prepared: Prepared,
+    in_flight: InFlight,
 ) -> Progress {
     let Payload::Service { method, path, headers, body } = &call.payload else {
         unreachable!("only calls to plain services are served");
     };
-    let Secured { hold, claim } = secured;
+    let Prepared { hold, claim } = prepared;
     let send = |address: &str| {
         let url = format!("http://{address}/{path}");
         shared.http.request(method.clone(), url).headers(headers.clone()).body(body.clone())
     };
-    let (mut flight, sent) = match dispatch(shared, call, &hold, flight, send).await {
+    let (mut in_flight, sent) = match dispatch(shared, call, &hold, in_flight, send).await {
         Ok(sent) => sent,
         Err(progress) => return progress,
     };
     let answer = match sent {
-        Sent::Answering(response) => read_answer(response, call.left()).await,
-        Sent::Doubt(unknown) => Err(unknown),
-        Sent::NotReceived { .. } => unreachable!("dispatch tries another endpoint or refuses"),
+        Sent::Answered(response) => read_answer(response, call.time_left()).await,
+        Sent::Uncertain(unknown) => Err(unknown),
+        Sent::NotRun { .. } => unreachable!("dispatch tries another endpoint or refuses"),
     };
     match answer {
         Err(unknown) => {
-            flight.failure = Some(Failure::Broken);
-            rule(shared, hold);
+            in_flight.failure = Some(Failure::Broken);
+            settle_by_rule(shared, hold);
             if let Some(claim) = claim {
                 claim.leave_open();
             }
             Progress::Unknown(unknown)
         }
         Ok(answer) => {
-            let charged = hold.finish(call.worst, Ended::Answered);
+            let charged = hold.finish(call.worst_case, Ended::Answered);
             shared.metrics.tokens.inc_by(charged);
-            let what = EventKind::Answered { tokens: charged };
-            shared.log.add_for_request(&call.key, &call.caller.budget, what);
+            let event = EventKind::Answered { tokens: charged };
+            shared.log.add_for_request(&call.key, &call.caller.budget, event);
             if let Some(claim) = claim {
-                claim.answered(kept(&answer));
+                claim.answered(stored_answer(&answer));
             }
             Progress::Answered(Arc::new(answer))
         }
     }
 }
 
-async fn read_answer(mut response: Response, within: Duration) -> Result<Answer, Unknown> {
+async fn read_answer(mut response: Response, timeout: Duration) -> Result<Answer, Unknown> {
     let status = response.status().as_u16();
     let headers = end_to_end(response.headers());
     let mut body = Vec::new();
     let reading = async {
-        while let Some(chunk) = response.chunk().await.map_err(|_| Unknown::Broken)? {
+        while let Some(chunk) = response.chunk().await.map_err(|_| Unknown::Incomplete)? {
             if body.len() + chunk.len() > MAX_ANSWER_BYTES {
-                return Err(Unknown::Broken);
+                return Err(Unknown::Incomplete);
             }
             body.extend_from_slice(&chunk);
         }
         Ok(())
     };
-    tokio::time::timeout(within, reading).await.map_err(|_| Unknown::Broken)??;
+    tokio::time::timeout(timeout, reading).await.map_err(|_| Unknown::Incomplete)??;
     Ok(Answer { status, headers, body: body.into() })
 }
 
-fn kept(answer: &Answer) -> claim::Answer {
+fn stored_answer(answer: &Answer) -> claim::Answer {
     let content_type = answer.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     let text = std::str::from_utf8(&answer.body).ok();
     claim::Answer {
@@ -134,7 +135,7 @@
     use super::*;
 
     #[test]
-    fn hop_by_hop_headers_stay_here() {
+    fn hop_by_hop_headers_are_not_forwarded() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("connection", "close, X-Once"),
@@ -146,8 +147,8 @@
         ] {
             headers.insert(name, value.parse().unwrap());
         }
-        let kept = end_to_end(&headers);
-        let mut names: Vec<&str> = kept.keys().map(HeaderName::as_str).collect();
+        let forwarded = end_to_end(&headers);
+        let mut names: Vec<&str> = forwarded.keys().map(HeaderName::as_str).collect();
         names.sort_unstable();
         assert_eq!(names, ["accept", "x-clinic"]);
     }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -192,16 +192,17 @@
 
     /// Values that are not allowed.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for (path, name) in
             [("box", &self.box_name), ("zone", &self.zone), ("region", &self.region)]
         {
             if !resource::is_name(name) {
-                found.push(Violation::new(path, "a name of a-z, 0-9 and inner hyphens"));
+                violations.push(Violation::new(path, "a name of a-z, 0-9 and inner hyphens"));
             }
         }
         if !self.platform.address.starts_with("http://") {
-            found.push(Violation::new("platform.address", "an address that starts with http://"));
+            violations
+                .push(Violation::new("platform.address", "an address that starts with http://"));
         }
         let (platform, limits, money) = (&self.platform, &self.limits, &self.money);
         let ranges = [
@@ -227,16 +228,16 @@
         ];
         for (path, value, least, most) in ranges {
             if !(least..=most).contains(&value) {
-                found.push(Violation::new(path, format!("between {least} and {most}")));
+                violations.push(Violation::new(path, format!("between {least} and {most}")));
             }
         }
         if money.seal_after_ms < money.beat_ms * 2 {
-            found.push(Violation::new("money.seal_after_ms", "at least twice money.beat_ms"));
+            violations.push(Violation::new("money.seal_after_ms", "at least twice money.beat_ms"));
         }
         if !["error", "warn", "info", "debug", "trace"].contains(&self.log.level.as_str()) {
-            found.push(Violation::new("log.level", "error, warn, info, debug or trace"));
+            violations.push(Violation::new("log.level", "error, warn, info, debug or trace"));
         }
-        found
+        violations
     }
 
     /// Options of the platform client.
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -20,8 +20,9 @@
 use wire::{Frame, Location, Place};
 
 use crate::{
-    endpoints::Endpoints, lanes::Lanes, metrics::Metrics, peers::Peers, places::Places,
-    relayed::Relayed, requests::Requests, settings::Settings, texts::Texts, tickets::Tickets,
+    accepted::AcceptedObjects, endpoints::Endpoints, fallback::Fallback, metrics::Metrics,
+    peers::Peers, places::Places, queues::Queues, requests::Requests, settings::Settings,
+    tickets::Tickets,
 };
 
 /// Source address of requests to peers, if the box itself accepts none.
@@ -34,14 +35,14 @@
     pub store: Arc<dyn Store>,
     /// The platform, over the direct connection only.
     pub direct: Arc<dyn Store>,
-    pub relayed: Arc<Relayed>,
+    pub fallback: Arc<Fallback>,
     pub peers: Peers,
     pub replicas: Replicas,
     pub places: Places,
     pub tickets: Tickets,
-    pub lanes: Lanes,
+    pub queues: Queues,
     pub advertised: Mutex<Arc<str>>,
-    pub accepted: Mutex<Texts>,
+    pub accepted: Mutex<AcceptedObjects>,
     pub calls: Calls,
     pub health: Health,
     pub config: watch::Sender<Arc<Snapshot>>,
@@ -73,8 +74,8 @@
         let health = Health::open(log.clone());
         let source = settings.listen.peers.map_or(LOOPBACK, |address| address.ip());
         let peers = Peers::new(source, settings.zone.clone(), log.clone(), random.random());
-        let relayed = Arc::new(Relayed::new(direct.clone(), peers.clone()));
-        let store: Arc<dyn Store> = relayed.clone();
+        let fallback = Arc::new(Fallback::new(direct.clone(), peers.clone()));
+        let store: Arc<dyn Store> = fallback.clone();
         let (config, _) = watch::channel(Arc::new(Snapshot::default()));
         let setup = Setup {
             box_name: settings.box_name.clone(),
@@ -91,7 +92,7 @@
             peers: Some(Arc::new(peers.clone())),
         };
         let sessions = Sessions::open(setup, random.random());
-        peers.rename(sessions.me());
+        peers.set_incarnation(sessions.me());
         let limits = &settings.limits;
         let requests = Requests::new(limits.replay_bytes, Duration::from_millis(limits.replay_ms));
         let http = reqwest::Client::builder()
@@ -113,12 +114,12 @@
             sessions,
             replicas: Replicas::default(),
             places: Places::default(),
-            lanes: Lanes::default(),
+            queues: Queues::default(),
             tickets: Tickets::new(random.random()),
             advertised: Mutex::new("".into()),
             accepted: Mutex::default(),
             direct,
-            relayed,
+            fallback,
             peers,
             random: Mutex::new(random),
             started: Instant::now(),
@@ -154,21 +155,21 @@
     }
 
     /// The peer that owns a request's key, by rendezvous hashing; `None` if this box does.
-    fn key_home(&self, customer: &str, key: &str) -> Option<Incarnation> {
+    fn key_owner(&self, customer: &str, key: &str) -> Option<Incarnation> {
         let me = self.me();
         let id = format!("{customer}/{key}");
         let weight = |name: &Incarnation| member::weight(&id, name.box_name());
-        let home = self.peers.in_reach().into_iter().max_by_key(|name| weight(name))?;
-        (weight(&home) > weight(&me)).then_some(home)
+        let owner = self.peers.reachable_names().into_iter().max_by_key(|name| weight(name))?;
+        (weight(&owner) > weight(&me)).then_some(owner)
     }
 
     /// Where a request with a key runs or ran, according to the key's owner.
     pub async fn find_place(&self, customer: &Arc<str>, key: &Arc<str>) -> Location {
-        let Some(home) = self.key_home(customer, key) else {
+        let Some(owner) = self.key_owner(customer, key) else {
             return self.places.find(customer, key, &self.me(), self.now());
         };
         let question = Frame::Locate { customer: customer.clone(), key: key.clone() };
-        match self.peers.ask_one(&home, question).await {
+        match self.peers.ask_one(&owner, question).await {
             Some(Frame::Location(there)) => there,
             // The owner is unreachable: run the request here.
             _ => Location::Nowhere,
@@ -176,13 +177,13 @@
     }
 
     /// Reports to the owner of a request's key where the request runs.
-    pub fn note_place(self: &Arc<Self>, customer: &Arc<str>, key: &Arc<str>, place: Place) {
-        match self.key_home(customer, key) {
-            None => self.places.note(customer.clone(), key.clone(), place),
-            Some(home) => {
+    pub fn report_place(self: &Arc<Self>, customer: &Arc<str>, key: &Arc<str>, place: Place) {
+        match self.key_owner(customer, key) {
+            None => self.places.record(customer.clone(), key.clone(), place),
+            Some(owner) => {
                 let frame = Frame::Note { customer: customer.clone(), key: key.clone(), place };
                 let peers = self.peers.clone();
-                self.tasks.spawn(async move { peers.ask_one(&home, frame).await });
+                self.tasks.spawn(async move { peers.ask_one(&owner, frame).await });
             }
         }
     }
@@ -193,7 +194,7 @@
     }
 
     /// A random number.
-    pub fn fresh(&self) -> u64 {
+    pub fn random_u64(&self) -> u64 {
         self.random.lock().random()
     }
 }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 
 /// Largest event accepted from an endpoint, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event of a completion stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,27 +26,27 @@
 /// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct Scanner {
-    rest: BytesMut,
+    partial: BytesMut,
 }
 
 impl Scanner {
     /// Adds bytes; returns the events that they completed.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Vec<Bytes>, TooLarge> {
         let mut events = Vec::new();
-        let mut buffer = match self.rest.is_empty() {
+        let mut buffer = match self.partial.is_empty() {
             true => bytes.clone(),
             false => {
-                self.rest.extend_from_slice(bytes);
-                self.rest.split().freeze()
+                self.partial.extend_from_slice(bytes);
+                self.partial.split().freeze()
             }
         };
         while let Some(at) = end_of_event(&buffer) {
             events.push(buffer.split_to(at));
         }
-        if buffer.len() > MAX_EVENT {
+        if buffer.len() > MAX_EVENT_BYTES {
             return Err(TooLarge);
         }
-        self.rest = BytesMut::from(&buffer[..]);
+        self.partial = BytesMut::from(&buffer[..]);
         Ok(events)
     }
 }
@@ -114,7 +114,7 @@
     use super::*;
 
     #[test]
-    fn events_are_told_apart() {
+    fn events_are_classified() {
         let cases: [(&[u8], Event); 4] = [
             (b"data: {\"choices\":[]}\n\n", Event::Token),
             (
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/sync.rs
@@ -11,26 +11,26 @@
 use serde_json::json;
 use timeline::EventKind;
 
-use crate::{reports::note_leaving, shared::Shared};
+use crate::{reports::log_leaving, shared::Shared};
 
 /// Delay for each rank after the owner before a box validates an object in the owner's place.
-const NEXT_IN_LINE: Duration = Duration::from_millis(700);
+const STAND_IN_DELAY: Duration = Duration::from_millis(700);
 /// Boxes that may validate one object: its owner and those that stand in for it.
-const LINE: usize = 3;
+const MAX_VALIDATORS: usize = 3;
 /// Reads of the member list per second by the whole fleet, whatever its size.
-const LISTS_PER_S: u64 = 20;
+const FLEET_LISTS_PER_S: u64 = 20;
 /// Delay before the first retry of a failed read or write.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 const KINDS: [&str; 6] = ["accepted", "budget", "customer", "pool", "route", "destroyed"];
 
 /// Watches the platform's objects for as long as the router runs.
-pub async fn follow(shared: Arc<Shared>) {
+pub async fn watch_config(shared: Arc<Shared>) {
     let mut from = None;
     loop {
         let step = match from {
-            None => load(&shared, 0).await,
-            Some(at) => next(&shared, at).await,
+            None => load_all(&shared, 0).await,
+            Some(at) => next_changes(&shared, at).await,
         };
         match step {
             Ok(at) => {
@@ -40,7 +40,7 @@
             }
             Err(_) => {
                 shared.health.record_failure();
-                tokio::time::sleep(AGAIN + shared.jitter(AGAIN)).await;
+                tokio::time::sleep(RETRY_DELAY + shared.jitter(RETRY_DELAY)).await;
                 // This box could not read heartbeats, so missing ones prove nothing.
                 let now = shared.now();
                 shared.members.lock().reset_silence(now);
@@ -50,36 +50,36 @@
 }
 
 /// Reads all objects; the watch delivers whatever changes after the first list.
-async fn load(shared: &Arc<Shared>, from: u64) -> Result<u64, Error> {
+async fn load_all(shared: &Arc<Shared>, from: u64) -> Result<u64, Error> {
     let accepted = shared.store.list("accepted", "").await?;
     let at = accepted.iter().map(|object| object.version).max().unwrap_or(0).max(from);
     for object in accepted {
-        put_in_force(shared, &object.value);
+        apply_accepted(shared, &object.value);
     }
     for kind in Kind::ALL {
         for object in shared.store.list(kind.as_str(), "").await? {
-            offer(shared, kind, source(object));
+            schedule_validation(shared, kind, to_change(object));
         }
     }
     Ok(at)
 }
 
-fn source(object: Object) -> Change {
+fn to_change(object: Object) -> Change {
     let Object { kind, name, version, value } = object;
     Change { kind, name, version, value: Some(value) }
 }
 
-async fn next(shared: &Arc<Shared>, from: u64) -> Result<u64, Error> {
+async fn next_changes(shared: &Arc<Shared>, from: u64) -> Result<u64, Error> {
     let watch = shared.store.watch(&KINDS, from).await?;
     if watch.gap {
-        return load(shared, watch.next).await;
+        return load_all(shared, watch.next).await;
     }
     for change in watch.changes {
         match (&*change.kind, &change.value) {
-            ("accepted", Some(value)) => put_in_force(shared, value),
+            ("accepted", Some(value)) => apply_accepted(shared, value),
             (kind, _) => {
                 if let Ok(kind) = kind.parse() {
-                    offer(shared, kind, change);
+                    schedule_validation(shared, kind, change);
                 }
             }
         }
@@ -88,12 +88,12 @@
 }
 
 /// Applies an accepted object if it is newer than the one applied before.
-pub fn put_in_force(shared: &Shared, value: &str) {
+pub fn apply_accepted(shared: &Shared, value: &str) {
     let Ok(accepted) = serde_json::from_str::<Accepted>(value) else {
         tracing::warn!("ignoring an accepted object that cannot be decoded");
         return;
     };
-    shared.accepted.lock().keep(&accepted, value);
+    shared.accepted.lock().insert(&accepted, value);
     let mut applied = false;
     shared.config.send_if_modified(|current| {
         let mut next = (**current).clone();
@@ -110,7 +110,7 @@
     shared.log.add(EventKind::Applied { object, version: accepted.source });
     if accepted.kind == Kind::Pool {
         let snapshot = shared.config.borrow().clone();
-        note_leaving(shared, shared.endpoints.update(&snapshot, shared.now()));
+        log_leaving(shared, shared.endpoints.update(&snapshot, shared.now()));
     }
 }
 
@@ -118,7 +118,7 @@
 ///
 /// A watch would wake every box at each heartbeat of every other box: reads would grow with the
 /// square of the fleet.
-pub async fn follow_members(shared: Arc<Shared>) {
+pub async fn poll_members(shared: Arc<Shared>) {
     let mut known = BTreeSet::new();
     loop {
         match shared.store.list("member", "").await {
@@ -126,10 +126,10 @@
                 let names: BTreeSet<Arc<str>> =
                     objects.iter().map(|object| object.name.clone()).collect();
                 for object in &objects {
-                    saw_member(&shared, &object.name, Some(&object.value));
+                    observe_member(&shared, &object.name, Some(&object.value));
                 }
                 for gone in known.difference(&names) {
-                    saw_member(&shared, gone, None);
+                    observe_member(&shared, gone, None);
                 }
                 known = names;
             }
@@ -139,13 +139,13 @@
                 shared.members.lock().reset_silence(now);
             }
         }
-        let least = Duration::from_millis(shared.boxes() * 1_000 / LISTS_PER_S);
-        let every = Duration::from_millis(shared.settings.money.beat_ms).max(least);
-        tokio::time::sleep(every / 2 + shared.jitter(every)).await;
+        let min_interval = Duration::from_millis(shared.boxes() * 1_000 / FLEET_LISTS_PER_S);
+        let interval = Duration::from_millis(shared.settings.money.beat_ms).max(min_interval);
+        tokio::time::sleep(interval / 2 + shared.jitter(interval)).await;
     }
 }
 
-fn saw_member(shared: &Shared, name: &str, value: Option<&str>) {
+fn observe_member(shared: &Shared, name: &str, value: Option<&str>) {
     let now = shared.now();
     let incarnation = Incarnation::from(name);
     let mut members = shared.members.lock();
@@ -164,34 +164,34 @@
 
 /// Validates an operator's object: at once on its owner, later on the next boxes by rank, which
 /// find it done if the owner is up.
-fn offer(shared: &Arc<Shared>, kind: Kind, change: Change) {
+fn schedule_validation(shared: &Arc<Shared>, kind: Kind, change: Change) {
     let id = object_name(kind, &change.name);
     let rank = shared.rank(&id);
-    if rank >= LINE {
+    if rank >= MAX_VALIDATORS {
         return;
     }
     let shared = shared.clone();
     shared.clone().tasks.spawn(async move {
-        let wait = NEXT_IN_LINE * rank as u32;
+        let wait = STAND_IN_DELAY * rank as u32;
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = shared.ended.cancelled() => return,
         }
-        let mut again = AGAIN;
+        let mut delay = RETRY_DELAY;
         while !accept(&shared, kind, &change).await {
             tokio::select! {
-                () = tokio::time::sleep(again + shared.jitter(again)) => {}
+                () = tokio::time::sleep(delay + shared.jitter(delay)) => {}
                 () = shared.ended.cancelled() => return,
             }
-            again = (again * 2).min(Duration::from_secs(5));
+            delay = (delay * 2).min(Duration::from_secs(5));
         }
     });
 }
 
 /// Validates an operator's object and writes the result; false if it has to be retried.
 async fn accept(shared: &Shared, kind: Kind, change: &Change) -> bool {
-    let in_force = shared.config.borrow().version(kind, &change.name);
-    if in_force >= change.version {
+    let applied = shared.config.borrow().version(kind, &change.name);
+    if applied >= change.version {
         return true;
     }
     let id = object_name(kind, &change.name);
@@ -200,11 +200,11 @@
         found.as_ref().and_then(|object| serde_json::from_str::<Accepted>(&object.value).ok());
     let version = known.map(|accepted| accepted.source);
     match validate(kind, &change.name, change.version, change.value.as_deref(), version) {
-        Verdict::Keep => true,
+        Verdict::UpToDate => true,
         Verdict::Invalid { reason } => {
-            let what =
+            let event =
                 EventKind::Invalid { object: id.as_str().into(), reason: reason.as_str().into() };
-            shared.log.add(what);
+            shared.log.add(event);
             report_invalid(shared, &id, change.version, &reason).await
         }
         Verdict::Accept(accepted) => {
--- a/crates/router/src/tickets.rs
+++ b/crates/router/src/tickets.rs
@@ -1,9 +1,9 @@
 //! Request keys issued in advance, each bound to the process that issued it.
 //!
-//! A call that must not run twice needs a claim in the platform before it runs. A ticket needs none:
-//! only the process that issued it may run it, and that process remembers which ones are used. A
-//! caller that holds tickets can therefore go on through a platform outage. After that process has
-//! ended, no other runs the ticket: whether it ran is then *unknown*.
+//! A call that must not run twice needs a claim in the platform before it runs. A ticket needs
+//! none: only the process that issued it may run it, and that process remembers which ones are
+//! used. A caller that holds tickets can therefore go on through a platform outage. After that
+//! process has ended, no other runs the ticket: whether it ran is then *unknown*.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -12,7 +12,7 @@
 /// Prefix of every ticket. A key with this prefix that was not issued here is never run here.
 const PREFIX: &str = "ticket.";
 /// Most unused tickets of one box.
-const MOST: usize = 100_000;
+const MAX_UNUSED: usize = 100_000;
 
 /// What a key is to this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// Not a ticket.
     Plain,
     /// Issued here to this customer and unused.
-    Fresh,
+    Unused,
     /// Issued here, but used or issued to another customer.
     Used,
     /// Issued by another process.
@@ -31,21 +31,21 @@
 #[derive(Debug)]
 pub struct Tickets {
     secret: String,
-    fresh: Mutex<HashMap<Arc<str>, Arc<str>>>,
+    unused: Mutex<HashMap<Arc<str>, Arc<str>>>,
 }
 
 impl Tickets {
     /// Starts without tickets; `secret` must be random: it marks this process's tickets.
     pub fn new(secret: u64) -> Tickets {
-        Tickets { secret: format!("{secret:016x}"), fresh: Mutex::default() }
+        Tickets { secret: format!("{secret:016x}"), unused: Mutex::default() }
     }
 
-    /// Issues a ticket to a customer; `fresh` must be random. `None` if too many are unused.
-    pub fn issue(&self, customer: &Arc<str>, fresh: u64) -> Option<Arc<str>> {
-        let key: Arc<str> = format!("{PREFIX}{}.{fresh:016x}", self.secret).into();
-        let mut out = self.fresh.lock();
-        (out.len() < MOST).then(|| {
-            out.insert(key.clone(), customer.clone());
+    /// Issues a ticket to a customer; `nonce` must be random. `None` if too many are unused.
+    pub fn issue(&self, customer: &Arc<str>, nonce: u64) -> Option<Arc<str>> {
+        let key: Arc<str> = format!("{PREFIX}{}.{nonce:016x}", self.secret).into();
+        let mut unused = self.unused.lock();
+        (unused.len() < MAX_UNUSED).then(|| {
+            unused.insert(key.clone(), customer.clone());
             key
         })
     }
@@ -56,21 +56,21 @@
         if !rest.starts_with(&self.secret) {
             return Kind::Foreign;
         }
-        match self.fresh.lock().get(key) {
-            Some(owner) if **owner == *customer => Kind::Fresh,
+        match self.unused.lock().get(key) {
+            Some(owner) if **owner == *customer => Kind::Unused,
             Some(_) | None => Kind::Used,
         }
     }
 
     /// Consumes a ticket; true for one caller only.
-    pub fn use_up(&self, customer: &str, key: &str) -> bool {
-        let fresh = self.kind(customer, key) == Kind::Fresh;
-        fresh && self.fresh.lock().remove(key).is_some()
+    pub fn consume(&self, customer: &str, key: &str) -> bool {
+        let is_unused = self.kind(customer, key) == Kind::Unused;
+        is_unused && self.unused.lock().remove(key).is_some()
     }
 
     /// Restores a ticket whose call was not dispatched.
-    pub fn give_back(&self, customer: &Arc<str>, key: &Arc<str>) {
-        self.fresh.lock().insert(key.clone(), customer.clone());
+    pub fn restore(&self, customer: &Arc<str>, key: &Arc<str>) {
+        self.unused.lock().insert(key.clone(), customer.clone());
     }
 }
 
@@ -86,10 +86,10 @@
         assert_eq!(there.kind("dis", &key), Kind::Foreign);
         assert_eq!(here.kind("other", &key), Kind::Used);
         assert_eq!(here.kind("dis", "chair-7"), Kind::Plain);
-        assert!(!here.use_up("other", &key));
-        assert!(here.use_up("dis", &key));
-        assert!(!here.use_up("dis", &key));
-        here.give_back(&customer, &key);
-        assert!(here.use_up("dis", &key));
+        assert!(!here.consume("other", &key));
+        assert!(here.consume("dis", &key));
+        assert!(!here.consume("dis", &key));
+        here.restore(&customer, &key);
+        assert!(here.consume("dis", &key));
     }
 }
--- a/crates/router/src/transcript.rs
+++ b/crates/router/src/transcript.rs
@@ -13,20 +13,20 @@
 use crate::outcome::Unknown;
 
 /// Bytes that the writer may be ahead of the fastest reader before it has to wait.
-const AHEAD: usize = 256 << 10;
+const MAX_LEAD_BYTES: usize = 256 << 10;
 
 /// How an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Complete.
-    Whole,
+    Complete,
     /// Incomplete.
-    Broken(Unknown),
+    Incomplete(Unknown),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    parts: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     bytes: usize,
     read: usize,
     end: Option<End>,
@@ -43,10 +43,10 @@
 
 impl Transcript {
     /// Appends bytes.
-    pub fn push(&self, part: Bytes) {
+    pub fn push(&self, chunk: Bytes) {
         let mut state = self.state.lock();
-        state.bytes += part.len();
-        state.parts.push(part);
+        state.bytes += chunk.len();
+        state.chunks.push(chunk);
         drop(state);
         self.changed.notify_waiters();
     }
@@ -58,8 +58,8 @@
     }
 
     /// Whether the answer is complete.
-    pub fn is_whole(&self) -> bool {
-        self.state.lock().end == Some(End::Whole)
+    pub fn is_complete(&self) -> bool {
+        self.state.lock().end == Some(End::Complete)
     }
 
     /// Length so far, in bytes.
@@ -78,7 +78,7 @@
             let drained = self.drained.notified();
             {
                 let state = self.state.lock();
-                if state.bytes.saturating_sub(state.read) <= AHEAD || self.readers() == 0 {
+                if state.bytes.saturating_sub(state.read) <= MAX_LEAD_BYTES || self.readers() == 0 {
                     return;
                 }
             }
@@ -90,8 +90,8 @@
     pub fn stream(self: &Arc<Self>) -> impl Stream<Item = Result<Bytes, std::io::Error>> + use<> {
         let reader = Reader::open(self.clone());
         stream::unfold(reader, |mut reader| async move {
-            let part = reader.next().await?;
-            Some((Ok(part), reader))
+            let chunk = reader.next().await?;
+            Some((Ok(chunk), reader))
         })
     }
 }
@@ -118,23 +118,23 @@
             let changed = transcript.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (part, end) = {
+            let (chunk, end) = {
                 let mut state = transcript.state.lock();
-                let part = state.parts.get(self.at).cloned();
-                if let Some(part) = &part {
-                    self.bytes += part.len();
+                let chunk = state.chunks.get(self.at).cloned();
+                if let Some(chunk) = &chunk {
+                    self.bytes += chunk.len();
                     state.read = state.read.max(self.bytes);
                 }
-                (part, state.end)
+                (chunk, state.end)
             };
-            match (part, end) {
-                (Some(part), _) => {
+            match (chunk, end) {
+                (Some(chunk), _) => {
                     self.at += 1;
                     transcript.drained.notify_waiters();
-                    return Some(part);
+                    return Some(chunk);
                 }
-                (None, Some(End::Whole)) => return None,
-                (None, Some(End::Broken(unknown))) => {
+                (None, Some(End::Complete)) => return None,
+                (None, Some(End::Incomplete(unknown))) => {
                     self.ended = true;
                     return Some(crate::render::error_event(unknown));
                 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -14,13 +14,13 @@
 }"#;
 
 #[test]
-fn good_settings_are_read() {
+fn valid_settings_are_parsed() {
     let settings = Settings::read(GOOD).unwrap();
     assert_eq!((&*settings.box_name, settings.money.beat_ms), ("bornova-1", 1_000));
 }
 
 #[test]
-fn faults_name_key_line_and_range() {
+fn errors_name_key_line_and_range() {
     let cases = [
         ("\"zone\"", "\"zoen\"", "line 4: `zoen`: unknown field"),
         ("\"bornova-1\"", "\"Bornova 1\"", "line 3: `box`: must be a name"),
@@ -39,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn any_mutation_is_read_or_refused(at in 0..GOOD.len(), with in "[ -~]{0,6}") {
+    fn any_mutation_is_parsed_or_refused(at in 0..GOOD.len(), with in "[ -~]{0,6}") {
         let mut text = GOOD.to_owned();
         text.replace_range(at..at + 1, &with);
         if let Err(error) = Settings::read(&text) {
