--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -11,7 +11,7 @@
     shared::Shared,
 };
 
-/// Interval for rechecking the queue: load that other boxes put on the pool wakes nobody here.
+/// Interval for rechecking the queue: capacity that other boxes free up wakes no waiter here.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An admitted request. Counts against the limits of its customer and route until dropped.
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -291,8 +291,8 @@
     response: &mut Response,
 ) -> Result<(), Refusal> {
     let bytes = body(request, 1 << 10).await?;
-    let asked: serde_json::Value = serde_json::from_slice(&bytes).unwrap_or_default();
-    let count = asked["count"].as_u64().filter(|count| (1..=MAX_TICKETS).contains(count));
+    let parsed: serde_json::Value = serde_json::from_slice(&bytes).unwrap_or_default();
+    let count = parsed["count"].as_u64().filter(|count| (1..=MAX_TICKETS).contains(count));
     let count = count.ok_or_else(|| {
         Reason::Malformed.with(format!("`count` must be a whole number from 1 to {MAX_TICKETS}"))
     })?;
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -30,7 +30,7 @@
 /// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotAcquired {
-    /// The request ran before; its stored answer.
+    /// The request ran before; the answer that is stored.
     Replay(claim::Answer),
     /// It may have run.
     Unknown,
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -177,9 +177,9 @@
     Ok(hold)
 }
 
-fn refused(denied: Rejection) -> Refusal {
-    let message = denied.to_string();
-    match denied {
+fn refused(rejection: Rejection) -> Refusal {
+    let message = rejection.to_string();
+    match rejection {
         Rejection::Exhausted | Rejection::Missing => Reason::BudgetExhausted.with(message),
         Rejection::OfflineExhausted => Reason::OfflineExhausted.after(message, RETRY_DELAY),
         Rejection::Replaced => Reason::Replaced.after(message, RETRY_DELAY),
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -82,8 +82,8 @@
         let mut known = std::mem::take(&mut state.entries);
         for (name, spec) in &snapshot.pools {
             let list = spec.endpoints.iter().map(|e| (e.name.clone(), e.zone.clone()));
-            let fresh = || Pool::new(self.zone.clone(), Weights::default());
-            state.pools.entry(name.clone()).or_insert_with(fresh).update(list, now);
+            let new_pool = || Pool::new(self.zone.clone(), Weights::default());
+            state.pools.entry(name.clone()).or_insert_with(new_pool).update(list, now);
             for endpoint in &spec.endpoints {
                 let before = known.remove(&endpoint.name);
                 let mut leaving = before.map_or(Leaving::default(), |entry| entry.leaving);
@@ -228,15 +228,15 @@
 impl State {
     /// Copies the leaving marks to the pools; returns the endpoints newly marked.
     fn refresh(&mut self) -> Vec<Arc<str>> {
-        let mut fresh = Vec::new();
+        let mut newly_leaving = Vec::new();
         for (name, entry) in &self.entries {
             let endpoint = self.pools.get_mut(&entry.pool).and_then(|pool| pool.get_mut(name));
             let Some(endpoint) = endpoint else { continue };
             if entry.leaving.any() && !endpoint.leaving {
-                fresh.push(name.clone());
+                newly_leaving.push(name.clone());
             }
             endpoint.leaving = entry.leaving.any();
         }
-        fresh
+        newly_leaving
     }
 }
--- a/crates/router/src/fallback.rs
+++ b/crates/router/src/fallback.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    async fn relay_read(&self, question: PlatformCall) -> Result<Vec<Object>, Error> {
-        match self.peers.call(question).await {
+    async fn relay_read(&self, request: PlatformCall) -> Result<Vec<Object>, Error> {
+        match self.peers.call(request).await {
             Some(Frame::Found { objects: Some(objects) }) => {
                 Ok(objects.into_iter().map(object).collect())
             }
@@ -75,8 +75,8 @@
         }
     }
 
-    async fn relay_write(&self, question: PlatformCall) -> Write {
-        match self.peers.call(question).await {
+    async fn relay_write(&self, request: PlatformCall) -> Write {
+        match self.peers.call(request).await {
             Some(Frame::Written(write)) => match write {
                 wire::Write::Landed(version) => Write::Landed(version),
                 wire::Write::Refused => Write::Refused,
@@ -101,8 +101,8 @@
             self.record_result(!matches!(answer, Err(Error::Unreachable { .. })));
             return answer;
         }
-        let question = PlatformCall::Get { kind: kind.into(), name: name.into() };
-        Ok(self.relay_read(question).await?.into_iter().next())
+        let request = PlatformCall::Get { kind: kind.into(), name: name.into() };
+        Ok(self.relay_read(request).await?.into_iter().next())
     }
 
     async fn list(&self, kind: &str, prefix: &str) -> Result<Vec<Object>, Error> {
--- a/crates/router/src/in_flight.rs
+++ b/crates/router/src/in_flight.rs
@@ -35,7 +35,7 @@
 }
 
 impl InFlight {
-    /// Chooses an endpoint that was not tried yet.
+    /// Chooses an endpoint that was not tried yet and counts the request there.
     pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<InFlight> {
         let pool = call.route.pool.clone();
         let target = shared.endpoints.start(&pool, &call.prefix, tried, shared.now())?;
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -22,22 +22,22 @@
 
 #[async_trait::async_trait]
 impl Answer for PeerService {
-    async fn answer(&self, question: Message) -> Message {
+    async fn answer(&self, request: Message) -> Message {
         let shared = &self.0;
-        shared.log.observe(question.stamp);
+        shared.log.observe(request.stamp);
         let now = shared.now();
-        shared.members.lock().touch(&question.from, now);
-        let frame = answer(shared, question).await;
+        shared.members.lock().touch(&request.from, now);
+        let frame = answer(shared, request).await;
         Message { from: shared.me(), stamp: shared.log.stamp(), frame }
     }
 }
 
-async fn answer(shared: &Arc<Shared>, question: Message) -> Frame {
-    match question.frame {
+async fn answer(shared: &Arc<Shared>, request: Message) -> Frame {
+    match request.frame {
         Frame::Status(status) => {
             let reply = own_status(shared);
-            shared.peers.record_status(&question.from, Some(status.clone()));
-            apply_status(shared, &question.from, status);
+            shared.peers.record_status(&request.from, Some(status.clone()));
+            apply_status(shared, &request.from, status);
             Frame::Status(reply)
         }
         Frame::Carry { by, entries } => {
@@ -46,13 +46,13 @@
             Frame::Taken { count: accepted.count() as u64 }
         }
         Frame::Accepted => Frame::Objects { objects: shared.accepted.lock().texts() },
-        Frame::Call(question) => call_platform(shared, question).await,
+        Frame::Call(request) => call_platform(shared, request).await,
         Frame::Spare { budget, .. } => {
             let returned = shared.sessions.current().funds.return_surplus(&budget).await;
             Frame::Spared { returned }
         }
         Frame::Lend { budget, tokens } => {
-            let transfer = shared.sessions.lend(&budget, tokens, &question.from);
+            let transfer = shared.sessions.lend(&budget, tokens, &request.from);
             if let Some(transfer) = &transfer {
                 let to = transfer.to.as_str().into();
                 let event = timeline::EventKind::Transferred { to, tokens: transfer.tokens };
@@ -66,7 +66,7 @@
         }
         Frame::Locate { customer, key } => {
             let now = shared.now();
-            Frame::Location(shared.places.find(&customer, &key, &question.from, now))
+            Frame::Location(shared.places.find(&customer, &key, &request.from, now))
         }
         Frame::Taken { .. }
         | Frame::Objects { .. }
@@ -102,7 +102,7 @@
 }
 
 /// Makes a platform call for a peer, over this box's direct connection only: no chains of relays.
-async fn call_platform(shared: &Shared, question: PlatformCall) -> Frame {
+async fn call_platform(shared: &Shared, request: PlatformCall) -> Frame {
     let store = &shared.direct;
     let value = |object: objects::Object| Value {
         kind: object.kind,
@@ -110,7 +110,7 @@
         version: object.version,
         value: object.value,
     };
-    match question {
+    match request {
         PlatformCall::Get { kind, name } => {
             let found = store.get(&kind, &name).await;
             Frame::Found { objects: found.ok().map(|o| o.into_iter().map(value).collect()) }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -183,14 +183,14 @@
     }
 
     /// Makes a platform call through a peer that can reach the platform.
-    pub async fn call(&self, question: wire::PlatformCall) -> Option<Frame> {
+    pub async fn call(&self, request: wire::PlatformCall) -> Option<Frame> {
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
             let status = state.known.get(name).and_then(|known| known.status.as_ref());
             status.is_some_and(|status| status.platform)
         };
         let (_, peer) = self.reachable(false).into_iter().find(|(name, _)| reaches(name))?;
-        self.ask(&peer, Frame::Call(question), PLATFORM_CALL_TIMEOUT).await
+        self.ask(&peer, Frame::Call(request), PLATFORM_CALL_TIMEOUT).await
     }
 
     /// Whether any reachable peer reports that it can reach the platform.
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -97,8 +97,8 @@
     let read = relay.read(&mut response).await;
     let end = match read {
         Ok(()) => Ok(()),
-        // Nothing was sent to the caller yet: run the request again.
-        Err(_) if relay.nothing_sent => return None,
+        // No event arrived, so nothing was sent to the caller: run the request again.
+        Err(_) if relay.nothing_received => return None,
         Err(_) => Err(Unknown::Incomplete),
     };
     shared.log.add_for_request(&call.key, &call.caller.budget, EventKind::Replayed);
@@ -116,7 +116,7 @@
     usage: Option<(u64, u64)>,
     text: String,
     finish_reason: Option<String>,
-    nothing_sent: bool,
+    nothing_received: bool,
 }
 
 enum Flow {
@@ -143,7 +143,7 @@
             usage: None,
             text: String::new(),
             finish_reason: None,
-            nothing_sent: true,
+            nothing_received: true,
         }
     }
 
@@ -260,7 +260,7 @@
     }
 
     fn forward(&mut self, event: Bytes) {
-        if std::mem::take(&mut self.nothing_sent) {
+        if std::mem::take(&mut self.nothing_received) {
             let class = self.call.class().as_str();
             let seconds = self.call.received_at.elapsed().as_secs_f64();
             self.shared.metrics.first_byte.get_or_create(&ClassLabel { class }).observe(seconds);
@@ -317,7 +317,7 @@
                 EventKind::Answered { tokens: charged },
             );
         }
-        match (end, self.is_streamed, self.nothing_sent) {
+        match (end, self.is_streamed, self.nothing_received) {
             (Ok(()), true, _) => {
                 self.transcript.end(End::Complete);
                 Progress::Streaming(self.transcript)
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -176,7 +176,7 @@
         tokio::spawn(background::probe_platform(shared.clone())),
         tokio::spawn(background::fold_outcomes(shared.clone())),
         tokio::spawn(background::renew_sessions(shared.clone())),
-        tokio::spawn(sealer::wind_up(shared.clone())),
+        tokio::spawn(sealer::recover_silent(shared.clone())),
         tokio::spawn(reports::poll_reports(shared.clone())),
         tokio::spawn(reports::poll_hosts(shared.clone())),
         tokio::spawn(peer_service::gossip(shared.clone())),
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -1,6 +1,7 @@
-//! Seals the journals of incarnations presumed dead and resolves their open records.
+//! Recovery of incarnations presumed dead: seals their journals, resolves open records and releases
+//! their grants.
 //!
-//! The steps are in the `session` crate; this module decides when and by which box. The box ranked
+//! The steps are in `session::recovery`; this module decides when and by which box. The box ranked
 //! first for an incarnation starts and the next ones follow later. This only avoids write
 //! conflicts: every step is safe if several boxes take it.
 
@@ -14,18 +15,18 @@
 
 /// Interval of the check for silent incarnations, and first delay between attempts on one of them.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest delay between attempts to wind up one incarnation, in milliseconds.
+/// Longest delay between attempts to recover one incarnation, in milliseconds.
 const MAX_DELAY_MS: u64 = 10_000;
 
-/// State of winding up one incarnation. Times in milliseconds.
+/// State of the recovery of one incarnation. Times in milliseconds.
 struct Case {
     sealed_at: u64,
     next_attempt: u64,
     delay: u64,
 }
 
-/// Winds up incarnations without a heartbeat, for as long as the router runs.
-pub async fn wind_up(shared: Arc<Shared>) {
+/// Recovers incarnations without a heartbeat, for as long as the router runs.
+pub async fn recover_silent(shared: Arc<Shared>) {
     let mut cases: HashMap<Incarnation, Case> = HashMap::new();
     loop {
         tokio::time::sleep(CHECK_INTERVAL / 2 + shared.jitter(CHECK_INTERVAL)).await;
@@ -42,7 +43,7 @@
                 delay: CHECK_INTERVAL.as_millis() as u64,
             });
             if now >= case.next_attempt {
-                wind_up_one(&shared, &name, case).await;
+                recover(&shared, &name, case).await;
                 case.delay = (case.delay * 2).min(MAX_DELAY_MS);
                 case.next_attempt = shared.now() + case.delay;
             }
@@ -65,7 +66,7 @@
     silent.into_iter().filter(|name| !is_own(name) && is_due(name)).collect()
 }
 
-async fn wind_up_one(shared: &Arc<Shared>, name: &Incarnation, case: &mut Case) {
+async fn recover(shared: &Arc<Shared>, name: &Incarnation, case: &mut Case) {
     let store = &*shared.store;
     let journal = match recovery::seal(store, name, &shared.me()).await {
         Sealed::Now(journal) => {
@@ -74,7 +75,7 @@
             journal
         }
         Sealed::Before(journal) => journal,
-        // It never recorded anything, or is wound up: only its member object may be left.
+        // It never recorded anything, or is recovered: only its member object may be left.
         Sealed::Missing => return delete_incarnation(shared, name).await,
         Sealed::Unknown => return,
     };
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -41,11 +41,14 @@
     pub places: Places,
     pub tickets: Tickets,
     pub queues: Queues,
+    /// Address announced to other boxes.
     pub advertised: Mutex<Arc<str>>,
+    /// Accepted objects, to serve peers.
     pub accepted: Mutex<AcceptedObjects>,
     pub calls: Calls,
     pub health: Health,
     pub config: watch::Sender<Arc<Snapshot>>,
+    /// Platform version up to which configuration is applied, 0 before the first.
     pub watched: watch::Sender<u64>,
     pub endpoints: Endpoints,
     pub requests: Arc<Requests>,
@@ -54,7 +57,9 @@
     pub log: Log,
     pub metrics: Metrics,
     pub http: reqwest::Client,
+    /// Whether a graceful shutdown has started.
     pub stopping: watch::Sender<bool>,
+    /// Cancelled when the router has stopped.
     pub ended: CancellationToken,
     pub tasks: TaskTracker,
     random: Mutex<ChaCha8Rng>,
@@ -168,9 +173,9 @@
         let Some(owner) = self.key_owner(customer, key) else {
             return self.places.find(customer, key, &self.me(), self.now());
         };
-        let question = Frame::Locate { customer: customer.clone(), key: key.clone() };
-        match self.peers.ask_one(&owner, question).await {
-            Some(Frame::Location(there)) => there,
+        let request = Frame::Locate { customer: customer.clone(), key: key.clone() };
+        match self.peers.ask_one(&owner, request).await {
+            Some(Frame::Location(location)) => location,
             // The owner is unreachable: run the request here.
             _ => Location::Nowhere,
         }
@@ -188,9 +193,9 @@
         }
     }
 
-    /// A random duration up to `most`, so that boxes do not act at the same time.
-    pub fn jitter(&self, most: Duration) -> Duration {
-        most.mul_f64(self.random.lock().random())
+    /// A random duration up to `max`, so that boxes do not act at the same time.
+    pub fn jitter(&self, max: Duration) -> Duration {
+        max.mul_f64(self.random.lock().random())
     }
 
     /// A random number.
--- a/crates/router/src/tickets.rs
+++ b/crates/router/src/tickets.rs
@@ -52,8 +52,8 @@
 
     /// Classifies a customer's key.
     pub fn kind(&self, customer: &str, key: &str) -> Kind {
-        let Some(rest) = key.strip_prefix(PREFIX) else { return Kind::Plain };
-        if !rest.starts_with(&self.secret) {
+        let Some(suffix) = key.strip_prefix(PREFIX) else { return Kind::Plain };
+        if !suffix.starts_with(&self.secret) {
             return Kind::Foreign;
         }
         match self.unused.lock().get(key) {
