--- a/crates/router/src/scrape.rs
+++ b/crates/router/src/scrape.rs
@@ -2,7 +2,7 @@
 
 use crate::{metrics::CallLabels, shared::Shared};
 
-/// Copies such values into the registry; called before each scrape.
+/// Copies them into the registry; called before each scrape.
 pub fn refresh(shared: &Shared) {
     let metrics = &shared.metrics;
     metrics.platform_up.set(i64::from(shared.health.is_up()));
--- a/crates/router/src/tickets.rs
+++ b/crates/router/src/tickets.rs
@@ -9,7 +9,8 @@
 
 use parking_lot::Mutex;
 
-/// Prefix of every ticket. A key with this prefix that was not issued here is never run here.
+/// Prefix of every ticket. A call that must not run twice never runs with a key that has this
+/// prefix but was not issued here.
 const PREFIX: &str = "ticket.";
 /// Most unused tickets of one box.
 const MAX_UNUSED: usize = 100_000;
