--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! All endpoints of all pools, as this box sees them.
+//! All endpoints of all pools, with their load as this box knows it.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,10 +11,10 @@
 use resource::Workload;
 use serde::Deserialize;
 
-/// Requests at once of an endpoint that does not say how many it takes.
-const SLOTS_UNKNOWN: f64 = 1_000.0;
+/// Concurrent requests assumed for an endpoint that reports no number of slots.
+const DEFAULT_SLOTS: f64 = 1_000.0;
 
-/// Why an endpoint gets no new work; any one suffices.
+/// Who says that an endpoint is leaving; any one suffices.
 #[derive(Debug, Clone, Copy, Default)]
 struct Leaving {
     by_spec: bool,
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct Entry {
     pool: Arc<str>,
     address: Arc<str>,
     model: bool,
@@ -38,26 +38,26 @@
 
 struct State {
     pools: HashMap<Arc<str>, Pool>,
-    places: HashMap<Arc<str>, Place>,
+    entries: HashMap<Arc<str>, Entry>,
     random: ChaCha8Rng,
 }
 
-/// Handle on the endpoints.
+/// The endpoints of all pools.
 pub struct Endpoints {
     state: Mutex<State>,
     zone: Arc<str>,
 }
 
-/// Where a request goes.
+/// The endpoint chosen for a request.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Its address with port.
+    /// Host and port.
     pub address: Arc<str>,
 }
 
-/// What an engine says of itself.
+/// Load report of an engine.
 #[derive(Deserialize)]
 pub struct Load {
     running: u32,
@@ -69,50 +69,50 @@
 }
 
 impl Endpoints {
-    /// No endpoints yet, seen from `zone`.
+    /// Starts without endpoints; those in `zone` will be preferred.
     pub fn new(zone: Arc<str>, seed: u64) -> Endpoints {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        let state = State { pools: HashMap::new(), places: HashMap::new(), random };
+        let state = State { pools: HashMap::new(), entries: HashMap::new(), random };
         Endpoints { state: Mutex::new(state), zone }
     }
 
-    /// Takes over the pools in force; returns endpoints that are leaving since.
+    /// Applies the configured pools; returns endpoints that started to leave.
     pub fn update(&self, snapshot: &Configuration, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
-        let mut known = std::mem::take(&mut state.places);
+        let mut known = std::mem::take(&mut state.entries);
         for (name, spec) in &snapshot.pools {
             let list = spec.endpoints.iter().map(|e| (e.name.clone(), e.zone.clone()));
-            let fresh = || Pool::new(self.zone.clone(), Weights::default());
-            state.pools.entry(name.clone()).or_insert_with(fresh).update(list, now);
+            let new_pool = || Pool::new(self.zone.clone(), Weights::default());
+            state.pools.entry(name.clone()).or_insert_with(new_pool).update(list, now);
             for endpoint in &spec.endpoints {
                 let before = known.remove(&endpoint.name);
-                let mut leaving = before.map_or(Leaving::default(), |place| place.leaving);
+                let mut leaving = before.map_or(Leaving::default(), |entry| entry.leaving);
                 leaving.by_spec = endpoint.leaving;
-                let place = Place {
+                let entry = Entry {
                     pool: name.clone(),
                     address: endpoint.address.clone(),
                     model: matches!(spec.serves, Workload::Model(_)),
                     leaving,
                 };
-                state.places.insert(endpoint.name.clone(), place);
+                state.entries.insert(endpoint.name.clone(), entry);
             }
         }
         state.pools.retain(|name, _| snapshot.pools.contains_key(name));
         state.refresh()
     }
 
-    /// Takes over the platform's list of leaving boxes, by endpoint name.
-    pub fn hosts(&self, hosts: &[objects::Host]) -> Vec<Arc<str>> {
+    /// Applies the platform's list of hosts; returns endpoints that started to leave.
+    pub fn apply_hosts(&self, hosts: &[objects::Host]) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
         for host in hosts {
-            if let Some(place) = state.places.get_mut(&host.name) {
-                place.leaving.by_host = host.leaving;
+            if let Some(entry) = state.entries.get_mut(&host.name) {
+                entry.leaving.by_host = host.leaving;
             }
         }
         state.refresh()
     }
 
-    /// Chooses an endpoint and counts the request there.
+    /// Chooses an endpoint and counts the request as its load.
     pub fn start(
         &self,
         pool: &str,
@@ -121,34 +121,34 @@
         now: u64,
     ) -> Option<Target> {
         let mut state = self.state.lock();
-        let State { pools, places, random } = &mut *state;
+        let State { pools, entries, random } = &mut *state;
         let pool = pools.get_mut(pool)?;
         let choice = pool.choose(prefix, tried, now, random)?;
         pool.start(&choice.name, prefix, now);
-        let address = places.get(&choice.name)?.address.clone();
+        let address = entries.get(&choice.name)?.address.clone();
         Some(Target { name: choice.name, address })
     }
 
-    /// A request counted by [`Endpoints::start`] ended.
+    /// Ends a request counted by [`Endpoints::start`].
     pub fn end(&self, pool: &str, endpoint: &str, failure: Option<Failure>, now: u64) {
         if let Some(pool) = self.state.lock().pools.get_mut(pool) {
             pool.end(endpoint, failure, now);
         }
     }
 
-    /// An endpoint turned a request away and wants nothing from this box for so long: what it turns away at once makes it
-    /// look empty.
-    pub fn rest(&self, endpoint: &str, rest: Duration, now: u64) {
+    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make
+    /// the endpoint look idle and attract more requests.
+    pub fn back_off(&self, endpoint: &str, back_off: Duration, now: u64) {
         let mut state = self.state.lock();
-        let State { pools, places, .. } = &mut *state;
-        let pool = places.get(endpoint).and_then(|place| pools.get_mut(&place.pool));
-        let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+        let State { pools, entries, .. } = &mut *state;
+        let pool = entries.get(endpoint).and_then(|entry| pools.get_mut(&entry.pool));
+        let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
         if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
             tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
         }
     }
 
-    /// What a pool can take now, as this box estimates it.
+    /// Estimated load and slots of a pool's available endpoints.
     pub fn capacity(&self, pool: &str, now: u64) -> Capacity {
         let state = self.state.lock();
         let endpoints = state.pools.get(pool).map_or(&[][..], |pool| pool.endpoints());
@@ -156,64 +156,69 @@
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
-            // A service or an engine that reports nothing is taken for wide open.
-            capacity.slots += endpoint.slots().map_or(SLOTS_UNKNOWN, f64::from);
+            // Without a report, practically unlimited.
+            capacity.slots += endpoint.slots().map_or(DEFAULT_SLOTS, f64::from);
         }
         capacity
     }
 
-    /// Requests under way by pool, for peers.
+    /// Requests in flight by pool, to send to peers.
     pub fn snapshot(&self) -> Vec<(Arc<str>, Vec<Snapshot>)> {
         let state = self.state.lock();
-        let told = state.pools.iter().map(|(name, pool)| (name.clone(), pool.snapshot()));
-        told.filter(|(_, snapshot)| !snapshot.is_empty()).collect()
+        let reported = state.pools.iter().map(|(name, pool)| (name.clone(), pool.snapshot()));
+        reported.filter(|(_, snapshot)| !snapshot.is_empty()).collect()
     }
 
-    /// A peer told what it has under way.
-    pub fn peer(&self, peer: &Arc<str>, told: &[(Arc<str>, Vec<Snapshot>)], now: u64) {
+    /// Applies a peer's requests in flight.
+    pub fn receive_peer_load(
+        &self,
+        peer: &Arc<str>,
+        reported: &[(Arc<str>, Vec<Snapshot>)],
+        now: u64,
+    ) {
         let mut state = self.state.lock();
         for (name, pool) in &mut state.pools {
-            let of_pool = told.iter().find(|(told, _)| told == name);
+            let of_pool = reported.iter().find(|(reported, _)| reported == name);
             pool.receive_peer_load(peer, of_pool.map_or(&[], |(_, snapshots)| snapshots), now);
         }
     }
 
-    /// Addresses of the model endpoints of a pool that has `first`, which comes first.
+    /// Addresses of the engines in the pool of endpoint `first`, starting with its own.
     ///
-    /// Empty for plain services: they report no runs, and asking them would be a call.
-    pub fn engines_beside(&self, first: &str) -> Vec<Arc<str>> {
+    /// Empty for plain services: they report no runs, and the request would be a call to them.
+    pub fn pool_engines(&self, first: &str) -> Vec<Arc<str>> {
         let state = self.state.lock();
-        let Some(pool) = state.places.get(first).map(|place| place.pool.clone()) else {
+        let Some(pool) = state.entries.get(first).map(|entry| entry.pool.clone()) else {
             return Vec::new();
         };
         let mut found: Vec<(bool, Arc<str>)> = state
-            .places
+            .entries
             .iter()
-            .filter(|(_, place)| place.model && place.pool == pool)
-            .map(|(name, place)| (&**name != first, place.address.clone()))
+            .filter(|(_, entry)| entry.model && entry.pool == pool)
+            .map(|(name, entry)| (&**name != first, entry.address.clone()))
             .collect();
         found.sort();
         found.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// The model endpoints.
-    pub fn models(&self) -> Vec<Target> {
+    /// All engines, that is, endpoints that serve a model.
+    pub fn engines(&self) -> Vec<Target> {
         let state = self.state.lock();
-        let models = state.places.iter().filter(|(_, place)| place.model);
-        models
-            .map(|(name, place)| Target { name: name.clone(), address: place.address.clone() })
+        let engines = state.entries.iter().filter(|(_, entry)| entry.model);
+        engines
+            .map(|(name, entry)| Target { name: name.clone(), address: entry.address.clone() })
             .collect()
     }
 
-    /// Takes over what an engine says; returns endpoints that are leaving since.
-    pub fn report(&self, endpoint: &Arc<str>, load: &Load, now: u64) -> Vec<Arc<str>> {
+    /// Applies a load report; returns endpoints that started to leave.
+    pub fn receive_load(&self, endpoint: &Arc<str>, load: &Load, now: u64) -> Vec<Arc<str>> {
         let mut state = self.state.lock();
-        let State { pools, places, .. } = &mut *state;
-        let Some(place) = places.get_mut(endpoint) else { return Vec::new() };
-        place.leaving.by_report = load.leaving;
+        let State { pools, entries, .. } = &mut *state;
+        let Some(entry) = entries.get_mut(endpoint) else { return Vec::new() };
+        entry.leaving.by_report = load.leaving;
         let at = now.saturating_sub(load.age_ms);
         let (running, waiting, slots) = (load.running, load.waiting, load.slots);
-        if let Some(pool) = pools.get_mut(&place.pool) {
+        if let Some(pool) = pools.get_mut(&entry.pool) {
             pool.report(endpoint, Report { at, running, waiting, slots });
         }
         state.refresh()
@@ -221,17 +226,17 @@
 }
 
 impl State {
-    /// Carries the leaving marks over to the pools; returns those that are new.
+    /// Copies the leaving marks to the pools; returns the endpoints newly marked.
     fn refresh(&mut self) -> Vec<Arc<str>> {
-        let mut fresh = Vec::new();
-        for (name, place) in &self.places {
-            let endpoint = self.pools.get_mut(&place.pool).and_then(|pool| pool.get_mut(name));
+        let mut newly_leaving = Vec::new();
+        for (name, entry) in &self.entries {
+            let endpoint = self.pools.get_mut(&entry.pool).and_then(|pool| pool.get_mut(name));
             let Some(endpoint) = endpoint else { continue };
-            if place.leaving.any() && !endpoint.leaving {
-                fresh.push(name.clone());
+            if entry.leaving.any() && !endpoint.leaving {
+                newly_leaving.push(name.clone());
             }
-            endpoint.leaving = place.leaving.any();
+            endpoint.leaving = entry.leaving.any();
         }
-        fresh
+        newly_leaving
     }
 }
--- a/crates/router/src/flight.rs
+++ b/crates/router/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way to an endpoint: what it holds, and where it is counted.
+//! A request in flight to an endpoint: the tokens and the claim it holds, and its load there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,43 +7,43 @@
 
 use crate::{
     call::Call,
-    claims::Held,
+    claims::Guard,
     endpoints::Target,
     outcome::{Reason, Refusal},
     shared::Shared,
 };
 
-/// When to come back after a refusal that a moment may cure.
-pub const SOON: Duration = Duration::from_secs(1);
+/// Retry delay for refusals with a transient cause.
+pub const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Everything a call needs to be dispatched.
-pub struct Secured {
-    /// Tokens held and, online, the intent landed.
+pub struct Prepared {
+    /// Reserved tokens; online, the record of the reservation has landed.
     pub hold: Hold,
-    /// The claim, if the call may not run twice.
-    pub claim: Option<Held>,
+    /// The claim, if the call must not run twice.
+    pub claim: Option<Guard>,
 }
 
-/// A request counted at an endpoint until it is dropped.
-pub struct Flight {
+/// A request that counts as load of its endpoint until dropped.
+pub struct InFlight {
     shared: Arc<Shared>,
     pool: Arc<str>,
-    /// Where it goes.
+    /// The endpoint.
     pub target: Target,
-    /// How it went wrong, if it did.
+    /// How the request failed, if it did.
     pub failure: Option<Failure>,
 }
 
-impl Flight {
-    /// Chooses an endpoint other than those tried.
-    pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<Flight> {
+impl InFlight {
+    /// Chooses an endpoint that was not tried yet and counts the request there.
+    pub fn start(shared: &Arc<Shared>, call: &Call, tried: &[Arc<str>]) -> Option<InFlight> {
         let pool = call.route.pool.clone();
         let target = shared.endpoints.start(&pool, &call.prefix, tried, shared.now())?;
-        Some(Flight { shared: shared.clone(), pool, target, failure: None })
+        Some(InFlight { shared: shared.clone(), pool, target, failure: None })
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.shared.now();
         self.shared.endpoints.end(&self.pool, &self.target.name, self.failure, now);
@@ -52,5 +52,5 @@
 
 /// The refusal when no endpoint can take a call.
 pub fn no_endpoint() -> Refusal {
-    Reason::NoEndpoint.after("no endpoint can take the request", SOON)
+    Reason::NoEndpoint.after("no endpoint can take the request", RETRY_DELAY)
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other boxes: which are in reach, what they told, and asking them.
+//! Other boxes: which are reachable, their last status, and requests to them.
 
 use std::{
     collections::HashMap,
@@ -15,28 +15,28 @@
 use timeline::{EventKind, Log};
 use wire::{Frame, Message, Peer, Status};
 
-/// Longest wait for an answer.
-const WITHIN: Duration = Duration::from_millis(250);
-/// Longest wait for a peer that makes a platform call for this box.
-const CALL_WITHIN: Duration = Duration::from_secs(2);
-/// Peers that carry one entry.
-const CARRIERS: usize = 2;
-/// Peers asked at once for tokens.
-const ASKED: usize = 8;
-/// Exchanges that fail in a row before a peer counts as out of reach.
-const LOST_AFTER: u32 = 2;
+/// Timeout of a request to a peer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of a request for which the peer calls the platform.
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Peers asked to store a replica of one journal entry.
+const MAX_REPLICAS: usize = 2;
+/// Most peers asked for tokens by one request.
+const MAX_ASKED: usize = 8;
+/// Consecutive failed exchanges after which a peer counts as unreachable.
+const MAX_FAILURES: u32 = 2;
 
 #[derive(Clone)]
-struct Known {
+struct PeerState {
     peer: Peer,
     zone: Arc<str>,
     failures: u32,
-    up: bool,
-    told: Option<Status>,
+    reachable: bool,
+    status: Option<Status>,
 }
 
 struct State {
-    known: HashMap<Incarnation, Known>,
+    known: HashMap<Incarnation, PeerState>,
     random: ChaCha8Rng,
 }
 
@@ -51,19 +51,19 @@
 }
 
 impl Peers {
-    /// No peers yet; questions leave from `source`.
+    /// Starts without peers; connections to them are made from `source`.
     pub fn new(source: IpAddr, zone: Arc<str>, log: Log, seed: u64) -> Peers {
         let state = State { known: HashMap::new(), random: ChaCha8Rng::seed_from_u64(seed) };
         let me = Arc::new(Mutex::new(Incarnation::from("")));
         Peers { state: Arc::new(Mutex::new(state)), me, source, zone, log }
     }
 
-    /// The name under which this box asks from now on.
-    pub fn rename(&self, me: Incarnation) {
+    /// Sets the incarnation that this box names as the sender.
+    pub fn set_incarnation(&self, me: Incarnation) {
         *self.me.lock() = me;
     }
 
-    /// A member object was read.
+    /// Adds or updates a peer from its member object.
     pub fn observe(&self, member: &Member) {
         let Ok(address) = member.peer.parse::<SocketAddr>() else { return };
         let own_box = member.incarnation.box_name() == self.me.lock().box_name();
@@ -75,128 +75,130 @@
         }
         let peer = Peer::new(address, self.source);
         let zone = member.zone.clone();
-        let known = Known { peer, zone, failures: 0, up: false, told: None };
+        let known = PeerState { peer, zone, failures: 0, reachable: false, status: None };
         state.known.insert(member.incarnation.clone(), known);
     }
 
-    /// Exchanges with an address given in the settings, whoever answers there.
-    pub async fn seed(&self, address: SocketAddr, told: Status) -> Option<(Incarnation, Status)> {
+    /// Exchanges status with an address from the settings and adds the peer that answers.
+    pub async fn seed(&self, address: SocketAddr, status: Status) -> Option<(Incarnation, Status)> {
         let peer = Peer::new(address, self.source);
-        let answer = peer.ask(&self.message(Frame::Status(told)), WITHIN).await.ok()?;
-        let Frame::Status(told) = answer.frame else { return None };
-        let known = Known {
+        let answer = peer.ask(&self.message(Frame::Status(status)), REQUEST_TIMEOUT).await.ok()?;
+        let Frame::Status(status) = answer.frame else { return None };
+        let known = PeerState {
             peer,
             zone: self.zone.clone(),
             failures: 0,
-            up: true,
-            told: Some(told.clone()),
+            reachable: true,
+            status: Some(status.clone()),
         };
         self.state.lock().known.entry(answer.from.clone()).or_insert(known);
-        Some((answer.from, told))
+        Some((answer.from, status))
     }
 
-    /// A member object was removed.
+    /// Removes a peer whose member object was deleted.
     pub fn remove(&self, incarnation: &Incarnation) {
         self.state.lock().known.remove(incarnation);
     }
 
-    /// Peers in reach, in random order, those of other zones first if `spread`.
-    fn up(&self, spread: bool) -> Vec<(Incarnation, Peer)> {
+    /// Reachable peers in random order, those of other zones first if `spread`.
+    fn reachable(&self, spread: bool) -> Vec<(Incarnation, Peer)> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
-        let mut up: Vec<_> = known.iter().filter(|(_, known)| known.up).collect();
-        up.sort_by(|a, b| a.0.cmp(b.0));
-        up.shuffle(random);
+        let mut reachable: Vec<_> = known.iter().filter(|(_, known)| known.reachable).collect();
+        reachable.sort_by(|a, b| a.0.cmp(b.0));
+        reachable.shuffle(random);
         if spread {
-            up.sort_by_key(|(_, known)| known.zone == self.zone);
+            reachable.sort_by_key(|(_, known)| known.zone == self.zone);
         }
-        up.into_iter().map(|(name, known)| (name.clone(), known.peer.clone())).collect()
+        reachable.into_iter().map(|(name, known)| (name.clone(), known.peer.clone())).collect()
     }
 
-    /// A random few of all known peers, to exchange with.
-    pub fn some(&self, most: usize) -> Vec<Incarnation> {
+    /// Up to `max` random peers, reachable or not.
+    pub fn sample(&self, max: usize) -> Vec<Incarnation> {
         let mut state = self.state.lock();
         let State { known, random } = &mut *state;
         let mut names: Vec<Incarnation> = known.keys().cloned().collect();
         names.sort();
         names.shuffle(random);
-        names.truncate(most);
+        names.truncate(max);
         names
     }
 
-    /// Names of the peers in reach.
-    pub fn in_reach(&self) -> Vec<Incarnation> {
+    /// Names of the reachable peers.
+    pub fn reachable_names(&self) -> Vec<Incarnation> {
         let state = self.state.lock();
-        let up = state.known.iter().filter(|(_, known)| known.up);
-        up.map(|(name, _)| name.clone()).collect()
+        let reachable = state.known.iter().filter(|(_, known)| known.reachable);
+        reachable.map(|(name, _)| name.clone()).collect()
     }
 
     fn message(&self, frame: Frame) -> Message {
         Message { from: self.me.lock().clone(), stamp: self.log.stamp(), frame }
     }
 
-    async fn ask(&self, peer: &Peer, frame: Frame, within: Duration) -> Option<Frame> {
-        let answer = peer.ask(&self.message(frame), within).await.ok()?;
+    async fn ask(&self, peer: &Peer, frame: Frame, timeout: Duration) -> Option<Frame> {
+        let answer = peer.ask(&self.message(frame), timeout).await.ok()?;
         self.log.observe(answer.stamp);
         Some(answer.frame)
     }
 
-    /// Asks one peer by name.
+    /// Sends a request to the peer with this name.
     pub async fn ask_one(&self, name: &Incarnation, frame: Frame) -> Option<Frame> {
         let peer = self.state.lock().known.get(name).map(|known| known.peer.clone())?;
-        self.ask(&peer, frame, WITHIN).await
+        self.ask(&peer, frame, REQUEST_TIMEOUT).await
     }
 
-    /// Exchanges what both sides know; `None` if the peer is out of reach.
-    pub async fn tell(&self, name: &Incarnation, told: Status) -> Option<Status> {
-        let answer = self.ask_one(name, Frame::Status(told)).await;
-        let told = match answer {
-            Some(Frame::Status(told)) => Some(told),
+    /// Exchanges status with a peer; `None` if it does not answer.
+    pub async fn exchange_status(&self, name: &Incarnation, status: Status) -> Option<Status> {
+        let answer = self.ask_one(name, Frame::Status(status)).await;
+        let status = match answer {
+            Some(Frame::Status(status)) => Some(status),
             _ => None,
         };
-        self.note(name, told.clone());
-        told
+        self.record_status(name, status.clone());
+        status
     }
 
-    /// A peer told something, or did not answer.
-    pub fn note(&self, name: &Incarnation, told: Option<Status>) {
+    /// Records a peer's status, or that it did not answer.
+    pub fn record_status(&self, name: &Incarnation, status: Option<Status>) {
         let mut state = self.state.lock();
         let Some(known) = state.known.get_mut(name) else { return };
-        let was = known.up;
-        match told {
-            Some(told) => {
+        let was = known.reachable;
+        match status {
+            Some(status) => {
                 known.failures = 0;
-                known.up = true;
-                known.told = Some(told);
+                known.reachable = true;
+                known.status = Some(status);
             }
             None => {
                 known.failures += 1;
-                known.up &= known.failures < LOST_AFTER;
+                known.reachable &= known.failures < MAX_FAILURES;
             }
         }
         let peer = name.as_str().into();
-        match (was, known.up) {
+        match (was, known.reachable) {
             (false, true) => self.log.add(EventKind::PeerBack { peer }),
             (true, false) => self.log.add(EventKind::PeerLost { peer }),
             _ => {}
         }
     }
 
-    /// Makes a platform call through a peer that reaches the platform.
-    pub async fn call(&self, question: wire::PlatformCall) -> Option<Frame> {
+    /// Makes a platform call through a peer that can reach the platform.
+    pub async fn call(&self, request: wire::PlatformCall) -> Option<Frame> {
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
-            let told = state.known.get(name).and_then(|known| known.told.as_ref());
-            told.is_some_and(|told| told.platform)
+            let status = state.known.get(name).and_then(|known| known.status.as_ref());
+            status.is_some_and(|status| status.platform)
         };
-        let (_, peer) = self.up(false).into_iter().find(|(name, _)| reaches(name))?;
-        self.ask(&peer, Frame::Call(question), CALL_WITHIN).await
+        let (_, peer) = self.reachable(false).into_iter().find(|(name, _)| reaches(name))?;
+        self.ask(&peer, Frame::Call(request), PLATFORM_CALL_TIMEOUT).await
     }
 
-    /// Whether any peer in reach says that it reaches the platform.
+    /// Whether any reachable peer reports that it can reach the platform.
     pub fn reaches_platform(&self) -> bool {
         let state = self.state.lock();
-        let reaches = |known: &Known| known.up && known.told.as_ref().is_some_and(|t| t.platform);
+        let reaches = |known: &PeerState| {
+            known.reachable && known.status.as_ref().is_some_and(|t| t.platform)
+        };
         state.known.values().any(reaches)
     }
 }
@@ -204,30 +206,33 @@
 #[async_trait::async_trait]
 impl session::Peers for Peers {
     async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
-        let asked = self.up(true).into_iter().take(CARRIERS).map(|(_, peer)| async move {
-            let frame = Frame::Carry { by: by.clone(), entries: vec![entry.clone()] };
-            self.ask(&peer, frame, WITHIN).await
-        });
-        let answers = futures_util::future::join_all(asked).await;
-        let took = |answer: &&Option<Frame>| matches!(answer, Some(Frame::Taken { count: 1.. }));
-        answers.iter().filter(took).count()
+        let requests =
+            self.reachable(true).into_iter().take(MAX_REPLICAS).map(|(_, peer)| async move {
+                let frame = Frame::Carry { by: by.clone(), entries: vec![entry.clone()] };
+                self.ask(&peer, frame, REQUEST_TIMEOUT).await
+            });
+        let answers = futures_util::future::join_all(requests).await;
+        let accepted =
+            |answer: &&Option<Frame>| matches!(answer, Some(Frame::Taken { count: 1.. }));
+        answers.iter().filter(accepted).count()
     }
 
     async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool {
-        let asked = self.up(false).into_iter().take(ASKED).map(|(_, peer)| async move {
-            let frame = Frame::Spare { budget: budget.clone(), tokens };
-            self.ask(&peer, frame, CALL_WITHIN).await
-        });
-        let answers = futures_util::future::join_all(asked).await;
+        let requests =
+            self.reachable(false).into_iter().take(MAX_ASKED).map(|(_, peer)| async move {
+                let frame = Frame::Spare { budget: budget.clone(), tokens };
+                self.ask(&peer, frame, PLATFORM_CALL_TIMEOUT).await
+            });
+        let answers = futures_util::future::join_all(requests).await;
         answers.iter().any(|answer| matches!(answer, Some(Frame::Spared { returned: true })))
     }
 
     async fn lend(&self, budget: &Arc<str>, tokens: u64, _: &Incarnation) -> Option<Transfer> {
-        // One after the other: whoever gives debits itself, so asking all would strand tokens.
-        for (_, peer) in self.up(false).into_iter().take(ASKED) {
+        // Sequentially: a lender debits itself, so tokens lent by a second peer would be stranded.
+        for (_, peer) in self.reachable(false).into_iter().take(MAX_ASKED) {
             let frame = Frame::Lend { budget: budget.clone(), tokens };
             if let Some(Frame::Lent { transfer: Some(transfer) }) =
-                self.ask(&peer, frame, WITHIN).await
+                self.ask(&peer, frame, REQUEST_TIMEOUT).await
             {
                 return Some(transfer);
             }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of one router share.
+//! State shared by all tasks of one router.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -20,11 +20,12 @@
 use wire::{Frame, Location, Place};
 
 use crate::{
-    endpoints::Endpoints, lanes::Lanes, metrics::Metrics, peers::Peers, places::Places,
-    relayed::Relayed, requests::Requests, settings::Settings, texts::Texts, tickets::Tickets,
+    accepted::AcceptedObjects, endpoints::Endpoints, fallback::Fallback, metrics::Metrics,
+    peers::Peers, places::Places, queues::Queues, requests::Requests, settings::Settings,
+    tickets::Tickets,
 };
 
-/// Where questions to peers leave from, if the box takes none itself.
+/// Source address of requests to peers, if the box itself accepts none.
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// Shared state of one router.
@@ -32,19 +33,22 @@
     pub settings: Settings,
     /// The platform, directly or through a peer.
     pub store: Arc<dyn Store>,
-    /// The platform, directly only.
+    /// The platform, over the direct connection only.
     pub direct: Arc<dyn Store>,
-    pub relayed: Arc<Relayed>,
+    pub fallback: Arc<Fallback>,
     pub peers: Peers,
     pub replicas: Replicas,
     pub places: Places,
     pub tickets: Tickets,
-    pub lanes: Lanes,
+    pub queues: Queues,
+    /// Address announced to other boxes.
     pub advertised: Mutex<Arc<str>>,
-    pub accepted: Mutex<Texts>,
+    /// Accepted objects, to serve peers.
+    pub accepted: Mutex<AcceptedObjects>,
     pub calls: Calls,
     pub health: Health,
     pub config: watch::Sender<Arc<Snapshot>>,
+    /// Platform version up to which configuration is applied, 0 before the first.
     pub watched: watch::Sender<u64>,
     pub endpoints: Endpoints,
     pub requests: Arc<Requests>,
@@ -53,7 +57,9 @@
     pub log: Log,
     pub metrics: Metrics,
     pub http: reqwest::Client,
+    /// Whether a graceful shutdown has started.
     pub stopping: watch::Sender<bool>,
+    /// Cancelled when the router has stopped.
     pub ended: CancellationToken,
     pub tasks: TaskTracker,
     random: Mutex<ChaCha8Rng>,
@@ -61,7 +67,7 @@
 }
 
 impl Shared {
-    /// Opens everything; nothing runs yet.
+    /// Creates the state; starts no tasks.
     pub fn open(
         settings: Settings,
         direct: Arc<dyn Store>,
@@ -73,8 +79,8 @@
         let health = Health::open(log.clone());
         let source = settings.listen.peers.map_or(LOOPBACK, |address| address.ip());
         let peers = Peers::new(source, settings.zone.clone(), log.clone(), random.random());
-        let relayed = Arc::new(Relayed::new(direct.clone(), peers.clone()));
-        let store: Arc<dyn Store> = relayed.clone();
+        let fallback = Arc::new(Fallback::new(direct.clone(), peers.clone()));
+        let store: Arc<dyn Store> = fallback.clone();
         let (config, _) = watch::channel(Arc::new(Snapshot::default()));
         let setup = Setup {
             box_name: settings.box_name.clone(),
@@ -91,7 +97,7 @@
             peers: Some(Arc::new(peers.clone())),
         };
         let sessions = Sessions::open(setup, random.random());
-        peers.rename(sessions.me());
+        peers.set_incarnation(sessions.me());
         let limits = &settings.limits;
         let requests = Requests::new(limits.replay_bytes, Duration::from_millis(limits.replay_ms));
         let http = reqwest::Client::builder()
@@ -113,12 +119,12 @@
             sessions,
             replicas: Replicas::default(),
             places: Places::default(),
-            lanes: Lanes::default(),
+            queues: Queues::default(),
             tickets: Tickets::new(random.random()),
             advertised: Mutex::new("".into()),
             accepted: Mutex::default(),
             direct,
-            relayed,
+            fallback,
             peers,
             random: Mutex::new(random),
             started: Instant::now(),
@@ -142,58 +148,58 @@
         self.sessions.me()
     }
 
-    /// Boxes that live, as this one sees it.
+    /// Number of live boxes, as this one sees it.
     pub fn boxes(&self) -> u64 {
         self.members.lock().boxes(self.now(), self.settings.money.seal_after_ms)
     }
 
-    /// This box's position among the live ones for `key`.
+    /// This box's rank for `key` among the live ones; 0 owns it.
     pub fn rank(&self, key: &str) -> usize {
         let me = self.me();
         self.members.lock().rank(key, &me, self.now(), self.settings.money.seal_after_ms)
     }
 
-    /// The peer that is home to a request's key; `None` if it is this box.
-    fn key_home(&self, customer: &str, key: &str) -> Option<Incarnation> {
+    /// The peer that owns a request's key, by rendezvous hashing; `None` if this box does.
+    fn key_owner(&self, customer: &str, key: &str) -> Option<Incarnation> {
         let me = self.me();
         let id = format!("{customer}/{key}");
         let weight = |name: &Incarnation| member::weight(&id, name.box_name());
-        let home = self.peers.in_reach().into_iter().max_by_key(|name| weight(name))?;
-        (weight(&home) > weight(&me)).then_some(home)
+        let owner = self.peers.reachable_names().into_iter().max_by_key(|name| weight(name))?;
+        (weight(&owner) > weight(&me)).then_some(owner)
     }
 
-    /// Where a request with a key is or was run, as its home knows.
+    /// Where a request with a key runs or ran, according to the key's owner.
     pub async fn find_place(&self, customer: &Arc<str>, key: &Arc<str>) -> Location {
-        let Some(home) = self.key_home(customer, key) else {
+        let Some(owner) = self.key_owner(customer, key) else {
             return self.places.find(customer, key, &self.me(), self.now());
         };
-        let question = Frame::Locate { customer: customer.clone(), key: key.clone() };
-        match self.peers.ask_one(&home, question).await {
-            Some(Frame::Location(there)) => there,
-            // A home out of reach knows nothing: the request is run here.
+        let request = Frame::Locate { customer: customer.clone(), key: key.clone() };
+        match self.peers.ask_one(&owner, request).await {
+            Some(Frame::Location(location)) => location,
+            // The owner is unreachable: run the request here.
             _ => Location::Nowhere,
         }
     }
 
-    /// Tells the home of a request's key where it is run.
-    pub fn note_place(self: &Arc<Self>, customer: &Arc<str>, key: &Arc<str>, place: Place) {
-        match self.key_home(customer, key) {
-            None => self.places.note(customer.clone(), key.clone(), place),
-            Some(home) => {
+    /// Reports to the owner of a request's key where the request runs.
+    pub fn report_place(self: &Arc<Self>, customer: &Arc<str>, key: &Arc<str>, place: Place) {
+        match self.key_owner(customer, key) {
+            None => self.places.record(customer.clone(), key.clone(), place),
+            Some(owner) => {
                 let frame = Frame::Note { customer: customer.clone(), key: key.clone(), place };
                 let peers = self.peers.clone();
-                self.tasks.spawn(async move { peers.ask_one(&home, frame).await });
+                self.tasks.spawn(async move { peers.ask_one(&owner, frame).await });
             }
         }
     }
 
-    /// A random part of `most`, against everyone acting at once.
-    pub fn jitter(&self, most: Duration) -> Duration {
-        most.mul_f64(self.random.lock().random())
+    /// A random duration up to `max`, so that boxes do not act at the same time.
+    pub fn jitter(&self, max: Duration) -> Duration {
+        max.mul_f64(self.random.lock().random())
     }
 
-    /// A fresh random number.
-    pub fn fresh(&self) -> u64 {
+    /// A random number.
+    pub fn random_u64(&self) -> u64 {
         self.random.lock().random()
     }
 }
