--- a/crates/flintstall/src/audit.rs
+++ b/crates/flintstall/src/audit.rs
@@ -51,8 +51,9 @@
 }
 
 fn print(audit: &ledger::Audit, zones: &[Arc<str>]) {
-    let head = ["CUSTOMER", "PAID", "USED", "LOST", "HELD", "LEFT", "REQUESTS", "BILLED", "TOKENS"];
-    let mut table = Table::new(&head);
+    let header =
+        ["CUSTOMER", "PAID", "USED", "LOST", "HELD", "LEFT", "REQUESTS", "BILLED", "TOKENS"];
+    let mut table = Table::new(&header);
     for line in &audit.lines {
         let numbers = [
             line.paid,
--- a/crates/flintstall/src/input.rs
+++ b/crates/flintstall/src/input.rs
@@ -8,8 +8,8 @@
 use crate::error::{Error, FileSnafu};
 
 /// Parses a kind from the command line.
-pub fn parse_kind(word: &str) -> Result<Kind, Error> {
-    word.parse().map_err(|reason| Error::UnknownKind { reason })
+pub fn parse_kind(text: &str) -> Result<Kind, Error> {
+    text.parse().map_err(|reason| Error::UnknownKind { reason })
 }
 
 /// Decodes the JSON value of a stored object.
--- a/crates/flintstall/src/read.rs
+++ b/crates/flintstall/src/read.rs
@@ -78,10 +78,12 @@
 }
 
 struct Report {
-    source: u64,
-    accepted: u64,
+    source_version: u64,
+    accepted_version: u64,
     invalid: Option<String>,
+    /// Incarnations where the accepted version is in force.
     in_force: Vec<String>,
+    /// Incarnations that have not confirmed the accepted version yet.
     not_in_force: Vec<String>,
 }
 
@@ -108,8 +110,8 @@
             members.into_iter().map(|member| member.incarnation.to_string()).collect()
         };
         Report {
-            source: version,
-            accepted: accepted_source,
+            source_version: version,
+            accepted_version: accepted_source,
             invalid,
             in_force: names(in_force),
             not_in_force: names(not_in_force),
@@ -118,7 +120,7 @@
 
     fn to_json(&self, source: Option<&Object>) -> Value {
         json!({
-            "version": self.source, "accepted": self.accepted, "invalid": self.invalid,
+            "version": self.source_version, "accepted": self.accepted_version, "invalid": self.invalid,
             "in_force": self.in_force, "not_heard": self.not_in_force,
             "spec": source.map(value_of),
         })
@@ -126,9 +128,10 @@
 
     fn print(&self, kind: Kind, name: &str, source: Option<&Object>) {
         println!("{kind} {name}");
-        println!("  written as version  {}", self.source);
-        let accepted = format!("  accepted version    {}", self.accepted);
-        let tone = if self.accepted >= self.source { Tone::Good } else { Tone::Bad };
+        println!("  written as version  {}", self.source_version);
+        let accepted = format!("  accepted version    {}", self.accepted_version);
+        let tone =
+            if self.accepted_version >= self.source_version { Tone::Good } else { Tone::Bad };
         println!("{}", paint(tone, &accepted));
         if let Some(reason) = &self.invalid {
             println!("{}", paint(Tone::Bad, &format!("  not accepted        {reason}")));
--- a/crates/flintstall/src/table.rs
+++ b/crates/flintstall/src/table.rs
@@ -8,8 +8,8 @@
 
 impl Table {
     /// A table with these column headers.
-    pub fn new(head: &[&str]) -> Table {
-        Table { rows: vec![head.iter().map(|cell| (*cell).to_owned()).collect()] }
+    pub fn new(header: &[&str]) -> Table {
+        Table { rows: vec![header.iter().map(|cell| (*cell).to_owned()).collect()] }
     }
 
     /// Adds a row.
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -16,10 +16,11 @@
 /// How long to wait until all requests are billed.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A request of the script, with the router that it is sent to and the expected outcome.
 struct Step {
     description: &'static str,
-    to: usize,
-    ask: Request,
+    router: usize,
+    request: Request,
     expected: Outcome,
 }
 
@@ -31,9 +32,9 @@
     println!("Budget `bornova` has {PAID_TOKENS} prepaid tokens.\n");
     let mut as_expected = true;
     for step in script() {
-        let got = fleet.caller.send(fleet.callers_address(step.to), &step.ask).await;
-        as_expected &= got.outcome == step.expected;
-        print_step(&step, &got);
+        let response = fleet.caller.send(fleet.callers_address(step.router), &step.request).await;
+        as_expected &= response.outcome == step.expected;
+        print_step(&step, &response);
     }
     let settled = fleet.settle(SETTLE_TIMEOUT).await;
     let figures = fleet.audit().await;
@@ -62,32 +63,32 @@
     vec![
         Step {
             description: "a streamed answer",
-            to: 0,
-            ask: chat("recall-note"),
+            router: 0,
+            request: chat("recall-note"),
             expected: Outcome::Answered,
         },
         Step {
             description: "a plain answer, through another router",
-            to: 1,
-            ask: Request { stream: false, ..chat("patient-message") },
+            router: 1,
+            request: Request { stream: false, ..chat("patient-message") },
             expected: Outcome::Answered,
         },
         Step {
             description: "an unrepeatable cancellation",
-            to: 2,
-            ask: cancel(),
+            router: 2,
+            request: cancel(),
             expected: Outcome::Answered,
         },
         Step {
             description: "its retry, which must not run again",
-            to: 2,
-            ask: cancel(),
+            router: 2,
+            request: cancel(),
             expected: Outcome::Answered,
         },
         Step {
             description: "a week's calendar, past the budget",
-            to: 0,
-            ask: Request {
+            router: 0,
+            request: Request {
                 route: "calendar".into(),
                 max_tokens: 512,
                 prompt: "Draft the week. ".repeat(40),
@@ -98,15 +99,15 @@
     ]
 }
 
-fn print_step(step: &Step, got: &Response) {
-    let text = match got.outcome {
-        Outcome::Answered if got.tokens > 0 => format!("answered, {} tokens", got.tokens),
-        Outcome::Answered => format!("answered: {}", got.body),
-        Outcome::NotRun => format!("refused, not run: {}", got.reason),
-        Outcome::Unknown => format!("unknown: {}", got.reason),
+fn print_step(step: &Step, response: &Response) {
+    let text = match response.outcome {
+        Outcome::Answered if response.tokens > 0 => format!("answered, {} tokens", response.tokens),
+        Outcome::Answered => format!("answered: {}", response.body),
+        Outcome::NotRun => format!("refused, not run: {}", response.reason),
+        Outcome::Unknown => format!("unknown: {}", response.reason),
         Outcome::NoResponse => "no answer".to_owned(),
     };
-    let tone = if got.outcome == step.expected { Tone::Good } else { Tone::Bad };
+    let tone = if response.outcome == step.expected { Tone::Good } else { Tone::Bad };
     println!("  {:<40} {}", step.description, paint(tone, &text));
 }
 
--- a/crates/flintstall/src/watch.rs
+++ b/crates/flintstall/src/watch.rs
@@ -20,7 +20,7 @@
 /// Prints changes until the time limit, if there is one.
 pub async fn watch(client: &Client, watch: &Watch, format: Format) -> Result<Code, Error> {
     let mut kinds = match &watch.kind {
-        Some(word) => vec![parse_kind(word)?.as_str()],
+        Some(name) => vec![parse_kind(name)?.as_str()],
         None => Kind::ALL.map(Kind::as_str).to_vec(),
     };
     kinds.extend(["accepted", "status"]);
@@ -29,12 +29,12 @@
     while end.is_none_or(|end| Instant::now() < end) {
         let next = client.watch(&kinds, from);
         let limit = end.unwrap_or_else(|| Instant::now() + Duration::from_secs(3_600));
-        let Ok(seen) = tokio::time::timeout_at(limit, next).await else { break };
-        let seen = seen.context(PlatformSnafu)?;
-        for change in &seen.changes {
+        let Ok(result) = tokio::time::timeout_at(limit, next).await else { break };
+        let result = result.context(PlatformSnafu)?;
+        for change in &result.changes {
             print(change, format);
         }
-        from = seen.next;
+        from = result.next;
     }
     Ok(Code::Success)
 }
--- a/crates/flintstall/tests/cli.rs
+++ b/crates/flintstall/tests/cli.rs
@@ -29,7 +29,7 @@
     /// Runs `flintstall` with these arguments; FILE is replaced by the scratch file's path.
     async fn run(&self, args: &str) -> Output {
         let file = self.file.to_string_lossy().into_owned();
-        let args: Vec<String> = args.split(' ').map(|w| w.replace("FILE", &file)).collect();
+        let args: Vec<String> = args.split(' ').map(|arg| arg.replace("FILE", &file)).collect();
         let mut command = Command::new(env!("CARGO_BIN_EXE_flintstall"));
         command.args(args).env("FLINTSTALL_PLATFORM", self.platform.address());
         let output = tokio::task::spawn_blocking(move || command.output()).await.unwrap().unwrap();
--- a/crates/flintstalld/src/logging.rs
+++ b/crates/flintstalld/src/logging.rs
@@ -4,7 +4,7 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::{EnvFilter, fmt};
 
-/// Starts logging to standard output; timeline events are logged at every level.
+/// Starts logging to standard output. Timeline events are logged whatever the configured level.
 pub fn init(settings: &LogSettings) {
     let filter = EnvFilter::new(format!("{},timeline=info,hyper=warn,h2=warn", settings.level));
     let builder = fmt().with_env_filter(filter);
--- a/crates/flintstalld/tests/import_cycles.rs
+++ b/crates/flintstalld/tests/import_cycles.rs
@@ -128,14 +128,14 @@
 }
 
 /// Crates with import cycles, and the modules in them.
-fn crates_with_cycles(view: impl Fn(Edges) -> Edges) -> Vec<String> {
+fn crates_with_cycles(group: impl Fn(Edges) -> Edges) -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let crates = fs::read_dir(root.join("crates")).expect("the workspace has crates");
     let mut folders: Vec<PathBuf> = crates.map(|entry| entry.unwrap().path()).collect();
     folders.push(root.join("platform"));
     let mut crates_with_cycles = Vec::new();
     for folder in &folders {
-        let found = modules_in_cycles(&view(edges(&folder.join("src"))));
+        let found = modules_in_cycles(&group(edges(&folder.join("src"))));
         if !found.is_empty() {
             crates_with_cycles.push(format!("{}: {}", folder.display(), found.join(", ")));
         }
--- a/crates/jsonc/tests/read.rs
+++ b/crates/jsonc/tests/read.rs
@@ -37,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in "[\\[\\]{}\",:a-z0-9/*\\n -]{0,80}") {
+    fn any_text_is_read_or_rejected(text in "[\\[\\]{}\",:a-z0-9/*\\n -]{0,80}") {
         let _ = jsonc::read::<Sample>(&text);
     }
 }
--- a/crates/resource/src/name.rs
+++ b/crates/resource/src/name.rs
@@ -29,7 +29,7 @@
     use super::*;
 
     #[test]
-    fn names() {
+    fn names_are_validated() {
         let cases = [
             ("bornova-1", true),
             ("a", true),
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -88,12 +88,12 @@
         }
         let mut names = BTreeSet::new();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let at = |key: &str| format!("endpoints[{index}].{key}");
-            require(is_name(&endpoint.name), at("name"), "a name");
-            require(names.insert(&endpoint.name), at("name"), "unique in the pool");
-            require(is_name(&endpoint.zone), at("zone"), "the name of an availability zone");
+            let key_path = |key: &str| format!("endpoints[{index}].{key}");
+            require(is_name(&endpoint.name), key_path("name"), "a name");
+            require(names.insert(&endpoint.name), key_path("name"), "unique in the pool");
+            require(is_name(&endpoint.zone), key_path("zone"), "the name of an availability zone");
             let address = endpoint.address.parse::<std::net::SocketAddr>().is_ok();
-            require(address, at("address"), "an IP number with a port");
+            require(address, key_path("address"), "an IP number with a port");
         }
         violations
     }
--- a/crates/resource/tests/file.rs
+++ b/crates/resource/tests/file.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use resource::{ApiKey, Kind, hash_secret, read};
 
-const GOOD: &str = r#"[
+const VALID_FILE: &str = r#"[
   // A budget with a comment.
   {"kind": "budget", "name": "bornova", "spec": {"customer": "dis", "paid": 1000}},
   {"kind": "pool", "name": "models", "spec": {
@@ -13,8 +13,8 @@
 ]"#;
 
 #[test]
-fn a_good_file_is_read_whole() {
-    let documents = read(GOOD).unwrap();
+fn valid_file_is_read() {
+    let documents = read(VALID_FILE).unwrap();
     let kinds: Vec<Kind> = documents.iter().map(|document| document.kind).collect();
     assert_eq!(kinds, [Kind::Budget, Kind::Pool]);
     let text = documents[0].spec.to_json();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn faults_name_key_and_line() {
+fn errors_name_key_and_line() {
     let cases = [
         ("\"paid\": 1000", "\"paid\": -1", "line 3: `[0].spec.paid`"),
         ("\"paid\"", "\"payed\"", "line 3: `[0].spec.payed`: unknown field"),
@@ -32,13 +32,13 @@
         ("\"bytes_per_token\": 4", "\"bytes_per_token\": 0", "line 5: `[1].spec.serves.model"),
     ];
     for (from, to, want) in cases {
-        let error = read(&GOOD.replacen(from, to, 1)).unwrap_err().to_string();
+        let error = read(&VALID_FILE.replacen(from, to, 1)).unwrap_err().to_string();
         assert!(error.starts_with(want), "{error} does not start with {want}");
     }
 }
 
 #[test]
-fn keys_match_only_their_own_hash() {
+fn api_key_matches_only_its_own_hash() {
     let stored = resource::Key { sha256: hash_secret("correct-horse"), budget: "bornova".into() };
     let cases = [
         ("dis.desk.correct-horse", Some(true)),
@@ -55,8 +55,8 @@
 
 proptest! {
     #[test]
-    fn any_mutation_is_read_or_refused(at in 0..GOOD.len(), with in "[ -~]{0,6}") {
-        let mut text = GOOD.to_owned();
+    fn mutated_file_is_read_or_rejected(at in 0..VALID_FILE.len(), with in "[ -~]{0,6}") {
+        let mut text = VALID_FILE.to_owned();
         text.replace_range(at..at + 1, &with);
         if let Err(error) = read(&text) {
             prop_assert!(error.to_string().starts_with("line "));
