--- a/crates/soak/src/call.rs
+++ b/crates/soak/src/call.rs
@@ -1,4 +1,4 @@
-//! Callers, and what they got.
+//! Calls of the load and their outcomes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,24 +8,24 @@
 
 use crate::endpoint::{EVENT_TOKENS, Id};
 
-/// How long a caller waits.
+/// Longest wait of a caller for the head of a response, and for each part of its body.
 pub const DEADLINE: Duration = Duration::from_secs(5);
 
-/// What is asked for.
+/// Route of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Route {
-    /// A streamed answer that costs tokens; may run once.
+    /// A streamed response that costs tokens; runs at most once.
     Stream,
     /// A plain call that may be repeated.
     Cancel,
-    /// A plain call that may run once.
+    /// A plain call that runs at most once.
     Confirm,
-    /// A plain call on a route that is added while the soak runs.
+    /// Like `Confirm`, on a route that is added during the run.
     Late,
 }
 
 impl Route {
-    /// Name in the configuration, which is its path too.
+    /// Name in the configuration, also the first segment of the path.
     pub fn name(self) -> &'static str {
         match self {
             Route::Stream => "stream",
@@ -41,32 +41,30 @@
     }
 }
 
-/// One life of a box.
+/// One start of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Life {
     /// Number of the box.
     pub at: usize,
-    /// Number of its life.
+    /// Number of the start, from 1.
     pub number: usize,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// A success, and whether it is the whole answer to this call.
+    /// A response with a status of success.
     Answered {
-        /// All of it, and nothing else.
+        /// Whether the body is the complete response to this call and nothing else.
         own: bool,
-        /// What came, where it is not.
         body: String,
     },
-    /// An answer of the box's own.
+    /// A response with another status.
     Refused(StatusCode),
-    /// No answer, or one that broke off; with the events that came.
+    /// No response, or an incomplete one.
     Failed {
-        /// Why.
         reason: String,
-        /// Events received.
+        /// Complete events received.
         events: u64,
     },
 }
@@ -75,10 +73,10 @@
 #[derive(Debug, Clone)]
 pub struct Call {
     pub id: Id,
-    /// Customer's key.
+    /// API key of the customer.
     pub key: &'static str,
     pub route: Route,
-    /// Who took it.
+    /// The box that the call was sent to.
     pub life: Life,
     pub sent: Instant,
     pub ended: Instant,
@@ -86,7 +84,7 @@
 }
 
 impl Call {
-    /// Tokens that the caller certainly got.
+    /// Lower bound of the tokens that the endpoint served for this call.
     pub fn served(&self) -> u64 {
         match &self.end {
             End::Answered { .. } => self.id.tokens(),
@@ -96,7 +94,7 @@
     }
 }
 
-/// Sends one call and reads its answer.
+/// Sends one call and reads its response.
 pub async fn send(
     client: &reqwest::Client,
     address: SocketAddr,
@@ -140,7 +138,7 @@
         Route::Stream => (0..id.events).map(|number| id.event(number)).collect(),
         Route::Cancel | Route::Confirm | Route::Late => id.answer(),
     };
-    // An engine that says more sends the plain answer.
+    // `Conduct::SaysMore` sends the plain response on every route.
     End::Answered { own: body == whole || body == id.answer(), body }
 }
 
@@ -149,7 +147,7 @@
     (0..id.events).take_while(|number| text.contains(&id.event(*number))).count() as u64
 }
 
-/// A client that keeps its connections.
+/// An HTTP client that keeps its connections.
 pub fn client() -> Arc<reqwest::Client> {
     let client = reqwest::Client::builder().no_proxy().pool_max_idle_per_host(4).build();
     Arc::new(client.expect("a client without TLS settings always builds"))
--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -1,13 +1,13 @@
-//! All flags of the soak.
+//! Command line of `flintsoak`.
 
 use std::{path::PathBuf, time::Duration};
 
 use argh::FromArgs;
 
-/// Runs real daemons under load and random faults, and checks what they promise.
+/// Runs real daemons under load and random faults, and checks their guarantees.
 #[derive(Debug, FromArgs)]
 pub struct Options {
-    /// the daemon's program
+    /// path of the daemon's binary
     #[argh(option, default = "PathBuf::from(\"target/release/flintstalld\")")]
     pub daemon: PathBuf,
 
@@ -15,23 +15,23 @@
     #[argh(option, default = "1")]
     pub seed: u64,
 
-    /// how many seeds
+    /// number of seeds
     #[argh(option, default = "1")]
     pub count: u64,
 
-    /// boxes
+    /// number of boxes
     #[argh(option, default = "5")]
     pub boxes: usize,
 
-    /// seconds of load a seed
+    /// seconds of load for each seed
     #[argh(option, default = "15")]
     pub seconds: u64,
 
-    /// endpoints name no limits
+    /// endpoints announce no rate limits
     #[argh(switch)]
     pub unlimited: bool,
 
-    /// endpoints neither say that they leave nor ask for rest
+    /// endpoints neither announce that they leave nor ask for back-offs
     #[argh(switch)]
     pub wordless: bool,
 }
@@ -42,7 +42,7 @@
         self.seed..self.seed + self.count
     }
 
-    /// What to play with each.
+    /// Options of each run.
     pub fn run(&self) -> soak::Options {
         soak::Options {
             daemon: self.daemon.clone(),
--- a/crates/soak/src/daemon.rs
+++ b/crates/soak/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One process of the daemon.
+//! A daemon process under test.
 
 use std::{
     net::SocketAddr,
@@ -14,20 +14,20 @@
     process::{Child, Command},
 };
 
-/// Longest wait for a process to start.
+/// Longest wait for a daemon to report the address that it listens on.
 const STARTS_WITHIN: Duration = Duration::from_secs(20);
 
-/// What went wrong with a process.
+/// Failure to start or signal a daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A file or the program cannot be used.
+    /// A file cannot be created, or the binary cannot be started.
     #[snafu(display("{}: {source}", path.display()))]
     File { path: PathBuf, source: std::io::Error },
-    /// It did not say where it listens.
-    #[snafu(display("the process did not start; its lines are in {}", log.display()))]
+    /// The daemon did not report the address that it listens on.
+    #[snafu(display("the daemon did not start; see its log {}", log.display()))]
     Start { log: PathBuf },
-    /// It cannot be signalled.
-    #[snafu(display("cannot signal the process: {source}"))]
+    /// The daemon cannot be signalled.
+    #[snafu(display("cannot signal the daemon: {source}"))]
     Signal { source: rustix::io::Errno },
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Daemon {
-    /// Starts the program with settings; its lines go to `log`.
+    /// Starts `program` as a gateway; its output goes to `log`.
     pub async fn spawn(program: &Path, settings: &Path, log: &Path) -> Result<Daemon, Error> {
         let mut child = Command::new(program)
             .arg("--gateway")
@@ -63,23 +63,23 @@
         Ok(Daemon { child, pid, callers })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         kill_process(self.pid, signal).context(SignalSnafu)
     }
 
-    /// Waits until it has ended; says whether it did in time.
+    /// Waits for the process to exit; returns whether it did in time.
     pub async fn ended(&mut self, within: Duration) -> bool {
         tokio::time::timeout(within, self.child.wait()).await.is_ok()
     }
 }
 
-/// Copies lines to the log, and tells the address that the process says it listens at.
+/// Copies output to the log, and sends the address from the `started` event.
 async fn keep_lines(
     out: BufReader<tokio::process::ChildStdout>,
     mut file: tokio::fs::File,
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! The endpoints of a soak, and what they ran.
+//! Endpoints of a run, and the requests that they ran.
 //!
-//! What an endpoint does with a request follows from its number, which its id tells: most are
-//! answered whole, some in ways that break the protocol.
+//! The number in the id of a request determines how the endpoint responds: completely in most
+//! cases, in some with an error or a violation of the protocol.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,36 +13,36 @@
 
 use crate::{need::Need, word::Word};
 
-/// Tokens that one event holds, as the configuration of the stand-ins says.
+/// Tokens of one event; equals `stride` in the configuration.
 pub const EVENT_TOKENS: u64 = 2;
-/// Pause between two events.
+/// Time between two events of a stream.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// A request of the soak, as its id tells.
+/// Parameters of a request, encoded in its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// Number of the try, given once.
+    /// Unique number of the request.
     pub number: u64,
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Events of the answer.
+    /// Events of a streamed response.
     pub events: u64,
 }
 
 impl Id {
-    /// The id as text.
+    /// Text form of the id, as in the request header.
     pub fn text(&self) -> String {
         format!("soak-{}-{}-{}", self.number, self.prompt, self.events)
     }
 
-    /// Reads an id.
+    /// Parses the text form.
     pub fn read(text: &str) -> Option<Id> {
         let mut numbers = text.strip_prefix("soak-")?.split('-').map(|n| n.parse().ok());
         let (number, prompt, events) = (numbers.next()??, numbers.next()??, numbers.next()??);
         Some(Id { number, prompt, events })
     }
 
-    /// What an endpoint does with it.
+    /// How an endpoint handles the request.
     pub fn conduct(&self) -> Conduct {
         match self.number {
             n if n % 41 == 0 => Conduct::Closes,
@@ -53,41 +53,40 @@
         }
     }
 
-    /// Tokens that the customer owes for the whole answer.
+    /// Tokens that the complete response costs.
     pub fn tokens(&self) -> u64 {
         self.prompt + self.events * EVENT_TOKENS
     }
 
-    /// One event of the answer.
+    /// One event of a streamed response.
     pub fn event(&self, number: u64) -> String {
         format!("data: {} {number}\n\n", self.text())
     }
 
-    /// The plain answer.
+    /// Body of the plain response.
     pub fn answer(&self) -> String {
         format!("done {}", self.text())
     }
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conduct {
-    /// Answers whole.
+    /// Sends a complete response.
     Answers,
-    /// Answers whole, and sends the answer to another request after it.
+    /// Sends a complete response, followed by the response to another request.
     SaysMore,
-    /// Runs it and closes without an answer.
+    /// Runs it and closes the connection without a response.
     Closes,
-    /// Runs it and breaks its answer off.
+    /// Runs it and closes the connection in the middle of the response.
     Tears,
-    /// Says that it does not run it.
+    /// Responds that it did not run it.
     Declines,
 }
 
-/// A request that arrived and was not declined.
+/// A request that an endpoint ran.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Which request.
     pub id: Id,
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
@@ -95,54 +94,54 @@
     pub at: Instant,
 }
 
-/// A request that reached an endpoint.
+/// A request that reached an endpoint, and what the response announces.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub id: Id,
     pub at: Instant,
-    /// The limit that the endpoint named then.
+    /// Rate limit, in requests a second.
     pub limit: Option<f64>,
-    /// Whether there was an answer to say it.
+    /// Whether there was a response that carries the announcements.
     pub answered: bool,
-    /// Whether the endpoint said that it leaves.
+    /// Whether the endpoint announces that it leaves.
     pub leaves: bool,
-    /// How long a rest it asked for.
+    /// Back-off that the endpoint asks for.
     pub asks: Option<Duration>,
 }
 
-/// What an endpoint says of itself in a run.
+/// What an endpoint announces in a run.
 #[derive(Debug, Clone, Default)]
 pub struct Says {
-    /// A limit that it names for a time.
+    /// A rate limit for a part of the run.
     pub need: Option<Need>,
-    /// That it leaves, or asks for rest.
+    /// Leaving, or back-offs.
     pub word: Option<Word>,
 }
 
 impl Says {
-    /// Whether it ever says anything.
+    /// Whether the endpoint announces anything during the run.
     fn anything(&self) -> bool {
         self.need.is_some() || self.word.is_some()
     }
 }
 
-/// What arrived at the endpoints that say anything of themselves, by their names.
+/// Requests that reached endpoints that announce anything, by name of the endpoint.
 pub type Arrivals = Arc<Mutex<HashMap<Arc<str>, Vec<Arrival>>>>;
 
-/// All that endpoints ran.
+/// All requests that endpoints ran.
 pub type Runs = Arc<Mutex<Vec<Run>>>;
 
 /// A running endpoint.
 pub struct Endpoint {
-    /// Its id in the store.
+    /// Id in the store.
     pub name: Arc<str>,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: &'static str,
     scripted: Scripted,
 }
 
 impl Endpoint {
-    /// Starts one that records what it runs, and says of itself what is drawn for it.
+    /// Starts an endpoint that records requests in `runs` and `arrivals`.
     pub async fn spawn(
         name: &str,
         service: &'static str,
@@ -181,7 +180,7 @@
         Endpoint { name, service, scripted }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.scripted.address()
     }
@@ -204,7 +203,7 @@
     };
     let headers = name(played::answered(&arrived.told.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
-    // Whoever asks for rest runs nothing.
+    // An endpoint that asks for a back-off runs nothing.
     let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
     match conduct {
         Conduct::Closes => Reply::Close,
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,43 +1,43 @@
-//! Faults of one run, drawn from its seed.
+//! Random faults of one run.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Something that goes wrong, or is done by plan.
+/// A failure or an operator's action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The store answers nothing.
+    /// The store answers no calls.
     StoreDown,
-    /// Each call of the store takes long.
+    /// Calls of the store are slow.
     StoreSlow,
-    /// The store carries writes out, some of them later, and does not answer.
+    /// The store drops the responses of some writes and applies these writes after a delay.
     StoreLosesAnswers,
-    /// Box and store do not reach each other.
+    /// The link between a box and the store carries no bytes.
     Cut { at: usize },
-    /// Connections of a box to the store that are open carry nothing more, without a reset.
+    /// Open connections from a box to the store stall without a reset; new ones work.
     Silence { at: usize },
-    /// A process is killed.
+    /// One daemon is killed.
     Kill { at: usize },
-    /// All processes are killed at once.
+    /// All daemons are killed.
     KillAll,
-    /// A process stands still.
+    /// A daemon is suspended by SIGSTOP.
     Pause { at: usize },
-    /// A process is stopped by plan.
+    /// A daemon is stopped by SIGTERM.
     Stop { at: usize },
-    /// A process is told to read its settings again.
+    /// A daemon reloads its settings on SIGHUP.
     Reload { at: usize },
-    /// An endpoint says that it leaves.
+    /// An endpoint is no longer ready in its entry in the store.
     Leave { endpoint: usize },
     /// The operator adds a route.
     Configure,
-    /// The operator raises what customers paid.
+    /// The operator increases the tokens that customers have paid for.
     TopUp,
 }
 
 impl Kind {
-    /// Boxes that may not hear of changes while it lasts: one or all; `None` for none.
+    /// Boxes that may miss changes meanwhile: `Some(Some(box))`, `Some(None)` for all, or `None`.
     pub fn disturbs(self) -> Option<Option<usize>> {
         match self {
             Kind::StoreDown | Kind::StoreSlow | Kind::StoreLosesAnswers | Kind::KillAll => {
@@ -53,23 +53,22 @@
     }
 }
 
-/// A fault, and when it begins and ends.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
-    /// From the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// How long it lasts, where it does.
+    /// Ignored by kinds that take effect at once and need not be undone.
     pub lasts: Duration,
-    /// What happens.
     pub kind: Kind,
 }
 
-/// Mean time between two faults.
+/// Mean time between the starts of two faults.
 const EACH: Duration = Duration::from_millis(900);
-/// Shortest and longest time that a fault lasts, in milliseconds.
+/// Shortest and longest duration of a fault, in milliseconds.
 const LASTS_MS: (u64, u64) = (200, 4_000);
 
-/// The faults of a run, in their order. They come in series and overlap.
+/// Draws the faults of a run, ordered by start. They may overlap.
 pub fn draw(
     random: &mut ChaCha8Rng,
     boxes: usize,
@@ -84,7 +83,7 @@
             Fault { at, lasts, kind: kind(random, boxes) }
         })
         .collect();
-    // One endpoint leaves, early enough to be missed.
+    // One endpoint leaves in the first half, so that requests that reach it later are noticed.
     let at = Duration::from_millis(random.random_range(0..length.as_millis() as u64 / 2));
     let endpoint = random.random_range(0..endpoints);
     faults.push(Fault { at, lasts: Duration::ZERO, kind: Kind::Leave { endpoint } });
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,11 +1,11 @@
-//! A soak: real daemons as processes of their own, under load and random faults from outside.
+//! Soak test: real daemon processes under load and random faults.
 //!
-//! [`run`] plays one seed. It starts the stand-in store and endpoints in this process, and the
-//! daemon once for each box, each behind a link to the store that can be cut or silenced. Callers
-//! ([`call`]) keep their connections until a process is gone, faults ([`fault`]) come in series and overlap, and
-//! endpoints may name limits ([`need`]), leave and ask for rest ([`word`]). What callers got and what endpoints ran ([`endpoint`]) are compared in
-//! the end with each other and with the book and the bills ([`verdict`]). Only processes that a run started are
-//! signalled, by their ids, and all of them end with it.
+//! [`run`] plays one seed. It starts a stand-in store and endpoints in this process, and one daemon
+//! for each box, which reaches the store through a link that can be cut or stalled. Callers
+//! ([`call`]) keep their connections, faults ([`fault`]) overlap, and endpoints may announce rate
+//! limits ([`need`]), that they leave, or back-offs ([`word`]). At the end, [`verdict`] compares
+//! the responses, the runs at the endpoints ([`endpoint`]), the book and the bills. A run signals
+//! only processes that it started, by their ids, and kills them when it ends.
 
 pub mod call;
 pub mod daemon;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `flintsoak`: plays seeds of the soak and prints what broke.
+//! `flintsoak`: runs the soak test with a range of seeds and prints violated guarantees.
 
 mod cli;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Plays each seed; returns how many broke a promise.
+/// Plays each seed; returns the number of seeds with violations.
 async fn play(options: &cli::Options) -> Result<usize, soak::Error> {
     let (mut broken, played) = (0, options.run());
     for seed in options.seeds() {
@@ -31,7 +31,7 @@
         let (calls, answered, refused) = report.calls;
         println!(
             "seed {seed}: {calls} calls, {answered} answered, {refused} refused, {} runs, {} faults, \
-             {} breaches",
+             {} violations",
             report.runs,
             report.faults,
             report.breaches.len()
@@ -41,6 +41,6 @@
         }
         broken += usize::from(!report.breaches.is_empty());
     }
-    println!("{broken} of {} seeds broke a promise", options.count);
+    println!("{broken} of {} seeds violated a guarantee", options.count);
     Ok(broken)
 }
--- a/crates/soak/src/need.rs
+++ b/crates/soak/src/need.rs
@@ -1,28 +1,30 @@
-//! Limits that endpoints of a run name for a time.
+//! Random rate limits of endpoints.
 //!
-//! They are drawn from a seed of their own, so that a seed has the same faults with and without them.
+//! They have a generator of their own, so that a seed has the same faults with and without limits.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What tells the draw of limits from that of faults.
+/// Combined with the seed of the run, so that this generator differs from the one for faults.
 const SALT: u64 = 0x6c69_6d69_7400;
-/// Lowest and highest limit, in tenths of a request a second: callers of five boxes ask for some 30 of each endpoint.
+/// Lowest and highest limit, in tenths of a request a second; far below what callers ask for.
 const TENTHS: (u32, u32) = (0, 60);
-/// Part of all endpoints that name a limit in a run.
+/// Probability that an endpoint announces a limit.
 const SHARE: f64 = 0.5;
-/// A limit that an endpoint names for a time of the run.
+
+/// A rate limit that an endpoint announces for a part of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Need {
+    /// Requests a second from all boxes together.
     pub per_s: f64,
-    /// From the start of the load.
+    /// Time since the start of the load.
     pub from: Duration,
     pub until: Duration,
 }
 
-/// Limits of a run, by the number of the endpoint.
+/// Draws the limits of a run, by number of the endpoint.
 pub fn draw(seed: u64, endpoints: usize, length: Duration) -> BTreeMap<usize, Need> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ SALT);
     let ms = length.as_millis() as u64;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a seed, its fleet, its load, its faults, its verdict.
+//! One run of the soak test: starts the fleet, plays load and faults, and checks the guarantees.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,75 +31,74 @@
     word,
 };
 
-/// Endpoints and their services.
+/// Names of the endpoints, each with its service.
 const ENDPOINTS: [(&str, &str); 4] =
     [("e-1", "engines"), ("e-2", "engines"), ("p-1", "plain"), ("p-2", "plain")];
-/// Callers for each box: enough that some call is under way at any moment.
+/// Callers for each box; enough that calls are nearly always in flight.
 const CALLERS: usize = 3;
-/// Pause of a caller between two calls, in milliseconds.
+/// Shortest and longest pause of a caller between two calls, in milliseconds.
 const THINKS_MS: (u64, u64) = (5, 60);
-/// What each customer paid at first. A run uses about twice as much.
+/// Tokens that each customer has paid for at the start; less than a run uses.
 const PAID: u64 = 150_000;
-/// What a raise adds.
+/// Tokens that `Kind::TopUp` adds.
 const RAISE: u64 = 40_000;
-/// Time from a planned stop until nothing more is taken, in milliseconds.
+/// The daemon's setting `notice_ms`: time after SIGTERM in which it still accepts requests.
 const NOTICE_MS: u64 = 600;
-/// Time of a planned stop, in milliseconds.
+/// The daemon's setting `stop_ms`: longest time of a planned stop.
 const STOP_MS: u64 = 6_000;
-/// Longest wait for a process that was told to stop.
+/// Longest wait for a daemon to exit.
 const ENDS_WITHIN: Duration = Duration::from_secs(12);
-/// Time between two looks at a box that stops.
+/// Interval at which a stopping daemon is polled.
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Time after the last fault until boxes are in touch again: the longest call of the store, and the
-/// longest pause between two.
+/// Time after a fault until boxes are connected to the store again: the longest call plus the
+/// longest delay between two calls.
 const IN_TOUCH: Duration = Duration::from_millis(3_500);
 
-/// Time of load after the last fault: boxes are in touch again, and whoever still uses an endpoint
-/// that left is seen to.
+/// Time of load after the last fault, in which requests to endpoints that left are violations again.
 const CALM: Duration = Duration::from_millis(8_500);
 
-/// What to play.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The daemon's program.
+    /// Path of the daemon's binary.
     pub daemon: PathBuf,
-    /// Folder for settings and lines; one folder a seed is made in it.
+    /// Folder for settings and logs; each seed gets a subfolder.
     pub folder: PathBuf,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Time of the load.
+    /// Duration of the load, without the time after the last fault.
     pub length: Duration,
-    /// Whether endpoints name limits.
+    /// Whether endpoints announce rate limits.
     pub limits: bool,
-    /// Whether endpoints say that they leave, and ask for rest.
+    /// Whether endpoints announce that they leave, or ask for back-offs.
     pub words: bool,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Calls made, answered and refused.
+    /// Numbers of calls: all, answered and refused.
     pub calls: (usize, usize, usize),
-    /// Requests that endpoints ran.
+    /// Number of requests that endpoints ran.
     pub runs: usize,
-    /// Faults played.
+    /// Number of faults.
     pub faults: usize,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub breaches: Vec<Breach>,
 }
 
-/// Why a run could not be played.
+/// Failure of the test environment.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A process.
+    /// A daemon cannot be started or signalled.
     #[snafu(display("{source}"))]
     Daemon { source: daemon::Error },
-    /// A file.
+    /// A file or folder cannot be created, or no port can be bound.
     #[snafu(display("{}: {source}", path.display()))]
     File { path: PathBuf, source: std::io::Error },
 }
 
-/// A box: its processes one after the other, and its link to the store.
+/// A box: its current daemon, if it runs, and its link to the store.
 struct Node {
     settings: PathBuf,
     link: Link,
@@ -107,20 +106,20 @@
     daemon: Option<Daemon>,
 }
 
-/// What callers and faults share.
+/// State shared with the callers.
 struct Shared {
     platform: Platform,
     runs: Runs,
     calls: Mutex<Vec<Call>>,
-    /// Where a box takes callers, while it does, and which life of it.
+    /// Address and incarnation of each box that accepts callers.
     open: Mutex<Vec<Option<(std::net::SocketAddr, Life)>>>,
     numbers: AtomicU64,
     done: AtomicBool,
-    /// What arrived at endpoints that name limits.
+    /// Requests that reached endpoints that announce anything.
     arrivals: Arrivals,
 }
 
-/// The part of the run that is judged in the end.
+/// Events of the run that the checks take into account; see [`Evidence`].
 #[derive(Default)]
 struct History {
     stopped: BTreeMap<Life, (Instant, Instant)>,
@@ -129,7 +128,7 @@
     disturbed: Vec<Disturbance>,
 }
 
-/// Plays one seed.
+/// Runs the soak test with one seed.
 pub async fn run(seed: u64, options: &Options) -> Result<Report, Error> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let folder = options.folder.join(format!("seed-{seed}"));
@@ -191,7 +190,7 @@
     history: History,
     version: u64,
     paid: u64,
-    /// Whether the late route stands in the configuration.
+    /// Whether the configuration has `Route::Late`.
     late: bool,
     program: PathBuf,
     folder: PathBuf,
@@ -240,7 +239,7 @@
         self.start(at).await
     }
 
-    /// Starts the next life of a box.
+    /// Starts the daemon of a box.
     async fn start(&mut self, at: usize) -> Result<(), Error> {
         let node = &mut self.nodes[at];
         node.life += 1;
@@ -253,7 +252,7 @@
         Ok(())
     }
 
-    /// Plays faults until the load ends. What a fault undoes is due at its end.
+    /// Begins and undoes faults as scheduled, then waits for the end of the load.
     async fn play(&mut self, faults: Vec<Fault>, length: Duration) -> Result<(), Error> {
         let began = Instant::now();
         let mut due: Vec<(Instant, Step)> =
@@ -280,7 +279,7 @@
         Life { at, number: self.nodes[at].life }
     }
 
-    /// Begins a fault; returns what is to be undone at its end.
+    /// Begins a fault; returns its end, if it must be undone.
     async fn begin(&mut self, fault: Fault) -> Result<Option<End>, Error> {
         if let Some(at) = fault.kind.disturbs() {
             let from = Instant::now();
@@ -335,12 +334,12 @@
         Ok(Some(End { kind: fault.kind, life: None, until }))
     }
 
-    /// Ends a fault; returns it if it is not over yet. A box that stops may wait for what the end of another
-    /// fault brings: nobody waits for it here.
+    /// Undoes a fault; returns it if the daemon is still stopping. Does not wait for that daemon,
+    /// because the daemon may itself wait for the end of another fault.
     async fn undo(&mut self, end: End) -> Result<Option<End>, Error> {
         let platform = &self.shared.platform;
         match end.kind {
-            // It was killed meanwhile.
+            // Another fault killed the daemon meanwhile.
             Kind::Stop { at } if end.life != Some(self.life(at)) => {}
             Kind::StoreDown => platform.set(|faults| faults.down = false),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::ZERO),
@@ -355,7 +354,7 @@
                     if Instant::now() < end.until {
                         return Ok(Some(end));
                     }
-                    // It stands still, perhaps: then it does not end by its own plan.
+                    // It may be suspended, so its planned stop cannot be checked.
                     let life = self.life(at);
                     self.history.harmed.insert(life);
                 }
@@ -395,20 +394,21 @@
         if let Some(mut daemon) = self.nodes[at].daemon.take() {
             self.history.harmed.insert(life);
             self.shared.open.lock()[at] = None;
-            // It may have ended meanwhile.
+            // May fail if the daemon has already exited.
             let _ = daemon.signal(Signal::KILL);
             daemon.ended(ENDS_WITHIN).await;
         }
     }
 
-    /// Callers keep their connections; new ones go elsewhere from now on, as with a balancer.
+    /// Begins a planned stop. Shortly before the box rejects requests, callers move to other boxes,
+    /// as behind a load balancer.
     fn stop(&mut self, at: usize, lasts: Duration) -> Result<Option<End>, Error> {
         let life = self.life(at);
         if self.nodes[at].daemon.is_none() || self.history.stopped.contains_key(&life) {
             return Ok(None);
         }
         let now = Instant::now();
-        // What comes in the last moment before nothing more is taken may cross that.
+        // Requests sent just before the end of the notice may arrive after it.
         let taken = Duration::from_millis(NOTICE_MS - 200);
         self.history.stopped.insert(life, (now, now + taken));
         self.signal(at, Signal::TERM)?;
@@ -424,7 +424,7 @@
         Ok(Some(End { kind: Kind::Stop { at }, life: Some(life), until }))
     }
 
-    /// Ends every fault and every box by plan.
+    /// Ends all faults and stops all boxes.
     async fn end(&mut self) -> Result<(), Error> {
         self.shared.platform.set(|faults| *faults = Default::default());
         for at in 0..self.nodes.len() {
@@ -476,16 +476,16 @@
     End(End),
 }
 
-/// The end of a fault.
+/// The scheduled end of a fault.
 struct End {
     kind: Kind,
-    /// The life that it was about, where it was about one.
+    /// The incarnation that a planned stop concerns.
     life: Option<Life>,
-    /// When it is over at the latest.
+    /// When a planned stop counts as failed.
     until: Instant,
 }
 
-/// One caller, until the load ends. It keeps to a box while that takes callers.
+/// A caller, until the load ends. It stays at one box while calls succeed and the box accepts callers.
 async fn call_on(shared: Arc<Shared>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let client = call::client();
@@ -520,7 +520,7 @@
     }
 }
 
-/// Folder for the lines of runs below the folder of built programs.
+/// Folder for settings and logs, beside the daemon's binary.
 pub fn folder_beside(daemon: &Path) -> PathBuf {
     daemon.parent().unwrap_or(Path::new(".")).join("soak")
 }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged by what callers got, what endpoints ran, and what the store has.
+//! Checks the guarantees of the daemon against the calls, the runs at endpoints and the store.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -15,60 +15,60 @@
     endpoint::{Arrival, Conduct, Id, Run},
 };
 
-/// Time within which boxes in touch give a leaving endpoint no more work: 2 s, and a call that was
-/// under way.
+/// Time after which a connected box sends no more requests to a leaving endpoint: 2 s, plus a call
+/// that was in flight.
 const LEAVES_WITHIN: Duration = Duration::from_secs(4);
 
-/// Time for a box to send by a limit that it was told, and time from the first word until the sum is counted: those
-/// of the platform.
+/// Time for a box to apply a limit or a back-off after the response that carries it. The platform's bound.
 const TOLD: Duration = Duration::from_millis(500);
+/// Time from the first response with a limit until the limit binds all boxes together. The platform's bound.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Time after an answer that says that its endpoint leaves from which on callers' requests do not reach that any more.
+/// Time for a box to stop sending to an endpoint after a response that announces that it leaves.
 const SAID_WITHIN: Duration = Duration::from_secs(2);
-/// Requests of a box that may reach an endpoint within a rest that it asked that box for.
+/// Requests of a box that may reach an endpoint during a back-off that the endpoint asked of that box.
 const MOST_IN_REST: usize = 2;
-/// The span in which arrivals are counted, and what may arrive in it besides the limit.
+/// Window in which arrivals are counted.
 const SPAN: Duration = Duration::from_secs(4);
+/// Arrivals allowed in a window: the limit times this factor, plus a constant number of requests.
 const SLACK: f64 = 1.5;
 const EXTRA: f64 = 5.0;
 
-/// Everything that a run left.
+/// Everything that a run recorded.
 pub struct Evidence<'a> {
     pub calls: &'a [Call],
     pub runs: &'a [Run],
     pub book: &'a Book,
     pub bills: &'a [Bill],
-    /// What each customer paid in the end, by key.
+    /// Tokens that each customer has paid for at the end of the run.
     pub paid: u64,
-    /// Lives that ended by plan, from the signal to the moment when nothing more is taken.
+    /// Planned stops: when the signal was sent, and until when the box accepts requests.
     pub stopped: &'a BTreeMap<Life, (Instant, Instant)>,
-    /// Lives that were killed or stood still: their connections may break.
+    /// Incarnations that were killed or suspended: their connections may break.
     pub harmed: &'a BTreeSet<Life>,
-    /// Endpoints that left, and when the store said so.
+    /// Endpoints that left, and when the store recorded it.
     pub left: &'a BTreeMap<Arc<str>, Instant>,
-    /// Times in which boxes might not hear of changes.
+    /// Periods in which boxes may miss changes.
     pub disturbed: &'a [Disturbance],
-    /// What arrived at endpoints that name limits.
+    /// Requests that reached endpoints that announce anything.
     pub arrivals: &'a HashMap<Arc<str>, Vec<Arrival>>,
 }
 
-/// A time in which a box might not hear of changes.
+/// A period in which a box may miss changes.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
-    /// Number of the box, or all of them.
+    /// Number of the box; `None` means all boxes.
     pub at: Option<usize>,
-    /// When it began.
     pub from: Instant,
-    /// When the box was in touch again.
+    /// When the box is connected again.
     pub until: Instant,
 }
 
-/// A promise that was broken.
+/// A guarantee that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// Which one.
+    /// The guarantee.
     pub promise: &'static str,
-    /// By what.
+    /// The request, endpoint or ledger that violates it.
     pub detail: String,
 }
 
@@ -77,7 +77,7 @@
     if key == "key-b" { "bornova" } else { "pasila" }
 }
 
-/// Every promise that was broken.
+/// All violations.
 pub fn breaches(evidence: &Evidence) -> Vec<Breach> {
     let checks: [(&'static str, Vec<String>); 11] = [
         ("no customer spends past what it paid", overspent(evidence)),
@@ -87,9 +87,12 @@
         ("a refused request has not run and never will", lied(evidence)),
         ("unrepeatable requests run at most once", repeated(evidence)),
         ("a leaving endpoint gets no new work", kept_working(evidence)),
-        ("an endpoint that says that it leaves gets nothing more", sent_after_word(evidence)),
-        ("an endpoint that asks a box for rest gets it", sent_in_rest(evidence)),
-        ("an endpoint gets what it takes from all boxes together", over_limit(evidence)),
+        (
+            "an endpoint that announces that it leaves gets no more requests",
+            sent_after_word(evidence),
+        ),
+        ("a box observes the back-off that an endpoint asks for", sent_in_rest(evidence)),
+        ("all boxes together observe the rate limit of an endpoint", over_limit(evidence)),
         ("planned stops cut off nothing, configuration goes forwards", cut_off(evidence)),
     ];
     let named = checks.into_iter().flat_map(|(promise, found)| {
@@ -109,7 +112,8 @@
 
 fn overspent(evidence: &Evidence) -> Vec<String> {
     let over = served(evidence).into_iter().filter(|(_, tokens)| *tokens > evidence.paid);
-    over.map(|(name, tokens)| format!("{name}: {tokens} of {}", evidence.paid)).collect()
+    over.map(|(name, tokens)| format!("{name}: {tokens} tokens served, {} paid", evidence.paid))
+        .collect()
 }
 
 fn forgotten(evidence: &Evidence) -> Vec<String> {
@@ -130,8 +134,8 @@
     let mut bills: HashMap<&str, usize> = HashMap::new();
     evidence.bills.iter().for_each(|bill| *bills.entry(&bill.key).or_default() += 1);
     let twice = bills.iter().filter(|(_, count)| **count > 1);
-    let twice = twice.map(|(id, count)| format!("{id} stands on {count} bills"));
-    // A life that was killed takes the bills of its last seconds with it.
+    let twice = twice.map(|(id, count)| format!("{id} is on {count} bills"));
+    // A killed box loses the bills that it had not yet written.
     let answered = evidence.calls.iter().filter(|call| {
         let whole = matches!(call.end, End::Answered { .. });
         whole && call.route == Route::Stream && !evidence.harmed.contains(&call.life)
@@ -146,7 +150,7 @@
     let wrong = evidence.calls.iter().filter_map(|call| match &call.end {
         End::Answered { own: false, body } => Some(format!("{}: {body:?}", call.id.text())),
         End::Answered { .. } if call.id.conduct() == Conduct::Tears => {
-            Some(format!("{}: torn, and taken for whole", call.id.text()))
+            Some(format!("{}: truncated response was accepted as complete", call.id.text()))
         }
         _ => None,
     });
@@ -158,7 +162,7 @@
     let promise = |status: &StatusCode| matches!(status.as_u16(), 408 | 421 | 429 | 503);
     let refused = evidence.calls.iter().filter_map(|call| match &call.end {
         End::Refused(status) if promise(status) && ran.contains(&call.id) => {
-            Some(format!("{}: {status}, and it ran", call.id.text()))
+            Some(format!("{}: refused with {status}, but it ran", call.id.text()))
         }
         _ => None,
     });
@@ -192,8 +196,8 @@
     late.collect()
 }
 
-/// Requests that callers sent later than is allowed after a box had answered another one, whose endpoint said that it leaves,
-/// and that reached that endpoint from that box.
+/// Requests that a box sent to an endpoint although an earlier response through the same box had announced that the
+/// endpoint leaves. `SAID_WITHIN` counts from the end of the earlier call to the start of the later one.
 fn sent_after_word(evidence: &Evidence) -> Vec<String> {
     let calls: HashMap<Id, &Call> = evidence.calls.iter().map(|call| (call.id, call)).collect();
     let mut late = Vec::new();
@@ -215,7 +219,7 @@
     late
 }
 
-/// Rests in which an endpoint got more requests of the box that it had asked than two.
+/// Back-offs during which the box concerned sent more than `MOST_IN_REST` requests to the endpoint.
 fn sent_in_rest(evidence: &Evidence) -> Vec<String> {
     let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
     let mut broken = Vec::new();
@@ -226,14 +230,16 @@
             let of_box = arrived.iter().filter(|other| lives.get(&other.id) == Some(life));
             let count = of_box.filter(|other| within.contains(&other.at)).count();
             if count > MOST_IN_REST && !evidence.harmed.contains(life) {
-                broken.push(format!("{endpoint} got {count} of {life:?} in {rest:?} of rest"));
+                broken.push(format!(
+                    "{endpoint} got {count} requests of {life:?} in a back-off of {rest:?}"
+                ));
             }
         }
     }
     broken
 }
 
-/// Endpoints that got more within a span than their limit allows, of boxes that they had told.
+/// Endpoints that got more requests within a window than their limit allows.
 fn over_limit(evidence: &Evidence) -> Vec<String> {
     let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
     let found = evidence.arrivals.iter().filter_map(|(endpoint, arrived)| {
@@ -241,14 +247,16 @@
         let over = |(first, (from, limit)): (usize, &(Instant, f64))| {
             let within = counted[first..].iter().filter(|(at, _)| *at < *from + SPAN).count();
             let most = limit * SPAN.as_secs_f64() * SLACK + EXTRA;
-            (within as f64 > most).then(|| format!("{endpoint} got {within} in 4 s, of {most:.1}"))
+            (within as f64 > most)
+                .then(|| format!("{endpoint} got {within} requests in 4 s, {most:.1} allowed"))
         };
         counted.iter().enumerate().find_map(over)
     });
     found.collect()
 }
 
-/// Arrivals at an endpoint that count against its limit: of boxes that were told in time, and that nothing excuses.
+/// Arrivals at an endpoint that count against its limit: from boxes that had time to apply it and
+/// were not disturbed.
 fn counted(
     evidence: &Evidence,
     lives: &HashMap<Id, Life>,
@@ -272,7 +280,7 @@
     counted
 }
 
-/// Whether a box was cut, paused or started anew a while before.
+/// Whether a box was disconnected, suspended or restarted shortly before.
 fn is_excused(evidence: &Evidence, life: &Life, at: Instant) -> bool {
     let mut of_box =
         evidence.disturbed.iter().filter(|disturbance| disturbance.at == Some(life.at));
@@ -282,7 +290,7 @@
     })
 }
 
-/// Calls that a planned stop broke, and routes that a life forgot.
+/// Calls that a planned stop cut off, and incarnations that lost a route that they had served.
 fn cut_off(evidence: &Evidence) -> Vec<String> {
     let sound = |call: &&Call| {
         matches!(call.id.conduct(), Conduct::Answers | Conduct::Declines)
@@ -310,6 +318,6 @@
         let after = known.get(&call.life).is_some_and(|first| call.sent > *first);
         after && call.end == End::Refused(StatusCode::NOT_FOUND)
     });
-    let forgot = forgot.map(|call| format!("{:?} forgot a route", call.life));
+    let forgot = forgot.map(|call| format!("{:?} lost a route", call.life));
     cut.chain(forgot).collect()
 }
--- a/crates/soak/src/word.rs
+++ b/crates/soak/src/word.rs
@@ -1,38 +1,39 @@
-//! What endpoints of a run say of themselves: that they leave, while their entries still say that they are ready, and that they
-//! want rest of a box whose request they turn away.
+//! Random announcements that endpoints make in the heads of responses.
 //!
-//! Both are drawn from a seed of their own, so that a seed has the same faults with and without them.
+//! An endpoint announces that it leaves while its entry in the store still lists it as ready, or it
+//! rejects requests and asks the sending box for a back-off. The announcements have a generator of
+//! their own, so that a seed has the same faults with and without them.
 
 use std::{collections::BTreeMap, ops::Range, time::Duration};
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What tells this draw from those of limits and faults.
+/// Combined with the seed of the run, so that this generator differs from those for limits and faults.
 const SALT: u64 = 0x776f_7264_7300;
-/// Part of the services of which one endpoint leaves.
+/// Probability that an endpoint leaves, unless it is the last one of its service.
 const LEAVES: f64 = 0.5;
-/// Part of the other endpoints that ask for rest.
+/// The same draw decides: an endpoint that does not leave asks for back-offs if the draw is below this.
 const RESTS: f64 = 0.6;
-/// Shortest and longest rest that is asked for, in milliseconds.
+/// Shortest and longest back-off, in milliseconds.
 const ASKS_MS: Range<u64> = 600..4_000;
 
-/// What an endpoint says, by the time since the start of the load.
+/// What an endpoint announces; times count from the start of the load.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Word {
-    /// It leaves, from then on.
+    /// It leaves at this time.
     Leaves { from: Duration },
-    /// It turns all requests away for a time, and asks each box for rest.
+    /// It rejects all requests for a time, and asks each box for a back-off.
     Rests { within: Range<Duration>, asks: Duration },
 }
 
 impl Word {
-    /// Whether it says that it leaves.
+    /// Whether the endpoint announces at this time that it leaves.
     pub fn leaves(&self, now: Duration) -> bool {
         matches!(self, Word::Leaves { from } if *from <= now)
     }
 
-    /// The rest that it asks for.
+    /// The back-off that the endpoint asks for at this time.
     pub fn asks(&self, now: Duration) -> Option<Duration> {
         match self {
             Word::Rests { within, asks } => within.contains(&now).then_some(*asks),
@@ -41,7 +42,8 @@
     }
 }
 
-/// Words of a run, by the number of the endpoint. Of each service one endpoint at most leaves, and not the last one.
+/// Draws the announcements of a run, by number of the endpoint. The last endpoint of each service
+/// does not leave.
 pub fn draw(seed: u64, services: &[&str], length: Duration) -> BTreeMap<usize, Word> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ SALT);
     let ms = length.as_millis() as u64;
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP, with faults.
+//! The platform's object API over HTTP, with faults on demand.
 
 use std::{collections::HashSet, net::IpAddr, sync::Arc, time::Duration};
 
@@ -12,22 +12,22 @@
 
 use crate::{Memory, Server};
 
-/// Fault switches of the platform.
+/// Faults of the platform.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Answers nothing at all.
+    /// Never responds to any call.
     pub down: bool,
     /// Delay of every call but a watch.
     pub delay: Duration,
-    /// Share of writes that land but whose answer is lost, from 0 to 1.
+    /// Probability, from 0 to 1, that a write is applied but answered with 504.
     pub lose_answers: f64,
-    /// Time after which a write whose answer is lost is done; zero means before the loss.
+    /// Delay of a write that is answered with 504; zero means that it is applied before the response.
     pub late: Duration,
-    /// Addresses of callers that are turned away while others are served.
+    /// Sources whose calls are rejected with 503, also while `down` is set.
     pub turns_away: HashSet<IpAddr>,
-    /// Writes a second; 0 means no limit.
+    /// Limit of writes a second; 0 means no limit.
     pub writes_per_s: u32,
-    /// Reads a second, waiting watches included; 0 means no limit.
+    /// Limit of reads a second, watches included; 0 means no limit.
     pub reads_per_s: u32,
 }
 
@@ -61,7 +61,7 @@
     reads: Mutex<Bucket>,
 }
 
-/// A platform that serves its object API on loopback.
+/// A platform on loopback.
 #[derive(Clone)]
 pub struct Platform {
     shared: Arc<Shared>,
@@ -69,7 +69,7 @@
 }
 
 impl Platform {
-    /// Starts an empty platform; `seed` decides which answers are lost.
+    /// Starts a platform without objects; `seed` determines which responses are dropped.
     pub async fn spawn(seed: u64) -> Platform {
         let bucket = || Mutex::new(Bucket { tokens: 1.0, at: Instant::now() });
         let shared = Arc::new(Shared {
@@ -84,17 +84,17 @@
         Platform { shared, server: Arc::new(server) }
     }
 
-    /// Base address of the API.
+    /// Base URL of the API.
     pub fn address(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Where it listens, for a link in front of it.
+    /// Address that it listens on.
     pub fn socket(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// Changes the fault switches.
+    /// Changes the faults.
     pub fn set(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults.lock());
     }
@@ -198,7 +198,7 @@
         let delay = if lost { faults.late.max(faults.delay) } else { faults.delay };
         let applied = self.apply_later(kind, name, value, expect, delay);
         if lost {
-            // The caller hears nothing; whether the write is done by then is the fault's choice.
+            // With a delay, the write is applied after this response.
             if faults.late.is_zero() {
                 applied.await;
             }
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Applies the write in a task of its own, so that it lands even if the caller gave up.
+    /// Applies a write in a task of its own, so that it is applied even if the caller disconnects.
     fn apply_later(
         &self,
         kind: &str,
@@ -238,7 +238,7 @@
     }
 }
 
-/// Sleeping for no time still waits for the timer's next tick.
+/// Sleeps, but not for a zero delay, for which `sleep` would wait for the next tick of the timer.
 async fn pause(delay: Duration) {
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -1,19 +1,19 @@
-//! The time model of a continuously batching engine.
+//! Timing model of an engine with continuous batching.
 
 use std::time::Duration;
 
-/// How long an engine's work takes.
+/// Speed and capacity of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
-    /// Time of one step with an empty batch.
+    /// Fixed time of a step.
     pub step: Duration,
-    /// Time added to a step by each request in the batch.
+    /// Time that each request in the batch adds to a step.
     pub step_per_request: Duration,
-    /// Time added by each prompt token that is not cached.
+    /// Time that each prefilled prompt token adds to a step.
     pub prefill_per_token: Duration,
-    /// Requests in the batch at once.
+    /// Largest number of requests in the batch.
     pub slots: usize,
-    /// Prompt tokens prefilled in one step at the most.
+    /// Largest number of prompt tokens prefilled in a step.
     pub prefill_chunk: u64,
 }
 
@@ -32,9 +32,9 @@
 /// A request in an engine's queue or batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Job {
-    /// Number in order of arrival.
+    /// Sequence number by arrival.
     pub number: u64,
-    /// Priority; smaller is sooner.
+    /// Priority; a smaller value is served first.
     pub priority: u8,
     /// Prompt tokens not yet prefilled.
     pub prefill: u64,
@@ -42,14 +42,14 @@
     pub output: u64,
 }
 
-/// What one step did.
+/// Result of a step.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// Time it takes.
+    /// Duration of the step.
     pub time: Duration,
-    /// Jobs that produced a token.
+    /// Numbers of the jobs that produced a token.
     pub produced: Vec<u64>,
-    /// Jobs that are done.
+    /// Numbers of the jobs that finished.
     pub done: Vec<u64>,
 }
 
@@ -66,18 +66,18 @@
         self.waiting.push(job);
     }
 
-    /// Drops a job, whose slot is free at once.
+    /// Removes a job and frees its slot.
     pub fn cancel(&mut self, number: u64) {
         self.waiting.retain(|job| job.number != number);
         self.running.retain(|job| job.number != number);
     }
 
-    /// Jobs in the batch and in the queue.
+    /// Number of jobs in the batch, and in the queue.
     pub fn load(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 
-    /// Runs one step, or `None` with nothing to do.
+    /// Runs one step; returns `None` if there are no jobs.
     pub fn step(&mut self, speed: &Speed) -> Option<Step> {
         self.admit(speed.slots);
         if self.running.is_empty() {
--- a/crates/standin/src/cache.rs
+++ b/crates/standin/src/cache.rs
@@ -1,13 +1,13 @@
-//! A bounded prefix cache: blocks of prompt text, the least recently used dropped first.
+//! A bounded prefix cache of prompt blocks; it evicts the least recently used first.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt in one block.
+/// Size of a block, in bytes of the prompt.
 pub const BLOCK_BYTES: usize = 64;
 
-/// Hashes of the blocks of a prompt; each covers everything up to its end.
+/// Hashes of the complete blocks of a prompt; each covers the prompt up to the block's end.
 pub fn blocks(prompt: &[u8]) -> Vec<u64> {
     let mut seed = 0;
     prompt
@@ -19,7 +19,7 @@
         .collect()
 }
 
-/// Which prompt blocks an engine holds.
+/// Cached blocks, by hash.
 #[derive(Debug, Default)]
 pub struct Cache {
     capacity: usize,
@@ -33,12 +33,12 @@
         Cache { capacity, ..Cache::default() }
     }
 
-    /// Number of leading blocks of a prompt that are held.
+    /// Number of leading blocks of a prompt that are cached.
     pub fn hits(&self, prompt: &[u64]) -> usize {
         prompt.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
 
-    /// Holds a prompt's blocks; returns those added and those dropped.
+    /// Adds a prompt's blocks; returns those added and those evicted.
     pub fn insert(&mut self, prompt: &[u64]) -> (Vec<u64>, Vec<u64>) {
         self.used += 1;
         let mut added = Vec::new();
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,7 +1,7 @@
-//! A model engine: continuous batching, prefix cache, priorities, resume, cancel, orders.
+//! A model engine with continuous batching, prefix cache, priorities, resume, cancel and orders.
 //!
-//! The length of an answer is set by the prompt (`tokens=40` asks for 40), so that experiments
-//! are repeatable. Runs go on by themselves; streams read from them and may be resumed.
+//! The prompt sets the length of the output (`tokens=40` asks for 40 tokens), so that tests are
+//! reproducible. Runs are independent of their streams, which may break and be resumed.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -22,25 +22,25 @@
     cache::{Cache, blocks},
 };
 
-/// Output tokens where the prompt does not say.
+/// Output tokens of a prompt without `tokens=`, and output limit of a request without `max_tokens`.
 const DEFAULT_OUTPUT: u64 = 16;
-/// Bytes of prompt that one token stands for.
+/// Bytes of a prompt in one token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Samples of the load kept for lagged reports.
+/// Samples of the load kept for delayed reports.
 const SAMPLES: usize = 1_024;
 
-/// How an engine behaves.
+/// Settings of an engine.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Time model.
+    /// Speed and capacity.
     pub speed: Speed,
-    /// Prompt blocks cached.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How old load reports and cache events are.
+    /// Age of load reports and cache events.
     pub report_lag: Duration,
-    /// Whether older fences are refused.
+    /// Whether orders with a fence older than the newest are refused.
     pub checks_orders: bool,
-    /// How long a run whose stream broke goes on, waiting to be resumed.
+    /// Time after which a run without a stream is cancelled.
     pub resume_for: Duration,
 }
 
@@ -56,37 +56,37 @@
     }
 }
 
-/// Fault switches of an engine.
+/// Faults of an engine.
 #[derive(Debug, Clone, Default)]
 pub struct Fault {
-    /// Answers nothing.
+    /// Never responds.
     pub hang: bool,
-    /// Refuses every request before running it.
+    /// Refuses every request.
     pub refuse: bool,
-    /// Seconds of rest that it asks for with each refusal.
+    /// Seconds in the `retry-after` header of each refusal.
     pub asks_rest: Option<u32>,
-    /// Takes this much longer for every step.
+    /// Time added to every step.
     pub slow: Duration,
-    /// Ignores the output limit by this many tokens.
+    /// Output tokens beyond the limit.
     pub overshoot: u64,
-    /// Answers with another request's id.
+    /// Responds with the id of another request.
     pub cross: bool,
-    /// Closes streams after this many tokens.
+    /// Breaks streams after this many tokens.
     pub break_after: Option<u64>,
-    /// Publishes no load report.
+    /// Serves no load report.
     pub no_report: bool,
     /// Reports that it is leaving.
     pub leaving: bool,
 }
 
-/// One run, as the engine saw it.
+/// One run of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Dispatch id given by the router.
+    /// Dispatch id.
     pub id: String,
-    /// Request key given by the router.
+    /// Request key.
     pub key: String,
-    /// Budget given by the router.
+    /// Budget that pays.
     pub budget: String,
     /// Prompt tokens.
     pub prompt: u64,
@@ -94,20 +94,20 @@
     pub output: u64,
     /// Whether it has ended.
     pub ended: bool,
-    /// Whether it was cancelled before its end.
+    /// Whether it ended because it was cancelled.
     pub cancelled: bool,
-    /// Leading prompt tokens found in the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached: u64,
-    /// When it was accepted.
+    /// When the request was accepted.
     pub at: Instant,
 }
 
-/// What an engine counted.
+/// Runs and orders of an engine, for comparison with responses and bills.
 #[derive(Debug, Clone, Default)]
 pub struct Truth {
     /// All runs in order of arrival.
     pub runs: Vec<Run>,
-    /// Orders that took effect, as fence and body.
+    /// Accepted orders, each with its fence and its body.
     pub orders: Vec<(u64, Value)>,
 }
 
@@ -122,7 +122,7 @@
 struct State {
     batch: Batch,
     cache: Cache,
-    /// Requests that it refused.
+    /// Number of refused requests.
     refused: usize,
     runs: Vec<Live>,
     by_id: BTreeMap<String, usize>,
@@ -182,29 +182,29 @@
         Engine { shared, server: Arc::new(server), task: Arc::new(task) }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// Changes the fault switches.
+    /// Changes the faults.
     pub fn set(&self, change: impl FnOnce(&mut Fault)) {
         change(&mut self.shared.state.lock().fault);
     }
 
-    /// Requests that it refused so far.
+    /// Number of requests refused so far.
     pub fn refused(&self) -> usize {
         self.shared.state.lock().refused
     }
 
-    /// What it counted so far.
+    /// Runs and orders so far.
     pub fn truth(&self) -> Truth {
         let state = self.shared.state.lock();
         let runs = state.runs.iter().map(|live| live.run.clone()).collect();
         Truth { runs, orders: state.orders.clone() }
     }
 
-    /// Ends its work for good, as a crash would.
+    /// Stops the engine for good: it runs nothing and responds to nothing.
     pub fn kill(&self) {
         self.task.0.abort();
         self.shared.state.lock().fault.hang = true;
@@ -298,7 +298,7 @@
 }
 
 impl Shared {
-    /// Whether a request is refused before it runs, and the rest in seconds that is asked for with it.
+    /// Whether a request is refused: `Some` with the seconds for `retry-after`, if any.
     fn refuses(&self, body: &Value) -> Option<Option<u32>> {
         let mut state = self.state.lock();
         let refuses = state.fault.refuse || !body["messages"].is_array();
@@ -439,7 +439,7 @@
         let old = state.cache_events.partition_point(|(at, ..)| at.elapsed() >= lag);
         let end = old.min(from + 1_000);
         let fresh = state.cache_events.get(from..end).unwrap_or_default();
-        // Every seventh event is lost, as on a channel with gaps.
+        // Drops every seventh event, so that consumers must cope with gaps.
         let kept = fresh.iter().enumerate().filter(|(index, _)| (from + index) % 7 != 6);
         let events: Vec<Value> =
             kept.map(|(_, (_, added, block))| json!({"added": added, "block": block})).collect();
@@ -467,7 +467,7 @@
     }
 }
 
-/// A stream's view of a run; tells the run when it goes away.
+/// A stream's position in a run. Dropping it records when the last stream of the run went away.
 struct Reader {
     shared: Arc<Shared>,
     number: usize,
@@ -563,7 +563,8 @@
     messages.iter().filter_map(|message| message["content"].as_str()).collect()
 }
 
-/// What the answer's tokens carry, so that a caller knows its own (`mark=` in the prompt).
+/// The value of `mark=` in the prompt. Each output token carries it, so that a caller can tell its
+/// own response from others.
 fn mark_of(prompt: &str) -> String {
     let after = prompt.rsplit_once("mark=").map_or("t", |(_, after)| after);
     after.chars().take_while(|c| c.is_ascii_alphanumeric() || *c == '-').collect()
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what the fleet meets: the platform, model engines, plain services, links.
+//! Stand-ins for the platform, model engines, plain services and network links, for tests.
 //!
-//! They speak the published protocols over loopback, have fault switches that can be set while
-//! they run, and count the truth that experiments are judged by. They are no simulator: time is
-//! real, and the router code that talks to them is the code that ships.
+//! They serve the real protocols over loopback in real time. Faults can be switched on and off
+//! while they run, and they record what they executed, against which tests compare responses and
+//! bills.
 
 mod api;
 mod batch;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link that can be cut: bytes stop, connections stay, as in a real partition.
+//! A TCP forwarder that can simulate a network partition: bytes stop, connections stay open.
 
 use std::{
     collections::HashSet,
@@ -14,16 +14,16 @@
     task::JoinHandle,
 };
 
-/// Bytes copied at once.
+/// Size of a copy buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What a link lets through.
+/// What a link forwards.
 #[derive(Debug, Clone, Default)]
 struct Gate {
     cut: bool,
     blocked: HashSet<IpAddr>,
     target: Option<SocketAddr>,
-    /// Connections opened before this count was reached carry nothing more.
+    /// Number of calls of `stall_open_connections`; connections opened at a lower count are stalled.
     lost: u64,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A forwarder from its own loopback port to a target.
+/// A forwarder from a loopback port to a target.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -43,14 +43,14 @@
 }
 
 impl Link {
-    /// Binds a free loopback port that forwards to `target`, each byte after `delay`.
+    /// Binds a free loopback port that forwards to `target` with a delay.
     pub async fn bind(target: SocketAddr, delay: Duration) -> std::io::Result<Link> {
         let link = Link::bind_at(([127, 0, 0, 1], 0).into(), delay).await?;
         link.set_target(target);
         Ok(link)
     }
 
-    /// Binds a loopback address whose target is set later.
+    /// Binds a loopback address. Connections wait until a target is set.
     pub async fn bind_at(address: SocketAddr, delay: Duration) -> std::io::Result<Link> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -63,27 +63,27 @@
         Ok(Link { address, gate: Arc::new(gate), task })
     }
 
-    /// Where callers connect.
+    /// Address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Forwards new connections to this address from now on.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.gate.send_modify(|gate| gate.target = Some(target));
     }
 
-    /// Stops all bytes in both directions, or lets them pass again.
+    /// Stops or resumes forwarding of all connections in both directions.
     pub fn set_cut(&self, cut: bool) {
         self.gate.send_modify(|gate| gate.cut = cut);
     }
 
-    /// Lets the connections that are open now hang for ever; new ones work.
+    /// Stops forwarding of the connections that are open now, for ever; new ones work.
     pub fn lose_open(&self) {
         self.gate.send_modify(|gate| gate.lost += 1);
     }
 
-    /// Stops all bytes of connections from one IP number, or lets them pass again.
+    /// Stops or resumes forwarding of connections from one source address.
     pub fn set_blocked(&self, source: IpAddr, blocked: bool) {
         self.gate.send_modify(|gate| {
             match blocked {
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers each request as a script says, also in ways that break the protocol.
+//! An endpoint that responds to each request as a script decides, also in violation of the protocol.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,44 +12,44 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// Largest head that is read, in bytes.
+/// Largest head of a request, in bytes; a larger one ends the connection.
 const MOST_HEAD: usize = 64 << 10;
 
-/// A request as it arrived.
+/// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrived {
-    /// Method and path.
+    /// Request line.
     pub line: String,
-    /// What the router said about it.
+    /// Headers that the router sets.
     pub told: Told,
     /// Body.
     pub body: Vec<u8>,
-    /// Number of the connection that it came on.
+    /// Number of the connection that it arrived on, from 1.
     pub connection: usize,
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint responds to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Answers whole, with a length.
+    /// Sends a complete response with a length.
     Whole(StatusCode, HeaderMap, String),
-    /// Answers whole, and sends this after it.
+    /// Sends a complete response with a length, followed by further bytes.
     Extra(StatusCode, HeaderMap, String, String),
-    /// Answers without a length and closes.
+    /// Sends a response without a length and closes the connection.
     Unframed(HeaderMap, String),
-    /// Answers without a length and resets the connection.
+    /// Sends a response without a length and resets the connection.
     UnframedReset(HeaderMap, String),
-    /// Sends events with pauses between them, in chunks.
+    /// Sends a complete chunked response, one event in each chunk, with a pause after each.
     Events(HeaderMap, Vec<String>, Duration),
-    /// Sends some events and closes without the end.
+    /// Sends events in chunks and closes the connection without the last chunk.
     Torn(HeaderMap, Vec<String>),
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Reads on and never answers.
+    /// Never responds, but goes on reading.
     Silent,
-    /// Begins an answer, and a little later the endpoint ends: its port and all its connections are gone.
+    /// Begins a chunked response, and after the duration closes its port and all its connections.
     Crash(HeaderMap, Duration),
-    /// The same, with an answer that ends with its connection.
+    /// The same, with a response without a length.
     CrashUnframed(HeaderMap, Duration),
 }
 
@@ -62,7 +62,7 @@
     closed: usize,
 }
 
-/// A running endpoint on loopback; it ends when dropped.
+/// A running endpoint on loopback; it stops when dropped.
 pub struct Scripted {
     address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
@@ -70,7 +70,7 @@
 }
 
 impl Scripted {
-    /// Binds a free loopback port and answers as `script` says.
+    /// Binds a free loopback port and responds to each request as `script` returns.
     pub async fn spawn(script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static) -> Scripted {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
@@ -78,7 +78,7 @@
         let (script, shared): (Arc<Script>, _) = (Arc::new(script), seen.clone());
         let task = tokio::spawn(async move {
             let crash = Arc::new(Notify::new());
-            // Connections that are open when this ends are closed with it.
+            // Dropping the set closes all open connections.
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
@@ -93,27 +93,27 @@
         Scripted { address, seen, task }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every request that arrived, in order.
+    /// All requests received so far, in order.
     pub fn arrived(&self) -> Vec<Arrived> {
         self.seen.lock().arrived.clone()
     }
 
-    /// Whether it has crashed.
+    /// Whether the endpoint has crashed.
     pub fn has_crashed(&self) -> bool {
         self.task.is_finished()
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.seen.lock().connections
     }
 
-    /// Connections that the other side closed.
+    /// Number of connections that have ended.
     pub fn closed(&self) -> usize {
         self.seen.lock().closed
     }
@@ -199,7 +199,7 @@
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// Sends a reply; whether the connection goes on.
+/// Sends a reply; returns whether the connection stays open.
 async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,11 +1,11 @@
-//! Serving a router on a loopback port until dropped.
+//! An HTTP server on loopback.
 
 use std::net::SocketAddr;
 
 use salvo::{Router, conn::tcp::TcpAcceptor};
 use tokio::{net::TcpSocket, task::JoinHandle};
 
-/// A running HTTP server on loopback; it ends when dropped.
+/// A running HTTP server on loopback; it stops when dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -28,7 +28,7 @@
         Server { address, task }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Listens without Nagle's algorithm, which accepted connections inherit.
+/// Disables Nagle's algorithm on the listener; accepted connections inherit that.
 fn listen(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = TcpSocket::new_v4()?;
     socket.set_nodelay(true)?;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each call ran.
+//! A plain service that records its executions.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,11 +11,11 @@
 /// One execution of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Execution {
-    /// The fleet's id of the dispatch.
+    /// Dispatch id.
     pub dispatch: String,
-    /// The request key that the router passed on.
+    /// Request key.
     pub key: String,
-    /// The budget that pays.
+    /// Budget that pays.
     pub budget: String,
     /// Path of the call.
     pub path: String,
@@ -36,7 +36,7 @@
 }
 
 impl Service {
-    /// Starts a service that answers each call after `delay`.
+    /// Starts a service that responds to each call after `delay`.
     pub async fn spawn(delay: Duration) -> Service {
         let shared = Arc::new(Shared { delay: Mutex::new(delay), ..Shared::default() });
         let handler = Api(shared.clone());
@@ -44,27 +44,27 @@
         Service { shared, server: Arc::new(server) }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// Changes how long a call takes.
+    /// Changes the duration of a call.
     pub fn set_delay(&self, delay: Duration) {
         *self.shared.delay.lock() = delay;
     }
 
-    /// Calls run, but their answers never come.
+    /// Sets whether calls run without ever getting a response.
     pub fn set_drop_answers(&self, drop: bool) {
         *self.shared.drop_answers.lock() = drop;
     }
 
-    /// Every execution so far, in order.
+    /// All executions so far, in order.
     pub fn executions(&self) -> Vec<Execution> {
         self.shared.runs.lock().clone()
     }
 
-    /// How often each request key ran.
+    /// Number of executions of each request key.
     pub fn runs_by_key(&self) -> BTreeMap<String, u64> {
         let mut runs = BTreeMap::new();
         for run in self.shared.runs.lock().iter() {
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The state behind the platform stand-in: objects, versions, a log of changes.
+//! Object store in memory, behind the stand-in of the platform.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,19 +10,19 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Changes remembered for watches.
+/// Changes kept for watches.
 const LOG: usize = 200_000;
 /// Largest value, in bytes.
 const MAX_VALUE: usize = 1 << 20;
 
-/// Calls that reached the platform.
+/// Counters of calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Gets, lists and waiting watches.
+    /// Gets, lists and watches.
     pub reads: u64,
-    /// Writes, landed or refused.
+    /// Writes, applied or refused; without those of values that are too large.
     pub writes: u64,
-    /// Writes refused by version.
+    /// Writes refused because of the object's version.
     pub refused: u64,
     /// Bytes of values written.
     pub bytes: u64,
@@ -43,7 +43,7 @@
     hosts: Vec<Host>,
 }
 
-/// Objects in memory, with the semantics of the platform's API and no faults.
+/// An object store with the semantics of the platform's API and no faults.
 #[derive(Clone, Default)]
 pub struct Memory {
     state: Arc<Mutex<State>>,
@@ -52,17 +52,17 @@
 }
 
 impl Memory {
-    /// An empty store whose watches wait for `wait` at most.
+    /// An empty store; `wait` is the longest wait of a watch.
     pub fn new(wait: Duration) -> Memory {
         Memory { wait: Some(wait), ..Memory::default() }
     }
 
-    /// Calls so far.
+    /// Counters of calls so far.
     pub fn usage(&self) -> Usage {
         self.state.lock().usage
     }
 
-    /// Writes so far, by kind of object.
+    /// Number of writes so far, by kind of object.
     pub fn writes_by_kind(&self) -> BTreeMap<Arc<str>, u64> {
         self.state.lock().by_kind.clone()
     }
@@ -96,7 +96,7 @@
         (objects, state.version)
     }
 
-    /// Applies a write if the object is as expected; `None` deletes.
+    /// Applies a write if the object is as expected; a value of `None` deletes it.
     pub(crate) fn apply(
         &self,
         kind: &str,
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -1,4 +1,4 @@
-//! Truth from the stand-ins against what was told and billed.
+//! Comparison of what the stand-ins executed with responses, bills and ledgers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,41 +8,41 @@
 
 use crate::{Fleet, Got, Outcome};
 
-/// Figures that every experiment prints under these names.
+/// Results of an audit; experiments print them under these names.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Requests sent, retries included.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Truthful refusals.
+    /// Refusals with the outcome `not-run`.
     pub refused_not_run: u64,
-    /// "Unknown", or no answer at all.
+    /// Responses with the outcome `unknown`, incomplete or missing responses.
     pub unknown: u64,
     /// Tokens served beyond what was paid.
     pub overspend_tokens: u64,
-    /// Requests that ran and are on no bill.
+    /// Requests that ran without a bill.
     pub unbilled: u64,
-    /// Requests on more than one bill.
+    /// Requests with more than one bill.
     pub double_billed: u64,
     /// Unrepeatable requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers that were another request's.
+    /// Responses that belong to another request.
     pub crossed: u64,
-    /// Requests that ran although every attempt was told "not run".
+    /// Requests that ran although every attempt was refused as `not-run`.
     pub lied_not_run: u64,
     /// Tokens that nobody can spend until an operator declares a box destroyed.
     pub stranded_tokens: u64,
-    /// Statements whose totals differ from the sum of their bills, or that break their ledger.
+    /// Ledgers that are inconsistent in themselves or with their statement.
     pub unsound_ledgers: u64,
-    /// Tokens served, as the endpoints counted.
+    /// Tokens served, as counted at the endpoints.
     pub served_tokens: u64,
     /// Tokens billed.
     pub billed_tokens: u64,
 }
 
 impl Figures {
-    /// Whether everything that must always hold held.
+    /// Whether no guarantee was violated.
     pub fn is_sound(&self) -> bool {
         let must_be_zero = [
             self.overspend_tokens,
@@ -57,10 +57,10 @@
     }
 }
 
-/// Everything needed to judge a fleet.
+/// Responses, executions and books of a fleet.
 pub struct Audit {
     told: Vec<Got>,
-    /// Runs by `customer.key`: how often, on which budget, how many tokens.
+    /// Runs by `customer.key`, each with its budget and its tokens.
     ran: BTreeMap<String, Vec<(String, u64)>>,
     unrepeatable: BTreeSet<String>,
     bills: BTreeMap<String, Vec<Bill>>,
@@ -69,7 +69,7 @@
 }
 
 impl Audit {
-    /// Reads truth and books of a fleet that has settled.
+    /// Reads the state of a fleet; all its runs should be billed by now.
     pub async fn of(fleet: &Fleet) -> Audit {
         let mut audit = Audit {
             told: fleet.caller.told(),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Tokens served by budget, as the endpoints counted.
+    /// Tokens served by budget, as counted at the endpoints.
     pub fn served(&self) -> BTreeMap<&str, u64> {
         let mut served = BTreeMap::new();
         for (budget, tokens) in self.ran.values().flatten() {
@@ -131,7 +131,7 @@
         served
     }
 
-    /// The figures.
+    /// Compares what was read.
     pub fn figures(&self) -> Figures {
         let count = |outcome: &[Outcome]| {
             self.told.iter().filter(|got| outcome.contains(&got.outcome)).count() as u64
@@ -160,7 +160,7 @@
         }
     }
 
-    /// What breaks a promise, in words, for whoever looks into it.
+    /// Descriptions of missing bills, double bills and inconsistent ledgers.
     pub fn faults(&self) -> Vec<String> {
         let unbilled = self.ran.iter().filter(|(key, _)| !self.bills.contains_key(*key));
         let mut faults: Vec<String> =
@@ -184,7 +184,8 @@
     }
 
     fn adds_up(&self, name: &str, ledger: &Ledger) -> bool {
-        // Bills know their customer, not their budget, so totals are compared where they can be.
+        // Bills name their customer, not their budget: the sum can be compared only while all bills
+        // of the budget are still in its statement.
         let statement = &ledger.statement;
         let recent: u64 = statement.recent.iter().map(|bill| bill.tokens).sum();
         let whole = statement.pages > 0 || recent == statement.tokens;
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as the product's users would write it.
+//! A client of the fleet that records the responses to its requests.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,26 +9,25 @@
 
 use crate::api_key;
 
-/// What a caller asks for.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// Customer that asks.
     pub customer: String,
     /// Budget that pays.
     pub budget: String,
-    /// Route: a model's name or a service's.
+    /// Name of the route: of a model or of a service.
     pub route: String,
     /// Request key.
     pub key: String,
     /// Whether the route is a plain service.
     pub service: bool,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is to be streamed.
     pub stream: bool,
-    /// Text before the marks of the prompt.
+    /// Text of the prompt, before its `tokens=` and `mark=`.
     pub prompt: String,
-    /// Output tokens that the engine will produce.
+    /// Output tokens that the prompt asks the engine for.
     pub output: u64,
-    /// Output limit asked for.
+    /// Limit of output tokens.
     pub max_tokens: u64,
 }
 
@@ -66,55 +65,53 @@
         self.key.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').collect()
     }
 
-    /// Worst case of the request, in tokens.
+    /// Largest number of tokens that the request can cost.
     pub fn worst(&self) -> u64 {
         (self.content().len() as u64).div_ceil(4) + self.max_tokens
     }
 }
 
-/// What a caller was told.
+/// Outcome of a request, as the caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer.
+    /// A complete response.
     Answered,
-    /// A truthful refusal.
+    /// Refused without having run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Nothing: the connection failed.
+    /// No response, or an incomplete one.
     Nothing,
 }
 
-/// What a caller got.
+/// What a caller received for a request.
 #[derive(Debug, Clone)]
 pub struct Got {
     /// Key of the request.
     pub key: String,
-    /// Customer that asked.
     pub customer: String,
-    /// What it was told.
     pub outcome: Outcome,
-    /// Reason, if it was refused or unknown.
+    /// Error code, if there is one.
     pub reason: String,
-    /// HTTP status, 0 without an answer.
+    /// HTTP status, 0 without a response.
     pub status: u16,
     /// Tokens of text received.
     pub tokens: u64,
-    /// Whether the answer was another request's.
+    /// Whether the response belongs to another request.
     pub crossed: bool,
-    /// Body of a plain answer.
+    /// Complete body.
     pub body: String,
-    /// Time to the first byte of the answer.
+    /// Time to the first byte of the body.
     pub first: Duration,
-    /// Longest time between two parts of the answer.
+    /// Times between successive parts of the body.
     pub gaps: Vec<Duration>,
     /// Time to the end.
     pub total: Duration,
-    /// Route that was asked.
+    /// Route of the request.
     pub route: String,
 }
 
-/// Sends requests and remembers what it was told.
+/// A client that records all responses.
 #[derive(Clone)]
 pub struct Caller {
     http: reqwest::Client,
@@ -123,7 +120,7 @@
 }
 
 impl Caller {
-    /// A caller that waits for `patience` at most.
+    /// A caller that waits for each response for `patience` at most.
     pub fn new(patience: Duration) -> Caller {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -133,7 +130,7 @@
         Caller { http, told: Arc::default(), patience }
     }
 
-    /// Everything it was told so far.
+    /// All responses so far.
     pub fn told(&self) -> Vec<Got> {
         self.told.lock().clone()
     }
@@ -165,7 +162,7 @@
         got
     }
 
-    /// Takes tickets of a box for unrepeatable calls.
+    /// Requests tickets for unrepeatable calls from a box.
     pub async fn tickets(
         &self,
         to: SocketAddr,
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Platform, endpoints and routers, started together.
+//! A fleet: platform, endpoints, routers and the links between them.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -14,36 +14,36 @@
 
 use crate::{Audit, Caller, Figures, Node, Sample, resources};
 
-/// What to start.
+/// Parameters of a fleet.
 #[derive(Clone)]
 pub struct Plan {
-    /// Seed of everything random.
+    /// Seed of all random generators.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub boxes: usize,
-    /// Zones that boxes and endpoints are spread over.
+    /// Number of zones, over which boxes and endpoints are spread.
     pub zones: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// How engines behave.
+    /// Settings of the engines.
     pub engine: standin::Settings,
-    /// How long a service call takes.
+    /// Duration of a service call.
     pub service_time: Duration,
     /// Delay of each platform call.
     pub platform_delay: Duration,
-    /// Money settings of the routers.
+    /// Token settings of the routers.
     pub money: Money,
-    /// Bound on platform calls, in milliseconds.
+    /// Timeout of platform calls, in milliseconds.
     pub timeout_ms: u64,
-    /// Customers with budgets and what was paid.
+    /// Customers, each with its budgets and the tokens paid for each.
     pub customers: Vec<(String, Vec<(String, u64)>)>,
     /// Offline share in thousandths, if not the default.
     pub offline_share: Option<u64>,
-    /// Most output tokens of one answer.
+    /// Largest number of output tokens in a response.
     pub max_output: u64,
-    /// How long callers wait.
+    /// Longest wait of a caller for a complete response.
     pub patience: Duration,
 }
 
@@ -76,16 +76,15 @@
     }
 }
 
-/// The own IP number of a box towards its peers, so that links can tell boxes apart.
+/// Loopback address of a box towards its peers; links tell boxes apart by it.
 fn peer_ip(index: usize) -> IpAddr {
     [127, 0, 1 + (index / 200) as u8, 10 + (index % 200) as u8].into()
 }
 
 /// A fleet on loopback.
 pub struct Fleet {
-    /// The plan it was started by.
+    /// Parameters that the fleet was started with.
     pub plan: Plan,
-    /// The platform.
     pub platform: Platform,
     /// Model engines.
     pub engines: Vec<Engine>,
@@ -93,17 +92,16 @@
     pub services: Vec<Service>,
     /// Routers.
     pub nodes: Vec<Node>,
-    /// The link of each router to the platform.
+    /// The link from each router to the platform.
     pub links: Vec<Link>,
-    /// The link of all other routers to each router.
+    /// The link to each router from all others.
     pub peer_links: Vec<Link>,
-    /// The caller.
     pub caller: Caller,
     starts: u64,
 }
 
 impl Fleet {
-    /// Starts everything and waits until the sample resources are in force on all routers.
+    /// Starts a fleet and waits until all routers have applied the sample resources.
     pub async fn spawn(plan: Plan) -> Fleet {
         let platform = Platform::spawn(plan.seed).await;
         platform.set(|faults| faults.delay = plan.platform_delay);
@@ -142,7 +140,7 @@
         fleet
     }
 
-    /// The zone of the box or endpoint number `index`.
+    /// Zone of the box or endpoint with this index.
     pub fn zone(&self, index: usize) -> String {
         format!("zone-{}", index % self.plan.zones.max(1))
     }
@@ -181,13 +179,13 @@
         }
     }
 
-    /// Cuts boxes `a` and `b` off from each other, or joins them again.
+    /// Disconnects two boxes from each other, or reconnects them.
     pub fn set_cut(&self, a: usize, b: usize, cut: bool) {
         self.peer_links[a].set_blocked(peer_ip(b), cut);
         self.peer_links[b].set_blocked(peer_ip(a), cut);
     }
 
-    /// Cuts a group of boxes off from all others and from the platform, or joins them again.
+    /// Disconnects a group of boxes from all others and from the platform, or reconnects them.
     pub fn set_partition(&self, group: &[usize], cut: bool) {
         for index in group {
             self.links[*index].set_cut(cut);
@@ -197,7 +195,7 @@
         }
     }
 
-    /// Starts the router of a box again, as a new incarnation.
+    /// Starts the router of a box again; it gets a new incarnation.
     pub async fn restart(&mut self, index: usize) {
         let node = self.start(index).await;
         self.nodes[index] = node;
@@ -229,7 +227,7 @@
         }
     }
 
-    /// Writes an operator's resource, whatever version it has; returns the version written.
+    /// Writes a resource, whatever its current version; returns the new version.
     pub async fn declare(&self, kind: &str, name: &str, spec: &Value) -> u64 {
         let memory = self.platform.memory();
         loop {
@@ -241,14 +239,14 @@
         }
     }
 
-    /// The spec of an operator's resource.
+    /// The spec of a resource.
     pub async fn spec(&self, kind: &str, name: &str) -> Value {
         let found = self.platform.memory().get(kind, name).await;
         let object = found.expect("memory always answers").expect("the resource exists");
         serde_json::from_str(&object.value).expect("specs are JSON")
     }
 
-    /// Waits until every resource is accepted and in force on every router that runs.
+    /// Waits until every resource is accepted and applied by every router that runs.
     pub async fn wait_in_force(&self) {
         let memory = self.platform.memory();
         let mut sources = 0;
@@ -268,7 +266,7 @@
         }
     }
 
-    /// The address of a router for callers.
+    /// Address of a router for callers.
     pub fn to(&self, index: usize) -> SocketAddr {
         self.nodes[index].callers()
     }
@@ -280,8 +278,8 @@
         object.and_then(|object| serde_json::from_str(&object.value).ok()).unwrap_or_default()
     }
 
-    /// Waits until every run is billed and no journal holds anything unfolded, or until `most` has
-    /// passed.
+    /// Waits until every run is billed and every journal is folded into the ledgers, for `most` at
+    /// most; returns whether that is so.
     pub async fn settle(&self, most: Duration) -> bool {
         let end = tokio::time::Instant::now() + most;
         while tokio::time::Instant::now() < end {
@@ -312,18 +310,18 @@
         true
     }
 
-    /// Compares truth, what callers were told, and what was billed.
+    /// Compares executions, responses and bills.
     pub async fn audit(&self) -> Figures {
         Audit::of(self).await.figures()
     }
 
-    /// Everything that all routers logged, merged.
+    /// The events of all routers, merged.
     pub fn events(&self) -> Vec<timeline::Event> {
         let all = self.nodes.iter().flat_map(Node::events);
         timeline::merge(all, &timeline::Filter::default())
     }
 
-    /// Handles to the platform as an operator has it.
+    /// The platform's objects, without faults.
     pub fn store(&self) -> Arc<dyn Store> {
         Arc::new(self.platform.memory().clone())
     }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,9 +1,8 @@
-//! A whole fleet on loopback for trying out, tests and experiments.
+//! A complete fleet on loopback, for demonstrations, tests and experiments.
 //!
-//! It runs real router code against the stand-ins: one platform, a few engines and services, and
-//! routers that each have a thread of their own, so that one can be killed or frozen while the
-//! others go on. Truth is counted at the stand-ins and compared with what callers were told and
-//! what the statements say.
+//! Real routers run against stand-ins of the platform, of engines and of services. Each router has
+//! a thread of its own, so that it can be killed or suspended while the others run. [`Audit`]
+//! compares what the stand-ins executed with the responses to callers and with the statements.
 
 mod audit;
 mod caller;
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -1,4 +1,4 @@
-//! One router on a thread of its own.
+//! A router on a thread of its own.
 
 use std::{
     net::SocketAddr,
@@ -22,7 +22,7 @@
     Version(Kind, String, oneshot::Sender<u64>),
 }
 
-/// A router that can be stopped, killed or frozen.
+/// A router that can be stopped, killed or suspended.
 pub struct Node {
     name: Arc<str>,
     callers: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl Node {
-    /// Starts a router on a fresh thread.
+    /// Starts a router on a new thread.
     pub async fn spawn(settings: Settings, seed: u64) -> Node {
         let name = settings.box_name.clone();
         let (commands, receiver) = tokio::sync::mpsc::unbounded_channel();
@@ -72,39 +72,39 @@
         &self.name
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where metrics and health are read.
+    /// Address for operators: metrics and health.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes connect.
+    /// Address for other boxes.
     pub fn peers(&self) -> Option<SocketAddr> {
         self.peers
     }
 
-    /// Its newest events.
+    /// The newest events of its log.
     pub fn events(&self) -> Vec<Event> {
         self.log.events()
     }
 
-    /// The counters of its platform calls.
+    /// Counters of its calls to the platform.
     pub fn calls(&self) -> &objects::Calls {
         &self.calls
     }
 
-    /// Its current incarnation.
+    /// Its current incarnation; `None` if the router is down.
     pub async fn incarnation(&self) -> Option<Incarnation> {
         let (sender, receiver) = oneshot::channel();
         self.commands.send(Command::Incarnation(sender)).ok()?;
         receiver.await.ok()
     }
 
-    /// Waits until configuration up to a platform version is in force.
+    /// Waits until the router has applied all changes up to a version of the platform.
     pub async fn wait_watched(&self, version: u64) {
         let (sender, receiver) = oneshot::channel();
         if self.commands.send(Command::Watched(version, sender)).is_ok() {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Version of a resource in force, 0 if there is none.
+    /// The applied version of a resource; 0 if there is none.
     pub async fn version(&self, kind: &str, name: &str) -> u64 {
         let Ok(kind) = kind.parse() else { return 0 };
         let (sender, receiver) = oneshot::channel();
@@ -123,14 +123,14 @@
         receiver.await.unwrap_or(0)
     }
 
-    /// Waits until a version of a resource, or a newer one, is in force.
+    /// Waits until a version of a resource, or a newer one, is applied.
     pub async fn wait_version(&self, kind: &str, name: &str, version: u64) {
         while !self.is_down() && self.version(kind, name).await < version {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// The planned stop, to its end.
+    /// Stops the router as planned, and waits until it has stopped.
     pub async fn stop(&mut self) {
         let (sender, receiver) = oneshot::channel();
         if self.commands.send(Command::Stop(sender)).is_ok() {
@@ -139,25 +139,25 @@
         self.join();
     }
 
-    /// Ends it at once, as a crash would.
+    /// Ends the router at once, as a crash would.
     pub fn kill(&mut self) {
         let _ = self.commands.send(Command::Kill);
         self.join();
     }
 
-    /// Freezes its thread: no timer, no task, no byte moves.
+    /// Suspends the router: blocks its thread, so that no task makes progress.
     pub fn pause(&mut self) {
         let (resume, paused) = mpsc::channel();
         let _ = self.commands.send(Command::Pause(paused));
         self.resume = Some(resume);
     }
 
-    /// Lets a frozen node go on.
+    /// Resumes a suspended router.
     pub fn resume(&mut self) {
         self.resume = None;
     }
 
-    /// Whether it was stopped or killed.
+    /// Whether the router was stopped or killed.
     pub fn is_down(&self) -> bool {
         self.thread.is_none()
     }
@@ -187,7 +187,7 @@
         .build()
         .expect("a runtime can be built");
     runtime.block_on(serve(settings, seed, ready, commands));
-    // Whatever is still running ends here, wherever it stands.
+    // Ends tasks that are still running, without waiting for them.
     runtime.shutdown_background();
 }
 
@@ -219,7 +219,7 @@
                 return;
             }
             Command::Kill => return,
-            // Blocking here is the point: this thread is the whole box.
+            // Blocks the only thread of the runtime, and so the whole box.
             Command::Pause(paused) => drop(paused.recv()),
             Command::Incarnation(answer) => drop(answer.send(router.incarnation())),
             Command::Version(kind, name, answer) => {
--- a/crates/trial/src/samples.rs
+++ b/crates/trial/src/samples.rs
@@ -1,4 +1,4 @@
-//! Sample resources, written as operators write them.
+//! Sample resources, in the form in which operators write them.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 /// Secret of every sample API key.
 const SECRET: &str = "sample-secret";
 
-/// The API key of a sample customer, paying from `budget`.
+/// The API key of a sample customer; requests with it are charged to `budget`.
 pub fn api_key(customer: &str, budget: &str) -> String {
     format!("{customer}.{budget}.{SECRET}")
 }
 
-/// What to declare.
+/// Parameters of the sample resources.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// Customers, each with its budgets and what was paid for them.
+    /// Customers, each with its budgets and the tokens paid for each.
     pub customers: Vec<(String, Vec<(String, u64)>)>,
-    /// Model endpoints with their zones.
+    /// Model endpoints, each with its zone.
     pub engines: Vec<(SocketAddr, String)>,
-    /// Service endpoints with their zones.
+    /// Service endpoints, each with its zone.
     pub services: Vec<(SocketAddr, String)>,
     /// Offline share in thousandths, if not the default.
     pub offline_share: Option<u64>,
-    /// Tokens that one service call costs.
+    /// Cost of a service call, in tokens.
     pub cost: u64,
-    /// Most output tokens of one answer.
+    /// Largest number of output tokens in a response.
     pub max_output: u64,
 }
 
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -1,13 +1,13 @@
-//! Kills, cuts, freezes and outages against real routers: the promises hold through each.
+//! The guarantees of real routers hold through crashes, partitions, suspensions and outages.
 
 use std::time::Duration;
 
 use trial::{Ask, Figures, Fleet, Got, Outcome, Plan};
 
-/// Longest wait for the books to settle.
+/// Longest wait until all runs are billed.
 const SETTLE: Duration = Duration::from_secs(40);
 
-/// Waits until every box holds offline tokens of the sample budget.
+/// Starts a fleet and waits until every box holds offline tokens of the sample budget.
 async fn ready(plan: Plan) -> Fleet {
     let fleet = Fleet::spawn(plan).await;
     let boxes = fleet.nodes.len();
@@ -21,7 +21,7 @@
     Ask::chat("dis", "bornova", key)
 }
 
-/// Asks with the same key until there is a whole answer.
+/// Sends a request again with the same key until there is a complete response.
 async fn insist(fleet: &Fleet, at: usize, ask: &Ask) -> Got {
     loop {
         let got = fleet.caller.ask(fleet.to(at), ask).await;
@@ -33,7 +33,7 @@
 }
 
 async fn settled(fleet: &Fleet) -> Figures {
-    assert!(fleet.settle(SETTLE).await, "the books did not settle");
+    assert!(fleet.settle(SETTLE).await, "not all runs were billed in time");
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     figures
@@ -57,7 +57,7 @@
     let fleet = ready(Plan::default()).await;
     fleet.links[0].set_cut(true);
     let cancel = |n: usize| Ask::service("dis", "bornova", "cancel", &format!("chair-{n}"));
-    // A claim cannot be taken without the platform, so an answer shows the way round.
+    // A claim needs the platform, so a response shows that the box worked through a peer.
     insist(&fleet, 0, &cancel(1)).await;
     insist(&fleet, 0, &cancel(2)).await;
     fleet.links[0].set_cut(false);
@@ -71,7 +71,7 @@
     insist(&fleet, 0, &ask("before")).await;
     let first = fleet.nodes[0].incarnation().await.unwrap();
     fleet.nodes[0].pause();
-    // The others seal its journal once it is silent for long enough.
+    // The others seal its journal when it has been silent for the configured time.
     while !fleet.ledger("bornova").await.grants.get(&first).is_some_and(|grant| grant.sealed) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -81,7 +81,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     settled(&fleet).await;
-    // Its own word returns what it held: nothing stays stranded.
+    // The box itself returns the tokens of its former incarnation, so that none stay stranded.
     while fleet.ledger("bornova").await.grants.contains_key(&first) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -105,7 +105,7 @@
     let ledger = fleet.ledger("bornova").await;
     let grant = ledger.grants.get(&dead);
     assert_eq!(grant.map_or(0, |grant| grant.online), 0, "{ledger:?}");
-    // What stays stranded is shown, and an operator's word frees it.
+    // An operator frees the stranded tokens by declaring the incarnation destroyed.
     assert!(ledger.stranded().contains_key(&dead));
     let spec = serde_json::json!({"incarnation": dead.as_str(), "reason": "test"});
     fleet.declare("destroyed", "gone", &spec).await;
@@ -128,8 +128,7 @@
     settled(&fleet).await;
 }
 
-/// Seen on the users' platform: an endpoint that had asked a box for rest went on to get its requests. The product's own
-/// interface did the same: it tried another engine for the request that was turned away, and sent the next one there again.
+/// Guards against a box that sends further requests to an engine whose refusal asked for a back-off.
 #[tokio::test]
 async fn an_engine_that_asks_a_box_for_rest_gets_none_of_its_requests_meanwhile() {
     let fleet = ready(Plan { boxes: 1, ..Plan::default() }).await;
@@ -142,6 +141,6 @@
     for number in 0..20 {
         insist(&fleet, 0, &ask(&format!("later-{number}"))).await;
     }
-    assert_eq!(fleet.engines[0].refused(), 1, "the other engines take them");
+    assert_eq!(fleet.engines[0].refused(), 1, "later requests go to the other engines");
     settled(&fleet).await;
 }
--- a/crates/trial/tests/path.rs
+++ b/crates/trial/tests/path.rs
@@ -1,10 +1,10 @@
-//! The whole path: from a declared budget to a billed answer.
+//! Requests from a declared budget to a billed response.
 
 use std::time::Duration;
 
 use trial::{Ask, Fleet, Outcome, Plan};
 
-/// Longest wait for the books to settle.
+/// Longest wait until all runs are billed.
 const SETTLE: Duration = Duration::from_secs(20);
 
 #[tokio::test]
@@ -32,7 +32,7 @@
     assert_eq!(first.outcome, Outcome::Answered);
     let same_box = fleet.caller.ask(fleet.to(0), &ask).await;
     assert_eq!((same_box.outcome, &same_box.body), (Outcome::Answered, &first.body));
-    // The claim gets its answer a moment after the caller did; until then a retry is "unknown".
+    // The claim is resolved shortly after the caller has its response; until then a retry is "unknown".
     let retried = loop {
         let other_box = fleet.caller.ask(fleet.to(1), &ask).await;
         if other_box.outcome != Outcome::Unknown {
@@ -77,8 +77,8 @@
     assert_eq!(ledger.statement.count, 1);
 }
 
-/// Found by the `pause` experiment: whoever resolved a dead box's records asked plain services
-/// too, and every question was a call.
+/// Guards against calls to a plain service, each of which would be an execution, while the records
+/// of a dead box are resolved.
 #[tokio::test]
 async fn resolving_a_dead_box_calls_no_service() {
     let mut fleet = Fleet::spawn(Plan::default()).await;
@@ -100,7 +100,7 @@
 #[tokio::test]
 async fn a_ticket_runs_once_without_the_platform_and_only_at_its_box() {
     let fleet = Fleet::spawn(Plan::default()).await;
-    // Each box gets its first offline tokens before the platform goes down.
+    // All boxes must hold offline tokens before the platform goes down.
     while fleet.ledger("bornova").await.grants.values().filter(|g| g.offline > 0).count() < 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -118,7 +118,7 @@
     let elsewhere = fleet.caller.ask(fleet.to(1), &ask(&tickets[0])).await;
     assert_eq!(elsewhere.outcome, Outcome::Unknown, "{elsewhere:?}");
     fleet.platform.set(|faults| faults.down = false);
-    // Once the box hands in what it ran, others replay its answer.
+    // When the box has handed in its runs, others replay the response.
     let replayed = loop {
         let got = fleet.caller.ask(fleet.to(1), &ask(&tickets[0])).await;
         if got.outcome != Outcome::Unknown {
