--- a/crates/balance/src/back_off.rs
+++ b/crates/balance/src/back_off.rs
@@ -54,7 +54,7 @@
     }
 
     /// Milliseconds until the end of what it asked for.
-    pub fn left_ms(&self, now: u64) -> u64 {
+    pub fn remaining_ms(&self, now: u64) -> u64 {
         self.until.saturating_sub(now)
     }
 
--- a/crates/balance/src/cold.rs
+++ b/crates/balance/src/cold.rs
@@ -26,7 +26,7 @@
     /// Most requests that it may get within any second, from all boxes together.
     pub per_s: f64,
     /// Milliseconds for which an endpoint is cold that does not say it itself.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// The boxes that share what cold endpoints bear.
--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -194,7 +194,7 @@
 
     /// Whether it wants no request now, not even one that was meant for it before.
     pub fn refuses_requests(&self, now: u64) -> bool {
-        self.has_left(now) || self.back_off.left_ms(now) > 0
+        self.has_left(now) || self.back_off.remaining_ms(now) > 0
     }
 
     /// Milliseconds until this box may send it a request after a rest.
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -77,8 +77,8 @@
             };
             self.endpoints.push(endpoint);
         }
-        self.rests.retain(|_, back_off| back_off.left_ms(now) > 0);
-        let resting = known.into_iter().filter(|endpoint| endpoint.back_off.left_ms(now) > 0);
+        self.rests.retain(|_, back_off| back_off.remaining_ms(now) > 0);
+        let resting = known.into_iter().filter(|endpoint| endpoint.back_off.remaining_ms(now) > 0);
         self.rests
             .extend(resting.take(MOST_RESTS).map(|endpoint| (endpoint.name, endpoint.back_off)));
         if self.rests.len() > MOST_RESTS {
@@ -147,22 +147,22 @@
         }
     }
 
-    /// An endpoint is cold for `lasts_ms`, or for as long as endpoints are that do not say so.
-    pub fn mark_cold(&mut self, name: &str, lasts_ms: Option<u64>, now: u64) {
-        let lasts_ms =
-            lasts_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.lasts_ms));
+    /// An endpoint is cold for `duration_ms`, or for as long as endpoints are that do not say so.
+    pub fn mark_cold(&mut self, name: &str, duration_ms: Option<u64>, now: u64) {
+        let duration_ms =
+            duration_ms.unwrap_or_else(|| self.allowance.map_or(0, |allowance| allowance.duration_ms));
         let every = every_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.cold.extend(now, now + lasts_ms, every);
+            endpoint.cold.extend(now, now + duration_ms, every);
         }
     }
 
     /// A silent endpoint may have crashed, and be cold when it comes back.
     fn doubt(&mut self, name: &str, now: u64) {
-        let lasts_ms = self.allowance.map_or(0, |allowance| allowance.lasts_ms);
+        let duration_ms = self.allowance.map_or(0, |allowance| allowance.duration_ms);
         let every = every_ms(self.allowance, &self.fleet, name);
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.doubt.extend(now, now + lasts_ms, every);
+            endpoint.doubt.extend(now, now + duration_ms, every);
         }
     }
 
--- a/crates/balance/tests/back_off.rs
+++ b/crates/balance/tests/back_off.rs
@@ -44,7 +44,7 @@
             back_off.ask(*ms, 0, *now);
             back_off.request_accepted(*now);
         }
-        assert_eq!(back_off.left_ms(100), until.saturating_sub(100), "{what}");
+        assert_eq!(back_off.remaining_ms(100), until.saturating_sub(100), "{what}");
     }
 }
 
--- a/crates/balance/tests/cold.rs
+++ b/crates/balance/tests/cold.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const ALLOWANCE: Allowance = Allowance { per_s: 7.7 * 1.5 + 5.0, lasts_ms: 3_000 };
+const ALLOWANCE: Allowance = Allowance { per_s: 7.7 * 1.5 + 5.0, duration_ms: 3_000 };
 /// Requests within a second that a cold engine must not get.
 const TOO_MANY: usize = 17;
 
@@ -195,7 +195,7 @@
     /// that in a second on average, and one request each at most beside it.
     #[test]
     fn a_fleet_sends_what_is_borne(boxes in 1..300usize, per_s in 0.2..60.0f64) {
-        let bears = Allowance { per_s, lasts_ms: 3_000 };
+        let bears = Allowance { per_s, duration_ms: 3_000 };
         let every: Vec<u64> =
             (0..boxes).filter_map(|me| bears.every_ms(&fleet(boxes, me), "i-1")).collect();
         let sent: f64 = every.iter().map(|ms| 1_000.0 / *ms as f64).sum();
--- a/crates/config/src/accepted.rs
+++ b/crates/config/src/accepted.rs
@@ -54,7 +54,7 @@
 }
 
 /// Decides whether a source at `version` replaces what was accepted from version `accepted`.
-pub fn gate(
+pub fn validate(
     kind: Kind,
     name: &str,
     version: u64,
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use resource::{Budget, Customer, Destroyed, Kind, Pool, Route, Secret, Spec};
+use resource::{Budget, Customer, Destroyed, Kind, Pool, Route, ApiKey, Spec};
 
 use crate::Accepted;
 
@@ -107,7 +107,7 @@
 
     /// Finds who calls with an API key; the secret is compared in constant time.
     pub fn caller(&self, api_key: &str) -> Option<Caller> {
-        let secret = Secret::parse(api_key)?;
+        let secret = ApiKey::parse(api_key)?;
         let customer = self.customers.get(secret.customer)?;
         let key = customer.keys.get(secret.key).filter(|key| secret.matches(key))?;
         Some(Caller {
--- a/crates/config/tests/forwards.rs
+++ b/crates/config/tests/forwards.rs
@@ -1,6 +1,6 @@
 //! Accepted configuration moves forwards only, in whatever order versions arrive.
 
-use config::{Snapshot, Verdict, gate};
+use config::{Snapshot, Verdict, validate};
 use proptest::prelude::*;
 use resource::Kind;
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn an_invalid_source_is_not_accepted_and_says_why() {
-    let verdict = gate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
+    let verdict = validate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
     let Verdict::Invalid { reason } = verdict else { panic!("{verdict:?}") };
     assert!(reason.contains("paid"), "{reason}");
 }
@@ -24,7 +24,7 @@
             let deleted = version % 7 == 0;
             let text = source(version);
             let value = (!deleted).then_some(text.as_str());
-            match gate(Kind::Budget, "b", version, value, None) {
+            match validate(Kind::Budget, "b", version, value, None) {
                 Verdict::Accept(accepted) => {
                     prop_assert_eq!(snapshot.apply(&accepted).unwrap(), version > newest);
                 }
@@ -33,7 +33,7 @@
             newest = newest.max(version);
             let paid = snapshot.budgets.get("b").map(|budget| budget.paid);
             prop_assert_eq!(paid, (newest % 7 != 0).then_some(newest));
-            let again = gate(Kind::Budget, "b", newest, None, Some(newest));
+            let again = validate(Kind::Budget, "b", newest, None, Some(newest));
             prop_assert!(matches!(again, Verdict::Keep));
         }
     }
--- a/crates/flintbench/src/load.rs
+++ b/crates/flintbench/src/load.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 use tokio::{task::JoinSet, time::Instant};
-use trial::{Ask, Caller, Fleet, Outcome};
+use trial::{Request, Caller, Fleet, Outcome};
 
 /// Times that a caller without a whole answer asks again with the same key.
 const RETRIES: usize = 2;
@@ -125,20 +125,20 @@
     tickets
 }
 
-fn draw(mix: &Mix, number: u64, seed: u64, random: &mut ChaCha8Rng) -> Ask {
+fn draw(mix: &Mix, number: u64, seed: u64, random: &mut ChaCha8Rng) -> Request {
     let (customer, budget) = mix.budgets.choose(random).expect("a mix has budgets");
     let key = format!("s{seed}-r{number}");
     let kind: f64 = random.random();
     if kind < mix.cancels {
-        return Ask::service(customer, budget, "cancel", &key);
+        return Request::service(customer, budget, "cancel", &key);
     }
     if kind < mix.cancels + mix.lookups {
-        return Ask::service(customer, budget, "lookup", &key);
+        return Request::service(customer, budget, "lookup", &key);
     }
     let output = random.random_range(1..=mix.output);
     let stream = random.random_bool(0.7);
     let max_tokens = mix.output.max(output);
-    Ask { output, max_tokens, stream, ..Ask::chat(customer, budget, &key) }
+    Request { output, max_tokens, stream, ..Request::chat(customer, budget, &key) }
 }
 
 /// Asks until there is an answer or a truthful refusal, as a careful caller does.
@@ -146,7 +146,7 @@
     caller: &Caller,
     balancer: &Balancer,
     to: SocketAddr,
-    ask: &Ask,
+    ask: &Request,
     mut random: ChaCha8Rng,
 ) {
     let mut to = to;
--- a/crates/flintbench/src/money.rs
+++ b/crates/flintbench/src/money.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use tokio::time::Instant;
-use trial::{Ask, Audit, Fleet, Outcome, Plan};
+use trial::{Request, Audit, Fleet, Outcome, Plan};
 
 use crate::{
     baseline::{Fault, World},
@@ -58,7 +58,7 @@
             engines: 4,
             services: 2,
             customers: vec![("dental".into(), budgets)],
-            patience: Duration::from_secs(15),
+            request_timeout: Duration::from_secs(15),
             ..Plan::default()
         };
         plan.money.fold_ms = 2_000;
@@ -143,8 +143,8 @@
 
 /// Refusals although budget and capacity existed: all of them, where tokens suffice.
 fn false_refusals(fleet: &Fleet) -> u64 {
-    let told = fleet.caller.told();
-    told.iter().filter(|got| got.outcome == Outcome::NotRun).count() as u64
+    let responses = fleet.caller.responses();
+    responses.iter().filter(|got| got.outcome == Outcome::NotRun).count() as u64
 }
 
 /// A zone loses all other boxes and the platform.
@@ -241,17 +241,17 @@
 }
 
 fn unrepeatable_refused(fleet: &Fleet) -> usize {
-    let told = fleet.caller.told();
-    told.iter().filter(|got| got.reason == "claim_unreachable").count()
+    let responses = fleet.caller.responses();
+    responses.iter().filter(|got| got.reason == "claim_unreachable").count()
 }
 
 /// Writes land, but their answers are lost.
 pub async fn lost_answers(options: &Options) -> Report {
     let scene = Scene::open(options, AMPLE, |_| {}).await;
-    scene.fleet.platform.set(|faults| faults.lose_answers = 0.2);
+    scene.fleet.platform.set(|faults| faults.drop_responses = 0.2);
     let load = scene.load();
     let arrivals = load.await.expect("the load runs to its end");
-    scene.fleet.platform.set(|faults| faults.lose_answers = 0.0);
+    scene.fleet.platform.set(|faults| faults.drop_responses = 0.0);
     let lasting = scene.ms(1.0);
     scene.close(Sent { arrivals, faults: Vec::new(), lasting, extra: Vec::new() }).await
 }
@@ -264,9 +264,9 @@
     for number in 0..count {
         let key = format!("storm-{number}");
         let ask = match number % 3 {
-            0 => Ask::service("dental", "bornova", "cancel", &key),
-            1 => Ask { stream: false, ..Ask::chat("dental", "bornova", &key) },
-            _ => Ask::chat("dental", "bornova", &key),
+            0 => Request::service("dental", "bornova", "cancel", &key),
+            1 => Request { stream: false, ..Request::chat("dental", "bornova", &key) },
+            _ => Request::chat("dental", "bornova", &key),
         };
         let mut sent = tokio::task::JoinSet::new();
         for nth in 0..10 {
@@ -300,8 +300,8 @@
     }
     let arrivals = load.await.expect("the load runs to its end");
     let lasting = scene.ms(1.0);
-    let told = scene.fleet.caller.told();
-    let exhausted = told.iter().filter(|got| got.reason == "budget_exhausted").count();
+    let responses = scene.fleet.caller.responses();
+    let exhausted = responses.iter().filter(|got| got.reason == "budget_exhausted").count();
     let extra = vec![("refused_exhausted", json!(exhausted))];
     let mut report = scene.close(Sent { arrivals, faults: Vec::new(), lasting, extra }).await;
     // What was refused for want of tokens is judged by what was left unserved, not counted here.
@@ -316,7 +316,7 @@
 pub async fn all_at_once(options: &Options) -> Report {
     let mut scene = Scene::open(options, AMPLE, |_| {}).await;
     let load = scene.load();
-    scene.fleet.platform.set(|faults| faults.lose_answers = 0.1);
+    scene.fleet.platform.set(|faults| faults.drop_responses = 0.1);
     tokio::time::sleep(scene.part(0.15)).await;
     let cut = [1, 2];
     scene.fleet.set_partition(&cut, true);
@@ -333,7 +333,7 @@
     scene.fleet.restart(4).await;
     scene.balancer.set(4, Some(scene.fleet.to(4)));
     let arrivals = load.await.expect("the load runs to its end");
-    scene.fleet.platform.set(|faults| faults.lose_answers = 0.0);
+    scene.fleet.platform.set(|faults| faults.drop_responses = 0.0);
     let (from, to) = (scene.ms(0.3), scene.ms(0.6));
     let mut faults: Vec<Fault> =
         (0..scene.boxes).map(|index| Fault::Cut { index, from, to }).collect();
@@ -359,7 +359,7 @@
         let arrivals = scene.load().await.expect("the load runs to its end");
         let lasting = scene.ms(1.0);
         let mut first = Times::default();
-        first.extend(scene.fleet.caller.told().iter().map(|got| got.first));
+        first.extend(scene.fleet.caller.responses().iter().map(|got| got.first));
         let sent = Sent { arrivals, faults: Vec::new(), lasting, extra: Vec::new() };
         last = scene.close(sent).await;
         sound &= last.sound;
--- a/crates/flintbench/src/path.rs
+++ b/crates/flintbench/src/path.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use standin::Speed;
 use tokio::time::Instant;
-use trial::{Ask, Caller, Fleet, Outcome, Plan};
+use trial::{Request, Caller, Fleet, Outcome, Plan};
 
 use crate::{cli::Options, report::Report, stats::Times};
 
@@ -69,8 +69,8 @@
     let (mut direct, mut routed) = (Times::default(), Times::default());
     let engine = fleet.engines[0].address();
     for number in 0..requests {
-        let chat = Ask::chat("dental", "bornova", &format!("lat-{number}"));
-        let ask = Ask { output: 1, max_tokens: 1, ..chat };
+        let chat = Request::chat("dental", "bornova", &format!("lat-{number}"));
+        let ask = Request { output: 1, max_tokens: 1, ..chat };
         let straight = caller.ask(engine, &ask).await;
         let through = caller.ask(fleet.to(0), &ask).await;
         // The first requests open connections.
@@ -105,8 +105,8 @@
     let caller = Caller::new(Duration::from_secs(20));
     let mut answered = 0;
     for number in 0..count {
-        let chat = Ask::chat("dental", "bornova", &format!("lane-{lane}-{number}"));
-        let ask = Ask { output: 1, max_tokens: 1, ..chat };
+        let chat = Request::chat("dental", "bornova", &format!("lane-{lane}-{number}"));
+        let ask = Request { output: 1, max_tokens: 1, ..chat };
         let got = caller.ask(to, &ask).await;
         answered += u64::from(got.outcome == Outcome::Answered);
     }
--- a/crates/flintbench/src/serve.rs
+++ b/crates/flintbench/src/serve.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use standin::Speed;
 use tokio::time::Instant;
-use trial::{Ask, Audit, Fleet, Outcome, Plan};
+use trial::{Request, Audit, Fleet, Outcome, Plan};
 
 use crate::{
     cli::Options,
@@ -78,18 +78,18 @@
     by_kind
 }
 
-fn work(kind: &str, key: &str) -> Ask {
-    let chat = Ask::chat("dental", "bornova", key);
+fn work(kind: &str, key: &str) -> Request {
+    let chat = Request::chat("dental", "bornova", key);
     match kind {
-        "ping" => Ask::service("dental", "bornova", "lookup", key),
-        "calendar" => Ask {
+        "ping" => Request::service("dental", "bornova", "lookup", key),
+        "calendar" => Request {
             route: "calendar".into(),
             prompt: format!("{key} {}", "Mo 09:00 check-up, chair 3. ".repeat(300)),
             output: 200,
             max_tokens: 256,
             ..chat
         },
-        _ => Ask { output: 20, max_tokens: 32, ..chat },
+        _ => Request { output: 20, max_tokens: 32, ..chat },
     }
 }
 
@@ -170,8 +170,8 @@
         balancer.set(index, Some(fleet.to(index)));
     }
     let _ = load.await;
-    let told = fleet.caller.told();
-    let cut = told.iter().filter(|got| got.outcome != Outcome::Answered).count();
+    let responses = fleet.caller.responses();
+    let cut = responses.iter().filter(|got| got.outcome != Outcome::Answered).count();
     let mut report = close(&fleet).await;
     report.add("requests_cut_off", json!(cut));
     let stranded = report.figures["stranded_tokens"].as_u64().unwrap_or(0);
--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -3,16 +3,16 @@
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Duration};
 
 use balance::{Pool, Prefix, Weights};
-use config::{Snapshot, Verdict, gate};
+use config::{Snapshot, Verdict, validate};
 use ledger::{Draw, Ended, Evidence, Incarnation, Journal, Ledger, Outcome, Part, Record};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use resource::Kind;
 use serde_json::{Value, json};
 use standin::Speed;
-use timeline::Stamp;
+use timeline::Timestamp;
 use tokio::time::Instant;
-use trial::{Ask, Caller, Fleet, Plan};
+use trial::{Request, Caller, Fleet, Plan};
 
 use crate::{cli::Options, path::thread_cpu, report::Report};
 
@@ -190,7 +190,7 @@
         };
         let from = Incarnation::new("box-17", 17);
         let frame = wire::Frame::Status(told);
-        let message = wire::Message { from, stamp: Stamp::default(), frame };
+        let message = wire::Message { from, stamp: Timestamp::default(), frame };
         let bytes = wire::encode(&message, wire::NEWEST_FORMAT).map_or(0, |bytes| bytes.len());
         (n as f64, bytes as f64)
     };
@@ -223,7 +223,7 @@
                 let spec =
                     format!(r#"{{"customer": "customer-{}", "paid": 1000000}}"#, number % 290);
                 let name = format!("budget-{number:05}");
-                let verdict = gate(Kind::Budget, &name, number + 1, Some(&spec), None);
+                let verdict = validate(Kind::Budget, &name, number + 1, Some(&spec), None);
                 if let Verdict::Accept(accepted) = verdict {
                     let _ = snapshot.apply(&accepted);
                 }
@@ -282,10 +282,10 @@
             tasks.spawn(async move {
                 let caller = Caller::new(Duration::from_secs(30));
                 for number in 0..requests / 16 {
-                    let ask = Ask {
+                    let ask = Request {
                         output,
                         max_tokens: output,
-                        ..Ask::chat("dental", "bornova", &format!("l{lane}-{number}"))
+                        ..Request::chat("dental", "bornova", &format!("l{lane}-{number}"))
                     };
                     caller.ask(to, &ask).await;
                 }
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trial::{Ask, Figures, Fleet, Got, Outcome, Plan, api_key};
+use trial::{Request, Figures, Fleet, Response, Outcome, Plan, api_key};
 
 use crate::{
     cli::Try,
@@ -19,7 +19,7 @@
 struct Step {
     said: &'static str,
     to: usize,
-    ask: Ask,
+    ask: Request,
     want: Outcome,
 }
 
@@ -54,8 +54,8 @@
 
 fn story() -> Vec<Step> {
     let chat =
-        |key: &str| Ask { output: 12, max_tokens: 20, ..Ask::chat("dental", "bornova", key) };
-    let cancel = || Ask::service("dental", "bornova", "cancel", "cancel-chair-7");
+        |key: &str| Request { output: 12, max_tokens: 20, ..Request::chat("dental", "bornova", key) };
+    let cancel = || Request::service("dental", "bornova", "cancel", "cancel-chair-7");
     vec![
         Step {
             said: "a streamed answer",
@@ -66,7 +66,7 @@
         Step {
             said: "a plain answer, through another router",
             to: 1,
-            ask: Ask { stream: false, ..chat("patient-message") },
+            ask: Request { stream: false, ..chat("patient-message") },
             want: Outcome::Answered,
         },
         Step {
@@ -84,7 +84,7 @@
         Step {
             said: "a week's calendar, past the budget",
             to: 0,
-            ask: Ask {
+            ask: Request {
                 route: "calendar".into(),
                 max_tokens: 512,
                 prompt: "Draft the week. ".repeat(40),
@@ -95,13 +95,13 @@
     ]
 }
 
-fn report(step: &Step, got: &Got) {
+fn report(step: &Step, got: &Response) {
     let told = match got.outcome {
         Outcome::Answered if got.tokens > 0 => format!("answered, {} tokens", got.tokens),
         Outcome::Answered => format!("answered: {}", got.body),
         Outcome::NotRun => format!("refused, not run: {}", got.reason),
         Outcome::Unknown => format!("unknown: {}", got.reason),
-        Outcome::Nothing => "no answer".to_owned(),
+        Outcome::NoResponse => "no answer".to_owned(),
     };
     let tone = if got.outcome == step.want { Tone::Good } else { Tone::Bad };
     println!("  {:<40} {}", step.said, paint(tone, &told));
--- a/crates/flintstalld/tests/soak.rs
+++ b/crates/flintstalld/tests/soak.rs
@@ -9,35 +9,35 @@
     /// Whether endpoints name limits.
     limits: bool,
     /// Whether endpoints say that they leave, and ask for rest.
-    words: bool,
+    announcements: bool,
     cause: &'static str,
 }
 
 const CASES: [Case; 6] = [
-    Case { seed: 1, seconds: 12, limits: false, words: false, cause: "never failed" },
+    Case { seed: 1, seconds: 12, limits: false, announcements: false, cause: "never failed" },
     Case {
         seed: 2,
         seconds: 12,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "bills lost with a planned stop while the store was away",
     },
     Case {
         seed: 3,
         seconds: 12,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "the same, with all boxes killed before",
     },
     Case {
         seed: 5,
         seconds: 13,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "bills lost that came after the lost answer to a page",
     },
-    Case { seed: 101, seconds: 12, limits: true, words: false, cause: "never failed" },
-    Case { seed: 401, seconds: 12, limits: true, words: true, cause: "never failed" },
+    Case { seed: 101, seconds: 12, limits: true, announcements: false, cause: "never failed" },
+    Case { seed: 401, seconds: 12, limits: true, announcements: true, cause: "never failed" },
 ];
 
 /// Seeds with bills of boxes that stopped by plan without the store.
@@ -46,14 +46,14 @@
         seed: 35,
         seconds: 15,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "the one box that took them was killed",
     },
     Case {
         seed: 36,
         seconds: 15,
         limits: false,
-        words: false,
+        announcements: false,
         cause: "the others did not know the box yet",
     },
 ];
@@ -64,16 +64,16 @@
     seed: 34,
     seconds: 13,
     limits: false,
-    words: false,
+    announcements: false,
     cause: "the box knew no other box",
 }];
 
 /// A box stops by plan while the store is away, and all boxes are killed at the end. The run waited for the box
 /// before it let the store come back, for which the box waited: the store was away until the box had given up.
 const HELD_UP: [Case; 3] = [
-    Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box held the run up" },
-    Case { seed: 248, seconds: 15, limits: true, words: true, cause: "the same" },
-    Case { seed: 432, seconds: 15, limits: true, words: true, cause: "the same, with two boxes" },
+    Case { seed: 222, seconds: 15, limits: true, announcements: true, cause: "one box held the run up" },
+    Case { seed: 248, seconds: 15, limits: true, announcements: true, cause: "the same" },
+    Case { seed: 432, seconds: 15, limits: true, announcements: true, cause: "the same, with two boxes" },
 ];
 
 #[tokio::test]
@@ -98,14 +98,14 @@
 
 async fn play(cases: &[Case]) {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_flintstalld"));
-    for Case { seed, seconds, limits, words, cause } in cases {
+    for Case { seed, seconds, limits, announcements, cause } in cases {
         let options = soak::Options {
             folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak"),
             daemon: daemon.clone(),
             boxes: 5,
             length: Duration::from_secs(*seconds),
             limits: *limits,
-            words: *words,
+            announcements: *announcements,
         };
         let report = soak::run(*seed, &options).await.expect("it can be played");
         assert!(report.calls.1 > 100, "seed {seed} served little: {report:?}");
--- a/crates/forward/tests/connections.rs
+++ b/crates/forward/tests/connections.rs
@@ -6,7 +6,7 @@
 use forward::{Answer, Connections, Fault, Options, Request};
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use http_body_util::BodyExt;
-use standin::{Reply, Scripted};
+use standin::{Reply, ScriptedEndpoint};
 use tokio::net::TcpListener;
 
 /// Longest that anything here waits; reached only when a test fails.
@@ -33,7 +33,7 @@
 }
 
 fn whole() -> Reply {
-    Reply::Whole(StatusCode::OK, HeaderMap::new(), "done".into())
+    Reply::Complete(StatusCode::OK, HeaderMap::new(), "done".into())
 }
 
 async fn text(answer: Answer) -> Result<String, Fault> {
@@ -44,11 +44,11 @@
 /// Sends two requests, one after the other; returns what the first came to and how many
 /// connections the endpoint saw.
 async fn two(first: Reply) -> (Result<String, Fault>, usize) {
-    let script = move |arrived: &standin::Arrived| match arrived.line.contains("first") {
+    let script = move |arrived: &standin::ReceivedRequest| match arrived.line.contains("first") {
         true => first.clone(),
         false => whole(),
     };
-    let endpoint = Scripted::spawn(script).await;
+    let endpoint = ScriptedEndpoint::spawn(script).await;
     let connections = connections();
     let mut one = request();
     one.target = "/first".parse().expect("a path");
@@ -82,23 +82,23 @@
             Some("data: 1\n\n"),
             1,
         ),
-        ("the endpoint ends it", Reply::Whole(ok, closes, "done".into()), Some("done"), 2),
-        ("it may not rest for long", Reply::Whole(ok, short, "done".into()), Some("done"), 2),
+        ("the endpoint ends it", Reply::Complete(ok, closes, "done".into()), Some("done"), 2),
+        ("it may not rest for long", Reply::Complete(ok, short, "done".into()), Some("done"), 2),
         (
             "an answer too many",
-            Reply::Extra(ok, none.clone(), "done".into(), late),
+            Reply::TrailingData(ok, none.clone(), "done".into(), late),
             Some("done"),
             2,
         ),
         (
             "bytes too many",
-            Reply::Extra(ok, none.clone(), "done".into(), "xx".into()),
+            Reply::TrailingData(ok, none.clone(), "done".into(), "xx".into()),
             Some("done"),
             2,
         ),
         ("without a length", Reply::Unframed(none.clone(), "done".into()), Some("done"), 2),
         ("without a length, reset", Reply::UnframedReset(none.clone(), "do".into()), None, 2),
-        ("a torn stream", Reply::Torn(none, events), None, 2),
+        ("a torn stream", Reply::Truncated(none, events), None, 2),
         ("no answer", Reply::Close, None, 2),
     ];
     for (name, reply, want, connections) in cases {
@@ -122,7 +122,7 @@
 
 #[tokio::test]
 async fn a_request_that_is_given_up_closes_its_connection() {
-    let endpoint = Scripted::spawn(|_| Reply::Silent).await;
+    let endpoint = ScriptedEndpoint::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let sending = connections.send(endpoint.address(), 4, request());
     let given_up = tokio::time::timeout(Duration::from_millis(100), sending).await;
@@ -140,7 +140,7 @@
 async fn a_body_that_is_dropped_closes_its_connection() {
     let events: Vec<String> = (0..1_000).map(|n| format!("data: {n}\n\n")).collect();
     let reply = Reply::Events(HeaderMap::new(), events, Duration::from_millis(20));
-    let endpoint = Scripted::spawn(move |_| reply.clone()).await;
+    let endpoint = ScriptedEndpoint::spawn(move |_| reply.clone()).await;
     let connections = connections();
     let mut answer = connections.send(endpoint.address(), 4, request()).await.expect("a head");
     answer.body.frame().await.expect("an event").expect("a whole one");
@@ -155,7 +155,7 @@
 
 #[tokio::test]
 async fn no_more_connections_than_allowed() {
-    let endpoint = Scripted::spawn(|_| Reply::Silent).await;
+    let endpoint = ScriptedEndpoint::spawn(|_| Reply::Silent).await;
     let connections = connections();
     let address = endpoint.address();
     let busy: Vec<_> = (0..2)
--- a/crates/gateway/src/fleet/peers/permits.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -71,7 +71,7 @@
 
     /// Whether the last box that was asked was silent, and none was heard since: this one may be cut off, and
     /// others may take it for gone.
-    pub fn may_be_cut_off(&self) -> bool {
+    pub fn may_be_isolated(&self) -> bool {
         let state = self.state.lock();
         state.silent > state.heard
     }
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -9,7 +9,7 @@
 use balance::{Prefix, Prompt};
 use ledger::{Claim, Incarnation, Promise, Transfer, Witness};
 use quarantine::Report;
-use timeline::Stamp;
+use timeline::Timestamp;
 use tokio::time::Instant;
 use wire::{BillPage, Draw, Drawn, Frame, Message, Peer, Subscribe, Update};
 
@@ -269,6 +269,6 @@
     /// A frame of this box's.
     pub fn message(&self, frame: Frame) -> Message {
         // The order of events does not matter here: log lines carry the times.
-        Message { from: self.me.clone(), stamp: Stamp::default(), frame }
+        Message { from: self.me.clone(), stamp: Timestamp::default(), frame }
     }
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -102,7 +102,7 @@
         let connections = Connections::new(settings.connections());
         let (to_store, to_endpoints) = (store.clone(), connections.clone());
         let watchdog = Watchdog::open(clock.clone(), move || {
-            to_store.forget_connections();
+            to_store.reset_connections();
             to_endpoints.close_idle();
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
@@ -368,7 +368,7 @@
     /// Takes over settings that were read again: sizes of grants, repeats, and the times of a
     /// planned stop are in force at once; the rest is at the next start of the process.
     pub fn reload(&self, settings: Settings) {
-        let later = self.context.settings().read_at_start(&settings);
+        let later = self.context.settings().restart_only_changes(&settings);
         let changed = *self.context.settings() != settings;
         tracing::info!(event = "settings_read_again", changed, at_next_start = later.join(","));
         self.context.settings.send_replace(Arc::new(settings));
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -59,8 +59,8 @@
                 metrics.peer_bytes.get_or_create(&Flow { topic, zone, way }).set(bytes as i64);
             }
         }
-        let dropped = context.dropped_lines.lock().as_ref().map_or(0, |count| count());
-        metrics.dropped_lines.set(dropped as i64);
+        let dropped = context.dropped_log_lines.lock().as_ref().map_or(0, |count| count());
+        metrics.dropped_log_lines.set(dropped as i64);
         let status = view.status();
         metrics.evacuated.set(context.endpoints.evacuated() as i64);
         metrics.cold.set(context.endpoints.count_cold() as i64);
--- a/crates/gateway/src/inbound/handle.rs
+++ b/crates/gateway/src/inbound/handle.rs
@@ -67,7 +67,7 @@
     exchange: Exchange,
     link: Arc<Link>,
 ) -> Response<Body> {
-    let headers = answer::towards_caller(&answer.head.headers);
+    let headers = answer::caller_headers(&answer.head.headers);
     let status = answer.head.status;
     let relay = Relay::new(answer.body, status.as_u16(), in_flight, exchange, link);
     let mut response = Response::new(Either::Right(relay));
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -53,29 +53,29 @@
         let leaves = *self.stopping.borrow();
         if !draw.leaves && !leaves {
             let until = Instant::now() + Duration::from_millis(draw.within_ms);
-            for told in draw.items.iter().filter(|told| told.need > 0) {
-                self.pass_on(from, told, until).await;
+            for demand in draw.items.iter().filter(|demand| demand.need > 0) {
+                self.pass_on(from, demand, until).await;
             }
         }
-        let (items, cut) = (self.funds.given(from, &draw.items), self.funds.is_store_unreachable());
+        let (items, cut) = (self.funds.supplies(from, &draw.items), self.funds.is_store_unreachable());
         Frame::Drawn(Drawn { items, cut, leaves })
     }
 
-    async fn pass_on(&self, to: &Incarnation, told: &Demand, until: Instant) {
+    async fn pass_on(&self, to: &Incarnation, demand: &Demand, until: Instant) {
         let from_store = until.min(Instant::now() + FROM_STORE);
-        if self.funds.pass_on(to, told, from_store).await {
+        if self.funds.pass_on(to, demand, from_store).await {
             return;
         }
-        let pass_on = || self.funds.try_pass_on(to, told).then_some(());
-        let customer = &told.customer;
-        let borrowed = self.borrower.borrow_until(customer, told.least, until, pass_on).await;
+        let pass_on = || self.funds.try_pass_on(to, demand).then_some(());
+        let customer = &demand.customer;
+        let borrowed = self.borrower.borrow_until(customer, demand.least, until, pass_on).await;
         if borrowed.is_none() {
             tracing::info!(
                 event = "tokens_not_passed_on",
                 customer = &**customer,
                 to = to.as_str(),
-                least = told.least,
-                lack = %self.funds.shortage(customer, told.least),
+                least = demand.least,
+                lack = %self.funds.shortage(customer, demand.least),
             );
         }
     }
--- a/crates/gateway/src/inbound/serve.rs
+++ b/crates/gateway/src/inbound/serve.rs
@@ -106,7 +106,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.head_timeout)
-        .max_buf_size(bounds.head_bytes.max(LEAST_HEAD))
+        .max_buf_size(bounds.max_head_bytes.max(LEAST_HEAD))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -101,7 +101,7 @@
         let connections = (all / self.peers.boxes()).max(LEAST_CONNECTIONS.min(all)) as usize;
         let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
         let rank = engine.map(|_| urgency);
-        let limit = table.config().limits.body_bytes;
+        let limit = table.config().limits.max_body_bytes;
         let (parts, body) = request.into_parts();
         let room = self.room(&body, limit)?;
         let body = self.read_body(body, limit, exchange.until).await?;
@@ -155,7 +155,7 @@
             return Err(Reason::TooLarge.with(format!("more than {limit} bytes")));
         }
         let bytes = told.unwrap_or(UNTOLD_BODY.min(limit)) as u32;
-        let room = self.bodies.clone().try_acquire_many_owned(bytes);
+        let room = self.body_bytes.clone().try_acquire_many_owned(bytes);
         room.map_err(|_| Reason::Memory.after(SOON, "too many bodies are held"))
     }
 
@@ -181,7 +181,7 @@
         let (Some(tokens), Some(customer)) = (exchange.tokens, exchange.customer.clone()) else {
             return Ok(());
         };
-        let worst = tokens.prompt + tokens.most_output;
+        let worst = tokens.prompt + tokens.max_output;
         let settings = self.settings();
         let money = &settings.money;
         let patience = Duration::from_millis(money.wait_ms);
--- a/crates/gateway/src/proxy/announcer.rs
+++ b/crates/gateway/src/proxy/announcer.rs
@@ -15,7 +15,7 @@
     /// It still takes what it took.
     LimitUnchanged { instance: Arc<str> },
     /// It leaves.
-    Leaves { instance: Arc<str>, address: SocketAddr },
+    Draining { instance: Arc<str>, address: SocketAddr },
 }
 
 /// Passes words on to the task that tells other boxes.
--- a/crates/gateway/src/proxy/bounds.rs
+++ b/crates/gateway/src/proxy/bounds.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct Bounds {
     /// Bytes of a head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Time in which a head must arrive, which includes the rest before it.
     pub head_timeout: Duration,
 }
@@ -17,8 +17,8 @@
     /// What the operator allows.
     pub fn of(limits: &Limits) -> Bounds {
         Bounds {
-            head_bytes: limits.head_bytes,
-            head_timeout: Duration::from_millis(limits.idle_ms),
+            max_head_bytes: limits.max_head_bytes,
+            head_timeout: Duration::from_millis(limits.idle_timeout_ms),
         }
     }
 }
--- a/crates/gateway/src/proxy/context.rs
+++ b/crates/gateway/src/proxy/context.rs
@@ -42,14 +42,14 @@
     pub retries: Mutex<Retries>,
     pub metrics: Metrics,
     /// Bytes of request bodies that may still be held.
-    pub bodies: Arc<Semaphore>,
+    pub body_bytes: Arc<Semaphore>,
     pub stopping: watch::Receiver<bool>,
     pub clock: Clock,
     /// Whether what this box knows may be old.
     pub watchdog: Watchdog,
     pub started: Moment,
     /// Counts the log lines that were dropped.
-    pub dropped_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
+    pub dropped_log_lines: Mutex<Option<Box<dyn Fn() -> usize + Send + Sync>>>,
 }
 
 impl Context {
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -8,7 +8,7 @@
 use platform::{
     answer,
     config::{Kind, Route},
-    request::{self, Order},
+    request::{self, Directives},
 };
 
 use crate::{
@@ -71,7 +71,7 @@
             let offer = if asked < MOST_ASKED { Candidates::All } else { Candidates::Unlimited };
             let chosen = self.endpoints.choose(&call.service, offer, &call.prefix, &tried);
             let Some(chosen) = chosen else { break };
-            if exchange.sent >= call.route.attempts || (arrived > 0 && !self.may_repeat_later(call))
+            if exchange.sent >= call.route.max_attempts || (arrived > 0 && !self.may_repeat_later(call))
             {
                 break;
             }
@@ -137,14 +137,14 @@
     async fn attempt(&self, call: &Call, chosen: &Chosen, exchange: &mut Exchange) -> Try {
         exchange.endpoint = Some(chosen.id.clone());
         let left = exchange.left();
-        let order = Order {
+        let directives = Directives {
             instance: &chosen.id,
             customer: exchange.customer.as_deref(),
             left: Some(left),
             rank: call.rank,
             resume_after: call.head.resumed_after,
         };
-        let headers = match request::towards_endpoint(&call.headers, &order, call.body.len()) {
+        let headers = match request::endpoint_headers(&call.headers, &directives, call.body.len()) {
             Ok(headers) => headers,
             Err(unfit) => return Try::Unsent(unfit.to_string()),
         };
@@ -255,7 +255,7 @@
             }
             if heard.leaves {
                 let (instance, address) = (chosen.instance.clone(), chosen.address);
-                self.announcer.announce(Announcement::Leaves { instance, address });
+                self.announcer.announce(Announcement::Draining { instance, address });
             }
         }
         if head.not_run {
@@ -269,7 +269,7 @@
         }
         let again = is_repeatable(&call.route)
             && status.is_server_error()
-            && exchange.sent < call.route.attempts
+            && exchange.sent < call.route.max_attempts
             && self.endpoints.has_alternative(&call.service, &chosen.instance)
             && self.may_repeat_later(call);
         if again {
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -83,12 +83,12 @@
     id: Arc<str>,
     address: SocketAddr,
     /// Heartbeat that told last how long it is cold.
-    beat: u64,
+    heartbeat: u64,
 }
 
 /// Name of a life of an endpoint: what was learned of an earlier one is not known of it.
 fn life_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
-    match entry.life {
+    match entry.started {
         Some(instance) => format!("{id} {instance}").into(),
         None => id.clone(),
     }
@@ -145,7 +145,7 @@
 
     /// An endpoint says how long it is cold. Told again of the same heartbeat, nothing is new.
     fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
-        let known = self.found.get(instance).is_some_and(|found| found.beat == entry.beat);
+        let known = self.found.get(instance).is_some_and(|found| found.heartbeat == entry.heartbeat);
         if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !known) {
             pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
         }
@@ -190,8 +190,8 @@
             if entry.cold > Duration::ZERO {
                 cold.push((instance.clone(), entry));
             }
-            let (id, address, beat) = (id.clone(), entry.address, entry.beat);
-            found.insert(instance, Found { id, address, beat });
+            let (id, address, heartbeat) = (id.clone(), entry.address, entry.heartbeat);
+            found.insert(instance, Found { id, address, heartbeat });
             if entry.engine {
                 engines.insert(entry.service.clone());
             }
@@ -228,7 +228,7 @@
         let settings::Cold { factor, extra } = self.cold;
         let allowance = |service: &Service| Allowance {
             per_s: service.cold_per_s * factor + extra,
-            lasts_ms: (service.cold_s * 1_000.0) as u64,
+            duration_ms: (service.cold_s * 1_000.0) as u64,
         };
         let bound = table.config().services.iter().filter(|service| service.cold_per_s > 0.0);
         let mut state = self.state.lock();
@@ -291,7 +291,7 @@
         let limit = endpoint.limit();
         let leaves = endpoint.departure.map(|departure| now.saturating_sub(departure.since));
         let leaves = leaves.map(Duration::from_millis);
-        let rest = Some(endpoint.back_off.left_ms(now)).filter(|ms| *ms > 0);
+        let rest = Some(endpoint.back_off.remaining_ms(now)).filter(|ms| *ms > 0);
         let rest = rest.map(Duration::from_millis);
         Some(Chosen { instance, id, address, held, load, limit, leaves, rest })
     }
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use balance::{Departure, Endpoint, Limit, Pool, Report};
-use platform::{answer::Head, word::Word};
+use platform::{answer::Head, signal::Signal};
 
 use super::{Chosen, Endpoints};
 
@@ -54,21 +54,21 @@
         head: &Head,
         ago: Duration,
     ) -> Changes {
-        let said = &head.said;
+        let signals = &head.signals;
         let now = self.now();
         let sent_at = now.saturating_sub(ago.as_millis() as u64);
         let instance = &chosen.instance;
-        for (name, value) in said.unread() {
+        for (name, value) in signals.unread() {
             self.unread.lock().note(name, value, instance);
         }
         let mut state = self.state.lock();
-        let leaves = said.leaves == Some(Word::Read(true))
+        let leaves = signals.leaves == Some(Signal::Valid(true))
             && state.leave(instance, chosen.address, Departure::now(now), true);
         let Some(pool) = state.services.get_mut(service) else {
             return Changes { leaves, limit: false };
         };
-        if let Some(rest) = &said.rest {
-            rests(pool, instance, rest, now);
+        if let Some(back_off) = &signals.back_off {
+            rests(pool, instance, back_off, now);
         }
         let Some(endpoint) = pool.get_mut(instance) else {
             return Changes { leaves, limit: false };
@@ -76,11 +76,11 @@
         if !head.not_run {
             endpoint.back_off.request_accepted(sent_at);
         }
-        if let Some(Word::Read(load)) = &said.load {
+        if let Some(Signal::Valid(load)) = &signals.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
             endpoint.report(Report { at: now, running, waiting, slots });
         }
-        let limit = said.limit.as_ref().map(|word| limit(endpoint, word));
+        let limit = signals.limit.as_ref().map(|signal| limit(endpoint, signal));
         let limit =
             endpoint.update_limit(balance::LimitSignal { limit, sent_at, answered_at: now });
         if limit {
@@ -110,7 +110,7 @@
         let now = self.now();
         let state = self.state.lock();
         let endpoints = state.services.values().flat_map(|pool| pool.endpoints());
-        endpoints.filter(|endpoint| endpoint.back_off.left_ms(now) > 0).count()
+        endpoints.filter(|endpoint| endpoint.back_off.remaining_ms(now) > 0).count()
     }
 
     /// Headers of endpoints that nobody read, with how often they came.
@@ -120,19 +120,19 @@
 }
 
 /// How much an endpoint takes. One that names a limit which cannot be read is in need all the same.
-fn limit(endpoint: &Endpoint, word: &Word<f64>) -> Limit {
-    match word {
-        Word::Read(per_s) => Limit::per_s(*per_s),
-        Word::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
+fn limit(endpoint: &Endpoint, signal: &Signal<f64>) -> Limit {
+    match signal {
+        Signal::Valid(per_s) => Limit::per_s(*per_s),
+        Signal::Unreadable(_) => endpoint.limit().unwrap_or(Limit::UNKNOWN),
     }
 }
 
-fn rests(pool: &mut Pool, instance: &str, word: &Word<Duration>, now: u64) {
-    let rest = match word {
-        Word::Read(rest) => *rest,
-        Word::Unreadable(_) => REST_UNKNOWN,
+fn rests(pool: &mut Pool, instance: &str, signal: &Signal<Duration>, now: u64) {
+    let back_off = match signal {
+        Signal::Valid(back_off) => *back_off,
+        Signal::Unreadable(_) => REST_UNKNOWN,
     };
-    let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+    let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
     if pool.back_off(instance, rest_ms, now) {
         tracing::info!(event = "endpoint_rests", endpoint = instance, rest_ms);
     }
--- a/crates/gateway/src/proxy/exchange.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -125,7 +125,7 @@
         let Some(tokens) = self.tokens else { return 0 };
         let made = |events: u64| {
             let output = events.saturating_mul(self.event_tokens);
-            tokens.prompt + output.min(tokens.most_output)
+            tokens.prompt + output.min(tokens.max_output)
         };
         match end {
             _ if !self.may_have_run => 0,
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -34,7 +34,7 @@
     /// Bytes, fading with [`AVERAGE_S`].
     sum: f64,
     at: Option<Instant>,
-    sheds: bool,
+    is_shedding: bool,
 }
 
 impl Link {
@@ -60,17 +60,17 @@
     }
 
     /// Whether callers should go to other boxes.
-    pub fn sheds(&self) -> bool {
+    pub fn is_shedding(&self) -> bool {
         let mut state = self.state.lock();
         self.fade(&mut state);
         let used = state.sum / AVERAGE_S / self.bytes_per_s;
-        let sheds = used > if state.sheds { FREE } else { FULL };
-        if sheds != state.sheds {
+        let is_shedding = used > if state.is_shedding { FREE } else { FULL };
+        if is_shedding != state.is_shedding {
             let percent = (used * 100.0) as u64;
-            tracing::info!(event = "link_load", percent, sheds);
+            tracing::info!(event = "link_load", percent, is_shedding);
         }
-        state.sheds = sheds;
-        sheds
+        state.is_shedding = is_shedding;
+        is_shedding
     }
 
     fn fade(&self, state: &mut State) {
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -136,7 +136,7 @@
             return PermitReply::After { ms: UNKNOWN.as_millis() as u64 };
         };
         let Some(limit) = signal.limit else { return PermitReply::Free { signal } };
-        let part = if peers.may_be_cut_off() { 1.0 / boxes as f64 } else { 1.0 };
+        let part = if peers.may_be_isolated() { 1.0 / boxes as f64 } else { 1.0 };
         let now = started.elapsed().as_millis() as u64;
         let mut given = self.0.given.lock();
         if given.len() >= MANY {
--- a/crates/gateway/src/proxy/refusal.rs
+++ b/crates/gateway/src/proxy/refusal.rs
@@ -132,7 +132,7 @@
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        id.into_iter().for_each(|id| platform::answer::name_request(headers, id));
+        id.into_iter().for_each(|id| platform::answer::set_request_id(headers, id));
         self.tell_return(headers);
         if self.reason == Reason::Malformed || self.reason == Reason::TooLarge {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -325,7 +325,7 @@
 
     /// Groups of settings in which `next` differs and which are read at a start alone: addresses
     /// are bound then, and connections and buffers made.
-    pub fn read_at_start(&self, next: &Settings) -> Vec<&'static str> {
+    pub fn restart_only_changes(&self, next: &Settings) -> Vec<&'static str> {
         let limits =
             |settings: &Settings| Limits { stop_ms: 0, notice_ms: 0, ..settings.limits.clone() };
         let groups = [
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -14,7 +14,7 @@
     sync::Arc,
 };
 
-use platform::endpoint::{Entry, Life, State};
+use platform::endpoint::{Entry, StartTime, State};
 
 /// Entries that went, as far as they are remembered; a box tells what it knows within a second.
 const MOST_GONE: usize = 4_096;
@@ -46,15 +46,15 @@
     /// Version of the store at which it was known to be gone.
     at: u64,
     /// The last life known.
-    life: Option<Life>,
+    started: Option<StartTime>,
 }
 
 impl Known {
     /// Whether a newer entry takes the place of this one.
     fn gives_way_to(&self, entry: &Entry) -> bool {
-        match (self.entry.life, entry.life) {
+        match (self.entry.started, entry.started) {
             (known, new) if known == new => {
-                entry.beat >= self.entry.beat || entry.state != State::Ready
+                entry.heartbeat >= self.entry.heartbeat || entry.state != State::Ready
             }
             (known, new) => known < new,
         }
@@ -90,8 +90,8 @@
     /// An entry was written; says whether it is what counts now.
     pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
         let known = self.known.get(&id);
-        let said_before = known.is_some_and(|known| known.entry.life.is_some());
-        if said_before && entry.life.is_none() {
+        let said_before = known.is_some_and(|known| known.entry.started.is_some());
+        if said_before && entry.started.is_none() {
             // No endpoint forgets to say when it started: this is somebody else's.
             self.remove(&id, version);
             return false;
@@ -99,7 +99,7 @@
         let newer = known.is_none_or(|known| known.version <= version);
         let later = known.is_none_or(|known| known.gives_way_to(&entry));
         let gone = self.gone.get(&id);
-        let went = gone.is_some_and(|gone| version <= gone.at || entry.life < gone.life);
+        let went = gone.is_some_and(|gone| version <= gone.at || entry.started < gone.started);
         let counts = newer && later && !went;
         if counts {
             self.gone.remove(&id);
@@ -152,9 +152,9 @@
         if known.is_some_and(|known| known.version > at) {
             return;
         }
-        let life = known.and_then(|known| known.entry.life);
+        let started = known.and_then(|known| known.entry.started);
         self.known.remove(id);
-        self.note_gone(id.into(), Gone { at, life });
+        self.note_gone(id.into(), Gone { at, started });
     }
 
     /// Version of the store at which an entry was known to be gone.
@@ -168,7 +168,7 @@
         }
         let newest = self.gone.entry(id).or_default();
         newest.at = gone.at.max(newest.at);
-        newest.life = gone.life.max(newest.life);
+        newest.started = gone.started.max(newest.started);
     }
 
     /// Time until what is missing counts as gone; `None` if nothing is missing.
--- a/crates/gateway/src/sync/discovery.rs
+++ b/crates/gateway/src/sync/discovery.rs
@@ -107,7 +107,7 @@
 
     /// Reads a copy; returns the version of the store that it shows.
     async fn read(&mut self) -> Option<u64> {
-        match self.store.all_maybe_old(BOXES).await {
+        match self.store.list_stale(BOXES).await {
             Ok(list) => {
                 self.outage.answered();
                 self.view.boxes_read(watcher::entries(&list.objects), list.version);
--- a/crates/gateway/src/sync/signals.rs
+++ b/crates/gateway/src/sync/signals.rs
@@ -42,7 +42,7 @@
             Announcement::LimitUnchanged { instance } => {
                 publish_limit(&view, &peers, &endpoints, &instance, true)
             }
-            Announcement::Leaves { instance, address } => {
+            Announcement::Draining { instance, address } => {
                 view.receive_departure(&instance, address);
                 peers.publish_departure(&instance, address);
             }
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -262,7 +262,7 @@
 async fn look_at_boxes(setup: Setup) {
     let mut outage = outage(&setup, "boxes", Probe::Lazy);
     loop {
-        match setup.store.all_maybe_old(BOXES).await {
+        match setup.store.list_stale(BOXES).await {
             Ok(list) => {
                 outage.answered();
                 setup.view.boxes_read(entries(&list.objects), list.version);
--- a/crates/gateway/src/tokens/funds/settlements.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -15,7 +15,7 @@
     }
 
     /// Keeps nothing untouched any more: everything is to be given back.
-    pub fn retire(&self, retires: bool) {
+    pub fn set_retiring(&self, retires: bool) {
         self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retires = retires);
         self.0.promise_due.notify_one();
     }
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -188,7 +188,7 @@
         let Setup { peers, funds, .. } = &self.setup;
         let drew = funds.drew_ago().is_some_and(|ago| ago < RETIRE);
         let retires = self.stands && !drew && !peers.is_keeper();
-        funds.retire(retires);
+        funds.set_retiring(retires);
         if retires { Participation::Retiring } else { Participation::Active }
     }
 
--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -34,11 +34,11 @@
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
-    platform.set(|faults| faults.lose_answers = 1.0);
+    platform.set(|faults| faults.drop_responses = 1.0);
     bills.write(&store, true).await;
     assert_eq!(bills.waiting(), 2, "the box doesn't know that the page was written");
     add(&bills, &["c"]);
-    platform.set(|faults| faults.lose_answers = 0.0);
+    platform.set(|faults| faults.drop_responses = 0.0);
     bills.write(&store, true).await;
     assert_eq!(bills.waiting(), 0);
     assert_eq!(billed(&platform).await, ["a", "b", "c"]);
@@ -49,12 +49,12 @@
     let platform = Platform::spawn(1).await;
     let (store, bills) = (store(&platform), Bills::open(Incarnation::new("box-1", 1)));
     add(&bills, &["a", "b"]);
-    platform.set(|faults| faults.lose_answers = 1.0);
+    platform.set(|faults| faults.drop_responses = 1.0);
     bills.write(&store, true).await;
     add(&bills, &["c"]);
     let pages = bills.hand_over();
     assert_eq!((pages.len(), bills.waiting()), (2, 0));
-    platform.set(|faults| faults.lose_answers = 0.0);
+    platform.set(|faults| faults.drop_responses = 0.0);
     let other = Bills::open(Incarnation::new("box-2", 1));
     other.take_over(pages);
     other.write(&store, true).await;
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -4,16 +4,16 @@
 
 use gateway::{Directory, EventCounter, Reason, Retries, Table, settings};
 use http::StatusCode;
-use platform::{config::Config, endpoint::Entry, played};
+use platform::{config::Config, endpoint::Entry, fixtures};
 
 fn table(routes: &[&str]) -> Table {
-    let text = played::config(3, 1_000, routes);
+    let text = fixtures::config(3, 1_000, routes);
     Table::new(Config::read(&text).expect("a valid configuration"))
 }
 
 #[test]
 fn longest_path_prefix_of_the_host_wins() {
-    let text = played::routes(&[
+    let text = fixtures::routes(&[
         ("all", "Desk.example", "/", &[("a", 1)]),
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
         ("short", "desk.example", "/x/", &[("c", 1)]),
@@ -45,7 +45,7 @@
 #[test]
 fn split_follows_weights_and_request_id() {
     let services = [("a", 90), ("b", 10), ("never", 0)];
-    let text = played::routes(&[("r", "h", "/", &services)]);
+    let text = fixtures::routes(&[("r", "h", "/", &services)]);
     let table = Table::new(Config::read(&text).expect("valid"));
     let route = table.route("h", "/").expect("a route").clone();
     let ids: Vec<String> = (0..2_000).map(|n| format!("id-{n}")).collect();
@@ -57,7 +57,7 @@
 
 fn entry(state: &str) -> Entry {
     let address = "127.0.0.1:9".parse().expect("an address");
-    Entry::read(&played::entry("plain", address, state == "ready")).expect("an entry")
+    Entry::read(&fixtures::entry("plain", address, state == "ready")).expect("an entry")
 }
 
 fn ready(directory: &Directory) -> Vec<&str> {
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -4,7 +4,7 @@
 
 use gateway::{Funds, Participation, Table};
 use ledger::{Book, Granted, Incarnation, Item, Policy, Writer};
-use platform::{config::Config, played};
+use platform::{config::Config, fixtures};
 
 const PAID: u64 = 1_000_000;
 const POLICY: Policy = Policy {
@@ -27,7 +27,7 @@
     /// Opens a box and settles twice: the first settlement registers it, the second one brings tokens.
     fn open() -> Desk {
         let funds = Funds::open();
-        let text = played::config(1, PAID, &["stream"]);
+        let text = fixtures::config(1, PAID, &["stream"]);
         funds.configure(&Table::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new("box-0", 1);
         let mut desk = Desk { funds, name, write: 0, book: Book::default() };
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -9,15 +9,15 @@
 
 /// Sends traffic at a rate for some seconds; returns for each second whether the link sheds at its end.
 async fn pass(link: &Link, bytes_per_s: usize, seconds: u32) -> Vec<bool> {
-    let mut sheds = Vec::new();
+    let mut is_shedding = Vec::new();
     for _ in 0..seconds {
         for _ in 0..20 {
             link.chunk(bytes_per_s / 20);
             tokio::time::advance(Duration::from_millis(50)).await;
         }
-        sheds.push(link.sheds());
+        is_shedding.push(link.is_shedding());
     }
-    sheds
+    is_shedding
 }
 
 #[tokio::test(start_paused = true)]
@@ -30,9 +30,9 @@
         ("a fifth", BYTES_PER_S / 5, false),
         ("half full once more", BYTES_PER_S / 2, false),
     ];
-    for (what, rate, sheds) in cases {
+    for (what, rate, is_shedding) in cases {
         let seen = pass(&link, rate, 4).await;
-        assert_eq!(seen.last(), Some(&sheds), "{what}: {seen:?}");
+        assert_eq!(seen.last(), Some(&is_shedding), "{what}: {seen:?}");
     }
 }
 
@@ -46,5 +46,5 @@
 async fn one_large_request_does_not_cause_shedding() {
     let link = Link::new(10.0);
     link.request(100_000);
-    assert!(!link.sheds());
+    assert!(!link.is_shedding());
 }
--- a/crates/gateway/tests/loopback/back_off.rs
+++ b/crates/gateway/tests/loopback/back_off.rs
@@ -12,8 +12,8 @@
 use gateway::Gateway;
 use http::{HeaderValue, StatusCode, header};
 use parking_lot::Mutex;
-use platform::played;
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 use crate::harness::{Harness, answers, call, until, until_served};
 
@@ -43,15 +43,15 @@
         self.0.lock().arrived.clone()
     }
 
-    fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
+    fn script(&self) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
         let tired = self.clone();
         move |arrived| {
             let mut state = tired.0.lock();
             state.arrived.push(Instant::now());
             let Some(seconds) = state.asks else { return answers(arrived) };
-            let (status, mut headers) = played::declined(&arrived.told.id);
+            let (status, mut headers) = fixtures::not_run_response(&arrived.head.id);
             headers.insert(header::RETRY_AFTER, HeaderValue::from_static(seconds));
-            Reply::Whole(status, headers, "tired".into())
+            Reply::Complete(status, headers, "tired".into())
         }
     }
 }
@@ -61,7 +61,7 @@
     harness: Harness,
     gateway: Gateway,
     tired: Tired,
-    _endpoints: [Scripted; 2],
+    _endpoints: [ScriptedEndpoint; 2],
 }
 
 impl Pair {
--- a/crates/gateway/tests/loopback/box_crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -5,7 +5,7 @@
 use gateway::Gateway;
 use http::StatusCode;
 use ledger::Incarnation;
-use standin::Scripted;
+use standin::ScriptedEndpoint;
 
 use crate::harness::{Harness, answers, call, charged, until, until_served};
 
@@ -18,7 +18,7 @@
     harness: Harness,
     one: Gateway,
     two: Gateway,
-    _endpoints: [Scripted; 2],
+    _endpoints: [ScriptedEndpoint; 2],
 }
 
 impl Fleet {
--- a/crates/gateway/tests/loopback/endpoints.rs
+++ b/crates/gateway/tests/loopback/endpoints.rs
@@ -5,9 +5,9 @@
 use futures_util::future::join_all;
 use gateway::Gateway;
 use http::StatusCode;
-use platform::played::{self, Listed, listed};
+use platform::fixtures::{self, Registration, registration};
 use serde_json::{Value, json};
-use standin::Scripted;
+use standin::ScriptedEndpoint;
 
 use crate::harness::{Harness, answers, call, until, until_served};
 
@@ -32,7 +32,7 @@
 }
 
 /// Whether none of [`MANY`] requests, sent to the boxes in turn, reaches the endpoint.
-async fn gets_none(harness: &Harness, boxes: &[Gateway], path: &str, endpoint: &Scripted) -> bool {
+async fn gets_none(harness: &Harness, boxes: &[Gateway], path: &str, endpoint: &ScriptedEndpoint) -> bool {
     let before = endpoint.arrived().len();
     for gateway in boxes.iter().cycle().take(MANY) {
         call(gateway.callers(), path, &harness.asked("key-b", 1, 1)).await;
@@ -40,9 +40,9 @@
     endpoint.arrived().len() == before
 }
 
-async fn in_zone(harness: &Harness, id: &str, zone: &str) -> Scripted {
-    let endpoint = Scripted::spawn(answers).await;
-    let entry = Listed { zone, ..listed("plain", endpoint.address()) }.entry();
+async fn in_zone(harness: &Harness, id: &str, zone: &str) -> ScriptedEndpoint {
+    let endpoint = ScriptedEndpoint::spawn(answers).await;
+    let entry = Registration { zone, ..registration("plain", endpoint.address()) }.entry();
     harness.list_as(id, entry.to_string()).await;
     endpoint
 }
@@ -59,7 +59,7 @@
     })
     .await;
     // The evacuation also binds a box that starts now, and an entry that is written again.
-    harness.list_as("i-1", listed("plain", one.address()).entry().to_string()).await;
+    harness.list_as("i-1", registration("plain", one.address()).entry().to_string()).await;
     let late = [harness.gateway("box-late").await];
     until_served(&harness, &late[0], "/cancel/x").await;
     assert!(gets_none(&harness, &late, "/cancel/x", &one).await, "a box that started later");
@@ -86,8 +86,8 @@
 #[tokio::test]
 async fn boxes_together_pace_requests_to_a_cold_engine() {
     let harness = Harness::open(PAID, &["stream"]).await;
-    let engine = Scripted::spawn(answers).await;
-    let cold = Listed { cold_ms: 600_000, ..listed("engines", engine.address()) };
+    let engine = ScriptedEndpoint::spawn(answers).await;
+    let cold = Registration { cold_ms: 600_000, ..registration("engines", engine.address()) };
     harness.list_as("i-1", cold.entry().to_string()).await;
     let boxes = fleet(&harness, "/stream/x").await;
     let (began, before) = (Instant::now(), engine.arrived().len());
@@ -99,7 +99,7 @@
     let got = join_all(burst).await;
     let arrived = engine.arrived().len() - before;
     let seconds = began.elapsed().as_secs() as usize + 1;
-    let bears = played::COLD_PER_S as usize;
+    let bears = fixtures::COLD_PER_S as usize;
     assert!(arrived <= bears * seconds, "{arrived} arrived within {seconds} s");
     let refused = got.iter().filter(|got| got.status == StatusCode::SERVICE_UNAVAILABLE);
     let told_when = refused.clone().filter(|got| got.headers.contains_key("retry-after"));
@@ -109,23 +109,23 @@
 #[tokio::test]
 async fn restarted_endpoint_is_a_new_instance() {
     let harness = Harness::open(PAID, &["cancel"]).await;
-    let endpoint = Scripted::spawn(answers).await;
-    let first = Listed { born: Some(1_000), beat: 9, ..listed("plain", endpoint.address()) };
+    let endpoint = ScriptedEndpoint::spawn(answers).await;
+    let first = Registration { started_ms: Some(1_000), heartbeat: 9, ..registration("plain", endpoint.address()) };
     harness.list_as("i-1", first.entry().to_string()).await;
     let gateway = harness.gateway("box-1").await;
     until_served(&harness, &gateway, "/cancel/x").await;
     let before = endpoint.connections();
-    let second = Listed { born: Some(2_000), beat: 1, ..first.clone() };
+    let second = Registration { started_ms: Some(2_000), heartbeat: 1, ..first.clone() };
     harness.list_as("i-1", second.entry().to_string()).await;
     until("connections to the earlier instance are not reused", async || {
         call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
         endpoint.connections() > before
     })
     .await;
-    let told = endpoint.arrived().pop().expect("a request arrived").told;
-    assert_eq!(told.instance.as_deref(), Some("i-1"), "its id is the same");
+    let head = endpoint.arrived().pop().expect("a request arrived").head;
+    assert_eq!(head.instance.as_deref(), Some("i-1"), "its id is the same");
     // A late write of the earlier instance must not replace the entry of the new one.
-    let last = Listed { ready: false, beat: 10, ..first };
+    let last = Registration { ready: false, heartbeat: 10, ..first };
     harness.list_as("i-1", last.entry().to_string()).await;
     harness.configure(2, PAID, &["cancel", "open"]).await;
     until_served(&harness, &gateway, "/open/x").await;
@@ -137,8 +137,8 @@
     let harness = Harness::open(PAID, &["cancel"]).await;
     let _sound = in_zone(&harness, "i-sound", "z1").await;
     let boxes = fleet(&harness, "/cancel/x").await;
-    let odd = Scripted::spawn(answers).await;
-    let whole = || listed("plain", odd.address()).entry();
+    let odd = ScriptedEndpoint::spawn(answers).await;
+    let whole = || registration("plain", odd.address()).entry();
     let with = |field: &str, value: Value| {
         let mut entry = whole();
         entry[field] = value;
@@ -148,11 +148,11 @@
         json!(null),
         json!([1, 2]),
         json!("text"),
-        with(played::BORN, json!("yesterday")),
-        with(played::BORN, json!(1.5)),
-        with(played::BORN, json!(-1)),
+        with(fixtures::START_FIELD, json!("yesterday")),
+        with(fixtures::START_FIELD, json!(1.5)),
+        with(fixtures::START_FIELD, json!(-1)),
     ];
-    for field in played::ENTRY_FIELDS {
+    for field in fixtures::ENTRY_FIELDS {
         let mut entry = whole();
         entry.as_object_mut().expect("an object").remove(field);
         entries.push(entry);
--- a/crates/gateway/tests/loopback/harness.rs
+++ b/crates/gateway/tests/loopback/harness.rs
@@ -13,10 +13,10 @@
 use http::{HeaderMap, StatusCode};
 use objects::{Expect, Store};
 use platform::{
-    played::{self, Asked},
+    fixtures::{self, CallerHead},
     request::Tokens,
 };
-use standin::{Arrived, Link, Platform, Reply, Scripted};
+use standin::{ReceivedRequest, Link, Platform, Reply, ScriptedEndpoint};
 
 /// Upper bound on any single wait; a test that reaches it fails.
 pub const BOUND: Duration = Duration::from_secs(20);
@@ -85,12 +85,12 @@
     /// Writes a configuration.
     pub async fn configure(&self, version: u64, paid: u64, routes: &[&str]) {
         let (kind, name) = platform::CONFIG;
-        self.write(kind, name, played::config(version, paid, routes)).await;
+        self.write(kind, name, fixtures::config(version, paid, routes)).await;
     }
 
     /// Writes the entry of an endpoint.
     pub async fn list(&self, id: &str, service: &str, address: SocketAddr, ready: bool) {
-        self.write(platform::ENDPOINTS, id, played::entry(service, address, ready)).await;
+        self.write(platform::ENDPOINTS, id, fixtures::entry(service, address, ready)).await;
     }
 
     /// Writes an arbitrary text as the entry of an endpoint.
@@ -124,9 +124,9 @@
         &self,
         id: &str,
         service: &str,
-        script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static,
-    ) -> Scripted {
-        let endpoint = Scripted::spawn(script).await;
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedEndpoint {
+        let endpoint = ScriptedEndpoint::spawn(script).await;
         self.list(id, service, endpoint.address(), true).await;
         endpoint
     }
@@ -220,26 +220,26 @@
 
 impl Harness {
     /// A new request with a unique id that costs tokens.
-    pub fn asked(&self, key: &str, prompt: u64, most_output: u64) -> Asked {
-        Asked {
+    pub fn asked(&self, key: &str, prompt: u64, max_output: u64) -> CallerHead {
+        CallerHead {
             id: format!("try-{}", self.ids.fetch_add(1, Ordering::Relaxed)),
             key: Some(key.to_owned()),
             deadline: Some(Duration::from_secs(10)),
-            tokens: Some(Tokens { prompt, most_output }),
+            tokens: Some(Tokens { prompt, max_output }),
             parts: Vec::new(),
         }
     }
 }
 
 /// Builds a request without a body.
-pub fn request(address: SocketAddr, path: &str, asked: &Asked) -> reqwest::RequestBuilder {
+pub fn request(address: SocketAddr, path: &str, asked: &CallerHead) -> reqwest::RequestBuilder {
     let client = reqwest::Client::builder().no_proxy().build().expect("a client");
     let request = client.post(format!("http://{address}{path}")).header("host", "desk.example");
     asked.headers().into_iter().fold(request, |request, (name, value)| request.header(name, value))
 }
 
 /// Sends a request with a small body and reads the whole response.
-pub async fn call(address: SocketAddr, path: &str, asked: &Asked) -> Got {
+pub async fn call(address: SocketAddr, path: &str, asked: &CallerHead) -> Got {
     finish(request(address, path, asked).body("a body")).await
 }
 
@@ -277,14 +277,14 @@
 }
 
 /// Script of an endpoint that answers every request successfully.
-pub fn answers(arrived: &Arrived) -> Reply {
-    Reply::Whole(StatusCode::OK, played::answered(&arrived.told.id, None), "done".into())
+pub fn answers(arrived: &ReceivedRequest) -> Reply {
+    Reply::Complete(StatusCode::OK, fixtures::response_headers(&arrived.head.id, None), "done".into())
 }
 
 /// Makes a script cloneable, so that several endpoints can run it.
 pub fn shared(
-    script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static,
-) -> impl Fn(&Arrived) -> Reply + Clone + Send + Sync + 'static {
+    script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+) -> impl Fn(&ReceivedRequest) -> Reply + Clone + Send + Sync + 'static {
     let script = Arc::new(script);
-    move |arrived: &Arrived| script(arrived)
+    move |arrived: &ReceivedRequest| script(arrived)
 }
--- a/crates/gateway/tests/loopback/keepers.rs
+++ b/crates/gateway/tests/loopback/keepers.rs
@@ -6,7 +6,7 @@
 use gateway::Gateway;
 use http::StatusCode;
 use objects::Operation;
-use standin::Scripted;
+use standin::ScriptedEndpoint;
 use std::time::Duration;
 
 use crate::harness::{Harness, answers, call, until, until_served, until_within};
@@ -34,7 +34,7 @@
 struct Fleet {
     harness: Harness,
     boxes: Vec<Gateway>,
-    _endpoints: [Scripted; 2],
+    _endpoints: [ScriptedEndpoint; 2],
 }
 
 impl Fleet {
--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -12,8 +12,8 @@
 
 use gateway::Gateway;
 use http::{HeaderMap, HeaderValue, StatusCode, header};
-use platform::played;
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 use crate::harness::{Harness, answers, call, request, until, until_served};
 
@@ -27,7 +27,7 @@
 
 /// Adds the signal that the endpoint is leaving.
 fn leaves(mut headers: HeaderMap) -> HeaderMap {
-    headers.insert(played::LEAVING, HeaderValue::from_static("1"));
+    headers.insert(fixtures::LEAVING, HeaderValue::from_static("1"));
     headers
 }
 
@@ -41,19 +41,19 @@
     }
 
     /// Answers successfully, with the signal if it is switched on.
-    fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
+    fn script(&self) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
         let word = self.clone();
         move |arrived| {
-            let headers = played::answered(&arrived.told.id, None);
+            let headers = fixtures::response_headers(&arrived.head.id, None);
             let says = word.0.load(Ordering::Relaxed);
             let headers = if says { leaves(headers) } else { headers };
-            Reply::Whole(StatusCode::OK, headers, "done".into())
+            Reply::Complete(StatusCode::OK, headers, "done".into())
         }
     }
 }
 
 /// Sends requests until one reaches the endpoint.
-async fn reach(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) {
+async fn reach(harness: &Harness, gateway: &Gateway, endpoint: &ScriptedEndpoint) {
     let before = endpoint.arrived().len();
     until("a request reaches the endpoint", async || {
         call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
@@ -63,7 +63,7 @@
 }
 
 /// Sends [`MANY`] requests and returns how many reach the endpoint.
-async fn arrive(harness: &Harness, gateway: &Gateway, endpoint: &Scripted) -> usize {
+async fn arrive(harness: &Harness, gateway: &Gateway, endpoint: &ScriptedEndpoint) -> usize {
     let before = endpoint.arrived().len();
     for _ in 0..MANY {
         call(gateway.callers(), "/cancel/x", &harness.asked("key-b", 1, 1)).await;
@@ -92,12 +92,12 @@
 async fn signal_is_read_from_rejections_and_stream_heads() {
     let harness = Harness::open(PAID, &["cancel", "stream"]).await;
     let declines = harness.endpoint("i-1", "plain", |arrived| {
-        let (status, headers) = played::declined(&arrived.told.id);
-        Reply::Whole(status, leaves(headers), "full".into())
+        let (status, headers) = fixtures::not_run_response(&arrived.head.id);
+        Reply::Complete(status, leaves(headers), "full".into())
     });
     let declines = declines.await;
     let streams = harness.endpoint("i-2", "engines", |arrived| {
-        let headers = leaves(played::answered(&arrived.told.id, None));
+        let headers = leaves(fixtures::response_headers(&arrived.head.id, None));
         Reply::Events(headers, vec!["data: 1\n\n".into(); 20], Duration::from_millis(100))
     });
     let streams = streams.await;
@@ -212,7 +212,7 @@
     assert_eq!(arrive(&harness, &gateway, &leaving).await, 0, "with an entry that says ready");
 }
 
-/// A `misdirected` response comes from another endpoint at the same address, so its signals are ignored.
+/// A `misdirected_response` response comes from another endpoint at the same address, so its signals are ignored.
 #[tokio::test]
 async fn signals_of_misdirected_responses_are_ignored() {
     let harness = Harness::open(PAID, &["cancel"]).await;
@@ -222,9 +222,9 @@
         if !says.0.load(Ordering::Relaxed) {
             return answers(arrived);
         }
-        let (status, mut headers) = played::misdirected(&arrived.told.id);
+        let (status, mut headers) = fixtures::misdirected_response(&arrived.head.id);
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static("60"));
-        Reply::Whole(status, leaves(headers), "not here".into())
+        Reply::Complete(status, leaves(headers), "not here".into())
     });
     let meant = meant.await;
     let _stays = harness.endpoint("i-2", "plain", answers).await;
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -12,7 +12,7 @@
     let (gateway, link) = harness.cut_gateway("box-1").await;
     until_served(&harness, &gateway, "/open/x").await;
     // Open connections stay open but carry no more bytes.
-    link.lose_open();
+    link.stall_open_connections();
     harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     link.set_cut(false);
@@ -59,29 +59,29 @@
     until_served(&harness, &gateway, "/open/x").await;
     let me: IpAddr = [127, 0, 0, 1].into();
     harness.platform.set(|faults| {
-        faults.turns_away.insert(me);
+        faults.rejected_sources.insert(me);
     });
     for _ in 0..20 {
         let got = call(gateway.callers(), "/open/x", &harness.asked("key-b", 1, 1)).await;
         assert_eq!(got.status, StatusCode::OK);
     }
-    harness.platform.set(|faults| faults.turns_away.clear());
+    harness.platform.set(|faults| faults.rejected_sources.clear());
     harness.configure(2, 1_000_000, &["open", "cancel"]).await;
     until_served(&harness, &gateway, "/cancel/x").await;
 }
 
 #[tokio::test]
 async fn lost_store_responses_settle_every_token_once() {
-    for late in [Duration::ZERO, Duration::from_millis(400)] {
+    for dropped_write_delay in [Duration::ZERO, Duration::from_millis(400)] {
         let harness = Harness::open(1_000_000, &["stream"]).await;
         let _engine = harness.endpoint("i-1", "engines", answers).await;
         let gateway = harness.gateway("box-1").await;
         until_served(&harness, &gateway, "/stream/x").await;
-        harness.platform.set(|faults| (faults.lose_answers, faults.late) = (0.5, late));
+        harness.platform.set(|faults| (faults.drop_responses, faults.dropped_write_delay) = (0.5, dropped_write_delay));
         for _ in 0..40 {
             call(gateway.callers(), "/stream/x", &harness.asked("key-b", 1_000, 10)).await;
         }
-        harness.platform.set(|faults| faults.lose_answers = 0.0);
+        harness.platform.set(|faults| faults.drop_responses = 0.0);
         let charged = charged(&gateway);
         gateway.stop().await;
         until("the last settlement is in the book", async || {
--- a/crates/gateway/tests/loopback/prompts.rs
+++ b/crates/gateway/tests/loopback/prompts.rs
@@ -2,12 +2,12 @@
 
 use crate::harness::{Harness, answers, call, shared, until, until_served};
 use platform::request::Part;
-use standin::{Arrived, Reply, Scripted};
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 /// Consecutive requests that hardly all go to the same one of two engines by chance.
 const IN_A_ROW: usize = 20;
 
-fn long(engine: &Scripted) -> bool {
+fn long(engine: &ScriptedEndpoint) -> bool {
     engine.arrived().iter().any(|arrived| arrived.line.contains("/stream/long"))
 }
 
@@ -16,7 +16,7 @@
     let harness = Harness::open(10_000_000, &["stream", "open"]).await;
     let _plain = harness.endpoint("p-1", "plain", answers).await;
     // An engine sends nothing while it reads a long prompt.
-    let script = shared(|arrived: &Arrived| match arrived.line.contains("/stream/long") {
+    let script = shared(|arrived: &ReceivedRequest| match arrived.line.contains("/stream/long") {
         true => Reply::Silent,
         false => answers(arrived),
     });
--- a/crates/gateway/tests/loopback/proxy.rs
+++ b/crates/gateway/tests/loopback/proxy.rs
@@ -6,11 +6,11 @@
     Harness, answers, call, charged, finish, request, settings, shared, until, until_served,
 };
 use http::{HeaderMap, StatusCode};
-use platform::played;
-use standin::{Arrived, Reply};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply};
 
-fn id_of(arrived: &Arrived) -> HeaderMap {
-    played::answered(&arrived.told.id, None)
+fn id_of(arrived: &ReceivedRequest) -> HeaderMap {
+    fixtures::response_headers(&arrived.head.id, None)
 }
 
 #[tokio::test]
@@ -20,25 +20,25 @@
     let gateway = harness.gateway("box-1").await;
     until_served(&harness, &gateway, "/open/x").await;
     let asked = harness.asked("key-b", 5, 5);
-    let sent = played::forged().into_iter().fold(
+    let sent = fixtures::forged_headers().into_iter().fold(
         request(gateway.callers(), "/confirm/a%20b?x=1&y", &asked),
         |request, (name, value)| request.header(name, value),
     );
     let got = finish(sent.header("x-own", "kept").body("the body")).await;
     assert_eq!((got.status, got.body.as_deref()), (StatusCode::OK, Ok("done")));
-    assert_eq!(played::signature(&got.headers).as_deref(), Some(&*asked.id));
+    assert_eq!(fixtures::signature(&got.headers).as_deref(), Some(&*asked.id));
     let arrived = endpoint.arrived().pop().expect("it arrived");
     assert_eq!(arrived.line, "POST /confirm/a%20b?x=1&y HTTP/1.1");
     assert_eq!(arrived.body, b"the body");
-    assert_eq!(arrived.told.id, asked.id);
+    assert_eq!(arrived.head.id, asked.id);
     assert_eq!(
-        arrived.told.customer.as_deref(),
+        arrived.head.customer.as_deref(),
         Some("bornova"),
         "a customer header of the caller is replaced"
     );
-    assert_eq!(arrived.told.instance.as_deref(), Some("i-1"));
-    assert_eq!(arrived.told.key, None, "endpoints do not see keys");
-    let left = arrived.told.left.expect("a deadline");
+    assert_eq!(arrived.head.instance.as_deref(), Some("i-1"));
+    assert_eq!(arrived.head.key, None, "endpoints do not see keys");
+    let left = arrived.head.left.expect("a deadline");
     assert!(left <= Duration::from_secs(5), "the route's own time limit applies: {left:?}");
 }
 
@@ -66,25 +66,25 @@
 
 #[tokio::test]
 async fn endpoint_failures_are_retried_or_reported() {
-    let declined = |arrived: &Arrived| {
-        let (status, headers) = played::declined(&arrived.told.id);
-        Reply::Whole(status, headers, String::new())
+    let not_run_response = |arrived: &ReceivedRequest| {
+        let (status, headers) = fixtures::not_run_response(&arrived.head.id);
+        Reply::Complete(status, headers, String::new())
     };
-    let foreign = |_: &Arrived| {
-        Reply::Whole(StatusCode::OK, played::answered("another", None), "not yours".into())
+    let foreign = |_: &ReceivedRequest| {
+        Reply::Complete(StatusCode::OK, fixtures::response_headers("another", None), "not yours".into())
     };
-    let failed = |arrived: &Arrived| {
-        Reply::Whole(StatusCode::INTERNAL_SERVER_ERROR, id_of(arrived), "failed".into())
+    let failed = |arrived: &ReceivedRequest| {
+        Reply::Complete(StatusCode::INTERNAL_SERVER_ERROR, id_of(arrived), "failed".into())
     };
-    let gone = |arrived: &Arrived| {
-        let (status, headers) = played::misdirected(&arrived.told.id);
-        Reply::Whole(status, headers, String::new())
+    let gone = |arrived: &ReceivedRequest| {
+        let (status, headers) = fixtures::misdirected_response(&arrived.head.id);
+        Reply::Complete(status, headers, String::new())
     };
-    type Script = Box<dyn Fn(&Arrived) -> Reply + Send + Sync>;
+    type Script = Box<dyn Fn(&ReceivedRequest) -> Reply + Send + Sync>;
     // Name, route, script of the first endpoint, status for the caller, times the request is sent.
     let cases: Vec<(&str, &str, Script, u16, usize)> = vec![
-        ("declined, once only", "confirm", Box::new(declined), 503, 1),
-        ("declined, repeatable", "cancel", Box::new(declined), 200, 2),
+        ("declined, once only", "confirm", Box::new(not_run_response), 503, 1),
+        ("declined, repeatable", "cancel", Box::new(not_run_response), 200, 2),
         ("gone, once only", "confirm", Box::new(gone), 200, 2),
         ("no answer, once only", "confirm", Box::new(|_| Reply::Close), 502, 1),
         ("no answer, repeatable", "cancel", Box::new(|_| Reply::Close), 200, 2),
@@ -153,17 +153,17 @@
 #[tokio::test]
 async fn reloaded_settings_apply_at_once() {
     let harness = Harness::open(1_000_000, &["cancel", "open"]).await;
-    let declined = |arrived: &Arrived| match arrived.line.contains("/open/") {
+    let not_run_response = |arrived: &ReceivedRequest| match arrived.line.contains("/open/") {
         true => answers(arrived),
         false => {
-            let (status, headers) = played::declined(&arrived.told.id);
-            Reply::Whole(status, headers, String::new())
+            let (status, headers) = fixtures::not_run_response(&arrived.head.id);
+            Reply::Complete(status, headers, String::new())
         }
     };
-    let declined = shared(declined);
+    let not_run_response = shared(not_run_response);
     let endpoints = [
-        harness.endpoint("i-1", "plain", declined.clone()).await,
-        harness.endpoint("i-2", "plain", declined).await,
+        harness.endpoint("i-1", "plain", not_run_response.clone()).await,
+        harness.endpoint("i-2", "plain", not_run_response).await,
     ];
     let gateway = harness.gateway("box-1").await;
     until("both endpoints are in use", async || {
@@ -171,7 +171,7 @@
         endpoints.iter().all(|endpoint| !endpoint.arrived().is_empty())
     })
     .await;
-    let sent = |endpoints: &[standin::Scripted; 2]| -> usize {
+    let sent = |endpoints: &[standin::ScriptedEndpoint; 2]| -> usize {
         let arrived = endpoints.iter().flat_map(|endpoint| endpoint.arrived());
         arrived.filter(|arrived| arrived.line.contains("/cancel/")).count()
     };
@@ -188,8 +188,8 @@
 async fn broken_stream_is_visible_to_the_caller() {
     let events: Vec<String> = (1..4).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
     let whole = events.clone();
-    let script = move |arrived: &Arrived| match arrived.line.contains("torn") {
-        true => Reply::Torn(id_of(arrived), events.clone()),
+    let script = move |arrived: &ReceivedRequest| match arrived.line.contains("torn") {
+        true => Reply::Truncated(id_of(arrived), events.clone()),
         false => Reply::Events(id_of(arrived), whole.clone(), Duration::ZERO),
     };
     let harness = Harness::open(1_000_000, &["stream"]).await;
@@ -209,7 +209,7 @@
 #[tokio::test]
 async fn abandoned_stream_is_charged_for_what_was_generated() {
     let events: Vec<String> = (1..1_000).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
-    let script = move |arrived: &Arrived| {
+    let script = move |arrived: &ReceivedRequest| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(20))
     };
     let harness = Harness::open(1_000_000, &["stream", "open"]).await;
@@ -231,7 +231,7 @@
 #[tokio::test]
 async fn caller_disconnect_cancels_the_request() {
     let harness = Harness::open(1_000_000, &["confirm", "open"]).await;
-    let script = |arrived: &Arrived| match arrived.line.contains("/confirm/") {
+    let script = |arrived: &ReceivedRequest| match arrived.line.contains("/confirm/") {
         true => Reply::Silent,
         false => answers(arrived),
     };
@@ -250,7 +250,7 @@
     // More than all buffers between endpoint and caller hold.
     let event = format!("id: 1\ndata: {}\n\n", "x".repeat(1 << 20));
     let events = vec![event; 64];
-    let script = move |arrived: &Arrived| match arrived.line.contains("/stream/") {
+    let script = move |arrived: &ReceivedRequest| match arrived.line.contains("/stream/") {
         true => Reply::Events(id_of(arrived), events.clone(), Duration::ZERO),
         false => answers(arrived),
     };
@@ -295,7 +295,7 @@
 #[tokio::test]
 async fn shutdown_finishes_streams_and_returns_all_tokens() {
     let events: Vec<String> = (0..20).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
-    let script = move |arrived: &Arrived| {
+    let script = move |arrived: &ReceivedRequest| {
         Reply::Events(id_of(arrived), events.clone(), Duration::from_millis(30))
     };
     let harness = Harness::open(100_000, &["stream"]).await;
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -7,8 +7,8 @@
 
 use futures_util::future::join_all;
 use http::StatusCode;
-use platform::played;
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 use crate::harness::{Got, Harness, answers, finish, request, until, until_served};
 
@@ -27,8 +27,8 @@
 
 /// Script of the endpoints: bodies that start with [`GUILTY`] crash them, `long` gets a slow response, `torn` gets a
 /// response that breaks off, and others are answered at once.
-fn crashes(arrived: &Arrived) -> Reply {
-    let headers = played::answered(&arrived.told.id, None);
+fn crashes(arrived: &ReceivedRequest) -> Reply {
+    let headers = fixtures::response_headers(&arrived.head.id, None);
     match &*String::from_utf8_lossy(&arrived.body) {
         body if body.ends_with("unframed") => Reply::CrashUnframed(headers, LONG / 8),
         body if body.ends_with("slowly") => Reply::Crash(headers, LONG / 2),
@@ -36,7 +36,7 @@
         body if body.starts_with("long") => {
             Reply::Events(headers, vec!["data: x\n\n".into(); 20], LONG / 20)
         }
-        body if body.starts_with("torn") => Reply::Torn(headers, vec!["data: x\n\n".into()]),
+        body if body.starts_with("torn") => Reply::Truncated(headers, vec!["data: x\n\n".into()]),
         _ => answers(arrived),
     }
 }
@@ -44,7 +44,7 @@
 struct Fleet {
     harness: Harness,
     boxes: Vec<gateway::Gateway>,
-    endpoints: Vec<Scripted>,
+    endpoints: Vec<ScriptedEndpoint>,
 }
 
 impl Fleet {
--- a/crates/gateway/tests/loopback/rate_limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -11,8 +11,8 @@
 use gateway::Gateway;
 use http::{HeaderValue, StatusCode};
 use parking_lot::Mutex;
-use platform::played::{self, Asked, Listed, listed};
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures::{self, CallerHead, Registration, registration};
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 
 use crate::harness::{Got, Harness, call, until, until_served};
 
@@ -37,14 +37,14 @@
     }
 
     /// Answers successfully, with the limit if there is one.
-    fn script(&self) -> impl Fn(&Arrived) -> Reply + Send + Sync + 'static {
+    fn script(&self) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
         let need = self.clone();
         move |arrived| {
-            let mut headers = played::answered(&arrived.told.id, None);
+            let mut headers = fixtures::response_headers(&arrived.head.id, None);
             if let Some(limit) = *need.0.lock() {
-                headers.insert(played::LIMIT, HeaderValue::from_static(limit));
+                headers.insert(fixtures::LIMIT, HeaderValue::from_static(limit));
             }
-            Reply::Whole(StatusCode::OK, headers, "done".into())
+            Reply::Complete(StatusCode::OK, headers, "done".into())
         }
     }
 }
@@ -54,7 +54,7 @@
     harness: Harness,
     boxes: Vec<Gateway>,
     needs: Vec<Need>,
-    endpoints: Vec<Scripted>,
+    endpoints: Vec<ScriptedEndpoint>,
 }
 
 impl Fleet {
@@ -92,7 +92,7 @@
 
     async fn send(&self, gateway: &Gateway, path: &str) -> Got {
         // Without tokens, so that a lack of them while the store is down does not matter.
-        let asked = Asked { tokens: None, ..self.harness.asked("key-b", 1, 1) };
+        let asked = CallerHead { tokens: None, ..self.harness.asked("key-b", 1, 1) };
         call(gateway.callers(), path, &asked).await
     }
 
@@ -332,7 +332,7 @@
     fleet.tell_all("i-0", 0.0).await;
     fleet.needs[0].names(None);
     let address = fleet.endpoints[0].address();
-    let entry = Listed { born: Some(5), ..listed("plain", address) }.entry();
+    let entry = Registration { started_ms: Some(5), ..registration("plain", address) }.entry();
     fleet.harness.list_as("i-0", entry.to_string()).await;
     // No request is sent meanwhile, so the new entry alone must clear the limit.
     until("the limit of the earlier instance is dropped", async || {
--- a/crates/gateway/tests/loopback/suspended.rs
+++ b/crates/gateway/tests/loopback/suspended.rs
@@ -49,7 +49,7 @@
     let (gateway, link, clock) = harness.clocked_gateway("box-1").await;
     until_served(&harness, &gateway, "/confirm/x").await;
     let before = left.arrived().len();
-    link.lose_open();
+    link.stall_open_connections();
     let _stays = harness.endpoint("i-2", "plain", answers).await;
     harness.unlist("i-1").await;
     harness.configure(2, PAID, &["confirm", "open"]).await;
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -57,7 +57,7 @@
     for (from, to, want) in cases {
         let after = Settings::read(&GOOD.replace(from, to)).expect("valid");
         assert_ne!(before, after);
-        assert_eq!(before.read_at_start(&after), want, "{to}");
+        assert_eq!(before.restart_only_changes(&after), want, "{to}");
     }
 }
 
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -7,8 +7,8 @@
 use platform::{
     answer::Head,
     endpoint::Entry,
-    played::{self, Listed, listed},
-    word::{Said, Word},
+    fixtures::{self, Registration, listed},
+    signal::{Signals, Signal},
 };
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
     }
 
     /// Changes the entry of endpoint `n`.
-    fn relist(&mut self, n: usize, change: impl Fn(&mut Listed)) {
+    fn relist(&mut self, n: usize, change: impl Fn(&mut Registration)) {
         self.listed[n].1 = entry(n as u16, change);
         self.update();
     }
@@ -62,25 +62,25 @@
         (0..MANY).filter_map(|_| self.choose()).any(|chosen| &*chosen.id == id)
     }
 
-    fn hears(&self, chosen: &Chosen, said: &Said) -> Changes {
-        self.hears_of(chosen, said, AT_ONCE)
+    fn hears(&self, chosen: &Chosen, signals: &Signals) -> Changes {
+        self.hears_of(chosen, signals, AT_ONCE)
     }
 
     /// Receives a response to a request that was sent `ago`.
-    fn hears_of(&self, chosen: &Chosen, said: &Said, ago: Duration) -> Changes {
-        let head = Head { id: None, not_run: false, said: said.clone(), instance: None };
+    fn hears_of(&self, chosen: &Chosen, signals: &Signals, ago: Duration) -> Changes {
+        let head = Head { id: None, not_run: false, signals: signals.clone(), instance: None };
         self.endpoints.receive_signals(SERVICE, chosen, &head, ago)
     }
 }
 
-fn entry(n: u16, change: impl Fn(&mut Listed)) -> Entry {
+fn entry(n: u16, change: impl Fn(&mut Registration)) -> Entry {
     let mut entry = listed(SERVICE, ([127, 0, 0, 1], 1_000 + n).into());
     change(&mut entry);
     Entry::read(&entry.entry().to_string()).expect("an entry")
 }
 
-fn leaves(leaves: bool) -> Said {
-    Said { leaves: Some(Word::Read(leaves)), ..Said::default() }
+fn leaves(leaves: bool) -> Signals {
+    Signals { leaves: Some(Signal::Valid(leaves)), ..Signals::default() }
 }
 
 #[test]
@@ -88,16 +88,16 @@
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 8] = [
         ("a response to an earlier request", |known, chosen| {
-            known.hears_of(chosen, &Said::default(), LONG);
+            known.hears_of(chosen, &Signals::default(), LONG);
         }),
         ("a response without the signal", |known, chosen| {
-            known.hears(chosen, &Said::default());
+            known.hears(chosen, &Signals::default());
         }),
         ("a response that says it stays", |known, chosen| {
             known.hears(chosen, &leaves(false));
         }),
         ("the same entry", |known, _| known.update()),
-        ("an entry of a later heartbeat", |known, _| known.relist(0, |entry| entry.beat = 99)),
+        ("an entry of a later heartbeat", |known, _| known.relist(0, |entry| entry.heartbeat = 99)),
         ("an entry that lapsed and came back", |known, _| {
             let lapsed = known.listed.remove(0);
             known.update();
@@ -127,13 +127,13 @@
 #[test]
 fn restarted_endpoint_is_chosen_again() {
     let mut known = Known::open(&["i-1", "i-2"]);
-    known.relist(0, |entry| entry.born = Some(5));
+    known.relist(0, |entry| entry.started_ms = Some(5));
     known.clock.suspend(LONG);
     let chosen = known.chosen("i-1");
     known.hears(&chosen, &leaves(true));
     known.clock.suspend(LONG);
     assert!(!known.gets_some("i-1"));
-    known.relist(0, |entry| entry.born = Some(6));
+    known.relist(0, |entry| entry.started_ms = Some(6));
     known.clock.suspend(LONG);
     assert!(known.gets_some("i-1"), "a new instance under the same id");
     let chosen = known.chosen("i-2");
@@ -149,16 +149,16 @@
 fn unreadable_signal_is_ignored_and_counted() {
     let known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
-    let leaves = Some(Word::Unreadable("soon".into()));
+    let leaves = Some(Signal::Unreadable("soon".into()));
     let unknown = vec![("server-mood".into(), "low".into())];
     for _ in 0..3 {
-        let said = Said { leaves: leaves.clone(), unknown: unknown.clone(), ..Said::default() };
-        assert_eq!(known.hears(&chosen, &said), Changes::default());
+        let signals = Signals { leaves: leaves.clone(), unknown: unknown.clone(), ..Signals::default() };
+        assert_eq!(known.hears(&chosen, &signals), Changes::default());
     }
     known.clock.suspend(LONG);
     assert!(known.gets_some("i-1"));
     let counted: Vec<(Arc<str>, u64)> =
-        [(played::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
+        [(fixtures::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
     assert_eq!(known.endpoints.unread(), counted);
 }
 
@@ -208,15 +208,15 @@
     fn signals_affect_only_their_endpoint(words in prop::collection::vec(any::<Option<bool>>(), 1..20)) {
         let known = Known::open(&["i-1", "i-2"]);
         let liar = known.chosen("i-1");
-        for word in words {
-            known.hears(&liar, &Said { leaves: word.map(Word::Read), ..Said::default() });
+        for signal in words {
+            known.hears(&liar, &Signals { leaves: signal.map(Signal::Valid), ..Signals::default() });
         }
         prop_assert!(known.gets_some("i-2"));
     }
 }
 
-fn rests(ms: u64) -> Said {
-    Said { rest: Some(Word::Read(Duration::from_millis(ms))), ..Said::default() }
+fn rests(ms: u64) -> Signals {
+    Signals { back_off: Some(Signal::Valid(Duration::from_millis(ms))), ..Signals::default() }
 }
 
 #[test]
@@ -224,10 +224,10 @@
     type Later = fn(&mut Known, &Chosen);
     let later: [(&str, Later); 6] = [
         ("a response to an earlier request", |known, chosen| {
-            known.hears_of(chosen, &Said::default(), LONG);
+            known.hears_of(chosen, &Signals::default(), LONG);
         }),
         ("a response", |known, chosen| {
-            known.hears(chosen, &Said::default());
+            known.hears(chosen, &Signals::default());
         }),
         ("a shorter back-off", |known, chosen| {
             known.hears(chosen, &rests(100));
@@ -270,8 +270,8 @@
 fn new_instance_starts_without_back_off_and_unreadable_back_off_is_short() {
     let mut known = Known::open(&["i-1"]);
     let chosen = known.chosen("i-1");
-    let said = Said { rest: Some(Word::Unreadable("a while".into())), ..Said::default() };
-    known.hears(&chosen, &said);
+    let signals = Signals { back_off: Some(Signal::Unreadable("a while".into())), ..Signals::default() };
+    known.hears(&chosen, &signals);
     assert!(known.choose().is_none());
     assert!(known.endpoints.retry_delay(SERVICE, 0).is_some_and(|wait| wait > Duration::ZERO));
     known.clock.suspend(Duration::from_millis(1_000));
@@ -279,6 +279,6 @@
     known.hears(&chosen, &rests(86_400_000));
     known.clock.suspend(LONG);
     assert!(known.choose().is_none(), "a back-off of a day");
-    known.relist(0, |entry| entry.born = Some(5));
+    known.relist(0, |entry| entry.started_ms = Some(5));
     assert!(known.gets_some("i-1"), "a new instance");
 }
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -9,7 +9,7 @@
 use ledger::Incarnation;
 use platform::{
     endpoint::Entry,
-    played::{BORN, ENTRY_FIELDS, Listed, listed},
+    fixtures::{START_FIELD, ENTRY_FIELDS, Registration, registration},
 };
 use proptest::prelude::*;
 use serde_json::Value;
@@ -100,7 +100,7 @@
 
 fn entry(state: &str) -> Entry {
     let address = "127.0.0.1:1".parse().expect("an address");
-    Entry::read(&platform::played::entry("engines", address, state == "ready")).expect("an entry")
+    Entry::read(&platform::fixtures::entry("engines", address, state == "ready")).expect("an entry")
 }
 
 fn ready(directory: &Directory) -> BTreeSet<Arc<str>> {
@@ -208,16 +208,16 @@
 /// A running endpoint.
 #[derive(Debug, Clone)]
 struct Lives {
-    life: u64,
-    beat: u64,
+    started: u64,
+    heartbeat: u64,
     ready: bool,
 }
 
 impl Lives {
     fn text(&self) -> String {
         let address = "127.0.0.1:1".parse().expect("an address");
-        let listed = listed("engines", address);
-        let entry = Listed { ready: self.ready, born: Some(self.life), beat: self.beat, ..listed };
+        let registration = registration("engines", address);
+        let entry = Registration { ready: self.ready, started_ms: Some(self.started), heartbeat: self.heartbeat, ..registration };
         entry.entry().to_string()
     }
 }
@@ -246,9 +246,9 @@
         let lives = &mut self.lives;
         let endpoint = self.living.entry(id.clone()).or_insert_with(|| {
             *lives += 1;
-            Lives { life: *lives, beat: 0, ready: true }
+            Lives { started: *lives, heartbeat: 0, ready: true }
         });
-        endpoint.beat += 1;
+        endpoint.heartbeat += 1;
         // A draining endpoint never becomes ready again.
         endpoint.ready &= ready;
         let text = endpoint.text();
@@ -260,14 +260,14 @@
     fn end(&mut self, id: &Arc<str>) {
         self.version += 1;
         if let Some(endpoint) = self.living.remove(id) {
-            self.ended.push((id.clone(), endpoint.life, self.version));
+            self.ended.push((id.clone(), endpoint.started, self.version));
         }
     }
 
     /// Ready endpoints, with their instances.
     fn ready(&self) -> BTreeSet<(Arc<str>, u64)> {
         let ready = self.living.iter().filter(|(_, endpoint)| endpoint.ready);
-        ready.map(|(id, endpoint)| (id.clone(), endpoint.life)).collect()
+        ready.map(|(id, endpoint)| (id.clone(), endpoint.started)).collect()
     }
 }
 
@@ -282,9 +282,9 @@
 
 /// Endpoints that are ready in a view, with their instances.
 fn ready_lives(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
-    let life = |entry: &Entry| entry.life.expect("each says it").to_string();
+    let started = |entry: &Entry| entry.started.expect("each says it").to_string();
     let ready = directory.ready();
-    ready.map(|(id, entry)| (id.clone(), life(entry).parse().expect("a number"))).collect()
+    ready.map(|(id, entry)| (id.clone(), started(entry).parse().expect("a number"))).collect()
 }
 
 impl Run {
@@ -352,7 +352,7 @@
                     let ended = self.truth.ended.iter();
                     let told =
                         ended.filter(|(id, _, at)| *id == change.name && *at <= change.version);
-                    self.left.extend(told.map(|(id, life, _)| (id.clone(), *life)));
+                    self.left.extend(told.map(|(id, started, _)| (id.clone(), *started)));
                 }
             }
         }
@@ -378,10 +378,10 @@
         let mut newest: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for step in &steps {
             run.step(step);
-            for (id, life) in ready_lives(&run.listener) {
+            for (id, started) in ready_lives(&run.listener) {
                 let known = newest.entry(id.clone()).or_default();
-                prop_assert!(*known <= life, "{id} went back from instance {known} to {life}");
-                *known = life;
+                prop_assert!(*known <= started, "{id} went back from instance {known} to {started}");
+                *known = started;
             }
         }
         for (id, endpoint) in run.truth.living.clone() {
@@ -467,10 +467,10 @@
         whole in anything(),
         field in 0..ENTRY_FIELDS.len(),
         value in anything(),
-        born in anything(),
+        started_ms in anything(),
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        let sound = || listed("engines", "127.0.0.1:1".parse().expect("an address")).entry();
+        let sound = || registration("engines", "127.0.0.1:1".parse().expect("an address")).entry();
         prop_assert!(Entry::read(&whole.to_string()).is_err());
         prop_assert!(Entry::read(&String::from_utf8_lossy(&bytes)).is_err());
         let mut without = sound();
@@ -485,8 +485,8 @@
         odd[ENTRY_FIELDS[field]] = value;
         prop_assert!(of_type || Entry::read(&odd.to_string()).is_err(), "{odd}");
         let mut started = sound();
-        let whole_number = born.as_u64().is_some();
-        started[BORN] = born;
+        let whole_number = started_ms.as_u64().is_some();
+        started[START_FIELD] = started_ms;
         prop_assert_eq!(Entry::read(&started.to_string()).is_ok(), whole_number);
     }
 }
@@ -494,8 +494,8 @@
 #[test]
 fn entry_without_start_time_does_not_replace_one_with_it() {
     let address = "127.0.0.1:1".parse().expect("an address");
-    let entry = |born, beat| {
-        let entry = Listed { born, beat, ..listed("engines", address) }.entry();
+    let entry = |started_ms, heartbeat| {
+        let entry = Registration { started_ms, heartbeat, ..registration("engines", address) }.entry();
         Entry::read(&entry.to_string()).expect("an entry")
     };
     let mut directory = Directory::default();
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -15,7 +15,7 @@
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
     Untouched, Witness, Writer,
 };
-use platform::{config::Config, played};
+use platform::{config::Config, fixtures};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const PAID: u64 = 60_000;
@@ -120,7 +120,7 @@
 impl Node {
     fn start(at: usize, life: u64) -> Node {
         let funds = Funds::open();
-        let text = played::config(1, PAID, &["stream"]);
+        let text = fixtures::config(1, PAID, &["stream"]);
         funds.configure(&Table::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new(&format!("box-{at}"), life);
         Node {
@@ -152,7 +152,7 @@
 struct Answer {
     to: Incarnation,
     question: Question,
-    given: Vec<Supply>,
+    supplies: Vec<Supply>,
 }
 
 struct World {
@@ -204,9 +204,9 @@
             Step::End { at, percent } => self.end(at, percent),
             Step::Plan { at } => self.plan(at, Participation::Active),
             Step::Retire { at } => {
-                self.nodes[at].funds.retire(true);
+                self.nodes[at].funds.set_retiring(true);
                 self.plan(at, Participation::Retiring);
-                self.nodes[at].funds.retire(false);
+                self.nodes[at].funds.set_retiring(false);
             }
             Step::Write { at, answered } => self.write(at, answered),
             Step::Lend { from, to, tokens, arrives } => self.lend(from, to, tokens, arrives),
@@ -407,7 +407,7 @@
         let name = customer();
         let asked = worst.map(|worst| (&name, worst));
         let mut items = self.nodes[at].funds.demands(&keeper, asked);
-        items.iter_mut().for_each(|told| told.ahead = ahead);
+        items.iter_mut().for_each(|demand| demand.ahead = ahead);
         let question = Question { from, keeper, items };
         self.questions.push(question.clone());
         if arrives && let Some(answer) = self.ask(question) {
@@ -426,19 +426,19 @@
         })?;
         let funds = &self.nodes[at].funds;
         funds.receive_report(&question.from, &question.items);
-        for told in &question.items {
-            if told.need > 0 && funds.try_pass_on(&question.from, told) {
-                let tokens = funds.given(&question.from, std::slice::from_ref(told))[0].given;
+        for demand in &question.items {
+            if demand.need > 0 && funds.try_pass_on(&question.from, demand) {
+                let tokens = funds.supplies(&question.from, std::slice::from_ref(demand))[0].supplies;
                 if self.broken == Broken::PassTwice {
                     // The keeper takes them back at once.
-                    let share = ledger::Share { given: tokens, returned: tokens, ..told.share };
-                    let back = Demand { share, need: 0, least: 0, ..told.clone() };
+                    let share = ledger::Share { supplies: tokens, returned: tokens, ..demand.share };
+                    let back = Demand { share, need: 0, least: 0, ..demand.clone() };
                     funds.receive_report(&question.from, &[back]);
                 }
             }
         }
-        let given = funds.given(&question.from, &question.items);
-        Some(Answer { to: question.from.clone(), question, given })
+        let supplies = funds.supplies(&question.from, &question.items);
+        Some(Answer { to: question.from.clone(), question, supplies })
     }
 
     fn answer(&mut self, answer: Answer) {
@@ -450,7 +450,7 @@
             Broken::DrawnTwice => Incarnation::new("any", self.answers.len() as u64),
             _ => keeper.clone(),
         };
-        node.funds.drawn(&keeper, items, &answer.given);
+        node.funds.drawn(&keeper, items, &answer.supplies);
     }
 
     fn die(&mut self, at: usize, asked: bool) {
@@ -476,16 +476,16 @@
     fn free_passed(&mut self, at: usize) {
         let name = self.nodes[at].name.clone();
         for node in &self.nodes {
-            let told = Demand {
+            let demand = Demand {
                 customer: customer(),
                 share: Default::default(),
                 need: 0,
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.given(&name, std::slice::from_ref(&told))[0].given;
-            let share = ledger::Share { given, returned: given, ..Default::default() };
-            node.funds.receive_report(&name, &[Demand { share, ..told }]);
+            let supplies = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].supplies;
+            let share = ledger::Share { supplies, returned: supplies, ..Default::default() };
+            node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
     }
 
--- a/crates/resource/src/budget.rs
+++ b/crates/resource/src/budget.rs
@@ -10,7 +10,7 @@
 /// Rule for a request of which nobody can tell how it ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unresolved {
+pub enum UnresolvedPolicy {
     /// Charge its worst case.
     #[default]
     ChargeReserved,
@@ -34,7 +34,7 @@
     pub offline_share: Option<u64>,
     /// Rule for requests that nobody can account for.
     #[serde(default)]
-    pub unresolved: Unresolved,
+    pub unresolved: UnresolvedPolicy,
 }
 
 /// Largest amount of tokens, so that sums cannot overflow.
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -7,7 +7,7 @@
 
 /// An API key as a caller sends it, split but not yet checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Secret<'a> {
+pub struct ApiKey<'a> {
     /// Customer that the key claims to belong to.
     pub customer: &'a str,
     /// Name of the key on the customer.
@@ -15,13 +15,13 @@
     secret: &'a str,
 }
 
-impl<'a> Secret<'a> {
+impl<'a> ApiKey<'a> {
     /// Splits an API key; `None` if it is not one.
-    pub fn parse(text: &'a str) -> Option<Secret<'a>> {
+    pub fn parse(text: &'a str) -> Option<ApiKey<'a>> {
         let (customer, rest) = text.split_once('.')?;
         let (key, secret) = rest.split_once('.')?;
         let fits = is_name(customer) && is_name(key) && (8..=128).contains(&secret.len());
-        fits.then_some(Secret { customer, key, secret })
+        fits.then_some(ApiKey { customer, key, secret })
     }
 
     /// Whether this is the key whose hash is stored, in constant time.
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -15,14 +15,14 @@
 mod route;
 mod spec;
 
-pub use budget::{Budget, Unresolved};
+pub use budget::{Budget, UnresolvedPolicy};
 pub use customer::{Customer, Key};
 pub use destroyed::Destroyed;
 pub use file::{Document, Error, read};
 pub use jsonc::Violation;
-pub use key::{Secret, hash_secret};
+pub use key::{ApiKey, hash_secret};
 pub use kind::Kind;
 pub use name::{MAX_NAME, check_name, is_name};
-pub use pool::{Endpoint, Engine, Pool, Serves};
+pub use pool::{Endpoint, Engine, Pool, Workload};
 pub use route::{Class, Route};
 pub use spec::Spec;
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -9,7 +9,7 @@
 /// What the endpoints of a pool serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Serves {
+pub enum Workload {
     /// A model engine that batches continuously.
     Model(Engine),
     /// A plain service; each call costs a fixed number of tokens.
@@ -54,7 +54,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// What they serve.
-    pub serves: Serves,
+    pub serves: Workload,
     /// The endpoints.
     pub endpoints: Vec<Endpoint>,
 }
@@ -77,13 +77,13 @@
             }
         };
         match &self.serves {
-            Serves::Model(engine) => {
+            Workload::Model(engine) => {
                 let bytes = (1..=16).contains(&engine.bytes_per_token);
                 need(bytes, "serves.model.bytes_per_token".into(), "between 1 and 16");
                 let slots = (1..=4_096).contains(&engine.slots);
                 need(slots, "serves.model.slots".into(), "between 1 and 4096");
             }
-            Serves::Service { cost } => {
+            Workload::Service { cost } => {
                 need(*cost <= 1 << 30, "serves.service.cost".into(), "at most 1073741824");
             }
         }
@@ -100,10 +100,10 @@
     }
 
     /// Cost of the prompt of a request with `bytes` of text, never too little.
-    pub fn prompt_bound(&self, bytes: u64) -> u64 {
+    pub fn max_prompt_tokens(&self, bytes: u64) -> u64 {
         match &self.serves {
-            Serves::Model(engine) => bytes.div_ceil(engine.bytes_per_token),
-            Serves::Service { .. } => 0,
+            Workload::Model(engine) => bytes.div_ceil(engine.bytes_per_token),
+            Workload::Service { .. } => 0,
         }
     }
 }
--- a/crates/resource/tests/file.rs
+++ b/crates/resource/tests/file.rs
@@ -1,7 +1,7 @@
 //! Resource files: faults are named with key and line, and nothing makes the reader panic.
 
 use proptest::prelude::*;
-use resource::{Kind, Secret, hash_secret, read};
+use resource::{Kind, ApiKey, hash_secret, read};
 
 const GOOD: &str = r#"[
   // A budget with a comment.
@@ -48,7 +48,7 @@
         ("DIS.desk.correct-horse", None),
     ];
     for (text, want) in cases {
-        let got = Secret::parse(text).map(|secret| secret.matches(&stored));
+        let got = ApiKey::parse(text).map(|secret| secret.matches(&stored));
         assert_eq!(got, want, "{text}");
     }
 }
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -4,7 +4,7 @@
 
 use ledger::Incarnation;
 use objects::{Expect, Store};
-use wire::{Answer, Frame, Message, Question, Status, Value};
+use wire::{Answer, Frame, Message, PlatformCall, Status, Value};
 
 use crate::{follow::put_in_force, shared::Shared};
 
@@ -41,20 +41,20 @@
             Frame::Status(reply)
         }
         Frame::Carry { by, entries } => {
-            let taken = entries.into_iter().filter(|e| shared.carried.take(by.clone(), e.clone()));
+            let taken = entries.into_iter().filter(|e| shared.replicas.take(by.clone(), e.clone()));
             Frame::Taken { count: taken.count() as u64 }
         }
         Frame::Accepted => Frame::Objects { objects: shared.accepted.lock().texts() },
         Frame::Call(question) => call(shared, question).await,
         Frame::Spare { budget, .. } => {
-            let returned = shared.sessions.current().funds.spare(&budget).await;
+            let returned = shared.sessions.current().funds.return_surplus(&budget).await;
             Frame::Spared { returned }
         }
         Frame::Lend { budget, tokens } => {
             let transfer = shared.sessions.lend(&budget, tokens, &question.from);
             if let Some(transfer) = &transfer {
                 let to = transfer.to.as_str().into();
-                let what = timeline::What::Transferred { to, tokens: transfer.tokens };
+                let what = timeline::EventKind::Transferred { to, tokens: transfer.tokens };
                 shared.log.budget(&budget, what);
             }
             Frame::Lent { transfer }
@@ -105,7 +105,7 @@
 }
 
 /// Makes a platform call for a peer, by this box's own direct way only.
-async fn call(shared: &Shared, question: Question) -> Frame {
+async fn call(shared: &Shared, question: PlatformCall) -> Frame {
     let store = &shared.direct;
     let value = |object: objects::Object| Value {
         kind: object.kind,
@@ -114,19 +114,19 @@
         value: object.value,
     };
     match question {
-        Question::Get { kind, name } => {
+        PlatformCall::Get { kind, name } => {
             let found = store.get(&kind, &name).await;
             Frame::Found { objects: found.ok().map(|o| o.into_iter().map(value).collect()) }
         }
-        Question::List { kind, prefix } => {
+        PlatformCall::List { kind, prefix } => {
             let found = store.list(&kind, &prefix).await;
             Frame::Found { objects: found.ok().map(|o| o.into_iter().map(value).collect()) }
         }
-        Question::Put { kind, name, value, version } => {
+        PlatformCall::Put { kind, name, value, version } => {
             let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
             Frame::Written(written(store.put(&kind, &name, value, expect).await))
         }
-        Question::Delete { kind, name, version } => {
+        PlatformCall::Delete { kind, name, version } => {
             Frame::Written(written(store.delete(&kind, &name, version).await))
         }
     }
@@ -223,9 +223,9 @@
             members.live(now, after).map(|member| member.incarnation.clone()).collect()
         };
         let store: &dyn Store = &*shared.store;
-        for by in shared.carried.whose().into_iter().filter(|by| !live.contains(by)) {
-            if shared.carried.hand_in(store, &by, &shared.me()).await {
-                shared.log.add(timeline::What::HandedIn { incarnation: by.as_str().into() });
+        for by in shared.replicas.incarnations().into_iter().filter(|by| !live.contains(by)) {
+            if shared.replicas.hand_in(store, &by, &shared.me()).await {
+                shared.log.add(timeline::EventKind::HandedIn { incarnation: by.as_str().into() });
             }
         }
     }
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use config::{Caller, Snapshot};
-use resource::{Route, Serves};
+use resource::{Route, Workload};
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, http::StatusCode};
 use serde_json::json;
 use tokio::time::Instant;
@@ -94,7 +94,7 @@
                 return Err(Reason::KeyReused.with("the key was used for another request"));
             }
             Entered::Joined(follower) => {
-                let what = timeline::What::Replayed;
+                let what = timeline::EventKind::Replayed;
                 shared.log.request(&key, &call.caller.budget, what);
                 follower
             }
@@ -221,7 +221,7 @@
         let message = format!("the body has more than {} bytes", route.max_body);
         return Err(Reason::TooLarge.with(message));
     }
-    if !matches!(pool.serves, Serves::Model(_)) {
+    if !matches!(pool.serves, Workload::Model(_)) {
         return Err(Reason::NoRoute.with(format!("`{}` is not a model", chat.model)));
     }
     let limit = chat.max_tokens.unwrap_or(route.max_output).min(route.max_output);
@@ -245,7 +245,7 @@
     rest: &str,
 ) -> Result<Call, Refusal> {
     let (route, pool) = allowed(snapshot, &caller, name)?;
-    let Serves::Service { cost } = pool.serves else {
+    let Workload::Service { cost } = pool.serves else {
         return Err(Reason::NoRoute.with(format!("`{name}` is not a service")));
     };
     let bytes = body(request, route.max_body).await?;
@@ -304,7 +304,7 @@
 fn models(snapshot: &Snapshot, caller: &Caller, response: &mut Response) {
     let is_model = |route: &Route| {
         let pool = snapshot.pools.get(&route.pool);
-        pool.is_some_and(|pool| matches!(pool.serves, Serves::Model(_)))
+        pool.is_some_and(|pool| matches!(pool.serves, Workload::Model(_)))
     };
     let open = snapshot.routes.iter().filter(|(_, r)| may_use(r, caller) && is_model(r));
     let data: Vec<_> =
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -64,7 +64,7 @@
     /// Worst case with `limit` output tokens.
     pub fn worst(&self, pool: &Pool, limit: u64) -> u64 {
         let bytes: usize = self.contents().map(str::len).sum();
-        pool.prompt_bound(bytes as u64) + limit
+        pool.max_prompt_tokens(bytes as u64) + limit
     }
 
     /// The body for the engine: always streamed, with usage and the output limit.
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -71,7 +71,7 @@
 
 async fn read(shared: &Shared, name: &str) -> Result<Option<(Claim, u64)>, Miss> {
     let found = shared.store.get("claim", name).await.map_err(|_| {
-        shared.health.failed();
+        shared.health.record_failure();
         Miss::Unreachable
     })?;
     let Some(object) = found else { return Ok(None) };
@@ -192,7 +192,7 @@
                     return;
                 }
             }
-            Err(_) => shared.health.failed(),
+            Err(_) => shared.health.record_failure(),
         }
         tokio::select! {
             () = tokio::time::sleep(wait + shared.jitter(wait)) => {}
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -6,7 +6,7 @@
 use reqwest::Response;
 use serde::Deserialize;
 use session::Hold;
-use timeline::What;
+use timeline::EventKind;
 use wire::Place;
 
 use crate::{
@@ -46,7 +46,7 @@
             return Err(Progress::Refused(Reason::Replaced.with(message)));
         }
         let endpoint = flight.target.name.clone();
-        let what = What::Dispatched { endpoint: endpoint.clone() };
+        let what = EventKind::Dispatched { endpoint: endpoint.clone() };
         shared.log.request(&call.key, &call.caller.budget, what);
         let request = build(&flight.target.address)
             .header("x-request-id", &dispatch)
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -4,8 +4,8 @@
 
 use claim::Claim;
 use ledger::{Part, Record};
-use session::{Denied, Hold};
-use timeline::What;
+use session::{Rejection, Hold};
+use timeline::EventKind;
 use wire::Location;
 
 use crate::{
@@ -37,7 +37,7 @@
 }
 
 async fn run(shared: &Arc<Shared>, call: &Call, driver: &Driver) -> Progress {
-    shared.log.request(&call.key, &call.caller.budget, What::Received);
+    shared.log.request(&call.key, &call.caller.budget, EventKind::Received);
     if let Some(progress) = elsewhere(shared, call, driver).await {
         return progress;
     }
@@ -170,22 +170,22 @@
     Ok(hold)
 }
 
-fn refused(denied: Denied) -> Refusal {
+fn refused(denied: Rejection) -> Refusal {
     let message = denied.to_string();
     match denied {
-        Denied::Exhausted | Denied::Missing => Reason::BudgetExhausted.with(message),
-        Denied::OfflineExhausted => Reason::OfflineExhausted.after(message, SOON),
-        Denied::Replaced => Reason::Replaced.after(message, SOON),
+        Rejection::Exhausted | Rejection::Missing => Reason::BudgetExhausted.with(message),
+        Rejection::OfflineExhausted => Reason::OfflineExhausted.after(message, SOON),
+        Rejection::Replaced => Reason::Replaced.after(message, SOON),
     }
 }
 
 fn note_held(shared: &Shared, call: &Call, hold: &Hold) {
     let (tokens, offline) = (hold.record().reserved, hold.is_offline());
     let budget = &call.caller.budget;
-    shared.log.request(&call.key, budget, What::Reserved { tokens, offline });
+    shared.log.request(&call.key, budget, EventKind::Reserved { tokens, offline });
     match offline {
         true => drop(shared.metrics.offline.inc()),
-        false => shared.log.request(&call.key, budget, What::Recorded),
+        false => shared.log.request(&call.key, budget, EventKind::Recorded),
     }
 }
 
@@ -198,8 +198,8 @@
     let class = call.class().as_str();
     shared.metrics.requests.get_or_create(&Finished { class, outcome, reason }).inc();
     let what = match progress {
-        Progress::Refused(_) => What::Refused { reason: reason.into() },
-        Progress::Unknown(_) => What::Unknown { reason: reason.into() },
+        Progress::Refused(_) => EventKind::Refused { reason: reason.into() },
+        Progress::Unknown(_) => EventKind::Unknown { reason: reason.into() },
         Progress::Waiting | Progress::Streaming(_) | Progress::Answered(_) => return,
     };
     shared.log.request(&call.key, &call.caller.budget, what);
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use resource::Serves;
+use resource::Workload;
 use serde::Deserialize;
 
 /// Requests at once of an endpoint that does not say how many it takes.
@@ -91,7 +91,7 @@
                 let place = Place {
                     pool: name.clone(),
                     address: endpoint.address.clone(),
-                    model: matches!(spec.serves, Serves::Model(_)),
+                    model: matches!(spec.serves, Workload::Model(_)),
                     leaving,
                 };
                 state.places.insert(endpoint.name.clone(), place);
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -2,13 +2,13 @@
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
-use config::{Accepted, Verdict, gate, object_name};
+use config::{Accepted, Verdict, validate, object_name};
 use ledger::Incarnation;
 use member::Member;
 use objects::{Change, Error, Expect, Object, Write};
 use resource::Kind;
 use serde_json::json;
-use timeline::What;
+use timeline::EventKind;
 
 use crate::{reports::note_leaving, shared::Shared};
 
@@ -33,12 +33,12 @@
         };
         match step {
             Ok(at) => {
-                shared.health.answered();
+                shared.health.record_success();
                 shared.watched.send_replace(at.max(1));
                 from = Some(at);
             }
             Err(_) => {
-                shared.health.failed();
+                shared.health.record_failure();
                 tokio::time::sleep(AGAIN + shared.jitter(AGAIN)).await;
                 // Others' silence means nothing while this box could not hear them.
                 let now = shared.now();
@@ -106,7 +106,7 @@
         return;
     }
     let object = object_name(accepted.kind, &accepted.name).into();
-    shared.log.add(What::Applied { object, version: accepted.source });
+    shared.log.add(EventKind::Applied { object, version: accepted.source });
     if accepted.kind == Kind::Pool {
         let snapshot = shared.config.borrow().clone();
         note_leaving(shared, shared.endpoints.update(&snapshot, shared.now()));
@@ -197,10 +197,10 @@
     let known =
         found.as_ref().and_then(|object| serde_json::from_str::<Accepted>(&object.value).ok());
     let version = known.map(|accepted| accepted.source);
-    match gate(kind, &change.name, change.version, change.value.as_deref(), version) {
+    match validate(kind, &change.name, change.version, change.value.as_deref(), version) {
         Verdict::Keep => true,
         Verdict::Invalid { reason } => {
-            let what = What::Invalid { object: id.as_str().into(), reason: reason.as_str().into() };
+            let what = EventKind::Invalid { object: id.as_str().into(), reason: reason.as_str().into() };
             shared.log.add(what);
             report_invalid(shared, &id, change.version, &reason).await
         }
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/keeper.rs
@@ -59,19 +59,19 @@
     let expect = if version == 0 { Expect::Absent } else { Expect::Version(version) };
     match shared.store.put("member", name, member.to_json(), expect).await {
         Write::Landed(version) => {
-            shared.health.answered();
+            shared.health.record_success();
             version
         }
         Write::Refused | Write::Unknown => match shared.store.get("member", name).await {
             Ok(Some(object)) => object.version,
             Ok(None) => 0,
             Err(_) => {
-                shared.health.failed();
+                shared.health.record_failure();
                 version
             }
         },
         Write::Failed => {
-            shared.health.failed();
+            shared.health.record_failure();
             version
         }
     }
@@ -85,7 +85,7 @@
         while !shared.health.is_up() {
             tokio::time::sleep(wait + shared.jitter(wait)).await;
             if shared.store.get("member", shared.me().as_str()).await.is_ok() {
-                shared.health.answered();
+                shared.health.record_success();
             }
             wait = (wait * 2).min(PROBE_MOST);
         }
@@ -101,7 +101,7 @@
         let session = shared.sessions.current();
         session.funds.set_boxes(shared.boxes());
         get_ready(&shared, &session);
-        for incarnation in shared.sessions.keep().await {
+        for incarnation in shared.sessions.maintain().await {
             remove(&shared, &incarnation).await;
         }
     }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use rand::{SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
-use timeline::{Log, What};
+use timeline::{Log, EventKind};
 use wire::{Frame, Message, Peer, Status};
 
 /// Longest wait for an answer.
@@ -176,14 +176,14 @@
         }
         let peer = name.as_str().into();
         match (was, known.up) {
-            (false, true) => self.log.add(What::PeerBack { peer }),
-            (true, false) => self.log.add(What::PeerLost { peer }),
+            (false, true) => self.log.add(EventKind::PeerBack { peer }),
+            (true, false) => self.log.add(EventKind::PeerLost { peer }),
             _ => {}
         }
     }
 
     /// Makes a platform call through a peer that reaches the platform.
-    pub async fn call(&self, question: wire::Question) -> Option<Frame> {
+    pub async fn call(&self, question: wire::PlatformCall) -> Option<Frame> {
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
             let told = state.known.get(name).and_then(|known| known.told.as_ref());
@@ -203,7 +203,7 @@
 
 #[async_trait::async_trait]
 impl session::Peers for Peers {
-    async fn carry(&self, by: &Incarnation, entry: &Entry) -> usize {
+    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
         let asked = self.up(true).into_iter().take(CARRIERS).map(|(_, peer)| async move {
             let frame = Frame::Carry { by: by.clone(), entries: vec![entry.clone()] };
             self.ask(&peer, frame, WITHIN).await
@@ -213,7 +213,7 @@
         answers.iter().filter(took).count()
     }
 
-    async fn spare(&self, budget: &Arc<str>, tokens: u64) -> bool {
+    async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool {
         let asked = self.up(false).into_iter().take(ASKED).map(|(_, peer)| async move {
             let frame = Frame::Spare { budget: budget.clone(), tokens };
             self.ask(&peer, frame, CALL_WITHIN).await
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -8,7 +8,7 @@
 use ledger::Ended;
 use reqwest::Response;
 use session::Hold;
-use timeline::What;
+use timeline::EventKind;
 use wire::Place;
 
 use crate::{
@@ -100,7 +100,7 @@
         Err(_) if relay.first => return None,
         Err(_) => Err(Unknown::Broken),
     };
-    shared.log.request(&call.key, &call.caller.budget, What::Replayed);
+    shared.log.request(&call.key, &call.caller.budget, EventKind::Replayed);
     Some(relay.close(end, 0, model))
 }
 
@@ -305,7 +305,7 @@
         let budget = &self.call.caller.budget;
         if end.is_ok() {
             self.shared.metrics.tokens.inc_by(charged);
-            self.shared.log.request(&self.call.key, budget, What::Answered { tokens: charged });
+            self.shared.log.request(&self.call.key, budget, EventKind::Answered { tokens: charged });
         }
         match (end, self.streams, self.first) {
             (Ok(()), true, _) => {
--- a/crates/router/src/relayed.rs
+++ b/crates/router/src/relayed.rs
@@ -13,7 +13,7 @@
 };
 
 use objects::{Error, Expect, Host, Object, Store, Watch, Write};
-use wire::{Frame, Question};
+use wire::{Frame, PlatformCall};
 
 use crate::peers::Peers;
 
@@ -64,7 +64,7 @@
         }
     }
 
-    async fn objects(&self, question: Question) -> Result<Vec<Object>, Error> {
+    async fn objects(&self, question: PlatformCall) -> Result<Vec<Object>, Error> {
         match self.peers.call(question).await {
             Some(Frame::Found { objects: Some(objects) }) => {
                 Ok(objects.into_iter().map(object).collect())
@@ -73,7 +73,7 @@
         }
     }
 
-    async fn written(&self, question: Question) -> Write {
+    async fn written(&self, question: PlatformCall) -> Write {
         match self.peers.call(question).await {
             Some(Frame::Written(write)) => match write {
                 wire::Write::Landed(version) => Write::Landed(version),
@@ -99,7 +99,7 @@
             self.note(!matches!(answer, Err(Error::Unreachable { .. })));
             return answer;
         }
-        let question = Question::Get { kind: kind.into(), name: name.into() };
+        let question = PlatformCall::Get { kind: kind.into(), name: name.into() };
         Ok(self.objects(question).await?.into_iter().next())
     }
 
@@ -109,7 +109,7 @@
             self.note(!matches!(answer, Err(Error::Unreachable { .. })));
             return answer;
         }
-        self.objects(Question::List { kind: kind.into(), prefix: prefix.into() }).await
+        self.objects(PlatformCall::List { kind: kind.into(), prefix: prefix.into() }).await
     }
 
     async fn put(&self, kind: &str, name: &str, value: String, expect: Expect) -> Write {
@@ -122,14 +122,14 @@
             Expect::Absent => 0,
             Expect::Version(version) => version,
         };
-        self.written(Question::Put { kind: kind.into(), name: name.into(), value, version }).await
+        self.written(PlatformCall::Put { kind: kind.into(), name: name.into(), value, version }).await
     }
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write {
         if self.goes_direct() {
             return self.direct.delete(kind, name, version).await;
         }
-        self.written(Question::Delete { kind: kind.into(), name: name.into(), version }).await
+        self.written(PlatformCall::Delete { kind: kind.into(), name: name.into(), version }).await
     }
 
     async fn watch(&self, kinds: &[&str], from: u64) -> Result<Watch, Error> {
--- a/crates/router/src/reports.rs
+++ b/crates/router/src/reports.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use timeline::What;
+use timeline::EventKind;
 
 use crate::{
     endpoints::{Load, Target},
@@ -43,7 +43,7 @@
         }
         match shared.store.hosts().await {
             Ok(hosts) => note_leaving(&shared, shared.endpoints.hosts(&hosts)),
-            Err(_) => shared.health.failed(),
+            Err(_) => shared.health.record_failure(),
         }
     }
 }
@@ -51,6 +51,6 @@
 /// Notes endpoints that are leaving on the time line.
 pub fn note_leaving(shared: &Shared, endpoints: impl IntoIterator<Item = Arc<str>>) {
     for endpoint in endpoints {
-        shared.log.add(What::Leaving { endpoint });
+        shared.log.add(EventKind::Leaving { endpoint });
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,7 +6,7 @@
 use platform::store::Client;
 use salvo::{Server, conn::tcp::TcpAcceptor, fuse::FuseConfig, server::ServerHandle};
 use snafu::{ResultExt, Snafu};
-use timeline::{Log, What};
+use timeline::{Log, EventKind};
 use tokio::{net::TcpSocket, task::JoinHandle};
 
 use crate::{
@@ -79,7 +79,7 @@
             tokio::spawn(async move { server.serve(calls).await }),
             tokio::spawn(async move { Server::new(operators).serve(watch).await }),
         ];
-        shared.log.add(What::Started);
+        shared.log.add(EventKind::Started);
         let loops = spawn_loops(&shared);
         let (callers, operators) = addresses;
         Ok(Router { shared, callers, operators, peers, handle, servers, loops })
@@ -116,7 +116,7 @@
     }
 
     /// Waits until configuration up to a platform version is in force here.
-    pub async fn wait_watched(&self, version: u64) {
+    pub async fn wait_for_version(&self, version: u64) {
         let _ = self.shared.watched.subscribe().wait_for(|at| *at >= version).await;
     }
 
@@ -128,7 +128,7 @@
     /// The planned stop: unready first, then every request to its end, then all money returned.
     pub async fn stop(mut self) {
         let shared = self.shared.clone();
-        shared.log.add(What::Stopping);
+        shared.log.add(EventKind::Stopping);
         shared.stopping.send_replace(true);
         tokio::time::sleep(NOTICE).await;
         let limit = Duration::from_millis(shared.settings.limits.stop_ms);
@@ -147,7 +147,7 @@
         }
         let _ = tokio::time::timeout(limit, keeper::leave(&shared)).await;
         shared.ended.cancel();
-        shared.log.add(What::Stopped);
+        shared.log.add(EventKind::Stopped);
     }
 
     /// Ends at once, as a crash would: nothing is handed in or returned.
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use ledger::Ended;
-use resource::Unresolved;
+use resource::UnresolvedPolicy;
 use serde::Deserialize;
 use session::Hold;
 
@@ -94,7 +94,7 @@
 pub fn ruled(shared: &Shared, budget: &str) -> Ended {
     let snapshot = shared.config.borrow().clone();
     match snapshot.budgets.get(budget).map(|spec| spec.unresolved) {
-        Some(Unresolved::BillNothing) => Ended::Waived,
-        Some(Unresolved::ChargeReserved) | None => Ended::Broken,
+        Some(UnresolvedPolicy::BillNothing) => Ended::Waived,
+        Some(UnresolvedPolicy::ChargeReserved) | None => Ended::Broken,
     }
 }
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -6,8 +6,8 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use ledger::{Closing, Ended, Evidence, Incarnation, Journal};
-use session::windup::{self, Finding, Sealed};
-use timeline::What;
+use session::recovery::{self, Finding, Sealed};
+use timeline::EventKind;
 
 use crate::{keeper::remove, runs, shared::Shared};
 
@@ -66,10 +66,10 @@
 
 async fn wind_up_one(shared: &Arc<Shared>, name: &Incarnation, case: &mut Case) {
     let store = &*shared.store;
-    let journal = match windup::seal(store, name, &shared.me()).await {
+    let journal = match recovery::seal(store, name, &shared.me()).await {
         Sealed::Now(journal) => {
             shared.metrics.sealed.inc();
-            shared.log.add(What::Sealed { incarnation: name.as_str().into() });
+            shared.log.add(EventKind::Sealed { incarnation: name.as_str().into() });
             journal
         }
         Sealed::Before(journal) => journal,
@@ -80,19 +80,19 @@
     let waited = Duration::from_millis(shared.now().saturating_sub(case.sealed_at));
     let ruled = waited >= Duration::from_millis(shared.settings.money.resolve_after_ms);
     let findings = findings(shared, &journal, ruled).await;
-    let Some((journal, _)) = windup::resolve(store, journal, &findings).await else { return };
+    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else { return };
     note_resolved(shared, name, &findings);
     let destroyed = shared.config.borrow().is_destroyed(name.as_str());
     let closing = if destroyed { Closing::Destroyed } else { Closing::Sealed };
     let mut done = journal.open_records().next().is_none();
-    for budget in windup::budgets(&journal) {
-        done &= windup::close_grant(store, &budget, &journal, closing).await;
+    for budget in recovery::budgets(&journal) {
+        done &= recovery::close_grant(store, &budget, &journal, closing).await;
     }
     // A write of the dead that was on its way may still land: look again before forgetting it.
     if done && ruled {
         remove(shared, name).await;
-        for budget in windup::budgets(&journal) {
-            windup::forget(store, &budget, name).await;
+        for budget in recovery::budgets(&journal) {
+            recovery::forget(store, &budget, name).await;
         }
     }
 }
@@ -120,6 +120,6 @@
 fn note_resolved(shared: &Shared, name: &Incarnation, findings: &[Finding]) {
     for finding in findings {
         let incarnation = name.as_str().into();
-        shared.log.add(What::Resolved { incarnation, tokens: finding.charged });
+        shared.log.add(EventKind::Resolved { incarnation, tokens: finding.charged });
     }
 }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderName, header::CONTENT_TYPE};
 use ledger::Ended;
 use reqwest::Response;
-use timeline::What;
+use timeline::EventKind;
 
 use crate::{
     answer::Answer,
@@ -92,7 +92,7 @@
         Ok(answer) => {
             let charged = hold.finish(call.worst, Ended::Answered);
             shared.metrics.tokens.inc_by(charged);
-            let what = What::Answered { tokens: charged };
+            let what = EventKind::Answered { tokens: charged };
             shared.log.request(&call.key, &call.caller.budget, what);
             if let Some(claim) = claim {
                 claim.answered(kept(&answer));
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -13,7 +13,7 @@
 use parking_lot::Mutex;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use session::{Carried, Health, Options, Sessions, Setup};
+use session::{Replicas, Health, Options, Sessions, Setup};
 use timeline::Log;
 use tokio::{sync::watch, time::Instant};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
@@ -36,7 +36,7 @@
     pub direct: Arc<dyn Store>,
     pub relayed: Arc<Relayed>,
     pub peers: Peers,
-    pub carried: Carried,
+    pub replicas: Replicas,
     pub places: Places,
     pub tickets: Tickets,
     pub lanes: Lanes,
@@ -86,7 +86,7 @@
                 offline_horizon: settings.money.offline_horizon_s,
                 boxes: 1,
             },
-            spacing: Duration::from_millis(settings.money.spacing_ms),
+            min_write_interval: Duration::from_millis(settings.money.spacing_ms),
             log: log.clone(),
             peers: Some(Arc::new(peers.clone())),
         };
@@ -111,7 +111,7 @@
             ended: CancellationToken::new(),
             tasks: TaskTracker::new(),
             sessions,
-            carried: Carried::default(),
+            replicas: Replicas::default(),
             places: Places::default(),
             lanes: Lanes::default(),
             tickets: Tickets::new(random.random()),
--- a/crates/session/src/carry.rs
+++ b/crates/session/src/carry.rs
@@ -22,10 +22,10 @@
 #[async_trait::async_trait]
 pub trait Peers: Send + Sync {
     /// Gives an entry of the journal of `by` to peers that carry it; returns how many took it.
-    async fn carry(&self, by: &Incarnation, entry: &Entry) -> usize;
+    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize;
 
     /// Asks peers to return what they can spare to the ledger; true if any did.
-    async fn spare(&self, budget: &Arc<str>, tokens: u64) -> bool;
+    async fn return_surplus(&self, budget: &Arc<str>, tokens: u64) -> bool;
 
     /// Asks peers for offline tokens; the giver has debited itself already.
     async fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer>;
@@ -90,7 +90,7 @@
     }
 
     /// Incarnations that entries are carried for.
-    pub fn whose(&self) -> Vec<Incarnation> {
+    pub fn incarnations(&self) -> Vec<Incarnation> {
         self.0.lock().keys().cloned().collect()
     }
 
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -170,7 +170,7 @@
     }
 
     /// Returns what this box can spare of a budget that others lack; true if anything returned.
-    pub async fn spare(&self, budget: &Arc<str>) -> bool {
+    pub async fn return_surplus(&self, budget: &Arc<str>) -> bool {
         let entry = self.entry(budget);
         let before = entry.free(Part::Online) + entry.free(Part::Offline);
         let written = self.update(&entry, Purpose::Spare).await;
@@ -218,7 +218,7 @@
     }
 
     /// Folds, tops up and returns surplus of one budget.
-    pub async fn keep(&self, budget: &Arc<str>) -> Result<(), Denial> {
+    pub async fn maintain(&self, budget: &Arc<str>) -> Result<(), Denial> {
         self.update(&self.entry(budget), Purpose::Keep).await
     }
 
@@ -295,10 +295,10 @@
     async fn read(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
         let read = self.store.get("ledger", &entry.budget).await;
         let found = read.map_err(|_| {
-            self.health.failed();
+            self.health.record_failure();
             Denial::Unreachable
         })?;
-        self.health.answered();
+        self.health.record_success();
         book.read_at = Some(Instant::now());
         (book.version, book.ledger) = match found {
             None => (0, Some(Ledger::default())),
@@ -445,23 +445,23 @@
         let write = self.store.put("ledger", &entry.budget, next.to_json(), expect).await;
         match write {
             Write::Landed(version) => {
-                self.health.answered();
+                self.health.record_success();
                 self.landed(entry, book, next, draw, version);
                 Ok(true)
             }
             Write::Refused => {
-                self.health.answered();
+                self.health.record_success();
                 self.undo(entry, draw);
                 book.ledger = None;
                 Ok(false)
             }
             Write::Failed => {
-                self.health.failed();
+                self.health.record_failure();
                 self.undo(entry, draw);
                 Err(Denial::Unreachable)
             }
             Write::Unknown => {
-                self.health.failed();
+                self.health.record_failure();
                 let expected = book.version;
                 book.pending = Some(Pending { expected, next, draw, write: book.writes });
                 self.settle_pending(entry, book).await?;
@@ -521,7 +521,7 @@
         let returned = draw.return_online + draw.return_offline;
         let (online, offline) = (draw.online, draw.offline);
         if online + offline + returned > 0 {
-            let what = timeline::What::Drawn { online, offline, returned };
+            let what = timeline::EventKind::Drawn { online, offline, returned };
             self.log.budget(&entry.budget, what);
         }
         (book.version, book.ledger) = (version, Some(next));
--- a/crates/session/src/health.rs
+++ b/crates/session/src/health.rs
@@ -28,16 +28,16 @@
     }
 
     /// A call was answered.
-    pub fn answered(&self) {
+    pub fn record_success(&self) {
         *self.failures.lock() = 0;
         let changed = self.up.send_if_modified(|up| !std::mem::replace(up, true));
         if changed {
-            self.log.add(timeline::What::PlatformBack);
+            self.log.add(timeline::EventKind::PlatformBack);
         }
     }
 
     /// A call was not answered.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         let failures = {
             let mut failures = self.failures.lock();
             *failures += 1;
@@ -51,7 +51,7 @@
     fn lost(&self) {
         let changed = self.up.send_if_modified(|up| std::mem::replace(up, false));
         if changed {
-            self.log.add(timeline::What::PlatformLost);
+            self.log.add(timeline::EventKind::PlatformLost);
         }
     }
 
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -6,7 +6,7 @@
 //! another session and goes on, and the old one only hands in what it still owes.
 
 mod account;
-mod carry;
+mod replicas;
 mod draw;
 mod funds;
 mod health;
@@ -14,11 +14,11 @@
 mod session;
 mod sessions;
 mod usage;
-pub mod windup;
+pub mod recovery;
 
-pub use carry::{Carried, Peers};
+pub use replicas::{Replicas, Peers};
 pub use funds::{Denial, Funds, Options};
 pub use health::Health;
 pub use recorder::{Failure, Recorder, Work};
 pub use session::{Hold, HoldError, Session};
-pub use sessions::{Denied, Sessions, Setup};
+pub use sessions::{Rejection, Sessions, Setup};
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -82,7 +82,7 @@
     wake: Notify,
     landed: watch::Sender<u64>,
     sealed: watch::Sender<bool>,
-    spacing: Duration,
+    min_write_interval: Duration,
 }
 
 /// Handle on the recorder of one journal.
@@ -93,12 +93,12 @@
     /// Creates the journal of a new incarnation and starts its writer.
     ///
     /// The journal need not have landed yet: its creation is the recorder's first write.
-    /// `spacing` is the least time between two writes.
+    /// `min_write_interval` is the least time between two writes.
     pub fn spawn(
         incarnation: Incarnation,
         store: Arc<dyn Store>,
         health: Health,
-        spacing: Duration,
+        min_write_interval: Duration,
     ) -> Recorder {
         let journal = Arc::new(Journal::new(incarnation.clone()));
         let queue = Queue {
@@ -118,7 +118,7 @@
             wake: Notify::new(),
             landed: watch::channel(0).0,
             sealed: watch::channel(false).0,
-            spacing,
+            min_write_interval,
         });
         tokio::spawn(write_all(Arc::downgrade(&shared), shared.landed.subscribe()));
         Recorder(shared)
@@ -309,7 +309,7 @@
                 continue;
             }
         }
-        tokio::time::sleep(shared.spacing).await;
+        tokio::time::sleep(shared.min_write_interval).await;
     }
 }
 
@@ -331,20 +331,20 @@
         let write = self.store.put("journal", name, journal.to_json(), expect(base.version)).await;
         match write {
             Write::Landed(version) => {
-                self.health.answered();
+                self.health.record_success();
                 self.landed(&applied, Some(Base { journal: Arc::new(journal), version }));
                 Step::Landed
             }
             Write::Refused => {
-                self.health.answered();
+                self.health.record_success();
                 self.read_back().await
             }
             Write::Failed => {
-                self.health.failed();
+                self.health.record_failure();
                 Step::Failed
             }
             Write::Unknown => {
-                self.health.failed();
+                self.health.record_failure();
                 self.read_back().await
             }
         }
@@ -395,7 +395,7 @@
         let read = self.store.get("journal", self.incarnation.as_str()).await;
         let base = match read {
             Err(_) => {
-                self.health.failed();
+                self.health.record_failure();
                 return Step::Failed;
             }
             Ok(None) if self.base.lock().version == 0 => return Step::Again,
@@ -405,7 +405,7 @@
                 Err(_) => self.gone(),
             },
         };
-        self.health.answered();
+        self.health.record_success();
         let open = base.journal.is_open();
         *self.base.lock() = base;
         if !open {
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -27,8 +27,8 @@
 impl Session {
     /// Opens a session for a new incarnation.
     pub fn open(incarnation: Incarnation, setup: &Setup) -> Session {
-        let Setup { store, health, config, options, spacing, log, peers, .. } = setup.clone();
-        let recorder = Recorder::spawn(incarnation, store.clone(), health.clone(), spacing);
+        let Setup { store, health, config, options, min_write_interval, log, peers, .. } = setup.clone();
+        let recorder = Recorder::spawn(incarnation, store.clone(), health.clone(), min_write_interval);
         let funds = Funds::new(recorder.clone(), store, health, config, options, log);
         Session { recorder, funds: Arc::new(funds), peers, borrowed: Arc::default() }
     }
@@ -68,7 +68,7 @@
     async fn carry_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
         if let Some(peers) = &self.peers {
             let entry = Entry::Transfer(budget.clone(), transfer.clone());
-            let carrying = peers.carry(self.incarnation(), &entry);
+            let carrying = peers.replicate(self.incarnation(), &entry);
             let _ = tokio::time::timeout(CARRY, carrying).await;
         }
     }
@@ -86,7 +86,7 @@
             let (by, entries) = (self.incarnation().clone(), self.entries(record));
             tokio::spawn(async move {
                 for entry in entries {
-                    peers.carry(&by, &entry).await;
+                    peers.replicate(&by, &entry).await;
                 }
             });
         }
@@ -192,13 +192,13 @@
 
     /// Gives the record of offline work to carriers in reach, before it is dispatched. With none
     /// in reach the box alone remembers it.
-    pub(crate) async fn carry(&self) {
+    pub(crate) async fn replicate(&self) {
         if let Some(peers) = &self.session.peers {
             let entries = self.session.entries(&self.record);
             let by = self.session.incarnation();
             let carrying = async {
                 for entry in &entries {
-                    peers.carry(by, entry).await;
+                    peers.replicate(by, entry).await;
                 }
             };
             let _ = tokio::time::timeout(CARRY, carrying).await;
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use snafu::Snafu;
-use timeline::{Log, What};
+use timeline::{Log, EventKind};
 use tokio::sync::watch;
 
 use crate::{Denial, Failure, Health, Hold, HoldError, Options, Peers, Session};
@@ -33,7 +33,7 @@
     /// How parts are sized.
     pub options: Options,
     /// Least time between two journal writes.
-    pub spacing: Duration,
+    pub min_write_interval: Duration,
     /// The time line.
     pub log: Log,
     /// Other boxes in reach, if it takes peers.
@@ -100,7 +100,7 @@
         let old = std::mem::replace(&mut *current, Session::open(fresh.clone(), &self.setup));
         self.former.lock().push(old);
         self.setup.log.rename(fresh.as_str());
-        self.setup.log.add(What::Renewed { incarnation: fresh.as_str().into() });
+        self.setup.log.add(EventKind::Renewed { incarnation: fresh.as_str().into() });
         true
     }
 
@@ -117,7 +117,7 @@
                 Ok(hold) => return Ok(hold),
                 Err(HoldError::Denied(Denial::Exhausted)) if !asked => {
                     asked = true;
-                    if !self.spare(&record, patience).await {
+                    if !self.return_surplus(&record, patience).await {
                         return Err(Denied::Exhausted);
                     }
                 }
@@ -135,9 +135,9 @@
     }
 
     /// Peers return what they can spare, before a budget counts as exhausted.
-    async fn spare(&self, record: &Record, patience: Duration) -> bool {
+    async fn return_surplus(&self, record: &Record, patience: Duration) -> bool {
         let Some(peers) = &self.setup.peers else { return false };
-        let asking = peers.spare(&record.budget, record.reserved);
+        let asking = peers.return_surplus(&record.budget, record.reserved);
         tokio::time::timeout(patience, asking).await.unwrap_or(false)
     }
 
@@ -145,7 +145,7 @@
     async fn hold_offline(&self, record: Record) -> Result<Hold, Denied> {
         for session in self.former().into_iter().chain([self.current()]) {
             if let Some(hold) = session.hold_offline(record.clone()) {
-                hold.carry().await;
+                hold.replicate().await;
                 return Ok(hold);
             }
         }
@@ -166,7 +166,7 @@
         };
         session.receive(&record.budget, transfer).await;
         let hold = session.hold_offline(record).ok_or(Denied::OfflineExhausted)?;
-        hold.carry().await;
+        hold.replicate().await;
         Ok(hold)
     }
 
@@ -177,7 +177,7 @@
 
     /// Folds, tops up and returns for every budget; returns former incarnations that owe nothing
     /// any more.
-    pub async fn keep(&self) -> Vec<Incarnation> {
+    pub async fn maintain(&self) -> Vec<Incarnation> {
         let session = self.current();
         if session.recorder.is_sealed() {
             self.renew(session.incarnation());
@@ -185,7 +185,7 @@
         let session = self.current();
         for budget in session.funds.budgets() {
             // What fails now is tried again at the next turn.
-            let _ = session.funds.keep(&budget).await;
+            let _ = session.funds.maintain(&budget).await;
         }
         self.settle_former().await
     }
--- a/crates/session/src/windup.rs
+++ b/crates/session/src/windup.rs
@@ -58,7 +58,7 @@
 }
 
 /// Adds findings to a sealed journal; returns it as it stands after that, with how many were new.
-pub async fn resolve(
+pub async fn add_findings(
     store: &dyn Store,
     journal: Journal,
     findings: &[Finding],
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -38,7 +38,7 @@
         health: Health::open(log.clone()),
         config: receiver,
         options: Options { online_horizon: 5, offline_horizon: 60, boxes: 1 },
-        spacing: Duration::ZERO,
+        min_write_interval: Duration::ZERO,
         log,
         peers: None,
     };
@@ -58,7 +58,7 @@
     let mut largest = 0;
     for _ in 0..30 {
         tokio::time::sleep(Duration::from_secs(2)).await;
-        sessions.keep().await;
+        sessions.maintain().await;
         let object = memory.get("journal", me.as_str()).await.unwrap().unwrap();
         let journal: Journal = serde_json::from_str(&object.value).unwrap();
         largest = largest.max(journal.records.len());
--- a/crates/session/tests/world/mod.rs
+++ b/crates/session/tests/world/mod.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use config::{Snapshot, Verdict, gate};
+use config::{Snapshot, Verdict, validate};
 use faulty::{Condition, Faulty, Way};
 use ledger::{
     Bill, Closing, Ended, Entry, Evidence, Incarnation, Journal, Ledger, Page, Part, Record,
@@ -20,8 +20,8 @@
 use rand_chacha::ChaCha8Rng;
 use resource::Kind;
 use session::{
-    Carried, Health, Options, Sessions, Setup,
-    windup::{self, Finding, Sealed},
+    Replicas, Health, Options, Sessions, Setup,
+    recovery::{self, Finding, Sealed},
 };
 use standin::Memory;
 use tokio::sync::watch;
@@ -69,7 +69,7 @@
 }
 
 struct Node {
-    carried: Arc<Carried>,
+    carried: Arc<Replicas>,
     way: Way,
     health: Health,
     sessions: Arc<Sessions>,
@@ -77,7 +77,7 @@
 }
 
 /// What one box is to the others.
-type Peer = (Way, Arc<Carried>, Arc<Sessions>);
+type Peer = (Way, Arc<Replicas>, Arc<Sessions>);
 
 /// Peers of one box: they take records while they run, whatever the platform does.
 struct Peers {
@@ -88,7 +88,7 @@
 
 #[async_trait::async_trait]
 impl session::Peers for Peers {
-    async fn carry(&self, by: &Incarnation, entry: &Entry) -> usize {
+    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
         let all = self.all.lock().clone();
         let mut taken = 0;
         for (index, (way, carried, _)) in all.into_iter().enumerate() {
@@ -104,10 +104,10 @@
         taken
     }
 
-    async fn spare(&self, budget: &Arc<str>, _tokens: u64) -> bool {
+    async fn return_surplus(&self, budget: &Arc<str>, _tokens: u64) -> bool {
         let mut returned = false;
         for (_, _, sessions) in self.others() {
-            returned |= sessions.current().funds.spare(budget).await;
+            returned |= sessions.current().funds.return_surplus(budget).await;
         }
         returned
     }
@@ -202,7 +202,7 @@
             health: health.clone(),
             config: receiver,
             options: Options { online_horizon: 5, offline_horizon: 60, boxes: BOXES as u64 },
-            spacing: Duration::ZERO,
+            min_write_interval: Duration::ZERO,
             log,
             peers: Some(Arc::new(Peers {
                 me: index,
@@ -217,7 +217,7 @@
 
     fn declare(&mut self) {
         let spec = format!(r#"{{"customer": "dis", "paid": {}, "offline_share": 300}}"#, self.paid);
-        let Verdict::Accept(accepted) = gate(Kind::Budget, BUDGET, self.version, Some(&spec), None)
+        let Verdict::Accept(accepted) = validate(Kind::Budget, BUDGET, self.version, Some(&spec), None)
         else {
             panic!("the sample budget is valid");
         };
@@ -246,7 +246,7 @@
             Step::Cut(at) => *self.boxes[*at].way.cut.lock() = true,
             Step::Mend(at) => {
                 *self.boxes[*at].way.cut.lock() = false;
-                self.boxes[*at].health.answered();
+                self.boxes[*at].health.record_success();
             }
             Step::Seal { victim, by } => {
                 let name = self.boxes[*victim].sessions.me();
@@ -265,7 +265,7 @@
             }
             Step::Keep(at) => {
                 let sessions = self.boxes[*at].sessions.clone();
-                tokio::spawn(async move { sessions.keep().await });
+                tokio::spawn(async move { sessions.maintain().await });
             }
         }
     }
@@ -327,13 +327,13 @@
         for at in 0..BOXES {
             self.boxes[at].way.condition.send_replace(Condition::Running);
             *self.boxes[at].way.cut.lock() = false;
-            self.boxes[at].health.answered();
+            self.boxes[at].health.record_success();
         }
         for _ in 0..40 {
             tokio::time::sleep(Duration::from_secs(1)).await;
             for each in &self.boxes {
-                each.health.answered();
-                each.sessions.keep().await;
+                each.health.record_success();
+                each.sessions.maintain().await;
             }
             self.wind_up_dead().await;
         }
@@ -348,8 +348,8 @@
             .collect();
         let me = Incarnation::from("sealer.1");
         for each in &self.boxes {
-            for name in each.carried.whose().iter().filter(|name| !alive.contains(name)) {
-                windup::seal(&*each.way, name, &me).await;
+            for name in each.carried.incarnations().iter().filter(|name| !alive.contains(name)) {
+                recovery::seal(&*each.way, name, &me).await;
                 each.carried.hand_in(&*each.way, name, &me).await;
             }
         }
@@ -434,18 +434,18 @@
     variant: Variant,
 ) {
     let store: &dyn Store = &*way;
-    let journal = match windup::seal(store, &name, &Incarnation::from("sealer.1")).await {
+    let journal = match recovery::seal(store, &name, &Incarnation::from("sealer.1")).await {
         Sealed::Now(journal) | Sealed::Before(journal) => journal,
         Sealed::Missing | Sealed::Unknown => return,
     };
     let findings = findings(&journal, ruled, &truth, variant);
-    let Some((journal, _)) = windup::resolve(store, journal, &findings).await else { return };
+    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else { return };
     let closing = match variant {
         Variant::FreeOffline => Closing::Destroyed,
         _ => Closing::Sealed,
     };
-    for budget in windup::budgets(&journal) {
-        windup::close_grant(store, &budget, &journal, closing).await;
+    for budget in recovery::budgets(&journal) {
+        recovery::close_grant(store, &budget, &journal, closing).await;
     }
 }
 
--- a/crates/soak/src/call.rs
+++ b/crates/soak/src/call.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use http::{StatusCode, header};
-use platform::{played::Asked, request::Tokens};
+use platform::{fixtures::CallerHead, request::Tokens};
 use tokio::time::Instant;
 
 use crate::endpoint::{EVENT_TOKENS, Id};
@@ -102,8 +102,8 @@
     key: &'static str,
     id: Id,
 ) -> End {
-    let tokens = Tokens { prompt: id.prompt, most_output: id.events * EVENT_TOKENS };
-    let asked = Asked {
+    let tokens = Tokens { prompt: id.prompt, max_output: id.events * EVENT_TOKENS };
+    let asked = CallerHead {
         id: id.text(),
         key: Some(key.to_owned()),
         deadline: Some(DEADLINE),
--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -50,7 +50,7 @@
             boxes: self.boxes,
             length: Duration::from_secs(self.seconds),
             limits: !self.unlimited,
-            words: !self.wordless,
+            announcements: !self.wordless,
         }
     }
 }
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -7,8 +7,8 @@
 
 use http::{HeaderMap, HeaderValue, StatusCode, header};
 use parking_lot::Mutex;
-use platform::played;
-use standin::{Arrived, Reply, Scripted};
+use platform::fixtures;
+use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 use tokio::time::Instant;
 
 use crate::{need::Need, word::Word};
@@ -137,7 +137,7 @@
     pub name: Arc<str>,
     /// Service that it belongs to.
     pub service: &'static str,
-    scripted: Scripted,
+    scripted: ScriptedEndpoint,
 }
 
 impl Endpoint {
@@ -152,8 +152,8 @@
         let name: Arc<str> = name.into();
         let endpoint = name.clone();
         let began = Instant::now();
-        let scripted = Scripted::spawn(move |arrived| {
-            let Some(id) = Id::read(&arrived.told.id) else { return Reply::Close };
+        let scripted = ScriptedEndpoint::spawn(move |arrived| {
+            let Some(id) = Id::read(&arrived.head.id) else { return Reply::Close };
             let now = began.elapsed();
             let in_need = says.need.filter(|need| (need.from..need.until).contains(&now));
             let limit = in_need.map(|need| need.per_s);
@@ -186,42 +186,42 @@
     }
 }
 
-fn reply(arrival: &Arrival, arrived: &Arrived, service: &str) -> Reply {
+fn reply(arrival: &Arrival, arrived: &ReceivedRequest, service: &str) -> Reply {
     let id = arrival.id;
     let name = |mut headers: HeaderMap| {
         let number = |number: f64| HeaderValue::try_from(number.to_string()).expect("a number");
         if let Some(limit) = arrival.limit {
-            headers.insert(played::LIMIT, number(limit));
+            headers.insert(fixtures::LIMIT, number(limit));
         }
         if let Some(rest) = arrival.asks {
             headers.insert(header::RETRY_AFTER, number(rest.as_secs_f64()));
         }
         if arrival.leaves {
-            headers.insert(played::LEAVING, HeaderValue::from_static("1"));
+            headers.insert(fixtures::LEAVING, HeaderValue::from_static("1"));
         }
         headers
     };
-    let headers = name(played::answered(&arrived.told.id, None));
+    let headers = name(fixtures::answered(&arrived.head.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
     // An endpoint that asks for a back-off runs nothing.
     let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
     match conduct {
         Conduct::Closes => Reply::Close,
         Conduct::Declines => {
-            let (status, headers) = played::declined(&arrived.told.id);
-            Reply::Whole(status, name(headers), "full".into())
+            let (status, headers) = fixtures::not_run_response(&arrived.head.id);
+            Reply::Complete(status, name(headers), "full".into())
         }
-        Conduct::Tears => Reply::Torn(headers, events(id.events / 2)),
+        Conduct::Tears => Reply::Truncated(headers, events(id.events / 2)),
         Conduct::Answers if service == "engines" => {
             Reply::Events(headers, events(id.events), PAUSE)
         }
-        Conduct::Answers => Reply::Whole(StatusCode::OK, headers, id.answer()),
+        Conduct::Answers => Reply::Complete(StatusCode::OK, headers, id.answer()),
         Conduct::SaysMore => {
             let other = Id { number: id.number + 1, ..id };
             let body = other.answer();
             let length = body.len();
             let extra = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}");
-            Reply::Extra(StatusCode::OK, headers, id.answer(), extra)
+            Reply::TrailingData(StatusCode::OK, headers, id.answer(), extra)
         }
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -13,7 +13,7 @@
 use ledger::{BILLS, BOOK, Book, Page};
 use objects::{Expect, Store};
 use parking_lot::Mutex;
-use platform::played;
+use platform::fixtures;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
@@ -71,7 +71,7 @@
     /// Whether endpoints announce rate limits.
     pub limits: bool,
     /// Whether endpoints announce that they leave, or ask for back-offs.
-    pub words: bool,
+    pub announcements: bool,
 }
 
 /// Results of a run.
@@ -156,11 +156,11 @@
     };
     world.configure().await;
     let needs = need::draw(seed, ENDPOINTS.len(), options.length);
-    let words = word::draw(seed, &ENDPOINTS.map(|(_, service)| service), options.length);
+    let announcements = word::draw(seed, &ENDPOINTS.map(|(_, service)| service), options.length);
     for (number, (name, service)) in ENDPOINTS.into_iter().enumerate() {
         let says = Says {
             need: needs.get(&number).copied().filter(|_| options.limits),
-            word: words.get(&number).cloned().filter(|_| options.words),
+            word: announcements.get(&number).cloned().filter(|_| options.announcements),
         };
         let arrivals = world.shared.arrivals.clone();
         let endpoint = Endpoint::spawn(name, service, runs.clone(), says, arrivals).await;
@@ -208,11 +208,11 @@
         let routes = ["stream", "cancel", "confirm", "late"];
         let routes = if self.late { &routes[..] } else { &routes[..3] };
         let (kind, name) = platform::CONFIG;
-        self.write(kind, name, played::config(self.version, self.paid, routes)).await;
+        self.write(kind, name, fixtures::config(self.version, self.paid, routes)).await;
     }
 
     async fn list(&self, endpoint: &Endpoint, ready: bool) {
-        let entry = played::entry(endpoint.service, endpoint.address(), ready);
+        let entry = fixtures::entry(endpoint.service, endpoint.address(), ready);
         self.write(platform::ENDPOINTS, &endpoint.name, entry).await;
     }
 
@@ -291,11 +291,11 @@
             Kind::StoreDown => platform.set(|faults| faults.down = true),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::from_millis(150)),
             Kind::StoreLosesAnswers => platform.set(|faults| {
-                (faults.lose_answers, faults.late) = (0.4, Duration::from_millis(300));
+                (faults.drop_responses, faults.late) = (0.4, Duration::from_millis(300));
             }),
             Kind::Cut { at } => self.nodes[at].link.set_cut(true),
             Kind::Silence { at } => {
-                self.nodes[at].link.lose_open();
+                self.nodes[at].link.stall_open_connections();
                 return Ok(None);
             }
             Kind::Kill { at } => self.kill(at).await,
@@ -343,7 +343,7 @@
             Kind::Stop { at } if end.life != Some(self.life(at)) => {}
             Kind::StoreDown => platform.set(|faults| faults.down = false),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::ZERO),
-            Kind::StoreLosesAnswers => platform.set(|faults| faults.lose_answers = 0.0),
+            Kind::StoreLosesAnswers => platform.set(|faults| faults.drop_responses = 0.0),
             Kind::Cut { at } => self.nodes[at].link.set_cut(false),
             Kind::Pause { at } => self.signal(at, Signal::CONT)?,
             Kind::Kill { at } => self.start_again(at).await?,
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -4,7 +4,7 @@
 
 use objects::{Expect, Host, Write};
 use parking_lot::Mutex;
-use platform::served::{self, Answer, Call};
+use platform::store_server::{self, Answer, Call};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::StatusCode, http::header};
@@ -20,11 +20,11 @@
     /// Delay of every call but a watch.
     pub delay: Duration,
     /// Probability, from 0 to 1, that a write is applied but answered with 504.
-    pub lose_answers: f64,
+    pub drop_responses: f64,
     /// Delay of a write that is answered with 504; zero means that it is applied before the response.
-    pub late: Duration,
+    pub dropped_write_delay: Duration,
     /// Sources whose calls are rejected with 503, also while `down` is set.
-    pub turns_away: HashSet<IpAddr>,
+    pub rejected_sources: HashSet<IpAddr>,
     /// Limit of writes a second; 0 means no limit.
     pub writes_per_s: u32,
     /// Limit of reads a second, watches included; 0 means no limit.
@@ -132,7 +132,7 @@
     async fn serve(&self, request: &mut Request) -> Answer {
         let faults = self.0.faults.lock().clone();
         let from = request.remote_addr().as_ipv4().map(|address| (*address.ip()).into());
-        let refuses = from.is_some_and(|from: IpAddr| faults.turns_away.contains(&from));
+        let refuses = from.is_some_and(|from: IpAddr| faults.rejected_sources.contains(&from));
         if faults.down && !refuses {
             std::future::pending::<()>().await;
         }
@@ -154,12 +154,12 @@
             Call::Watch { kind, from, wait } => self.watch(&kind, from, wait).await,
             Call::Get { kind, name } => {
                 pause(faults.delay).await;
-                served::found(self.0.memory.read(&kind, &name).as_ref())
+                store_server::found(self.0.memory.read(&kind, &name).as_ref())
             }
             Call::List { kind, after } => {
                 pause(faults.delay).await;
                 let (objects, version) = self.0.memory.read_all(&kind, "");
-                served::page(&objects, after.as_deref(), version)
+                store_server::page(&objects, after.as_deref(), version)
             }
             Call::Put { kind, name, value, expect } => {
                 self.write(&kind, &name, Some(value), expect, &faults).await
@@ -182,7 +182,7 @@
         if self.0.faults.lock().down {
             std::future::pending::<()>().await;
         }
-        served::events(&watch.changes, watch.next, watch.gap)
+        store_server::events(&watch.changes, watch.next, watch.gap)
     }
 
     async fn write(
@@ -193,28 +193,28 @@
         expect: Expect,
         faults: &Faults,
     ) -> Answer {
-        let lost = faults.lose_answers > 0.0
-            && self.0.random.lock().random_bool(faults.lose_answers.min(1.0));
-        let delay = if lost { faults.late.max(faults.delay) } else { faults.delay };
+        let lost = faults.drop_responses > 0.0
+            && self.0.random.lock().random_bool(faults.drop_responses.min(1.0));
+        let delay = if lost { faults.dropped_write_delay.max(faults.delay) } else { faults.delay };
         let applied = self.apply_later(kind, name, value, expect, delay);
         if lost {
             // With a delay, the write is applied after this response.
-            if faults.late.is_zero() {
+            if faults.dropped_write_delay.is_zero() {
                 applied.await;
             }
             return (StatusCode::GATEWAY_TIMEOUT, "no answer".into());
         }
         match applied.await {
             Write::Landed(version) => match self.0.memory.read(kind, name) {
-                Some(object) if object.version == version => served::found(Some(&object)),
-                _ => served::found(Some(&objects::Object {
+                Some(object) if object.version == version => store_server::found(Some(&object)),
+                _ => store_server::found(Some(&objects::Object {
                     kind: kind.into(),
                     name: name.into(),
                     version,
                     value: "null".into(),
                 })),
             },
-            Write::Refused => served::refused(self.0.memory.read(kind, name).as_ref()),
+            Write::Refused => store_server::refused(self.0.memory.read(kind, name).as_ref()),
             _ => (StatusCode::PAYLOAD_TOO_LARGE, "too large".into()),
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -19,7 +19,7 @@
 pub use batch::Speed;
 pub use engine::{Engine, Fault, Run, Settings, Truth};
 pub use link::Link;
-pub use scripted::{Arrived, Reply, Scripted};
+pub use scripted::{ReceivedRequest, Reply, ScriptedEndpoint};
 pub use serve::Server;
 pub use service::{Execution, Service};
 pub use store::{Memory, Usage};
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -79,7 +79,7 @@
     }
 
     /// Stops forwarding of the connections that are open now, for ever; new ones work.
-    pub fn lose_open(&self) {
+    pub fn stall_open_connections(&self) {
         self.gate.send_modify(|gate| gate.lost += 1);
     }
 
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, StatusCode};
 use parking_lot::Mutex;
-use platform::played::Told;
+use platform::fixtures::ForwardedHead;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -17,11 +17,11 @@
 
 /// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     /// Request line.
     pub line: String,
     /// Headers that the router sets.
-    pub told: Told,
+    pub head: ForwardedHead,
     /// Body.
     pub body: Vec<u8>,
     /// Number of the connection that it arrived on, from 1.
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// Sends a complete response with a length.
-    Whole(StatusCode, HeaderMap, String),
+    Complete(StatusCode, HeaderMap, String),
     /// Sends a complete response with a length, followed by further bytes.
-    Extra(StatusCode, HeaderMap, String, String),
+    TrailingData(StatusCode, HeaderMap, String, String),
     /// Sends a response without a length and closes the connection.
     Unframed(HeaderMap, String),
     /// Sends a response without a length and resets the connection.
@@ -42,7 +42,7 @@
     /// Sends a complete chunked response, one event in each chunk, with a pause after each.
     Events(HeaderMap, Vec<String>, Duration),
     /// Sends events in chunks and closes the connection without the last chunk.
-    Torn(HeaderMap, Vec<String>),
+    Truncated(HeaderMap, Vec<String>),
     /// Closes the connection without a response.
     Close,
     /// Never responds, but goes on reading.
@@ -53,25 +53,25 @@
     CrashUnframed(HeaderMap, Duration),
 }
 
-type Script = dyn Fn(&Arrived) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 #[derive(Default)]
 struct Seen {
-    arrived: Vec<Arrived>,
+    arrived: Vec<ReceivedRequest>,
     connections: usize,
     closed: usize,
 }
 
 /// A running endpoint on loopback; it stops when dropped.
-pub struct Scripted {
+pub struct ScriptedEndpoint {
     address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     task: JoinHandle<()>,
 }
 
-impl Scripted {
+impl ScriptedEndpoint {
     /// Binds a free loopback port and responds to each request as `script` returns.
-    pub async fn spawn(script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static) -> Scripted {
+    pub async fn spawn(script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
         let seen: Arc<Mutex<Seen>> = Arc::default();
@@ -90,7 +90,7 @@
                 }
             }
         });
-        Scripted { address, seen, task }
+        ScriptedEndpoint { address, seen, task }
     }
 
     /// Address that it listens on.
@@ -99,7 +99,7 @@
     }
 
     /// All requests received so far, in order.
-    pub fn arrived(&self) -> Vec<Arrived> {
+    pub fn arrived(&self) -> Vec<ReceivedRequest> {
         self.seen.lock().arrived.clone()
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-impl Drop for Scripted {
+impl Drop for ScriptedEndpoint {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -153,7 +153,7 @@
     seen.lock().closed += 1;
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, connection: usize) -> Option<Arrived> {
+async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, connection: usize) -> Option<ReceivedRequest> {
     let end = loop {
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
@@ -180,7 +180,7 @@
     }
     let body = buffer[end..end + length].to_vec();
     buffer.drain(..end + length);
-    Some(Arrived { line, told: Told::read(&headers), body, connection })
+    Some(ReceivedRequest { line, head: ForwardedHead::read(&headers), body, connection })
 }
 
 fn head(status: StatusCode, headers: &HeaderMap, framing: &str) -> String {
@@ -203,10 +203,10 @@
 async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
-        Reply::Whole(status, headers, body) => {
+        Reply::Complete(status, headers, body) => {
             stream.write_all(whole(status, &headers, &body).as_bytes()).await.is_ok()
         }
-        Reply::Extra(status, headers, body, extra) => {
+        Reply::TrailingData(status, headers, body, extra) => {
             let bytes = whole(status, &headers, &body) + &extra;
             stream.write_all(bytes.as_bytes()).await.is_ok()
         }
@@ -234,7 +234,7 @@
             }
             stream.write_all(b"0\r\n\r\n").await.is_ok()
         }
-        Reply::Torn(headers, events) => {
+        Reply::Truncated(headers, events) => {
             let chunks: String = events.iter().map(|event| chunk(event)).collect();
             let bytes = head(StatusCode::OK, &headers, CHUNKED) + &chunks;
             let _ = stream.write_all(bytes.as_bytes()).await;
--- a/crates/timeline/src/event.rs
+++ b/crates/timeline/src/event.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Stamp;
+use crate::Timestamp;
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum EventKind {
     /// A process started as a new incarnation.
     Started,
     /// A planned stop began.
@@ -70,13 +70,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Hybrid logical time.
-    pub at: Stamp,
+    pub at: Timestamp,
     /// Incarnation that saw it.
     pub by: Arc<str>,
     /// Number among that process's events, from 1.
     pub seq: u64,
     /// What happened.
-    pub what: What,
+    pub what: EventKind,
     /// Request it belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Arc<str>>,
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -9,7 +9,7 @@
 mod log;
 mod merge;
 
-pub use clock::{Clock, Stamp};
-pub use event::{Event, What};
+pub use clock::{Clock, Timestamp};
+pub use event::{Event, EventKind};
 pub use log::Log;
 pub use merge::{Filter, merge, parse, render};
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -8,7 +8,7 @@
 
 use parking_lot::Mutex;
 
-use crate::{Clock, Event, Stamp, What};
+use crate::{Clock, Event, Timestamp, EventKind};
 
 /// Events kept in memory.
 const RING: usize = 4_096;
@@ -43,21 +43,21 @@
     }
 
     /// Adds an event of the process itself.
-    pub fn add(&self, what: What) {
+    pub fn add(&self, what: EventKind) {
         self.push(what, None, None);
     }
 
     /// Adds an event of one request.
-    pub fn request(&self, request: &Arc<str>, budget: &Arc<str>, what: What) {
+    pub fn request(&self, request: &Arc<str>, budget: &Arc<str>, what: EventKind) {
         self.push(what, Some(request.clone()), Some(budget.clone()));
     }
 
     /// Adds an event of one budget.
-    pub fn budget(&self, budget: &Arc<str>, what: What) {
+    pub fn budget(&self, budget: &Arc<str>, what: EventKind) {
         self.push(what, None, Some(budget.clone()));
     }
 
-    fn push(&self, what: What, request: Option<Arc<str>>, budget: Option<Arc<str>>) {
+    fn push(&self, what: EventKind, request: Option<Arc<str>>, budget: Option<Arc<str>>) {
         let mut state = self.0.lock();
         let at = state.clock.tick(wall_ms());
         state.seq += 1;
@@ -73,12 +73,12 @@
     }
 
     /// The stamp to send along with a message.
-    pub fn stamp(&self) -> Stamp {
+    pub fn stamp(&self) -> Timestamp {
         self.0.lock().clock.tick(wall_ms())
     }
 
     /// Takes over the stamp of a message that came in.
-    pub fn observe(&self, seen: Stamp) {
+    pub fn observe(&self, seen: Timestamp) {
         self.0.lock().clock.observe(seen, wall_ms());
     }
 
--- a/crates/timeline/src/merge.rs
+++ b/crates/timeline/src/merge.rs
@@ -66,11 +66,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Stamp, What};
+    use crate::{Timestamp, EventKind};
 
     fn event(ms: u64, by: &str, seq: u64) -> Event {
-        let at = Stamp { ms, count: 0 };
-        Event { at, by: by.into(), seq, what: What::Recorded, request: None, budget: None }
+        let at = Timestamp { ms, count: 0 };
+        Event { at, by: by.into(), seq, what: EventKind::Recorded, request: None, budget: None }
     }
 
     #[test]
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -6,7 +6,7 @@
 use objects::Store;
 use serde::Serialize;
 
-use crate::{Fleet, Got, Outcome};
+use crate::{Fleet, Response, Outcome};
 
 /// Results of an audit; experiments print them under these names.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
@@ -59,7 +59,7 @@
 
 /// Responses, executions and books of a fleet.
 pub struct Audit {
-    told: Vec<Got>,
+    responses: Vec<Response>,
     /// Runs by `customer.key`, each with its budget and its tokens.
     ran: BTreeMap<String, Vec<(String, u64)>>,
     unrepeatable: BTreeSet<String>,
@@ -72,7 +72,7 @@
     /// Reads the state of a fleet; all its runs should be billed by now.
     pub async fn of(fleet: &Fleet) -> Audit {
         let mut audit = Audit {
-            told: fleet.caller.told(),
+            responses: fleet.caller.responses(),
             ran: BTreeMap::new(),
             unrepeatable: BTreeSet::new(),
             bills: BTreeMap::new(),
@@ -94,7 +94,7 @@
             let runs = self.ran.entry(run.key.clone()).or_default();
             runs.push((run.budget, cost.unwrap_or(0)));
         }
-        let unrepeatable = self.told.iter().filter(|got| got.route == "cancel");
+        let unrepeatable = self.responses.iter().filter(|got| got.route == "cancel");
         self.unrepeatable = unrepeatable.map(id).collect();
     }
 
@@ -134,7 +134,7 @@
     /// Compares what was read.
     pub fn figures(&self) -> Figures {
         let count = |outcome: &[Outcome]| {
-            self.told.iter().filter(|got| outcome.contains(&got.outcome)).count() as u64
+            self.responses.iter().filter(|got| outcome.contains(&got.outcome)).count() as u64
         };
         let served = self.served();
         let over = |(budget, tokens): (&&str, &u64)| {
@@ -142,15 +142,15 @@
         };
         let twice = |key: &&String| self.ran.get(*key).is_some_and(|runs| runs.len() > 1);
         Figures {
-            requests: self.told.len() as u64,
+            requests: self.responses.len() as u64,
             answered: count(&[Outcome::Answered]),
             refused_not_run: count(&[Outcome::NotRun]),
-            unknown: count(&[Outcome::Unknown, Outcome::Nothing]),
+            unknown: count(&[Outcome::Unknown, Outcome::NoResponse]),
             overspend_tokens: served.iter().map(over).sum(),
             unbilled: self.ran.keys().filter(|key| !self.bills.contains_key(*key)).count() as u64,
             double_billed: self.bills.values().filter(|bills| bills.len() > 1).count() as u64,
             ran_twice: self.unrepeatable.iter().filter(twice).count() as u64,
-            crossed: self.told.iter().filter(|got| got.crossed).count() as u64,
+            crossed: self.responses.iter().filter(|got| got.crossed).count() as u64,
             lied_not_run: self.lied(),
             stranded_tokens: self.ledgers.values().flat_map(|l| l.stranded().into_values()).sum(),
             unsound_ledgers: self.ledgers.iter().filter(|(name, l)| !self.adds_up(name, l)).count()
@@ -174,7 +174,7 @@
 
     fn lied(&self) -> u64 {
         let mut only_refused: BTreeMap<String, bool> = BTreeMap::new();
-        for got in &self.told {
+        for got in &self.responses {
             let refused = got.outcome == Outcome::NotRun && got.reason != "key_reused";
             let all = only_refused.entry(id(got)).or_insert(true);
             *all &= refused;
@@ -195,6 +195,6 @@
     }
 }
 
-fn id(got: &Got) -> String {
+fn id(got: &Response) -> String {
     format!("{}.{}", got.customer, got.key)
 }
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -11,7 +11,7 @@
 
 /// A request of a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Request {
     pub customer: String,
     /// Budget that pays.
     pub budget: String,
@@ -31,10 +31,10 @@
     pub max_tokens: u64,
 }
 
-impl Ask {
+impl Request {
     /// A short streamed completion.
-    pub fn chat(customer: &str, budget: &str, key: &str) -> Ask {
-        Ask {
+    pub fn chat(customer: &str, budget: &str, key: &str) -> Request {
+        Request {
             customer: customer.into(),
             budget: budget.into(),
             route: "assistant".into(),
@@ -48,12 +48,12 @@
     }
 
     /// A call of a plain service.
-    pub fn service(customer: &str, budget: &str, route: &str, key: &str) -> Ask {
-        Ask {
+    pub fn service(customer: &str, budget: &str, route: &str, key: &str) -> Request {
+        Request {
             route: route.into(),
             service: true,
             stream: false,
-            ..Ask::chat(customer, budget, key)
+            ..Request::chat(customer, budget, key)
         }
     }
 
@@ -81,12 +81,12 @@
     /// The request may have run.
     Unknown,
     /// No response, or an incomplete one.
-    Nothing,
+    NoResponse,
 }
 
 /// What a caller received for a request.
 #[derive(Debug, Clone)]
-pub struct Got {
+pub struct Response {
     /// Key of the request.
     pub key: String,
     pub customer: String,
@@ -115,33 +115,33 @@
 #[derive(Clone)]
 pub struct Caller {
     http: reqwest::Client,
-    told: Arc<Mutex<Vec<Got>>>,
-    patience: Duration,
+    responses: Arc<Mutex<Vec<Response>>>,
+    request_timeout: Duration,
 }
 
 impl Caller {
-    /// A caller that waits for each response for `patience` at most.
-    pub fn new(patience: Duration) -> Caller {
+    /// A caller that waits for each response for `request_timeout` at most.
+    pub fn new(request_timeout: Duration) -> Caller {
         let http = reqwest::Client::builder()
             .no_proxy()
             .tcp_nodelay(true)
             .build()
             .expect("a client without TLS settings always builds");
-        Caller { http, told: Arc::default(), patience }
+        Caller { http, responses: Arc::default(), request_timeout }
     }
 
     /// All responses so far.
-    pub fn told(&self) -> Vec<Got> {
-        self.told.lock().clone()
+    pub fn responses(&self) -> Vec<Response> {
+        self.responses.lock().clone()
     }
 
     /// Sends a request to a box.
-    pub async fn ask(&self, to: SocketAddr, ask: &Ask) -> Got {
+    pub async fn ask(&self, to: SocketAddr, ask: &Request) -> Response {
         let start = Instant::now();
-        let mut got = Got {
+        let mut got = Response {
             key: ask.key.clone(),
             customer: ask.customer.clone(),
-            outcome: Outcome::Nothing,
+            outcome: Outcome::NoResponse,
             reason: String::new(),
             status: 0,
             tokens: 0,
@@ -153,12 +153,12 @@
             route: ask.route.clone(),
         };
         let receive = self.receive(to, ask, start, &mut got);
-        if tokio::time::timeout(self.patience, receive).await.is_err() {
-            got.outcome = Outcome::Nothing;
+        if tokio::time::timeout(self.request_timeout, receive).await.is_err() {
+            got.outcome = Outcome::NoResponse;
             got.reason = "caller_gave_up".into();
         }
         got.total = start.elapsed();
-        self.told.lock().push(got.clone());
+        self.responses.lock().push(got.clone());
         got
     }
 
@@ -178,7 +178,7 @@
         tickets.filter_map(|ticket| ticket.as_str().map(str::to_owned)).collect()
     }
 
-    fn request(&self, to: SocketAddr, ask: &Ask) -> reqwest::RequestBuilder {
+    fn request(&self, to: SocketAddr, ask: &Request) -> reqwest::RequestBuilder {
         let request = match ask.service {
             true => {
                 let url = format!("http://{to}/services/{}/chairs/7", ask.route);
@@ -193,16 +193,16 @@
         request.bearer_auth(key).header("idempotency-key", &ask.key)
     }
 
-    async fn receive(&self, to: SocketAddr, ask: &Ask, start: Instant, got: &mut Got) {
+    async fn receive(&self, to: SocketAddr, ask: &Request, start: Instant, got: &mut Response) {
         let Ok(answer) = self.request(to, ask).send().await else { return };
         got.status = answer.status().as_u16();
         let header = answer.headers().get("flintstall-outcome");
-        let told = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
-        let outcome = match told {
+        let responses = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let outcome = match responses {
             "answered" => Outcome::Answered,
             "not-run" => Outcome::NotRun,
             "unknown" => Outcome::Unknown,
-            _ => Outcome::Nothing,
+            _ => Outcome::NoResponse,
         };
         let mut parts = answer.bytes_stream();
         let mut body = Vec::new();
@@ -222,7 +222,7 @@
     }
 }
 
-fn judge(ask: &Ask, got: &mut Got) {
+fn judge(ask: &Request, got: &mut Response) {
     if got.outcome != Outcome::Answered {
         let error: Value = serde_json::from_str(&got.body).unwrap_or_default();
         got.reason = error["error"]["code"].as_str().unwrap_or_default().to_owned();
@@ -239,7 +239,7 @@
     got.crossed = !words.iter().enumerate().all(own);
 }
 
-fn streamed_text(got: &mut Got) -> String {
+fn streamed_text(got: &mut Response) -> String {
     let mut text = String::new();
     let mut whole = false;
     for line in got.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
@@ -259,7 +259,7 @@
     text
 }
 
-fn plain_text(got: &Got) -> String {
+fn plain_text(got: &Response) -> String {
     let body: Value = serde_json::from_str(&got.body).unwrap_or_default();
     body["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
 }
