--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -44,7 +44,7 @@
     /// Largest number of output tokens in a response.
     pub max_output: u64,
     /// Longest wait of a caller for a complete response.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 impl Default for Plan {
@@ -71,7 +71,7 @@
             customers: vec![("dis".into(), vec![("bornova".into(), 100_000)])],
             offline_share: None,
             max_output: 512,
-            patience: Duration::from_secs(20),
+            request_timeout: Duration::from_secs(20),
         }
     }
 }
@@ -113,7 +113,7 @@
         for _ in 0..plan.services {
             services.push(Service::spawn(plan.service_time).await);
         }
-        let caller = Caller::new(plan.patience);
+        let caller = Caller::new(plan.request_timeout);
         let mut fleet = Fleet {
             plan,
             platform,
@@ -258,7 +258,7 @@
             if accepted.len() >= sources {
                 let newest = accepted.iter().map(|object| object.version).max().unwrap_or(0);
                 for node in self.nodes.iter().filter(|node| !node.is_down()) {
-                    node.wait_watched(newest).await;
+                    node.wait_for_version(newest).await;
                 }
                 return;
             }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -11,7 +11,7 @@
 mod samples;
 
 pub use audit::{Audit, Figures};
-pub use caller::{Ask, Caller, Got, Outcome};
+pub use caller::{Request, Caller, Response, Outcome};
 pub use fleet::{Fleet, Plan};
 pub use node::Node;
 pub use samples::{Sample, api_key, resources};
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -105,7 +105,7 @@
     }
 
     /// Waits until the router has applied all changes up to a version of the platform.
-    pub async fn wait_watched(&self, version: u64) {
+    pub async fn wait_for_version(&self, version: u64) {
         let (sender, receiver) = oneshot::channel();
         if self.commands.send(Command::Watched(version, sender)).is_ok() {
             let _ = receiver.await;
@@ -226,7 +226,7 @@
                 let _ = answer.send(router.version(kind, &name));
             }
             Command::Watched(version, done) => {
-                router.wait_watched(version).await;
+                router.wait_for_version(version).await;
                 let _ = done.send(());
             }
         }
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trial::{Ask, Figures, Fleet, Got, Outcome, Plan};
+use trial::{Request, Figures, Fleet, Response, Outcome, Plan};
 
 /// Longest wait until all runs are billed.
 const SETTLE: Duration = Duration::from_secs(40);
@@ -17,12 +17,12 @@
     fleet
 }
 
-fn ask(key: &str) -> Ask {
-    Ask::chat("dis", "bornova", key)
+fn ask(key: &str) -> Request {
+    Request::chat("dis", "bornova", key)
 }
 
 /// Sends a request again with the same key until there is a complete response.
-async fn insist(fleet: &Fleet, at: usize, ask: &Ask) -> Got {
+async fn insist(fleet: &Fleet, at: usize, ask: &Request) -> Response {
     loop {
         let got = fleet.caller.ask(fleet.to(at), ask).await;
         if got.outcome == Outcome::Answered {
@@ -56,7 +56,7 @@
 async fn a_box_cut_off_from_the_platform_alone_works_through_a_peer() {
     let fleet = ready(Plan::default()).await;
     fleet.links[0].set_cut(true);
-    let cancel = |n: usize| Ask::service("dis", "bornova", "cancel", &format!("chair-{n}"));
+    let cancel = |n: usize| Request::service("dis", "bornova", "cancel", &format!("chair-{n}"));
     // A claim needs the platform, so a response shows that the box worked through a peer.
     insist(&fleet, 0, &cancel(1)).await;
     insist(&fleet, 0, &cancel(2)).await;
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn a_killed_box_loses_no_bill_and_its_online_tokens_come_back() {
     let mut fleet = ready(Plan::default()).await;
-    let long = Ask { output: 60, max_tokens: 80, ..ask("long") };
+    let long = Request { output: 60, max_tokens: 80, ..ask("long") };
     let (to, caller, wanted) = (fleet.to(0), fleet.caller.clone(), long.clone());
     let asking = tokio::spawn(async move { caller.ask(to, &wanted).await });
     while fleet.engines.iter().all(|engine| engine.truth().runs.is_empty()) {
@@ -117,14 +117,14 @@
 #[tokio::test]
 async fn lost_answers_lose_and_double_nothing() {
     let fleet = ready(Plan::default()).await;
-    fleet.platform.set(|faults| faults.lose_answers = 0.3);
+    fleet.platform.set(|faults| faults.drop_responses = 0.3);
     for number in 0..12 {
         insist(&fleet, number % 3, &ask(&format!("lossy-{number}"))).await;
         let key = format!("chair-{number}");
-        let cancel = Ask::service("dis", "bornova", "cancel", &key);
+        let cancel = Request::service("dis", "bornova", "cancel", &key);
         insist(&fleet, (number + 1) % 3, &cancel).await;
     }
-    fleet.platform.set(|faults| faults.lose_answers = 0.0);
+    fleet.platform.set(|faults| faults.drop_responses = 0.0);
     settled(&fleet).await;
 }
 
--- a/crates/trial/tests/path.rs
+++ b/crates/trial/tests/path.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trial::{Ask, Fleet, Outcome, Plan};
+use trial::{Request, Fleet, Outcome, Plan};
 
 /// Longest wait until all runs are billed.
 const SETTLE: Duration = Duration::from_secs(20);
@@ -10,12 +10,12 @@
 #[tokio::test]
 async fn answers_are_whole_and_billed_once() {
     let fleet = Fleet::spawn(Plan::default()).await;
-    let streamed = fleet.caller.ask(fleet.to(0), &Ask::chat("dis", "bornova", "a")).await;
+    let streamed = fleet.caller.ask(fleet.to(0), &Request::chat("dis", "bornova", "a")).await;
     assert_eq!((streamed.outcome, streamed.tokens), (Outcome::Answered, 8), "{streamed:?}");
-    let plain = Ask { stream: false, ..Ask::chat("dis", "bornova", "b") };
+    let plain = Request { stream: false, ..Request::chat("dis", "bornova", "b") };
     let plain = fleet.caller.ask(fleet.to(1), &plain).await;
     assert_eq!((plain.outcome, plain.tokens), (Outcome::Answered, 8), "{plain:?}");
-    let service = Ask::service("dis", "bornova", "lookup", "c");
+    let service = Request::service("dis", "bornova", "lookup", "c");
     let service = fleet.caller.ask(fleet.to(2), &service).await;
     assert_eq!(service.outcome, Outcome::Answered, "{service:?}");
     assert!(fleet.settle(SETTLE).await);
@@ -27,7 +27,7 @@
 #[tokio::test]
 async fn an_unrepeatable_call_runs_once_whichever_box_gets_the_retry() {
     let fleet = Fleet::spawn(Plan::default()).await;
-    let ask = Ask::service("dis", "bornova", "cancel", "chair-7");
+    let ask = Request::service("dis", "bornova", "cancel", "chair-7");
     let first = fleet.caller.ask(fleet.to(0), &ask).await;
     assert_eq!(first.outcome, Outcome::Answered);
     let same_box = fleet.caller.ask(fleet.to(0), &ask).await;
@@ -47,10 +47,10 @@
 async fn a_request_past_its_budget_is_refused_and_did_not_run() {
     let customers = vec![("dis".into(), vec![("bornova".into(), 60)])];
     let fleet = Fleet::spawn(Plan { customers, ..Plan::default() }).await;
-    let ask = Ask { output: 30, max_tokens: 30, ..Ask::chat("dis", "bornova", "a") };
+    let ask = Request { output: 30, max_tokens: 30, ..Request::chat("dis", "bornova", "a") };
     let first = fleet.caller.ask(fleet.to(0), &ask).await;
     assert_eq!(first.outcome, Outcome::Answered, "{first:?}");
-    let second = fleet.caller.ask(fleet.to(1), &Ask { key: "b".into(), ..ask }).await;
+    let second = fleet.caller.ask(fleet.to(1), &Request { key: "b".into(), ..ask }).await;
     assert_eq!((second.outcome, second.reason.as_str()), (Outcome::NotRun, "budget_exhausted"));
     assert_eq!(second.status, 402);
     assert!(fleet.settle(SETTLE).await);
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn a_planned_stop_cuts_off_nothing_and_returns_everything() {
     let mut fleet = Fleet::spawn(Plan::default()).await;
-    let long = Ask { output: 120, max_tokens: 150, ..Ask::chat("dis", "bornova", "long") };
+    let long = Request { output: 120, max_tokens: 150, ..Request::chat("dis", "bornova", "long") };
     let (to, caller) = (fleet.to(0), fleet.caller.clone());
     let answer = tokio::spawn(async move { caller.ask(to, &long).await });
     while fleet.engines.iter().all(|engine| engine.truth().runs.is_empty()) {
@@ -83,7 +83,7 @@
 async fn resolving_a_dead_box_calls_no_service() {
     let mut fleet = Fleet::spawn(Plan::default()).await;
     fleet.services[0].set_drop_answers(true);
-    let ask = Ask::service("dis", "bornova", "cancel", "chair-9");
+    let ask = Request::service("dis", "bornova", "cancel", "chair-9");
     let (to, caller) = (fleet.to(0), fleet.caller.clone());
     let asking = tokio::spawn(async move { caller.ask(to, &ask).await });
     while fleet.services[0].executions().is_empty() {
@@ -106,7 +106,7 @@
     }
     let tickets = fleet.caller.tickets(fleet.to(0), "dis", "bornova", 2).await;
     fleet.platform.set(|faults| faults.down = true);
-    let ask = |key: &str| Ask::service("dis", "bornova", "cancel", key);
+    let ask = |key: &str| Request::service("dis", "bornova", "cancel", key);
     let first = loop {
         let got = fleet.caller.ask(fleet.to(0), &ask(&tickets[0])).await;
         if got.outcome == Outcome::Answered {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -6,7 +6,7 @@
 use ledger::{Entry, Incarnation, Promise, Supply, Transfer};
 use quarantine::Report;
 use serde::{Deserialize, Serialize};
-use timeline::Stamp;
+use timeline::Timestamp;
 
 /// A frame with its sender and its moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     /// Who sends it.
     pub from: Incarnation,
     /// Hybrid logical time of the sender.
-    pub stamp: Stamp,
+    pub stamp: Timestamp,
     /// What it says.
     pub frame: Frame,
 }
@@ -82,7 +82,7 @@
 
 /// A platform call made for a box that does not reach the platform itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum PlatformCall {
     /// Reads one object.
     Get { kind: Arc<str>, name: Arc<str> },
     /// Reads all objects of a kind with a prefix.
@@ -242,7 +242,7 @@
     /// Accepted objects as JSON text.
     Objects { objects: Vec<Arc<str>> },
     /// A platform call to pass on.
-    Call(Question),
+    Call(PlatformCall),
     /// Objects found, or that the platform did not answer.
     Found { objects: Option<Vec<Value>> },
     /// Result of a write passed on.
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -8,14 +8,14 @@
 
 use ledger::Incarnation;
 use proptest::prelude::*;
-use timeline::Stamp;
+use timeline::Timestamp;
 use wire::{
-    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, Question,
+    Answer, Error, Frame, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, OLDEST_FORMAT, Peer, PlatformCall,
     Server, Status, decode, encode,
 };
 
 fn message(frame: Frame) -> Message {
-    Message { from: Incarnation::from("a.1"), stamp: Stamp { ms: 5, count: 1 }, frame }
+    Message { from: Incarnation::from("a.1"), stamp: Timestamp { ms: 5, count: 1 }, frame }
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
@@ -26,7 +26,7 @@
             .prop_map(|(budget, tokens)| Frame::Lend { budget: budget.into(), tokens }),
         (word, word, any::<u64>()).prop_map(|(kind, name, version)| {
             let (kind, name) = (kind.into(), name.into());
-            Frame::Call(Question::Put { kind, name, value: "{}".into(), version })
+            Frame::Call(PlatformCall::Put { kind, name, value: "{}".into(), version })
         }),
         any::<u64>().prop_map(|newest| Frame::Status(Status {
             in_flight: vec![("pool".into(), Vec::new())],
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -13,7 +13,7 @@
 };
 
 use ledger::Incarnation;
-use timeline::Stamp;
+use timeline::Timestamp;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -24,7 +24,7 @@
 const ENDPOINTS: u64 = 3_000;
 
 fn message(frame: Frame) -> Message {
-    Message { from: Incarnation::new("box-1", 1), stamp: Stamp::default(), frame }
+    Message { from: Incarnation::new("box-1", 1), stamp: Timestamp::default(), frame }
 }
 
 /// All that a home knows.
