--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -8,28 +8,28 @@
 use super::Pool;
 use crate::{Availability, Endpoint, Prefix};
 
-/// What weighs how much in a choice.
+/// Weights of the cost by which endpoints are compared.
 #[derive(Debug, Clone, Copy)]
 pub struct Weights {
-    /// Prompt to prefill that weighs as much as one request under way, in the unit of the
+    /// Size of prompt to prefill that costs as much as one request in flight, in the unit of the
     /// prefixes.
     pub size_per_request: f64,
-    /// Weight of what this prompt makes an endpoint read, beside prompts that it has to read
-    /// before: it also delays everybody else's, and displaces what is cached there.
+    /// Weight of the prefill of the new prompt, relative to prompts that are to be prefilled before
+    /// it: it also delays all other requests and evicts cached prompts.
     pub prefill: f64,
-    /// Weight of a request under way, beside prompts that are to be read.
+    /// Weight of a request in flight, relative to prompts that are to be prefilled.
     pub in_flight: f64,
-    /// Requests under way that another availability zone weighs.
+    /// Cost of another availability zone, in requests in flight.
     pub other_zone: f64,
-    /// Load above the pool's mean at which a cached prompt no longer counts, as a factor.
+    /// Multiple of the pool's mean load above which a cached prompt no longer counts.
     pub bounded_load: f64,
-    /// Endpoints drawn at random to compare.
+    /// Number of endpoints that are drawn at random for comparison.
     pub random_candidates: usize,
-    /// Endpoints compared because the shared part of the prompt hashes to them on every box. The
-    /// first of them counts as holding it where no holder is known: whichever box came before sent
-    /// it there.
+    /// Number of endpoints that are compared because the shared part of the prompt maps to them by
+    /// hash on every box. The first of them, the owner, counts as holding the shared part if no
+    /// holder is known: other boxes sent it there as well.
     pub prefix_owners: usize,
-    /// Size of the shared part of a prompt from which on its homes are not at slow endpoints.
+    /// Minimum size of a shared part whose owners must not be slow endpoints.
     pub large_prefix: u64,
 }
 
@@ -51,11 +51,10 @@
 /// A chosen endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Size of the leading blocks of the prompt that it probably holds.
-    pub held: u64,
-    /// Estimated requests there.
+    /// Size of the prompt's leading blocks that it probably holds.
+    pub cached: u64,
+    /// Estimated number of requests there.
     pub load: f64,
 }
 
@@ -64,16 +63,17 @@
 pub enum Candidates {
     /// All that take work.
     All,
-    /// Of those only the ones that name no limit: they need no turn.
+    /// Only those that name no limit, and so need no permit.
     Unlimited,
 }
 
 impl Pool {
-    /// Chooses an endpoint for a prompt, passing over those in `tried`.
+    /// Chooses an endpoint for a prompt, skipping those in `tried`.
     ///
-    /// Never one that is leaving, nor one that is cold or limited and gets no more of this box now: [`Pool::availability`] says so. One that was
-    /// silent counts as cold, but where half of the pool was. One that failed is chosen only as its own probe, or when at
-    /// least half of the pool is put aside: then failures say more about the box than about them.
+    /// Only endpoints that [`Pool::availability`] reports as available are considered. One that was
+    /// silent is treated as cold, unless at least half of the pool was silent. One that was ejected
+    /// is chosen only for its probe, or if at least half of the pool is ejected: then the failures
+    /// are more likely the box's own.
     pub fn choose(
         &self,
         prefix: &Prefix,
@@ -84,24 +84,25 @@
         self.choose_from(Candidates::All, prefix, tried, now, random)
     }
 
-    /// The same among all endpoints or some of them.
+    /// Like [`Pool::choose`], among all endpoints or some of them.
     pub fn choose_from(
         &self,
-        offer: Candidates,
+        filter: Candidates,
         prefix: &Prefix,
         tried: &[Arc<str>],
         now: u64,
         random: &mut impl Rng,
     ) -> Option<Choice> {
-        let offered = self.offered(tried, offer, now);
-        if let Some(probe) = offered.iter().find(|endpoint| endpoint.wants_probe(now)) {
-            return Some(self.judge(probe, prefix, 0, now).1);
+        let available = self.available(tried, filter, now);
+        if let Some(probe) = available.iter().find(|endpoint| endpoint.wants_probe(now)) {
+            return Some(self.evaluate(probe, prefix, 0, now).1);
         }
-        let aside = |e: &&&Endpoint| e.is_ejected(now) || e.is_probed(now);
-        let most_aside = offered.iter().filter(aside).count() * 2 >= offered.len().max(1);
-        let usable = offered.iter().filter(|e| most_aside || !aside(e)).copied();
+        let is_unhealthy = |e: &&&Endpoint| e.is_ejected(now) || e.is_probed(now);
+        let mostly_unhealthy =
+            available.iter().filter(is_unhealthy).count() * 2 >= available.len().max(1);
+        let usable = available.iter().filter(|e| mostly_unhealthy || !is_unhealthy(e)).copied();
         let mut candidates = usable.clone().choose_multiple(random, self.weights.random_candidates);
-        // The draw keeps its candidates in the pool's order, which would decide every tie.
+        // The draw keeps the order of the pool, which would decide every tie.
         candidates.shuffle(random);
         let mean = usable.clone().map(|e| e.load(now)).sum::<f64>() / usable.clone().count() as f64;
         let bound = mean * self.weights.bounded_load + 2.0;
@@ -110,38 +111,38 @@
         }
         let prefix_owners = self.prefix_owners(usable, prefix);
         candidates.extend(prefix_owners.iter().filter(|e| e.load(now) <= bound));
-        let judged = candidates.into_iter().map(|endpoint| {
-            let home = prefix_owners.first().is_some_and(|home| home.name == endpoint.name);
-            let unknown = |(hash, _): &(u64, u64)| home && !self.prefixes.is_known(*hash);
-            let shared = prefix.shared().filter(unknown).map_or(0, |(_, size)| size);
-            self.judge(endpoint, prefix, shared, now)
+        let evaluated = candidates.into_iter().map(|endpoint| {
+            let is_owner = prefix_owners.first().is_some_and(|owner| owner.name == endpoint.name);
+            let is_unknown = |(hash, _): &(u64, u64)| is_owner && !self.prefixes.is_known(*hash);
+            let shared = prefix.shared().filter(is_unknown).map_or(0, |(_, size)| size);
+            self.evaluate(endpoint, prefix, shared, now)
         });
-        judged.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
+        evaluated.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, choice)| choice)
     }
 
-    /// Endpoints that may get a request of this box now, without those in `tried`. Where there is none, those that said a
-    /// moment ago that they leave.
-    fn offered(&self, tried: &[Arc<str>], offer: Candidates, now: u64) -> Vec<&Endpoint> {
+    /// Endpoints that may get a request of this box now, without those in `tried`. If there are
+    /// none, those that signaled recently that they leave.
+    fn available(&self, tried: &[Arc<str>], filter: Candidates, now: u64) -> Vec<&Endpoint> {
         let staying = self.staying().count();
-        let doubted = self.staying().filter(|e| e.doubt.holds(now)).count();
-        let spares = self.allowance.is_some() && doubted * 2 < staying.max(1);
-        let takes = |wanted: Availability| {
+        let suspected = self.staying().filter(|e| e.suspected_cold.is_active(now)).count();
+        let avoids_suspects = self.allowance.is_some() && suspected * 2 < staying.max(1);
+        let having = |wanted: Availability| {
             let fits = move |e: &&Endpoint| {
-                let may_be_cold = spares && e.doubt.wait_ms(now) > 0;
-                let is_limited = offer == Candidates::Unlimited && e.limit().is_some();
+                let may_be_cold = avoids_suspects && e.suspected_cold.wait_ms(now) > 0;
+                let is_limited = filter == Candidates::Unlimited && e.limit().is_some();
                 !may_be_cold && !is_limited && self.availability(e, now) == wanted
             };
             self.endpoints.iter().filter(fits).filter(|e| !tried.contains(&e.name)).collect()
         };
-        let open: Vec<&Endpoint> = takes(Availability::Open);
+        let open: Vec<&Endpoint> = having(Availability::Open);
         match open.is_empty() {
-            true => takes(Availability::LastResort),
+            true => having(Availability::LastResort),
             false => open,
         }
     }
 
-    /// Endpoints that the shared part of a prompt hashes to, the first one first. Prompts with a
-    /// large shared part are at home at endpoints that are not slow.
+    /// Endpoints that the shared part of a prompt maps to by hash, the owner first. For large
+    /// shared parts, slow endpoints come last.
     fn prefix_owners<'a>(
         &self,
         usable: impl Iterator<Item = &'a Endpoint>,
@@ -150,12 +151,9 @@
         let Some((hash, size)) = prefix.shared().filter(|_| self.weights.prefix_owners > 0) else {
             return Vec::new();
         };
-        let large_prefix = size >= self.weights.large_prefix;
+        let is_large = size >= self.weights.large_prefix;
         let rank = |e: &Endpoint| {
-            (
-                large_prefix && self.speed.is_slow(e),
-                Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)),
-            )
+            (is_large && self.speed.is_slow(e), Reverse(xxh3_64_with_seed(e.name.as_bytes(), hash)))
         };
         let mut prefix_owners: Vec<_> = usable.map(|e| (rank(e), e)).collect();
         prefix_owners.sort_unstable_by_key(|(rank, _)| *rank);
@@ -166,16 +164,22 @@
             .collect()
     }
 
-    /// Cost of sending a prompt to an endpoint that holds at least `assumed` of it.
-    fn judge(&self, endpoint: &Endpoint, prefix: &Prefix, assumed: u64, now: u64) -> (f64, Choice) {
+    /// Cost of sending a prompt to an endpoint that is assumed to hold at least `assumed` of it.
+    fn evaluate(
+        &self,
+        endpoint: &Endpoint,
+        prefix: &Prefix,
+        assumed: u64,
+        now: u64,
+    ) -> (f64, Choice) {
         let load = endpoint.load(now);
         let held = self.prefixes.held(prefix, &endpoint.name).max(assumed);
         let missing = prefix.size().saturating_sub(held);
-        let away = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
-        let backlog = endpoint.backlog(self.typical, now);
+        let zone_cost = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
+        let backlog = endpoint.backlog(self.mean_prefill, now);
         let cost = (load + 1.0) * self.weights.in_flight * endpoint.slow_start(now)
             + (missing as f64 * self.weights.prefill + backlog) / self.weights.size_per_request
-            + away;
-        (cost, Choice { name: endpoint.name.clone(), held, load })
+            + zone_cost;
+        (cost, Choice { name: endpoint.name.clone(), cached: held, load })
     }
 }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choices under leaving, failing, cached and loaded endpoints.
+//! The choice among leaving, failing, loaded and caching endpoints.
 
 use std::sync::Arc;
 
@@ -18,20 +18,20 @@
 }
 
 #[test]
-fn a_cached_prompt_goes_back_unless_its_endpoint_is_overloaded() {
+fn a_cached_prompt_returns_to_its_endpoint_unless_overloaded() {
     let mut pool = pool(8);
     let text = "the whole chair calendar ".repeat(200);
     let prefix = Prefix::of([text.as_str()]);
     pool.start(&"e5".into(), &prefix, 10);
     let choice = pool.choose(&prefix, &[], 20, &mut random()).unwrap();
-    assert_eq!((&*choice.name, choice.held), ("e5", prefix.size()));
+    assert_eq!((&*choice.name, choice.cached), ("e5", prefix.size()));
     pool.report("e5", Report { at: 20, running: 32, waiting: 30, slots: 32 });
     let choice = pool.choose(&prefix, &[], 30, &mut random()).unwrap();
     assert_ne!(&*choice.name, "e5");
 }
 
 #[test]
-fn a_failing_endpoint_is_put_aside_and_probed_once() {
+fn a_failing_endpoint_is_ejected_and_probed_once() {
     let mut pool = pool(4);
     let none = Prefix::default();
     for now in 0..3 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn when_most_fail_none_is_put_aside() {
+fn no_endpoint_is_ejected_when_most_fail() {
     let mut pool = pool(2);
     for name in ["e0", "e1"] {
         for now in 0..3 {
@@ -64,7 +64,7 @@
 
 proptest! {
     #[test]
-    fn never_a_leaving_or_tried_endpoint(
+    fn leaving_and_tried_endpoints_are_never_chosen(
         leaving in prop::collection::vec(any::<bool>(), 1..9),
         tried in prop::collection::vec(0usize..9, 0..4),
         seed in any::<u64>(),
@@ -87,7 +87,7 @@
     }
 
     #[test]
-    fn own_dispatches_correct_a_late_report(before in 0u32..20, after in 0u32..20) {
+    fn own_requests_correct_a_late_report(before in 0u32..20, after in 0u32..20) {
         let mut pool = pool(1);
         let name: Arc<str> = "e0".into();
         for _ in 0..before {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_engine_with_a_long_prompt_to_read_is_avoided() {
+fn an_engine_with_a_long_prefill_is_avoided() {
     let weights = Weights {
         size_per_request: 2_000.0,
         in_flight: 0.05,
@@ -117,24 +117,26 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     pool.start(&"e1".into(), &long, 0);
     let unread = pool.start_prefill("e1", &long, 0);
-    // Many answers under way cost less than one long prompt.
+    // Many answers in flight cost less than one long prompt.
     for _ in 0..8 {
         pool.start(&"e2".into(), &Prefix::default(), 0);
     }
-    let mut choose = |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("one").name;
-    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to read");
+    let mut choose =
+        |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("an endpoint").name;
+    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to prefill");
     pool.finish_prefill("e1", unread);
     assert!(
         (0..20).all(|_| &*choose(&pool) == "e1"),
-        "it has read it, and less is under way there"
+        "the prefill is done, and fewer requests are in flight there"
     );
-    // Another box's request waits there: it counts as a typical one, less as the report ages.
+    // Another box's request waits there: it counts as a typical prompt, decaying with the report's
+    // age.
     pool.report("e1", Report { at: 0, running: 1, waiting: 1, slots: 64 });
-    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "others have something to read at e1");
+    assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has prompts of other boxes to prefill");
 }
 
 #[test]
-fn a_shared_part_has_the_same_home_on_every_box() {
+fn a_shared_part_has_the_same_owner_on_every_box() {
     let weights = Weights {
         size_per_request: 2_000.0,
         in_flight: 0.05,
@@ -151,15 +153,15 @@
     let [(one, mut first), (two, mut second)] = pools;
     for part in 0..40 {
         let of = |own| Prefix::of_parts([(7, 2_000), (100 + part, 4_000), (own, 900)]);
-        let here = one.choose(&of(1), &[], 0, &mut first).expect("one").name;
-        let there = two.choose(&of(2), &[], 0, &mut second).expect("one").name;
+        let here = one.choose(&of(1), &[], 0, &mut first).expect("an endpoint").name;
+        let there = two.choose(&of(2), &[], 0, &mut second).expect("an endpoint").name;
         assert_eq!(here, there, "part {part}");
         prefix_owners.insert(here);
     }
-    assert!(prefix_owners.len() >= 7, "the parts are spread: {prefix_owners:?}");
+    assert!(prefix_owners.len() >= 7, "the shared parts are spread: {prefix_owners:?}");
 }
 
-/// Two engines without anything to read, as one box sees them.
+/// A pool of two idle engines.
 fn engines() -> Pool {
     let weights = Weights {
         size_per_request: 2_000.0,
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_prompt_that_another_box_told_of_counts_until_it_was_read() {
+fn a_published_prompt_counts_until_it_is_prefilled() {
     let mut pool = engines();
     let short = Prefix::of_parts([(2, 500)]);
     let by: Arc<str> = "box-2".into();
@@ -182,45 +184,47 @@
         |number, size| Prompt { endpoint: "e1".into(), number, size, blocks: Arc::default() };
     let mut random = random();
     let mut chosen = |pool: &Pool, now| {
-        let names = (0..40).map(|_| pool.choose(&short, &[], now, &mut random).expect("one").name);
+        let names =
+            (0..40).map(|_| pool.choose(&short, &[], now, &mut random).expect("an endpoint").name);
         names.collect::<std::collections::BTreeSet<_>>().len()
     };
-    assert_eq!(chosen(&pool, 10), 2, "both are alike");
+    assert_eq!(chosen(&pool, 10), 2, "both are equal");
     let e1 = |pool: &mut Pool, prompt, now| {
-        pool.get_mut("e1").expect("it is there").receive_prompt(&by, &prompt, now);
+        pool.get_mut("e1").expect("in the pool").receive_prompt(&by, &prompt, now);
     };
     e1(&mut pool, prompt(1, 30_000), 10);
-    assert_eq!(chosen(&pool, 10), 1, "e1 has a long prompt of another box to read");
+    assert_eq!(chosen(&pool, 10), 1, "e1 has a long prompt of another box to prefill");
     e1(&mut pool, prompt(2, 9_000), 20);
     e1(&mut pool, prompt(1, 0), 30);
-    assert_eq!(chosen(&pool, 30), 1, "one of two was read");
+    assert_eq!(chosen(&pool, 30), 1, "one of two is prefilled");
     e1(&mut pool, prompt(2, 0), 40);
-    assert_eq!(chosen(&pool, 40), 2, "both were read");
+    assert_eq!(chosen(&pool, 40), 2, "both are prefilled");
     e1(&mut pool, prompt(3, 30_000), 50);
     assert_eq!(chosen(&pool, 2_049), 1);
-    assert_eq!(chosen(&pool, 2_051), 2, "the word that it was read was lost");
+    assert_eq!(chosen(&pool, 2_051), 2, "the end of the prefill was never reported");
 }
 
 #[test]
-fn a_shared_part_is_read_again_only_where_that_saves_much() {
+fn a_shared_part_is_prefilled_again_only_to_avoid_a_long_queue() {
     let mut pool = engines();
     let shared = |own| Prefix::of_parts([(7, 6_000), (own, 900)]);
     pool.start(&"e1".into(), &shared(1), 0);
     let mut random = random();
-    let mut chosen = |pool: &Pool| pool.choose(&shared(2), &[], 0, &mut random).expect("one").name;
-    assert_eq!(&*chosen(&pool), "e1", "it holds the shared part");
+    let mut chosen =
+        |pool: &Pool| pool.choose(&shared(2), &[], 0, &mut random).expect("an endpoint").name;
+    assert_eq!(&*chosen(&pool), "e1", "it caches the shared part");
     let waits = |pool: &mut Pool, size| {
         let prompt = Prompt { endpoint: "e1".into(), number: 1, size, blocks: Arc::default() };
-        pool.get_mut("e1").expect("it is there").receive_prompt(&"box-2".into(), &prompt, 0);
+        pool.get_mut("e1").expect("in the pool").receive_prompt(&"box-2".into(), &prompt, 0);
     };
     waits(&mut pool, 9_000);
-    assert_eq!(&*chosen(&pool), "e1", "waiting is better than to read 6,000 again");
+    assert_eq!(&*chosen(&pool), "e1", "waiting is cheaper than another prefill of 6,000");
     waits(&mut pool, 15_000);
-    assert_eq!(&*chosen(&pool), "e2", "too much is waiting there");
+    assert_eq!(&*chosen(&pool), "e2", "too much is queued there");
 }
 
-/// A pool of engines, some of which make events in `slow_ms` instead of 20 ms.
-fn record_gap(slow: &[&str], slow_ms: f64) -> Pool {
+/// A pool of engines, some of which take `slow_ms` instead of 20 ms between events.
+fn pool_with_slow(slow: &[&str], slow_ms: f64) -> Pool {
     let weights = Weights {
         prefix_owners: 1,
         large_prefix: 2_000,
@@ -233,7 +237,7 @@
     for _ in 0..100 {
         for name in &names {
             pool.record_gap(name, if slow.contains(&&**name) { slow_ms } else { 20.0 });
-            // Events that come together say nothing.
+            // Events delivered together are ignored.
             pool.record_gap(name, 0.1);
         }
     }
@@ -241,14 +245,14 @@
 }
 
 #[test]
-fn large_shared_parts_are_at_home_at_engines_that_are_not_slow() {
+fn large_shared_parts_are_owned_by_engines_that_are_not_slow() {
     let cases = [(6_000, 27.0, 0), (6_000, 22.0, 1), (200, 27.0, 1)];
     for (shared, slow_ms, least) in cases {
-        let pool = record_gap(&["e1", "e4", "e7"], slow_ms);
+        let pool = pool_with_slow(&["e1", "e4", "e7"], slow_ms);
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
-            let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("all take work");
-            choice.held > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
+            let choice = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
+            choice.cached > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
         });
         let at_slow = at_slow.count().min(1);
         assert_eq!(at_slow, least, "{shared} shared, {slow_ms} ms");
@@ -256,18 +260,18 @@
 }
 
 #[test]
-fn a_prompt_goes_to_the_engine_where_another_box_sent_its_shared_part() {
-    let mut pool = record_gap(&[], 20.0);
+fn a_prompt_follows_the_shared_part_sent_by_another_box() {
+    let mut pool = pool_with_slow(&[], 20.0);
     let prefix = Prefix::of_parts([(1, 6_000), (2, 100)]);
-    let home = pool.choose(&prefix, &[], 0, &mut random()).expect("all take work");
-    assert_eq!(home.held, 6_000, "nobody told: it counts as held at its home");
-    let other: Arc<str> = if &*home.name == "e0" { "e1".into() } else { "e0".into() };
+    let owner = pool.choose(&prefix, &[], 0, &mut random()).expect("an endpoint");
+    assert_eq!(owner.cached, 6_000, "nothing is known: its owner counts as holding it");
+    let other: Arc<str> = if &*owner.name == "e0" { "e1".into() } else { "e0".into() };
     let mut prompt =
         Prompt { endpoint: other.clone(), number: 1, size: 6_100, blocks: prefix.hashes() };
     pool.receive_prompt(&"box-2".into(), &prompt, 0);
     (prompt.size, prompt.blocks) = (0, Arc::default());
     pool.receive_prompt(&"box-2".into(), &prompt, 200);
     let again = Prefix::of_parts([(1, 6_000), (3, 100)]);
-    let choice = pool.choose(&again, &[], 300, &mut random()).expect("all take work");
-    assert_eq!((choice.name, choice.held), (other, 6_000));
+    let choice = pool.choose(&again, &[], 300, &mut random()).expect("an endpoint");
+    assert_eq!((choice.name, choice.cached), (other, 6_000));
 }
--- a/crates/flintbench/src/load.rs
+++ b/crates/flintbench/src/load.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 use tokio::{task::JoinSet, time::Instant};
-use trial::{Request, Caller, Fleet, Outcome};
+use trial::{Caller, Fleet, Outcome, Request};
 
 /// Times that a caller without a whole answer asks again with the same key.
 const RETRIES: usize = 2;
@@ -151,7 +151,7 @@
 ) {
     let mut to = to;
     for _ in 0..=RETRIES {
-        let got = caller.ask(to, ask).await;
+        let got = caller.send(to, ask).await;
         if matches!(got.outcome, Outcome::Answered | Outcome::NotRun) {
             return;
         }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! Starting and stopping a box on the users' platform.
+//! Start and stop of a box on the users' platform.
 
 mod sockets;
 
 pub use sockets::Error;
-use sockets::{Sockets, bind_lender, few_bounds};
+use sockets::{Sockets, admin_bounds, bind_peers};
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -54,10 +54,10 @@
     },
 };
 
-/// Connections of the balancer and of scrapers at once.
-const FEW: usize = 64;
-/// Time for the last settlement of a planned stop, beyond the time for requests.
-const LEAVE: Duration = Duration::from_millis(600);
+/// Concurrent connections of the balancer, and of scrapers.
+const MAX_ADMIN_CONNECTIONS: usize = 64;
+/// Time for the last settlement of a planned stop, beyond the limit for requests.
+const FINAL_SETTLEMENT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A running box.
 pub struct Gateway {
@@ -71,24 +71,24 @@
     closing: watch::Sender<bool>,
     /// Connections of callers.
     tasks: TaskTracker,
-    /// When the last settlement is given up, once this box leaves.
-    leaving: watch::Sender<Option<Instant>>,
+    /// Deadline of the last settlement; set once the box stops.
+    settle_deadline: watch::Sender<Option<Instant>>,
     settler: Option<JoinHandle<()>>,
-    /// Answers other boxes; it ends when dropped.
-    lender: Option<wire::Server>,
-    /// Accepts callers' connections.
+    /// Serves other boxes until dropped.
+    peer_server: Option<wire::Server>,
+    /// Accepts connections of callers.
     accepting: JoinHandle<()>,
-    loops: Vec<JoinHandle<()>>,
+    background: Vec<JoinHandle<()>>,
 }
 
 impl Gateway {
-    /// Starts a box. `seed` feeds its random choices, its incarnation among them: it must be
-    /// fresh.
+    /// Starts a box. `seed` feeds its random choices, including its incarnation, and must be
+    /// different at each start.
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Gateway, Error> {
         Gateway::spawn_with(settings, seed, Clock::system()).await
     }
 
-    /// Starts a box by a clock that says for how long it was suspended.
+    /// Starts a box with a given clock.
     pub async fn spawn_with(settings: Settings, seed: u64, clock: Clock) -> Result<Gateway, Error> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&settings.box_name, random.random());
@@ -107,9 +107,9 @@
         });
         let (zone, seed) = (settings.zone.clone(), random.random());
         let endpoints = Arc::new(Endpoints::new(zone, settings.cold, &clock, seed));
-        let prove = connect_prober(settings.connections().connect_timeout);
+        let prober = connect_prober(settings.connections().connect_timeout);
         let (crashes, reports) =
-            Crashes::open(incarnation.clone(), settings.quarantine(), prove, &clock);
+            Crashes::open(incarnation.clone(), settings.quarantine(), prober, &clock);
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
         let profile = Profile {
@@ -133,7 +133,7 @@
             watchdog: watchdog.clone(),
             started: clock.now(),
         });
-        let (announcer, told) = Announcer::open();
+        let (announcer, announcements) = Announcer::open();
         let permits = Permits::open(permits::Setup {
             endpoints: endpoints.clone(),
             peers: peers.clone(),
@@ -153,7 +153,7 @@
             permits: permits.clone(),
             stopping: stops.clone(),
         };
-        let lender = bind_lender(settings.listen.peers, peer_service, &peers).await?;
+        let peer_server = bind_peers(settings.listen.peers, peer_service, &peers).await?;
         let context = Arc::new(Context {
             table,
             endpoints: endpoints.clone(),
@@ -168,18 +168,18 @@
             link: Arc::new(Link::new(settings.machine.link_mbps)),
             retries: Mutex::default(),
             metrics: metrics.clone(),
-            bodies: Arc::new(Semaphore::new(settings.limits.bodies)),
+            body_bytes: Arc::new(Semaphore::new(settings.limits.bodies)),
             stopping: stops,
             started: clock.now(),
             clock,
             watchdog: watchdog.clone(),
-            dropped_lines: Mutex::default(),
+            dropped_log_lines: Mutex::default(),
             settings: in_force_settings,
         });
         let sockets = Sockets::bind(&settings.listen)?;
         let [callers, ready, operators] = sockets.addresses();
         let tasks = TaskTracker::new();
-        let (leaving, leaves) = watch::channel(None);
+        let (settle_deadline, deadline) = watch::channel(None);
         let discovery = peers.address().map(|peer| {
             let me = Entry {
                 incarnation: incarnation.clone(),
@@ -216,7 +216,7 @@
             view: view.clone(),
             recovery: recovery.clone(),
         };
-        let looks = watcher::Setup {
+        let watcher_setup = watcher::Setup {
             store: store.clone(),
             view: view.clone(),
             recovery,
@@ -224,7 +224,8 @@
             name,
             lapse,
         };
-        let subscriber = Subscriber::new(context.peers.clone(), looks, registered, random.random());
+        let subscriber =
+            Subscriber::new(context.peers.clone(), watcher_setup, registered, random.random());
         let (serving, bounding) = (context.clone(), context.clone());
         let accepting = tokio::spawn(serve::accept(
             sockets.callers,
@@ -237,8 +238,8 @@
         ));
         let for_balancer = serve::accept(
             sockets.ready,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes.clone(),
             metrics.clone(),
@@ -246,21 +247,21 @@
         );
         let for_operators = serve::accept(
             sockets.operators,
-            FEW,
-            few_bounds,
+            MAX_ADMIN_CONNECTIONS,
+            admin_bounds,
             TaskTracker::new(),
             closes,
             metrics,
             admin::answer_metrics(context.clone(), view.clone(), calls.clone()),
         );
-        let mut loops = vec![
+        let mut background = vec![
             tokio::spawn(subscriber.run()),
             tokio::spawn(reporter.run(reports)),
             tokio::spawn(signals::publish(
                 view.clone(),
                 context.peers.clone(),
                 endpoints.clone(),
-                told,
+                announcements,
             )),
             tokio::spawn(watchdog.run()),
             tokio::spawn(promiser.run()),
@@ -268,8 +269,8 @@
             tokio::spawn(for_balancer),
             tokio::spawn(for_operators),
         ];
-        loops.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
-        let settler = Some(tokio::spawn(settle(settler, leaves)));
+        background.extend(discovery.map(|discovery| tokio::spawn(discovery.run())));
+        let settler = Some(tokio::spawn(settle(settler, deadline)));
         tracing::info!(
             event = "started",
             incarnation = incarnation.as_str(),
@@ -287,70 +288,70 @@
             stopping,
             closing,
             tasks,
-            leaving,
+            settle_deadline,
             settler,
-            lender,
+            peer_server,
             accepting,
-            loops,
+            background,
         })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where the balancer asks whether the box takes requests.
+    /// Address for readiness checks.
     pub fn ready(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Where metrics are read.
+    /// Address for metrics.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes ask for tokens, if they may.
+    /// Address for other boxes, if this one serves them.
     pub fn peers(&self) -> Option<SocketAddr> {
-        self.lender.as_ref().map(wire::Server::address)
+        self.peer_server.as_ref().map(wire::Server::address)
     }
 
-    /// The incarnation of this start.
+    /// Incarnation of this start.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// The counters of its calls to the store.
+    /// Counters of calls to the store.
     pub fn calls(&self) -> &Calls {
         &self.calls
     }
 
-    /// What this box holds of a customer's budget.
+    /// Tokens that this box holds of a customer's budget.
     pub fn balance(&self, customer: &str) -> Balance {
         self.context.funds.balance(customer)
     }
 
-    /// Bills that are not written yet, with pages that other boxes handed over.
+    /// Number of bills that are not written yet, plus pages handed over by other boxes.
     pub fn bills_waiting(&self) -> usize {
         self.context.bills.waiting()
     }
 
-    /// Number of other boxes that this one can ask for tokens.
+    /// Number of other known boxes.
     pub fn peer_count(&self) -> usize {
         self.context.peers.len()
     }
 
-    /// Limits that endpoints name, by their lives, in requests a second.
+    /// Limits that endpoints name, by instance, in requests per second.
     pub fn limits(&self) -> Vec<(Arc<str>, f64)> {
         self.context.endpoints.limits()
     }
 
-    /// Endpoints that said that they leave and are still listed.
+    /// Number of listed endpoints that announced that they leave.
     pub fn leaving(&self) -> usize {
         self.context.endpoints.count_leaving()
     }
 
-    /// Endpoints that want nothing from this box for now.
+    /// Number of endpoints in a back-off towards this box.
     pub fn backing_off(&self) -> usize {
         self.context.endpoints.count_backing_off()
     }
@@ -360,13 +361,13 @@
         self.context.metrics.text()
     }
 
-    /// Tells the metrics how many log lines were dropped so far.
+    /// Sets the source of the counter of dropped log lines.
     pub fn count_dropped_lines(&self, count: impl Fn() -> usize + Send + Sync + 'static) {
-        *self.context.dropped_lines.lock() = Some(Box::new(count));
+        *self.context.dropped_log_lines.lock() = Some(Box::new(count));
     }
 
-    /// Takes over settings that were read again: sizes of grants, repeats, and the times of a
-    /// planned stop are in force at once; the rest is at the next start of the process.
+    /// Applies settings that were read again. Grant sizes, retries and the times of a planned stop
+    /// take effect at once, everything else at the next start.
     pub fn reload(&self, settings: Settings) {
         let later = self.context.settings().restart_only_changes(&settings);
         let changed = *self.context.settings() != settings;
@@ -374,7 +375,7 @@
         self.context.settings.send_replace(Arc::new(settings));
     }
 
-    /// The planned stop: not ready first, then every request to its end, then all tokens returned.
+    /// Planned stop: reports not ready, finishes all requests, then returns all tokens.
     pub async fn stop(mut self) {
         let began = self.context.clock.now();
         let settings = self.context.settings();
@@ -382,19 +383,20 @@
         let limit = Duration::from_millis(limits.stop_ms);
         tracing::info!(event = "stopping", limit_ms = limits.stop_ms);
         self.stopping.send_replace(true);
-        self.context.peers.forget_promises();
+        self.context.peers.stop_witnessing();
         self.tasks.close();
         let notice = Duration::from_millis(limits.notice_ms);
-        // The balancer sends connections until it has noticed; they are all served.
+        // The balancer keeps sending connections until it notices; all are served.
         tokio::time::sleep(notice.min(limit)).await;
         self.accepting.abort();
         self.closing.send_replace(true);
-        let rest = limit.saturating_sub(began.elapsed());
-        let finished = tokio::time::timeout(rest, self.tasks.wait()).await.is_ok();
-        let rest = limit.saturating_sub(began.elapsed());
-        self.leaving.send_replace(Some(Instant::now() + rest + LEAVE));
+        let remaining = limit.saturating_sub(began.elapsed());
+        let finished = tokio::time::timeout(remaining, self.tasks.wait()).await.is_ok();
+        let remaining = limit.saturating_sub(began.elapsed());
+        self.settle_deadline
+            .send_replace(Some(Instant::now() + remaining + FINAL_SETTLEMENT_TIMEOUT));
         if let Some(settler) = self.settler.take() {
-            // It bounds itself in time; a panic in it was printed already.
+            // The task bounds its own time, and a panic in it was already printed.
             let _ = settler.await;
         }
         let took_ms = began.elapsed().as_millis() as u64;
@@ -403,19 +405,19 @@
 }
 
 impl Drop for Gateway {
-    /// Ends at once, as a crash would: nothing is returned.
+    /// Ends at once, as in a crash: no tokens are returned.
     fn drop(&mut self) {
         self.accepting.abort();
-        for task in self.loops.iter().chain(&self.settler) {
+        for task in self.background.iter().chain(&self.settler) {
             task.abort();
         }
     }
 }
 
-async fn settle(mut settler: Settler, mut leaving: watch::Receiver<Option<Instant>>) {
+async fn settle(mut settler: Settler, mut deadline: watch::Receiver<Option<Instant>>) {
     let until = tokio::select! {
         () = settler.run() => None,
-        until = leaving.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
+        until = deadline.wait_for(Option::is_some) => until.ok().and_then(|until| *until),
     };
     if let Some(until) = until {
         settler.leave(until).await;
--- a/crates/gateway/src/proxy/announcer.rs
+++ b/crates/gateway/src/proxy/announcer.rs
@@ -1,37 +1,38 @@
-//! What endpoints said to this box that other boxes should hear of.
+//! Queue of endpoint signals that other boxes have to learn about.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use tokio::sync::mpsc;
 
-/// Words that wait to be told; each takes microseconds.
-const WAITING: usize = 256;
+/// Capacity of the queue.
+const QUEUE_CAPACITY: usize = 256;
 
-/// What is to be told of a life of an endpoint.
+/// A change of an endpoint instance to be announced to other boxes.
 #[derive(Debug)]
 pub enum Announcement {
-    /// What it takes changed.
+    /// Its rate limit changed.
     LimitChanged { instance: Arc<str> },
-    /// It still takes what it took.
+    /// Its rate limit is unchanged; repeated for boxes that missed it.
     LimitUnchanged { instance: Arc<str> },
-    /// It leaves.
+    /// It is draining.
     Draining { instance: Arc<str>, address: SocketAddr },
 }
 
-/// Passes words on to the task that tells other boxes.
+/// Sends announcements to the task that publishes them to other boxes.
 #[derive(Debug, Clone)]
 pub struct Announcer(mpsc::Sender<Announcement>);
 
 impl Announcer {
-    /// Words come out at the other end.
+    /// Opens the queue; the publishing task reads the other end.
     pub fn open() -> (Announcer, mpsc::Receiver<Announcement>) {
-        let (words, told) = mpsc::channel(WAITING);
-        (Announcer(words), told)
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        (Announcer(sender), receiver)
     }
 
-    /// Other boxes are told. What is dropped, they hear from the endpoint itself.
-    pub fn announce(&self, word: Announcement) {
-        if let Err(error) = self.0.try_send(word) {
+    /// Enqueues an announcement, or drops it if the queue is full: other boxes then learn the change from
+    /// the endpoint's own responses.
+    pub fn announce(&self, announcement: Announcement) {
+        if let Err(error) = self.0.try_send(announcement) {
             tracing::warn!(event = "word_not_told", %error);
         }
     }
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -1,28 +1,25 @@
-//! How full this box's link is, and whether other boxes should take its callers.
+//! Load of this box's network link, and load shedding when it is nearly full.
 //!
-//! The balancer gives each box connections by a hash, so one box may get many times its part. On a
-//! link that is full everything waits: answers, plain calls, and the questions by which the box
-//! gets tokens. One of 73 boxes got a quarter of all requests over a link of 10 Mbit/s and refused
-//! half of them, two thirds of all that the fleet refused. So a box that sees its link fill up
-//! takes no new connections and ends those that callers keep, each after an answer; they come
-//! again elsewhere. Nothing is refused for it.
+//! The balancer assigns connections by hash, so one box may get several times its share. A saturated link
+//! delays everything, also the calls by which the box obtains tokens. A box whose link fills up therefore
+//! reports itself not ready and closes caller connections after their current response; callers reconnect
+//! to other boxes. No request is refused.
 
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// Time over which the use of the link is averaged, in seconds: a few round trips of a busy caller.
-const AVERAGE_S: f64 = 1.0;
-/// Bytes of heads and frames for each request, both ways, beside its body and its answer.
-const HEADS: usize = 1_500;
-/// Bytes of frames around each piece of an answer.
-const FRAME: usize = 80;
-/// Share of the link from which on callers are sent elsewhere. Bursts above the average fill it.
-const FULL: f64 = 0.6;
-/// Share of the link below which callers are taken again: apart from [`FULL`], so that the box does
-/// not change its mind with every burst.
-const FREE: f64 = 0.3;
+/// Time constant of the moving average, in seconds.
+const AVERAGING_TIME_S: f64 = 1.0;
+/// Bytes of heads and packet headers of a request and its response, without the bodies.
+const HEAD_BYTES: usize = 1_500;
+/// Bytes of packet headers for each chunk of a response.
+const FRAME_BYTES: usize = 80;
+/// Utilization above which the box sheds callers; the rest of the link is for bursts.
+const SHED_ABOVE: f64 = 0.6;
+/// Utilization below which the box accepts callers again; lower than [`SHED_ABOVE`] for hysteresis.
+const ACCEPT_BELOW: f64 = 0.3;
 
-/// Use of this box's link, of the direction that is used more.
+/// Load of this box's link, in the direction that is used more.
 #[derive(Debug)]
 pub struct Link {
     bytes_per_s: f64,
@@ -31,52 +28,54 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Bytes, fading with [`AVERAGE_S`].
-    sum: f64,
-    at: Option<Instant>,
+    /// Exponentially decaying sum of bytes.
+    bytes: f64,
+    updated_at: Option<Instant>,
     is_shedding: bool,
 }
 
 impl Link {
-    /// A link that nothing passed yet.
+    /// An idle link of this bandwidth.
     pub fn new(mbps: f64) -> Link {
         Link { bytes_per_s: mbps * 1e6 / 8.0, state: Mutex::default() }
     }
 
-    /// A request with a body of so many bytes came in, and goes out to an endpoint.
+    /// Records a request with a body of this size.
     pub fn request(&self, bytes: usize) {
-        self.pass(bytes + HEADS);
+        self.record(bytes + HEAD_BYTES);
     }
 
-    /// A piece of an answer came in, and goes out to the caller.
+    /// Records a chunk of a response.
     pub fn chunk(&self, bytes: usize) {
-        self.pass(bytes + FRAME);
+        self.record(bytes + FRAME_BYTES);
     }
 
-    fn pass(&self, bytes: usize) {
+    fn record(&self, bytes: usize) {
         let mut state = self.state.lock();
-        self.fade(&mut state);
-        state.sum += bytes as f64;
+        self.decay(&mut state);
+        state.bytes += bytes as f64;
     }
 
-    /// Whether callers should go to other boxes.
+    /// Whether callers should use other boxes.
     pub fn is_shedding(&self) -> bool {
         let mut state = self.state.lock();
-        self.fade(&mut state);
-        let used = state.sum / AVERAGE_S / self.bytes_per_s;
-        let is_shedding = used > if state.is_shedding { FREE } else { FULL };
+        self.decay(&mut state);
+        let utilization = state.bytes / AVERAGING_TIME_S / self.bytes_per_s;
+        let is_shedding = utilization > if state.is_shedding { ACCEPT_BELOW } else { SHED_ABOVE };
         if is_shedding != state.is_shedding {
-            let percent = (used * 100.0) as u64;
-            tracing::info!(event = "link_load", percent, is_shedding);
+            let percent = (utilization * 100.0) as u64;
+            tracing::info!(event = "link_load", percent, sheds = is_shedding);
         }
         state.is_shedding = is_shedding;
         is_shedding
     }
 
-    fn fade(&self, state: &mut State) {
+    fn decay(&self, state: &mut State) {
         let now = Instant::now();
-        let passed = state.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        state.sum *= (-passed / AVERAGE_S).exp();
-        state.at = Some(now);
+        let elapsed_s = state
+            .updated_at
+            .map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
+        state.bytes *= (-elapsed_s / AVERAGING_TIME_S).exp();
+        state.updated_at = Some(now);
     }
 }
--- a/crates/gateway/src/sync/reporter.rs
+++ b/crates/gateway/src/sync/reporter.rs
@@ -1,7 +1,7 @@
-//! Reports of this box on their way to all others.
+//! Publishes the crash reports of this box.
 //!
-//! A report goes into the store, where each box hears of it like of everything there, also one that starts
-//! later. It is told to the homes of news besides, which pass it on at once: also while the store is away.
+//! A report is written to the store, where every box finds it, also one that starts later. It is
+//! also sent to the watchers, which pass it on at once, even while the store is unreachable.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
     sync::view::View,
 };
 
-/// Reports that wait for the store: those of 64 endpoints that end while it is away.
-const WAITING: usize = 64;
-/// Time between two looks for reports that are too old to count, which homes remove from the store.
-const SWEEP_EVERY: Duration = Duration::from_secs(300);
+/// Maximum number of reports that wait for the store to become reachable.
+const QUEUE_CAPACITY: usize = 64;
+/// Interval at which a watcher removes expired reports from the store.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(300);
 
-/// Passes on the reports of this box.
+/// Publishes the crash reports of this box.
 pub struct Reporter {
     pub store: Client,
     pub peers: Peers,
@@ -31,23 +31,23 @@
 }
 
 impl Reporter {
-    /// Passes on reports for as long as the box runs.
+    /// Publishes reports for as long as the box runs.
     pub async fn run(self, mut reports: mpsc::Receiver<NamedReport>) {
-        let (to_write, waiting) = mpsc::channel(WAITING);
+        let (to_write, waiting) = mpsc::channel(QUEUE_CAPACITY);
         let outage = Outage::new("crash reports", Probe::Lazy, self.recovery.clone());
         let writing = write_all(self.store.clone(), outage, waiting);
-        let telling = async {
+        let publishing = async {
             while let Some((name, report)) = reports.recv().await {
-                self.tell(&name, &report);
+                self.publish(&name, &report);
                 if let Err(error) = to_write.try_send((name, report)) {
                     tracing::error!(event = "crash_report_not_written", %error);
                 }
             }
         };
-        tokio::join!(writing, telling, sweep(&self.store, &self.view));
+        tokio::join!(writing, publishing, sweep(&self.store, &self.view));
     }
 
-    fn tell(&self, name: &Arc<str>, report: &Report) {
+    fn publish(&self, name: &Arc<str>, report: &Report) {
         let requests = report.requests.len();
         tracing::info!(event = "crash_reported", name = &**name, finding = ?report.finding, requests);
         self.view.receive_crash(name, report.clone());
@@ -60,13 +60,13 @@
         let text = serde_json::to_string(&report).expect("reports always serialize");
         loop {
             match store.replace(CRASHES, &name, &text, Expect::Absent).await {
-                // One that is there already was written by an earlier call.
+                // If it already exists, an earlier call of this box wrote it.
                 Put::Landed(_) | Put::Refused(_) => {
-                    outage.answered();
+                    outage.record_success();
                     break;
                 }
                 Put::Failed(reason) | Put::Unknown(reason) => {
-                    outage.failed(&reason);
+                    outage.record_failure(&reason);
                     outage.pause().await;
                 }
             }
@@ -74,11 +74,11 @@
     }
 }
 
-/// Removes reports that are too old from the store, while this box looks at it.
+/// Removes expired reports from the store while this box watches it.
 async fn sweep(store: &Client, view: &View) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
-        for (name, version) in view.old_crashes() {
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        for (name, version) in view.expired_crashes() {
             let removed = objects::Store::delete(store, CRASHES, &name, version).await;
             tracing::info!(event = "crash_report_removed", name = &*name, outcome = ?removed);
         }
--- a/crates/gateway/src/tokens/funds/settlements.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -1,4 +1,4 @@
-//! Settlements with the book: when one is due, what it says, and what it brought.
+//! Settlements with the book: when one is due, what it contains and what it granted.
 
 use std::time::Duration;
 
@@ -9,35 +9,39 @@
 use crate::tokens::{participation::Participation, wallet::Wallet};
 
 impl Funds {
-    /// Whether this box has something to settle with the book or holds anything of it.
-    pub fn is_of_book(&self) -> bool {
-        self.0.state.lock().wallets.values().any(Wallet::is_of_book)
+    /// Whether this box has something to report to the book or holds tokens granted by it.
+    pub fn uses_book(&self) -> bool {
+        self.0.state.lock().wallets.values().any(Wallet::uses_book)
     }
 
-    /// Keeps nothing untouched any more: everything is to be given back.
-    pub fn set_retiring(&self, retires: bool) {
-        self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retires = retires);
+    /// Sets whether this box returns its tokens to the book. If so, none are promised to the
+    /// witness any more.
+    pub fn set_retiring(&self, retiring: bool) {
+        self.0.state.lock().wallets.values_mut().for_each(|wallet| wallet.retiring = retiring);
         self.0.promise_due.notify_one();
     }
 
-    /// This box ends: what is under way counts as used.
-    pub fn give_up(&self) {
-        self.0.state.lock().wallets.values_mut().for_each(Wallet::give_up);
+    /// Charges all open reservations in full, as this box is about to stop.
+    pub fn abandon(&self) {
+        self.0.state.lock().wallets.values_mut().for_each(Wallet::abandon);
     }
 
     /// Whether a request waits for tokens that a settlement may bring.
     pub fn is_urgent(&self) -> bool {
         let state = self.0.state.lock();
-        state.wallets.values().any(|wallet| wallet.waiting > 0 && !wallet.is_dry(wallet.waiting))
+        state
+            .wallets
+            .values()
+            .any(|wallet| wallet.waiting > 0 && !wallet.is_book_exhausted(wallet.waiting))
     }
 
-    /// Whether a settlement would change much: tokens run low, or too many are held.
+    /// Whether a settlement is due because this box holds too few or too many tokens.
     pub fn is_due(&self) -> bool {
         let state = self.0.state.lock();
         state.wallets.values().any(Wallet::is_due)
     }
 
-    /// The next settlement. What it reports and returns is out of the accounts once planned, so
+    /// Plans the next settlement. What it reports and returns is taken out of the wallets here, so
     /// it must land, however long that takes.
     pub fn plan(
         &self,
@@ -52,13 +56,20 @@
         let (items, earlier) = (items.collect(), Vec::new());
         let (retires, leaves) =
             (participation == Participation::Retiring, participation == Participation::Leaving);
-        Settlement { holder: holder.clone(), writer, items, earlier, retires, leaves }
+        Settlement {
+            holder: holder.clone(),
+            writer,
+            items,
+            unused_by_earlier: earlier,
+            retires,
+            leaves,
+        }
     }
 
-    /// Takes over what a settlement that landed gave.
+    /// Applies what a settlement that landed granted.
     pub fn landed(&self, settlement: &Settlement, granted: Vec<Granted>) {
         let mut state = self.0.state.lock();
-        state.landed = Some(Instant::now());
+        state.last_landed = Some(Instant::now());
         for item in &settlement.items {
             let brought = granted.iter().find(|granted| granted.customer == item.customer);
             let wallet = state.wallets.entry(item.customer.clone()).or_default();
@@ -69,8 +80,9 @@
         self.0.promise_due.notify_one();
     }
 
-    /// Time since tokens were last passed on to another box, or wanted of the book.
-    pub fn drew_ago(&self) -> Option<Duration> {
-        self.0.state.lock().drew.map(|at| at.elapsed())
+    /// Returns the time since tokens were last passed on to another box, or requested from the
+    /// book.
+    pub fn since_last_draw(&self) -> Option<Duration> {
+        self.0.state.lock().last_draw.map(|at| at.elapsed())
     }
 }
--- a/crates/gateway/src/tokens/mod.rs
+++ b/crates/gateway/src/tokens/mod.rs
@@ -1,22 +1,24 @@
-//! Tokens: what this box may still spend of each budget, and how it comes by more.
+//! The tokens that this box may spend of each budget, and how it gets more.
 //!
-//! A request holds its worst case in `funds`, which keep a `wallet` for each customer. A keeper draws from
-//! the book in the store (`settle`) and passes tokens on to boxes near it (`shares`); the others draw from
-//! it (`acquirer`), and keepers lend to each other while the store cannot give (`borrower`). `witness` promises
-//! another box what stays untouched, and `claims` are collected of boxes that died, and
-//! `bills` are what became of the tokens. How much a box holds for an outage is sized by `forecast`.
+//! A request reserves its worst case in `funds`, which hold one `wallet` per customer. A box gets
+//! tokens from the keeper of its availability zone, or from the book in the store if it is the
+//! keeper itself or reaches none (`acquirer`). Keepers settle with the book (`settle`), pass tokens
+//! on to the boxes near them (`shares`) and borrow from each other while the store cannot grant any
+//! (`borrower`). `forecast` sizes what a box holds for an outage of the store. `witness` promises
+//! another box which tokens stay unused, and `claims` collects such promises of boxes that died.
+//! `bills` records what the tokens were charged for.
 
-pub mod bills;
-pub mod claims;
 pub mod acquirer;
-pub mod participation;
-pub mod funds;
+pub mod bills;
 pub mod borrower;
+pub mod claims;
 pub mod forecast;
-pub mod wallet;
+pub mod funds;
+pub mod participation;
 pub mod rate;
 pub mod report;
 pub mod settle;
 pub mod shares;
 pub mod spacing;
+pub mod wallet;
 pub mod witness;
--- a/crates/gateway/tests/bills.rs
+++ b/crates/gateway/tests/bills.rs
@@ -10,7 +10,7 @@
 
 fn store(platform: &Platform) -> Client {
     let second = Duration::from_secs(1);
-    Client::open(Options { address: platform.address(), timeout: second, watch: second })
+    Client::open(Options { address: platform.address(), timeout: second, watch_timeout: second })
 }
 
 fn add(bills: &Bills, keys: &[&str]) {
--- a/crates/resource/tests/file.rs
+++ b/crates/resource/tests/file.rs
@@ -1,7 +1,7 @@
-//! Resource files: faults are named with key and line, and nothing makes the reader panic.
+//! Resource files: errors name the key and its line; no input makes the parser panic.
 
 use proptest::prelude::*;
-use resource::{Kind, ApiKey, hash_secret, read};
+use resource::{ApiKey, Kind, hash_secret, read};
 
 const GOOD: &str = r#"[
   // A budget with a comment.
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -85,7 +85,7 @@
     for _ in 0..TRIES {
         let write = shared.store.put("claim", &name, mine.to_json(), expect).await;
         if let Write::Landed(_) = write {
-            shared.health.answered();
+            shared.health.record_success();
             return Ok(());
         }
         expect = match read(shared, &name).await? {
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -174,7 +174,7 @@
         let mut state = self.state.lock();
         for (name, pool) in &mut state.pools {
             let of_pool = told.iter().find(|(told, _)| told == name);
-            pool.peer(peer, of_pool.map_or(&[], |(_, snapshots)| snapshots), now);
+            pool.receive_peer_load(peer, of_pool.map_or(&[], |(_, snapshots)| snapshots), now);
         }
     }
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use rand::{SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
-use timeline::{Log, EventKind};
+use timeline::{EventKind, Log};
 use wire::{Frame, Message, Peer, Status};
 
 /// Longest wait for an answer.
--- a/crates/router/src/relayed.rs
+++ b/crates/router/src/relayed.rs
@@ -122,7 +122,8 @@
             Expect::Absent => 0,
             Expect::Version(version) => version,
         };
-        self.written(PlatformCall::Put { kind: kind.into(), name: name.into(), value, version }).await
+        self.written(PlatformCall::Put { kind: kind.into(), name: name.into(), value, version })
+            .await
     }
 
     async fn delete(&self, kind: &str, name: &str, version: u64) -> Write {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,7 +6,7 @@
 use platform::store::Client;
 use salvo::{Server, conn::tcp::TcpAcceptor, fuse::FuseConfig, server::ServerHandle};
 use snafu::{ResultExt, Snafu};
-use timeline::{Log, EventKind};
+use timeline::{EventKind, Log};
 use tokio::{net::TcpSocket, task::JoinHandle};
 
 use crate::{
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -93,7 +93,7 @@
             let charged = hold.finish(call.worst, Ended::Answered);
             shared.metrics.tokens.inc_by(charged);
             let what = EventKind::Answered { tokens: charged };
-            shared.log.request(&call.key, &call.caller.budget, what);
+            shared.log.add_for_request(&call.key, &call.caller.budget, what);
             if let Some(claim) = claim {
                 claim.answered(kept(&answer));
             }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -150,7 +150,7 @@
     }
 
     /// Gets ready for requests of a budget that has not been used here yet.
-    pub fn expect(&self, budget: &Arc<str>, largest: u64) {
+    pub fn prepare(&self, budget: &Arc<str>, largest: u64) {
         self.entry(budget).usage.lock().expect(largest);
     }
 
@@ -161,7 +161,7 @@
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
         let wished = tokens.max(free / 4);
-        (free >= tokens && tokens > 0).then(|| account.take(Part::Offline, wished))
+        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, wished))
     }
 
     /// Adds offline tokens that a peer passed on.
@@ -182,8 +182,8 @@
     pub fn drain(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
-            account.take(Part::Online, u64::MAX);
-            account.take(Part::Offline, u64::MAX);
+            account.remove(Part::Online, u64::MAX);
+            account.remove(Part::Offline, u64::MAX);
         }
     }
 
@@ -330,7 +330,7 @@
         let journal = self.recorder.journal();
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
-        let share = spec.map_or(0, |spec| spec.share());
+        let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
         let known_short = next.grants.get(self.me()).is_some_and(|g| g.wanted == draw.wanted);
         if draw.wanted > 0 && known_short && next == *ledger {
@@ -384,8 +384,8 @@
         let taken = {
             let mut account = entry.account.lock();
             Draw {
-                return_online: account.take(Part::Online, back.return_online),
-                return_offline: account.take(Part::Offline, back.return_offline),
+                return_online: account.remove(Part::Online, back.return_online),
+                return_offline: account.remove(Part::Offline, back.return_offline),
                 ..Draw::default()
             }
         };
@@ -522,7 +522,7 @@
         let (online, offline) = (draw.online, draw.offline);
         if online + offline + returned > 0 {
             let what = timeline::EventKind::Drawn { online, offline, returned };
-            self.log.budget(&entry.budget, what);
+            self.log.add_for_budget(&entry.budget, what);
         }
         (book.version, book.ledger) = (version, Some(next));
     }
--- a/crates/session/src/carry.rs
+++ b/crates/session/src/replicas.rs
@@ -48,7 +48,7 @@
         recorded.chain(self.transfers.iter().map(|(budget, _)| budget.clone())).collect()
     }
 
-    fn take(&mut self, entry: Entry) {
+    fn insert(&mut self, entry: Entry) {
         match entry {
             // An outcome replaces its intent; a late intent never replaces an outcome.
             Entry::Record(record) => {
@@ -75,17 +75,17 @@
 
 /// Entries carried for other incarnations.
 #[derive(Debug, Default)]
-pub struct Carried(Mutex<BTreeMap<Incarnation, Load>>);
+pub struct Replicas(Mutex<BTreeMap<Incarnation, Load>>);
 
-impl Carried {
+impl Replicas {
     /// Takes an entry; false if too much is carried already.
-    pub fn take(&self, by: Incarnation, entry: Entry) -> bool {
+    pub fn insert(&self, by: Incarnation, entry: Entry) -> bool {
         let mut carried = self.0.lock();
         let total: usize = carried.values().map(Load::len).sum();
         if total >= MOST {
             return false;
         }
-        carried.entry(by).or_default().take(entry);
+        carried.entry(by).or_default().insert(entry);
         true
     }
 
--- a/crates/session/tests/world/mod.rs
+++ b/crates/session/tests/world/mod.rs
@@ -20,7 +20,7 @@
 use rand_chacha::ChaCha8Rng;
 use resource::Kind;
 use session::{
-    Replicas, Health, Options, Sessions, Setup,
+    Health, Options, Replicas, Sessions, Setup,
     recovery::{self, Finding, Sealed},
 };
 use standin::Memory;
@@ -93,7 +93,7 @@
         let mut taken = 0;
         for (index, (way, carried, _)) in all.into_iter().enumerate() {
             let runs = *way.condition.borrow() == Condition::Running;
-            if index != self.me && runs && carried.take(by.clone(), entry.clone()) {
+            if index != self.me && runs && carried.insert(by.clone(), entry.clone()) {
                 taken += 1;
                 if let Entry::Record(record) = entry {
                     let id = format!("{by}-{}", record.n);
@@ -217,7 +217,8 @@
 
     fn declare(&mut self) {
         let spec = format!(r#"{{"customer": "dis", "paid": {}, "offline_share": 300}}"#, self.paid);
-        let Verdict::Accept(accepted) = validate(Kind::Budget, BUDGET, self.version, Some(&spec), None)
+        let Verdict::Accept(accepted) =
+            validate(Kind::Budget, BUDGET, self.version, Some(&spec), None)
         else {
             panic!("the sample budget is valid");
         };
@@ -308,7 +309,7 @@
                 truth.lock().refused.insert(key);
                 return;
             }
-            let id = hold.dispatch();
+            let id = hold.attempt_id();
             if hold.is_offline() {
                 truth.lock().carriers.entry(id.clone()).or_default().push(way.clone());
             }
@@ -439,7 +440,9 @@
         Sealed::Missing | Sealed::Unknown => return,
     };
     let findings = findings(&journal, ruled, &truth, variant);
-    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else { return };
+    let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else {
+        return;
+    };
     let closing = match variant {
         Variant::FreeOffline => Closing::Destroyed,
         _ => Closing::Sealed,
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -201,7 +201,7 @@
         }
         headers
     };
-    let headers = name(fixtures::answered(&arrived.head.id, None));
+    let headers = name(fixtures::response_headers(&arrived.head.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
     // An endpoint that asks for a back-off runs nothing.
     let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -291,7 +291,8 @@
             Kind::StoreDown => platform.set(|faults| faults.down = true),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::from_millis(150)),
             Kind::StoreLosesAnswers => platform.set(|faults| {
-                (faults.drop_responses, faults.late) = (0.4, Duration::from_millis(300));
+                (faults.drop_responses, faults.dropped_write_delay) =
+                    (0.4, Duration::from_millis(300));
             }),
             Kind::Cut { at } => self.nodes[at].link.set_cut(true),
             Kind::Silence { at } => {
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -154,12 +154,12 @@
             Call::Watch { kind, from, wait } => self.watch(&kind, from, wait).await,
             Call::Get { kind, name } => {
                 pause(faults.delay).await;
-                store_server::found(self.0.memory.read(&kind, &name).as_ref())
+                store_server::object_response(self.0.memory.read(&kind, &name).as_ref())
             }
             Call::List { kind, after } => {
                 pause(faults.delay).await;
                 let (objects, version) = self.0.memory.read_all(&kind, "");
-                store_server::page(&objects, after.as_deref(), version)
+                store_server::list_response(&objects, after.as_deref(), version)
             }
             Call::Put { kind, name, value, expect } => {
                 self.write(&kind, &name, Some(value), expect, &faults).await
@@ -182,7 +182,7 @@
         if self.0.faults.lock().down {
             std::future::pending::<()>().await;
         }
-        store_server::events(&watch.changes, watch.next, watch.gap)
+        store_server::watch_response(&watch.changes, watch.next, watch.gap)
     }
 
     async fn write(
@@ -206,15 +206,19 @@
         }
         match applied.await {
             Write::Landed(version) => match self.0.memory.read(kind, name) {
-                Some(object) if object.version == version => store_server::found(Some(&object)),
-                _ => store_server::found(Some(&objects::Object {
+                Some(object) if object.version == version => {
+                    store_server::object_response(Some(&object))
+                }
+                _ => store_server::object_response(Some(&objects::Object {
                     kind: kind.into(),
                     name: name.into(),
                     version,
                     value: "null".into(),
                 })),
             },
-            Write::Refused => store_server::refused(self.0.memory.read(kind, name).as_ref()),
+            Write::Refused => {
+                store_server::conflict_response(self.0.memory.read(kind, name).as_ref())
+            }
             _ => (StatusCode::PAYLOAD_TOO_LARGE, "too large".into()),
         }
     }
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -6,7 +6,7 @@
 use objects::Store;
 use serde::Serialize;
 
-use crate::{Fleet, Response, Outcome};
+use crate::{Fleet, Outcome, Response};
 
 /// Results of an audit; experiments print them under these names.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -102,7 +102,7 @@
     /// Complete body.
     pub body: String,
     /// Time to the first byte of the body.
-    pub first: Duration,
+    pub time_to_first_byte: Duration,
     /// Times between successive parts of the body.
     pub gaps: Vec<Duration>,
     /// Time to the end.
@@ -136,7 +136,7 @@
     }
 
     /// Sends a request to a box.
-    pub async fn ask(&self, to: SocketAddr, ask: &Request) -> Response {
+    pub async fn send(&self, to: SocketAddr, ask: &Request) -> Response {
         let start = Instant::now();
         let mut got = Response {
             key: ask.key.clone(),
@@ -147,7 +147,7 @@
             tokens: 0,
             crossed: false,
             body: String::new(),
-            first: Duration::ZERO,
+            time_to_first_byte: Duration::ZERO,
             gaps: Vec::new(),
             total: Duration::ZERO,
             route: ask.route.clone(),
@@ -211,7 +211,7 @@
             let Ok(part) = part else { return };
             let now = Instant::now();
             match last.replace(now) {
-                None => got.first = now - start,
+                None => got.time_to_first_byte = now - start,
                 Some(before) => got.gaps.push(now - before),
             }
             body.extend_from_slice(&part);
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -267,7 +267,7 @@
     }
 
     /// Address of a router for callers.
-    pub fn to(&self, index: usize) -> SocketAddr {
+    pub fn callers_address(&self, index: usize) -> SocketAddr {
         self.nodes[index].callers()
     }
 
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trial::{Request, Figures, Fleet, Response, Outcome, Plan};
+use trial::{Figures, Fleet, Outcome, Plan, Request, Response};
 
 /// Longest wait until all runs are billed.
 const SETTLE: Duration = Duration::from_secs(40);
@@ -24,7 +24,7 @@
 /// Sends a request again with the same key until there is a complete response.
 async fn insist(fleet: &Fleet, at: usize, ask: &Request) -> Response {
     loop {
-        let got = fleet.caller.ask(fleet.to(at), ask).await;
+        let got = fleet.caller.send(fleet.callers_address(at), ask).await;
         if got.outcome == Outcome::Answered {
             return got;
         }
@@ -91,8 +91,8 @@
 async fn a_killed_box_loses_no_bill_and_its_online_tokens_come_back() {
     let mut fleet = ready(Plan::default()).await;
     let long = Request { output: 60, max_tokens: 80, ..ask("long") };
-    let (to, caller, wanted) = (fleet.to(0), fleet.caller.clone(), long.clone());
-    let asking = tokio::spawn(async move { caller.ask(to, &wanted).await });
+    let (to, caller, wanted) = (fleet.callers_address(0), fleet.caller.clone(), long.clone());
+    let asking = tokio::spawn(async move { caller.send(to, &wanted).await });
     while fleet.engines.iter().all(|engine| engine.truth().runs.is_empty()) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Asking another box.
+//! Client side: requests to another box.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -15,10 +15,10 @@
 };
 
 use crate::{
-    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, decode, encode, packed, server::read_all,
+    Error, MAX_MESSAGE_BYTES, Message, NEWEST_FORMAT, compression, decode, encode, server::read_all,
 };
 
-/// A peer that is asked over one connection, opened when it is needed.
+/// Client for one peer, with a single connection that is opened on demand.
 #[derive(Clone)]
 pub struct Peer {
     address: SocketAddr,
@@ -27,47 +27,48 @@
     format: u16,
 }
 
-/// Bytes of a question and its answer, as they went over the link.
+/// Bytes of a request and its answer on the wire.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Of the question.
+    /// Request.
     pub sent: u64,
-    /// Of the answer.
+    /// Answer, as compressed.
     pub received: u64,
 }
 
 impl Peer {
-    /// A peer at an address, reached from this box's own IP number; nothing is sent yet.
+    /// Creates a client for `address` that connects from the local address `source`; opens nothing
+    /// yet.
     pub fn new(address: SocketAddr, source: IpAddr) -> Peer {
         Peer { address, source, connection: Arc::default(), format: NEWEST_FORMAT }
     }
 
-    /// The same peer, spoken to in a given format.
-    pub fn speaking(self, format: u16) -> Peer {
+    /// Uses a given format instead of the newest.
+    pub fn with_format(self, format: u16) -> Peer {
         Peer { format, ..self }
     }
 
-    /// Where it is.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks and waits for the answer.
-    pub async fn ask(&self, question: &Message, within: Duration) -> Result<Message, Error> {
-        self.ask_counted(question, within).await.map(|(answer, _)| answer)
+    /// Sends a request and waits for the answer.
+    pub async fn ask(&self, message: &Message, timeout: Duration) -> Result<Message, Error> {
+        self.ask_with_size(message, timeout).await.map(|(answer, _)| answer)
     }
 
-    /// Asks and waits for the answer; says what both took.
-    pub async fn ask_counted(
+    /// Sends a request and waits for the answer; also returns the size of both.
+    pub async fn ask_with_size(
         &self,
-        question: &Message,
-        within: Duration,
+        message: &Message,
+        timeout: Duration,
     ) -> Result<(Message, Size), Error> {
-        let bytes = encode(question, self.format)?;
-        match tokio::time::timeout(within, self.exchange(bytes)).await {
+        let bytes = encode(message, self.format)?;
+        match tokio::time::timeout(timeout, self.exchange(bytes)).await {
             Ok(answer) => answer,
             Err(_) => {
-                // A connection that does not answer may be one end of a cut link.
+                // The connection may be half-open after a network fault: the next request opens a
+                // new one.
                 self.connection.lock().await.take();
                 Err(Error::Timeout)
             }
@@ -86,17 +87,17 @@
         let sent = bytes.len() as u64;
         let mut sender = self.sender().await?.ready().await.map_err(unreachable)?;
         let request = http::Request::post("http://peer/")
-            .header(header::ACCEPT_ENCODING, packed::ENCODING)
+            .header(header::ACCEPT_ENCODING, compression::ENCODING)
             .body(())
-            .expect("a plain request");
+            .expect("a valid request");
         let (response, mut stream) = sender.send_request(request, false).map_err(unreachable)?;
         stream.send_data(bytes.into(), true).map_err(unreachable)?;
         let response = response.await.map_err(unreachable)?;
         let status = response.status();
-        let is_packed = response.headers().contains_key(header::CONTENT_ENCODING);
+        let is_compressed = response.headers().contains_key(header::CONTENT_ENCODING);
         let body = read_all(response.into_body()).await?;
         let size = Size { sent, received: body.len() as u64 };
-        let body = if is_packed { packed::unpack(&body)? } else { body.to_vec() };
+        let body = if is_compressed { compression::decompress(&body)? } else { body.to_vec() };
         if !status.is_success() {
             let reason = String::from_utf8_lossy(&body).into_owned();
             return Err(Error::Malformed { reason });
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering other boxes.
+//! Server side: answers to other boxes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,21 +9,20 @@
     task::{JoinHandle, JoinSet},
 };
 
-use crate::{Error, MAX_MESSAGE_BYTES, Message, decode, encode, packed};
+use crate::{Error, MAX_MESSAGE_BYTES, Message, compression, decode, encode};
 
-/// Streams at once on one connection.
-const STREAMS: u32 = 256;
-/// Longest time for a peer to send one question.
-const READ: Duration = Duration::from_secs(5);
+/// Concurrent streams on one connection.
+const MAX_STREAMS: u32 = 256;
+/// Longest time to receive one request.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What answers questions.
+/// Handler of requests.
 #[async_trait::async_trait]
 pub trait Answer: Send + Sync + 'static {
-    /// Answers one question.
-    async fn answer(&self, question: Message) -> Message;
+    async fn answer(&self, request: Message) -> Message;
 }
 
-/// A running listener for other boxes.
+/// A running server for other boxes; it stops when dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -31,7 +30,7 @@
 }
 
 impl Server {
-    /// Binds an address and answers on it until dropped.
+    /// Binds an address and serves requests until dropped.
     pub async fn bind(address: SocketAddr, answer: Arc<dyn Answer>) -> std::io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -39,7 +38,7 @@
         Ok(Server { address, task })
     }
 
-    /// Where it listens.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -68,54 +67,62 @@
 async fn serve(stream: TcpStream, answer: Arc<dyn Answer>) {
     let _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
-    builder.max_concurrent_streams(STREAMS).max_header_list_size(4 << 10);
+    builder.max_concurrent_streams(MAX_STREAMS).max_header_list_size(4 << 10);
     builder.initial_window_size(MAX_MESSAGE_BYTES as u32).initial_connection_window_size(4 << 20);
     let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
     let mut streams = JoinSet::new();
     while let Some(Ok((request, respond))) = connection.accept().await {
-        let unpacks = request
+        let accepts_compression = request
             .headers()
             .get(header::ACCEPT_ENCODING)
-            .is_some_and(|encoding| encoding == packed::ENCODING);
-        streams.spawn(one(request.into_body(), respond, answer.clone(), unpacks));
+            .is_some_and(|encoding| encoding == compression::ENCODING);
+        streams.spawn(serve_stream(
+            request.into_body(),
+            respond,
+            answer.clone(),
+            accepts_compression,
+        ));
         while streams.try_join_next().is_some() {}
     }
 }
 
-async fn one(
+async fn serve_stream(
     body: h2::RecvStream,
     mut respond: h2::server::SendResponse<Bytes>,
     answer: Arc<dyn Answer>,
-    unpacks: bool,
+    accepts_compression: bool,
 ) {
-    let read = tokio::time::timeout(READ, read_all(body)).await;
-    let question = match read {
+    let read = tokio::time::timeout(READ_TIMEOUT, read_all(body)).await;
+    let request = match read {
         Ok(Ok(bytes)) => decode(&bytes),
         Ok(Err(error)) => Err(error),
         Err(_) => Err(Error::Timeout),
     };
-    let (status, body) = match question {
+    let (status, body) = match request {
         Ok((message, format)) => match encode(&answer.answer(message).await, format) {
             Ok(bytes) => (200, bytes),
             Err(error) => (500, error.to_string().into_bytes()),
         },
         Err(error) => {
-            tracing::debug!(%error, "a peer's message was refused");
+            tracing::debug!(%error, "rejected a message from a peer");
             (400, error.to_string().into_bytes())
         }
     };
     let response = http::Response::builder().status(status);
-    let (response, body) = match unpacks.then(|| packed::pack(&body)).flatten() {
-        Some(packed) => (response.header(header::CONTENT_ENCODING, packed::ENCODING), packed),
+    let (response, body) = match accepts_compression.then(|| compression::compress(&body)).flatten()
+    {
+        Some(compressed) => {
+            (response.header(header::CONTENT_ENCODING, compression::ENCODING), compressed)
+        }
         None => (response, body),
     };
-    let response = response.body(()).expect("a plain response");
+    let response = response.body(()).expect("a valid response");
     if let Ok(mut stream) = respond.send_response(response, false) {
         let _ = stream.send_data(body.into(), true);
     }
 }
 
-/// Reads a body, giving up as soon as it is larger than any message.
+/// Reads a body; fails as soon as it exceeds [`MAX_MESSAGE_BYTES`].
 pub(crate) async fn read_all(mut body: h2::RecvStream) -> Result<BytesMut, Error> {
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -1,7 +1,5 @@
-//! What large answers take on their way.
-//!
-//! The load: 301 boxes and 3,000 endpoints. The whole of what a home of news knows goes to each of 50
-//! listeners, many of them in other availability zones and behind 10 Mbit/s.
+//! Size of a full update about 3,000 endpoints, which must reach subscribers behind a slow link
+//! within their timeout.
 
 use std::{
     net::SocketAddr,
@@ -20,15 +18,15 @@
 };
 use wire::{Answer, Change, Frame, Message, Peer, Server, Subscribe, Update, encode};
 
-/// Endpoints of the load.
+/// Number of endpoints in the update.
 const ENDPOINTS: u64 = 3_000;
 
 fn message(frame: Frame) -> Message {
     Message { from: Incarnation::new("box-1", 1), stamp: Timestamp::default(), frame }
 }
 
-/// All that a home knows.
-fn whole(endpoints: u64) -> Frame {
+/// A full update.
+fn full_update(endpoints: u64) -> Frame {
     let change = |n: u64| {
         Change {
         kind: "endpoints".into(),
@@ -50,34 +48,35 @@
     let (last, at) = (endpoints, endpoints + 400);
     Frame::Update(Update {
         last,
-        whole: true,
+        is_snapshot: true,
         changes,
         endpoints_at: at,
         boxes_at: at,
-        away_ms: None,
+        store_unreachable_ms: None,
     })
 }
 
-/// Tells the whole of this many endpoints.
-struct Home(u64);
+/// Answers each request with a full update about this many endpoints.
+struct FullUpdate(u64);
 
 #[async_trait::async_trait]
-impl Answer for Home {
+impl Answer for FullUpdate {
     async fn answer(&self, _: Message) -> Message {
-        message(whole(self.0))
+        message(full_update(self.0))
     }
 }
 
-fn question() -> Message {
+fn subscribe_message() -> Message {
     let watcher = Incarnation::new("box-1", 1);
-    let listen = Subscribe { watcher, since: Some(0), config: 0, away: false, wait_ms: 0 };
+    let listen =
+        Subscribe { watcher, since: Some(0), config: 0, is_store_unreachable: false, wait_ms: 0 };
     message(Frame::Subscribe(listen))
 }
 
-/// Passes everything on to `to`, and counts what comes back.
-async fn counting(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
-    let address = listener.local_addr().expect("a bound socket has an address");
+/// Forwards one connection to `to` and counts the bytes that come back.
+async fn counting_proxy(to: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound address");
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
     tokio::spawn(async move {
@@ -99,42 +98,43 @@
 
 async fn server(endpoints: u64) -> Server {
     let any = "127.0.0.1:0".parse().expect("an address");
-    Server::bind(any, Arc::new(Home(endpoints))).await.expect("loopback has free ports")
+    Server::bind(any, Arc::new(FullUpdate(endpoints))).await.expect("a free port")
 }
 
 #[tokio::test]
-async fn the_whole_of_many_endpoints_takes_a_narrow_link_a_moment() {
+async fn a_full_update_is_compressed_to_a_fifth() {
     let server = server(ENDPOINTS).await;
-    let (address, count) = counting(server.address()).await;
+    let (address, count) = counting_proxy(server.address()).await;
     let peer = Peer::new(address, address.ip());
-    let answer = peer.ask(&question(), Duration::from_secs(30)).await.expect("an answer");
-    assert_eq!(answer, message(whole(ENDPOINTS)), "nothing is lost on the way");
-    let plain = encode(&answer, wire::NEWEST_FORMAT).expect("it fits").len();
+    let answer = peer.ask(&subscribe_message(), Duration::from_secs(30)).await.expect("an answer");
+    assert_eq!(answer, message(full_update(ENDPOINTS)), "decompression restores the message");
+    let plain = encode(&answer, wire::NEWEST_FORMAT).expect("below the size limit").len();
     let took = count.load(Ordering::Relaxed);
-    // A fifth: 10 Mbit/s carry it within the 0.6 s that a box waits, with room for what goes beside it.
-    assert!(took * 5 < plain, "{took} bytes on the way of {plain}");
+    // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
+    assert!(took * 5 < plain, "{took} of {plain} bytes transferred");
 }
 
 #[tokio::test]
-async fn boxes_that_do_not_unpack_are_answered_as_before() {
+async fn clients_without_compression_get_plain_answers() {
     let server = server(ENDPOINTS).await;
-    let stream = TcpStream::connect(server.address()).await.expect("it listens");
+    let stream = TcpStream::connect(server.address()).await.expect("the server listens");
     let (sender, connection) = h2::client::handshake(stream).await.expect("a connection");
     tokio::spawn(connection);
     let mut sender = sender.ready().await.expect("a stream");
-    let request = http::Request::post("http://peer/").body(()).expect("a plain request");
-    let (response, mut stream) = sender.send_request(request, false).expect("it is sent");
-    let bytes = encode(&question(), wire::NEWEST_FORMAT).expect("it fits");
-    stream.send_data(bytes.into(), true).expect("it is sent");
+    let request = http::Request::post("http://peer/").body(()).expect("a valid request");
+    let (response, mut stream) =
+        sender.send_request(request, false).expect("the connection is open");
+    let bytes = encode(&subscribe_message(), wire::NEWEST_FORMAT).expect("below the size limit");
+    stream.send_data(bytes.into(), true).expect("the connection is open");
     let response = response.await.expect("an answer");
     assert!(!response.headers().contains_key("content-encoding"));
     let mut body = response.into_body();
     let mut bytes = Vec::new();
     while let Some(part) = body.data().await {
-        let part = part.expect("it arrives");
-        body.flow_control().release_capacity(part.len()).expect("it was counted");
+        let part = part.expect("a body part");
+        body.flow_control().release_capacity(part.len()).expect("received capacity");
         bytes.extend_from_slice(&part);
     }
-    let (answer, _) = wire::decode(&bytes).expect("it can be read");
-    assert_eq!(answer, message(whole(ENDPOINTS)));
+    let (answer, _) = wire::decode(&bytes).expect("a valid message");
+    assert_eq!(answer, message(full_update(ENDPOINTS)));
 }
