--- a/crates/soak/src/call.rs
+++ b/crates/soak/src/call.rs
@@ -6,7 +6,7 @@
 use platform::{fixtures::CallerHead, request::Tokens};
 use tokio::time::Instant;
 
-use crate::endpoint::{EVENT_TOKENS, Id};
+use crate::endpoint::{Id, TOKENS_PER_EVENT};
 
 /// Longest wait of a caller for the head of a response, and for each part of its body.
 pub const DEADLINE: Duration = Duration::from_secs(5);
@@ -43,20 +43,20 @@
 
 /// One start of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Life {
+pub struct Incarnation {
     /// Number of the box.
-    pub at: usize,
+    pub box_index: usize,
     /// Number of the start, from 1.
     pub number: usize,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// A response with a status of success.
     Answered {
         /// Whether the body is the complete response to this call and nothing else.
-        own: bool,
+        is_correct: bool,
         body: String,
     },
     /// A response with another status.
@@ -77,19 +77,21 @@
     pub key: &'static str,
     pub route: Route,
     /// The box that the call was sent to.
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub sent: Instant,
     pub ended: Instant,
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 impl Call {
     /// Lower bound of the tokens that the endpoint served for this call.
     pub fn served(&self) -> u64 {
-        match &self.end {
-            End::Answered { .. } => self.id.tokens(),
-            End::Failed { events, .. } if *events > 0 => self.id.prompt + events * EVENT_TOKENS,
-            End::Failed { .. } | End::Refused(_) => 0,
+        match &self.outcome {
+            Outcome::Answered { .. } => self.id.tokens(),
+            Outcome::Failed { events, .. } if *events > 0 => {
+                self.id.prompt + events * TOKENS_PER_EVENT
+            }
+            Outcome::Failed { .. } | Outcome::Refused(_) => 0,
         }
     }
 }
@@ -101,9 +103,9 @@
     route: Route,
     key: &'static str,
     id: Id,
-) -> End {
-    let tokens = Tokens { prompt: id.prompt, max_output: id.events * EVENT_TOKENS };
-    let asked = CallerHead {
+) -> Outcome {
+    let tokens = Tokens { prompt: id.prompt, max_output: id.events * TOKENS_PER_EVENT };
+    let head = CallerHead {
         id: id.text(),
         key: Some(key.to_owned()),
         deadline: Some(DEADLINE),
@@ -112,9 +114,9 @@
     };
     let url = format!("http://{address}/{}/x", route.name());
     let request = client.post(url).header(header::HOST, "desk.example").body("a body");
-    let headers = asked.headers();
+    let headers = head.headers();
     let request = headers.into_iter().fold(request, |r, (name, value)| r.header(name, value));
-    let failed = |reason: String, events| End::Failed { reason, events };
+    let failed = |reason: String, events| Outcome::Failed { reason, events };
     let mut answer = match tokio::time::timeout(DEADLINE, request.send()).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return failed(format!("{error:?}"), 0),
@@ -124,25 +126,25 @@
     let mut body = Vec::new();
     loop {
         match tokio::time::timeout(DEADLINE, answer.chunk()).await {
-            Ok(Ok(Some(piece))) => body.extend_from_slice(&piece),
+            Ok(Ok(Some(part))) => body.extend_from_slice(&part),
             Ok(Ok(None)) => break,
-            Ok(Err(error)) => return failed(format!("{error:?}"), events_of(&id, &body)),
-            Err(_) => return failed("the deadline passed".into(), events_of(&id, &body)),
+            Ok(Err(error)) => return failed(format!("{error:?}"), count_events(&id, &body)),
+            Err(_) => return failed("the deadline passed".into(), count_events(&id, &body)),
         }
     }
     if !status.is_success() {
-        return End::Refused(status);
+        return Outcome::Refused(status);
     }
     let body = String::from_utf8_lossy(&body).into_owned();
-    let whole: String = match route {
+    let expected: String = match route {
         Route::Stream => (0..id.events).map(|number| id.event(number)).collect(),
         Route::Cancel | Route::Confirm | Route::Late => id.answer(),
     };
-    // `Conduct::SaysMore` sends the plain response on every route.
-    End::Answered { own: body == whole || body == id.answer(), body }
+    // `Behavior::TrailingResponse` sends the plain response on every route.
+    Outcome::Answered { is_correct: body == expected || body == id.answer(), body }
 }
 
-fn events_of(id: &Id, body: &[u8]) -> u64 {
+fn count_events(id: &Id, body: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(body);
     (0..id.events).take_while(|number| text.contains(&id.event(*number))).count() as u64
 }
--- a/crates/soak/src/daemon.rs
+++ b/crates/soak/src/daemon.rs
@@ -15,7 +15,7 @@
 };
 
 /// Longest wait for a daemon to report the address that it listens on.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Failure to start or signal a daemon.
 #[derive(Debug, Snafu)]
@@ -56,9 +56,9 @@
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).context(started)?;
         let out = child.stdout.take().context(started)?;
         let file = tokio::fs::File::create(log).await.context(FileSnafu { path: log })?;
-        let (told, callers) = tokio::sync::oneshot::channel();
-        tokio::spawn(keep_lines(BufReader::new(out), file, told));
-        let callers = tokio::time::timeout(STARTS_WITHIN, callers).await;
+        let (sender, callers) = tokio::sync::oneshot::channel();
+        tokio::spawn(copy_output(BufReader::new(out), file, sender));
+        let callers = tokio::time::timeout(START_TIMEOUT, callers).await;
         let callers = callers.ok().and_then(Result::ok).context(started)?;
         Ok(Daemon { child, pid, callers })
     }
@@ -74,24 +74,24 @@
     }
 
     /// Waits for the process to exit; returns whether it did in time.
-    pub async fn ended(&mut self, within: Duration) -> bool {
-        tokio::time::timeout(within, self.child.wait()).await.is_ok()
+    pub async fn wait_exit(&mut self, timeout: Duration) -> bool {
+        tokio::time::timeout(timeout, self.child.wait()).await.is_ok()
     }
 }
 
 /// Copies output to the log, and sends the address from the `started` event.
-async fn keep_lines(
+async fn copy_output(
     out: BufReader<tokio::process::ChildStdout>,
     mut file: tokio::fs::File,
-    told: tokio::sync::oneshot::Sender<SocketAddr>,
+    sender: tokio::sync::oneshot::Sender<SocketAddr>,
 ) {
-    let mut told = Some(told);
+    let mut sender = Some(sender);
     let mut lines = out.lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        if told.is_some()
-            && let Some(address) = listens_at(&line)
+        if sender.is_some()
+            && let Some(address) = listening_address(&line)
         {
-            let _ = told.take().map(|told| told.send(address));
+            let _ = sender.take().map(|sender| sender.send(address));
         }
         if file.write_all(line.as_bytes()).await.is_err() || file.write_all(b"\n").await.is_err() {
             return;
@@ -100,7 +100,7 @@
     let _ = file.flush().await;
 }
 
-fn listens_at(line: &str) -> Option<SocketAddr> {
+fn listening_address(line: &str) -> Option<SocketAddr> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     match line["event"].as_str() {
         Some("started") => line["callers"].as_str()?.parse().ok(),
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -11,12 +11,12 @@
 use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 use tokio::time::Instant;
 
-use crate::{need::Need, word::Word};
+use crate::{announcement::Announcement, limit::Limit};
 
 /// Tokens of one event; equals `stride` in the configuration.
-pub const EVENT_TOKENS: u64 = 2;
+pub const TOKENS_PER_EVENT: u64 = 2;
 /// Time between two events of a stream.
-const PAUSE: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Parameters of a request, encoded in its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,19 +43,19 @@
     }
 
     /// How an endpoint handles the request.
-    pub fn conduct(&self) -> Conduct {
+    pub fn behavior(&self) -> Behavior {
         match self.number {
-            n if n % 41 == 0 => Conduct::Closes,
-            n if n % 43 == 0 => Conduct::Tears,
-            n if n % 47 == 0 => Conduct::SaysMore,
-            n if n % 31 == 0 => Conduct::Declines,
-            _ => Conduct::Answers,
+            n if n % 41 == 0 => Behavior::NoResponse,
+            n if n % 43 == 0 => Behavior::Truncated,
+            n if n % 47 == 0 => Behavior::TrailingResponse,
+            n if n % 31 == 0 => Behavior::NotRun,
+            _ => Behavior::Complete,
         }
     }
 
     /// Tokens that the complete response costs.
     pub fn tokens(&self) -> u64 {
-        self.prompt + self.events * EVENT_TOKENS
+        self.prompt + self.events * TOKENS_PER_EVENT
     }
 
     /// One event of a streamed response.
@@ -71,17 +71,17 @@
 
 /// How an endpoint handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conduct {
+pub enum Behavior {
     /// Sends a complete response.
-    Answers,
+    Complete,
     /// Sends a complete response, followed by the response to another request.
-    SaysMore,
+    TrailingResponse,
     /// Runs it and closes the connection without a response.
-    Closes,
+    NoResponse,
     /// Runs it and closes the connection in the middle of the response.
-    Tears,
+    Truncated,
     /// Responds that it did not run it.
-    Declines,
+    NotRun,
 }
 
 /// A request that an endpoint ran.
@@ -106,22 +106,22 @@
     /// Whether the endpoint announces that it leaves.
     pub leaves: bool,
     /// Back-off that the endpoint asks for.
-    pub asks: Option<Duration>,
+    pub back_off: Option<Duration>,
 }
 
 /// What an endpoint announces in a run.
 #[derive(Debug, Clone, Default)]
-pub struct Says {
+pub struct Plan {
     /// A rate limit for a part of the run.
-    pub need: Option<Need>,
+    pub limit: Option<Limit>,
     /// Leaving, or back-offs.
-    pub word: Option<Word>,
+    pub announcement: Option<Announcement>,
 }
 
-impl Says {
+impl Plan {
     /// Whether the endpoint announces anything during the run.
-    fn anything(&self) -> bool {
-        self.need.is_some() || self.word.is_some()
+    fn announces_anything(&self) -> bool {
+        self.limit.is_some() || self.announcement.is_some()
     }
 }
 
@@ -146,31 +146,33 @@
         name: &str,
         service: &'static str,
         runs: Runs,
-        says: Says,
+        plan: Plan,
         arrivals: Arrivals,
     ) -> Endpoint {
         let name: Arc<str> = name.into();
         let endpoint = name.clone();
-        let began = Instant::now();
+        let started = Instant::now();
         let scripted = ScriptedEndpoint::spawn(move |arrived| {
             let Some(id) = Id::read(&arrived.head.id) else { return Reply::Close };
-            let now = began.elapsed();
-            let in_need = says.need.filter(|need| (need.from..need.until).contains(&now));
-            let limit = in_need.map(|need| need.per_s);
-            let leaves = says.word.as_ref().is_some_and(|word| word.leaves(now));
-            let asks = says.word.as_ref().and_then(|word| word.asks(now));
+            let now = started.elapsed();
+            let active_limit = plan.limit.filter(|limit| (limit.from..limit.until).contains(&now));
+            let limit = active_limit.map(|limit| limit.per_s);
+            let leaves =
+                plan.announcement.as_ref().is_some_and(|announcement| announcement.leaves(now));
+            let back_off =
+                plan.announcement.as_ref().and_then(|announcement| announcement.back_off(now));
             let arrival = Arrival {
                 id,
                 at: Instant::now(),
                 limit,
-                answered: asks.is_some() || id.conduct() != Conduct::Closes,
+                answered: back_off.is_some() || id.behavior() != Behavior::NoResponse,
                 leaves,
-                asks,
+                back_off,
             };
-            if says.anything() {
+            if plan.announces_anything() {
                 arrivals.lock().entry(endpoint.clone()).or_default().push(arrival);
             }
-            if asks.is_none() && id.conduct() != Conduct::Declines {
+            if back_off.is_none() && id.behavior() != Behavior::NotRun {
                 let run = Run { id, endpoint: endpoint.clone(), at: Instant::now() };
                 runs.lock().push(run);
             }
@@ -188,35 +190,35 @@
 
 fn reply(arrival: &Arrival, arrived: &ReceivedRequest, service: &str) -> Reply {
     let id = arrival.id;
-    let name = |mut headers: HeaderMap| {
-        let number = |number: f64| HeaderValue::try_from(number.to_string()).expect("a number");
+    let announce = |mut headers: HeaderMap| {
+        let value = |number: f64| HeaderValue::try_from(number.to_string()).expect("a number");
         if let Some(limit) = arrival.limit {
-            headers.insert(fixtures::LIMIT, number(limit));
+            headers.insert(fixtures::LIMIT, value(limit));
         }
-        if let Some(rest) = arrival.asks {
-            headers.insert(header::RETRY_AFTER, number(rest.as_secs_f64()));
+        if let Some(back_off) = arrival.back_off {
+            headers.insert(header::RETRY_AFTER, value(back_off.as_secs_f64()));
         }
         if arrival.leaves {
             headers.insert(fixtures::LEAVING, HeaderValue::from_static("1"));
         }
         headers
     };
-    let headers = name(fixtures::response_headers(&arrived.head.id, None));
+    let headers = announce(fixtures::response_headers(&arrived.head.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
     // An endpoint that asks for a back-off runs nothing.
-    let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
-    match conduct {
-        Conduct::Closes => Reply::Close,
-        Conduct::Declines => {
+    let behavior = arrival.back_off.map_or(id.behavior(), |_| Behavior::NotRun);
+    match behavior {
+        Behavior::NoResponse => Reply::Close,
+        Behavior::NotRun => {
             let (status, headers) = fixtures::not_run_response(&arrived.head.id);
-            Reply::Complete(status, name(headers), "full".into())
+            Reply::Complete(status, announce(headers), "full".into())
         }
-        Conduct::Tears => Reply::Truncated(headers, events(id.events / 2)),
-        Conduct::Answers if service == "engines" => {
-            Reply::Events(headers, events(id.events), PAUSE)
+        Behavior::Truncated => Reply::Truncated(headers, events(id.events / 2)),
+        Behavior::Complete if service == "engines" => {
+            Reply::Events(headers, events(id.events), EVENT_INTERVAL)
         }
-        Conduct::Answers => Reply::Complete(StatusCode::OK, headers, id.answer()),
-        Conduct::SaysMore => {
+        Behavior::Complete => Reply::Complete(StatusCode::OK, headers, id.answer()),
+        Behavior::TrailingResponse => {
             let other = Id { number: id.number + 1, ..id };
             let body = other.answer();
             let length = body.len();
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -13,21 +13,21 @@
     /// Calls of the store are slow.
     StoreSlow,
     /// The store drops the responses of some writes and applies these writes after a delay.
-    StoreLosesAnswers,
+    StoreDropsResponses,
     /// The link between a box and the store carries no bytes.
-    Cut { at: usize },
+    CutLink { box_index: usize },
     /// Open connections from a box to the store stall without a reset; new ones work.
-    Silence { at: usize },
+    StallConnections { box_index: usize },
     /// One daemon is killed.
-    Kill { at: usize },
+    Kill { box_index: usize },
     /// All daemons are killed.
     KillAll,
     /// A daemon is suspended by SIGSTOP.
-    Pause { at: usize },
+    Suspend { box_index: usize },
     /// A daemon is stopped by SIGTERM.
-    Stop { at: usize },
+    Stop { box_index: usize },
     /// A daemon reloads its settings on SIGHUP.
-    Reload { at: usize },
+    Reload { box_index: usize },
     /// An endpoint is no longer ready in its entry in the store.
     Leave { endpoint: usize },
     /// The operator adds a route.
@@ -38,16 +38,16 @@
 
 impl Kind {
     /// Boxes that may miss changes meanwhile: `Some(Some(box))`, `Some(None)` for all, or `None`.
-    pub fn disturbs(self) -> Option<Option<usize>> {
+    pub fn disturbed_boxes(self) -> Option<Option<usize>> {
         match self {
-            Kind::StoreDown | Kind::StoreSlow | Kind::StoreLosesAnswers | Kind::KillAll => {
+            Kind::StoreDown | Kind::StoreSlow | Kind::StoreDropsResponses | Kind::KillAll => {
                 Some(None)
             }
-            Kind::Cut { at }
-            | Kind::Silence { at }
-            | Kind::Kill { at }
-            | Kind::Pause { at }
-            | Kind::Stop { at } => Some(Some(at)),
+            Kind::CutLink { box_index }
+            | Kind::StallConnections { box_index }
+            | Kind::Kill { box_index }
+            | Kind::Suspend { box_index }
+            | Kind::Stop { box_index } => Some(Some(box_index)),
             Kind::Reload { .. } | Kind::Leave { .. } | Kind::Configure | Kind::TopUp => None,
         }
     }
@@ -57,16 +57,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
     /// Time since the start of the load.
-    pub at: Duration,
+    pub start: Duration,
     /// Ignored by kinds that take effect at once and need not be undone.
-    pub lasts: Duration,
+    pub duration: Duration,
     pub kind: Kind,
 }
 
 /// Mean time between the starts of two faults.
-const EACH: Duration = Duration::from_millis(900);
+const MEAN_INTERVAL: Duration = Duration::from_millis(900);
 /// Shortest and longest duration of a fault, in milliseconds.
-const LASTS_MS: (u64, u64) = (200, 4_000);
+const DURATION_MS: (u64, u64) = (200, 4_000);
 
 /// Draws the faults of a run, ordered by start. They may overlap.
 pub fn draw(
@@ -75,38 +75,38 @@
     endpoints: usize,
     length: Duration,
 ) -> Vec<Fault> {
-    let count = (length.as_millis() / EACH.as_millis()) as usize;
+    let count = (length.as_millis() / MEAN_INTERVAL.as_millis()) as usize;
     let mut faults: Vec<Fault> = (0..count)
         .map(|_| {
-            let at = Duration::from_millis(random.random_range(0..length.as_millis() as u64));
-            let lasts = Duration::from_millis(random.random_range(LASTS_MS.0..LASTS_MS.1));
-            Fault { at, lasts, kind: kind(random, boxes) }
+            let start = Duration::from_millis(random.random_range(0..length.as_millis() as u64));
+            let duration = Duration::from_millis(random.random_range(DURATION_MS.0..DURATION_MS.1));
+            Fault { start, duration, kind: kind(random, boxes) }
         })
         .collect();
     // One endpoint leaves in the first half, so that requests that reach it later are noticed.
-    let at = Duration::from_millis(random.random_range(0..length.as_millis() as u64 / 2));
+    let start = Duration::from_millis(random.random_range(0..length.as_millis() as u64 / 2));
     let endpoint = random.random_range(0..endpoints);
-    faults.push(Fault { at, lasts: Duration::ZERO, kind: Kind::Leave { endpoint } });
+    faults.push(Fault { start, duration: Duration::ZERO, kind: Kind::Leave { endpoint } });
     if random.random_bool(0.3) {
-        let at = length * 3 / 4;
-        faults.push(Fault { at, lasts: Duration::from_millis(300), kind: Kind::KillAll });
+        let start = length * 3 / 4;
+        faults.push(Fault { start, duration: Duration::from_millis(300), kind: Kind::KillAll });
     }
-    faults.sort_by_key(|fault| fault.at);
+    faults.sort_by_key(|fault| fault.start);
     faults
 }
 
 fn kind(random: &mut ChaCha8Rng, boxes: usize) -> Kind {
-    let at = random.random_range(0..boxes);
+    let box_index = random.random_range(0..boxes);
     match random.random_range(0..14) {
         0 => Kind::StoreDown,
         1 => Kind::StoreSlow,
-        2 => Kind::StoreLosesAnswers,
-        3 | 4 => Kind::Cut { at },
-        5 => Kind::Silence { at },
-        6 | 7 => Kind::Kill { at },
-        8 => Kind::Pause { at },
-        9 | 10 => Kind::Stop { at },
-        11 => Kind::Reload { at },
+        2 => Kind::StoreDropsResponses,
+        3 | 4 => Kind::CutLink { box_index },
+        5 => Kind::StallConnections { box_index },
+        6 | 7 => Kind::Kill { box_index },
+        8 => Kind::Suspend { box_index },
+        9 | 10 => Kind::Stop { box_index },
+        11 => Kind::Reload { box_index },
         12 => Kind::TopUp,
         _ => Kind::Configure,
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -3,17 +3,17 @@
 //! [`run`] plays one seed. It starts a stand-in store and endpoints in this process, and one daemon
 //! for each box, which reaches the store through a link that can be cut or stalled. Callers
 //! ([`call`]) keep their connections, faults ([`fault`]) overlap, and endpoints may announce rate
-//! limits ([`need`]), that they leave, or back-offs ([`word`]). At the end, [`verdict`] compares
+//! limits ([`limit`]), that they leave, or back-offs ([`announcement`]). At the end, [`verdict`] compares
 //! the responses, the runs at the endpoints ([`endpoint`]), the book and the bills. A run signals
 //! only processes that it started, by their ids, and kills them when it ends.
 
+pub mod announcement;
 pub mod call;
 pub mod daemon;
 pub mod endpoint;
 pub mod fault;
-pub mod need;
+pub mod limit;
 pub mod verdict;
-pub mod word;
 
 mod run;
 
--- a/crates/soak/src/need.rs
+++ b/crates/soak/src/limit.rs
@@ -8,15 +8,15 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Combined with the seed of the run, so that this generator differs from the one for faults.
-const SALT: u64 = 0x6c69_6d69_7400;
+const SEED_SALT: u64 = 0x6c69_6d69_7400;
 /// Lowest and highest limit, in tenths of a request a second; far below what callers ask for.
-const TENTHS: (u32, u32) = (0, 60);
+const LIMIT_TENTHS_PER_S: (u32, u32) = (0, 60);
 /// Probability that an endpoint announces a limit.
-const SHARE: f64 = 0.5;
+const LIMIT_PROBABILITY: f64 = 0.5;
 
 /// A rate limit that an endpoint announces for a part of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Need {
+pub struct Limit {
     /// Requests a second from all boxes together.
     pub per_s: f64,
     /// Time since the start of the load.
@@ -25,18 +25,19 @@
 }
 
 /// Draws the limits of a run, by number of the endpoint.
-pub fn draw(seed: u64, endpoints: usize, length: Duration) -> BTreeMap<usize, Need> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ SALT);
+pub fn draw(seed: u64, endpoints: usize, length: Duration) -> BTreeMap<usize, Limit> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT);
     let ms = length.as_millis() as u64;
-    let mut needs = BTreeMap::new();
+    let mut limits = BTreeMap::new();
     for endpoint in 0..endpoints {
-        let per_s = f64::from(random.random_range(TENTHS.0..TENTHS.1)) / 10.0;
+        let per_s =
+            f64::from(random.random_range(LIMIT_TENTHS_PER_S.0..LIMIT_TENTHS_PER_S.1)) / 10.0;
         let from = Duration::from_millis(random.random_range(0..ms / 2));
-        let lasts = Duration::from_millis(random.random_range(ms / 3..ms));
-        let need = Need { per_s, from, until: from + lasts };
-        if random.random_bool(SHARE) {
-            needs.insert(endpoint, need);
+        let duration = Duration::from_millis(random.random_range(ms / 3..ms));
+        let limit = Limit { per_s, from, until: from + duration };
+        if random.random_bool(LIMIT_PROBABILITY) {
+            limits.insert(endpoint, limit);
         }
     }
-    needs
+    limits
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -36,8 +36,8 @@
             report.faults,
             report.breaches.len()
         );
-        for breach in report.breaches.iter().take(5) {
-            println!("  {}: {}", breach.promise, breach.detail);
+        for violation in report.breaches.iter().take(5) {
+            println!("  {}: {}", violation.guarantee, violation.detail);
         }
         broken += usize::from(!report.breaches.is_empty());
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -22,40 +22,39 @@
 use tokio::{task::JoinSet, time::Instant};
 
 use crate::{
-    call::{self, Call, Life, Route},
+    announcement,
+    call::{self, Call, Incarnation, Route},
     daemon::{self, Daemon},
-    endpoint::{Arrivals, Endpoint, Id, Runs, Says},
+    endpoint::{Arrivals, Endpoint, Id, Plan, Runs},
     fault::{self, Fault, Kind},
-    need,
-    verdict::{self, Breach, Disturbance, Evidence},
-    word,
+    limit,
+    verdict::{self, Disturbance, Evidence, Violation},
 };
 
 /// Names of the endpoints, each with its service.
 const ENDPOINTS: [(&str, &str); 4] =
     [("e-1", "engines"), ("e-2", "engines"), ("p-1", "plain"), ("p-2", "plain")];
 /// Callers for each box; enough that calls are nearly always in flight.
-const CALLERS: usize = 3;
+const CALLERS_PER_BOX: usize = 3;
 /// Shortest and longest pause of a caller between two calls, in milliseconds.
-const THINKS_MS: (u64, u64) = (5, 60);
+const CALLER_PAUSE_MS: (u64, u64) = (5, 60);
 /// Tokens that each customer has paid for at the start; less than a run uses.
-const PAID: u64 = 150_000;
+const INITIAL_PAID_TOKENS: u64 = 150_000;
 /// Tokens that `Kind::TopUp` adds.
-const RAISE: u64 = 40_000;
+const TOP_UP_TOKENS: u64 = 40_000;
 /// The daemon's setting `notice_ms`: time after SIGTERM in which it still accepts requests.
 const NOTICE_MS: u64 = 600;
 /// The daemon's setting `stop_ms`: longest time of a planned stop.
 const STOP_MS: u64 = 6_000;
 /// Longest wait for a daemon to exit.
-const ENDS_WITHIN: Duration = Duration::from_secs(12);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(12);
 /// Interval at which a stopping daemon is polled.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after a fault until boxes are connected to the store again: the longest call plus the
 /// longest delay between two calls.
-const IN_TOUCH: Duration = Duration::from_millis(3_500);
-
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Time of load after the last fault, in which requests to endpoints that left are violations again.
-const CALM: Duration = Duration::from_millis(8_500);
+const FINAL_LOAD_TIME: Duration = Duration::from_millis(8_500);
 
 /// Options of a run.
 #[derive(Debug, Clone)]
@@ -84,7 +83,7 @@
     /// Number of faults.
     pub faults: usize,
     /// Violated guarantees.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
 }
 
 /// Failure of the test environment.
@@ -102,7 +101,7 @@
 struct Node {
     settings: PathBuf,
     link: Link,
-    life: usize,
+    starts: usize,
     daemon: Option<Daemon>,
 }
 
@@ -112,8 +111,8 @@
     runs: Runs,
     calls: Mutex<Vec<Call>>,
     /// Address and incarnation of each box that accepts callers.
-    open: Mutex<Vec<Option<(std::net::SocketAddr, Life)>>>,
-    numbers: AtomicU64,
+    accepting: Mutex<Vec<Option<(std::net::SocketAddr, Incarnation)>>>,
+    next_number: AtomicU64,
     done: AtomicBool,
     /// Requests that reached endpoints that announce anything.
     arrivals: Arrivals,
@@ -122,10 +121,10 @@
 /// Events of the run that the checks take into account; see [`Evidence`].
 #[derive(Default)]
 struct History {
-    stopped: BTreeMap<Life, (Instant, Instant)>,
-    harmed: BTreeSet<Life>,
+    stopped: BTreeMap<Incarnation, (Instant, Instant)>,
+    interrupted: BTreeSet<Incarnation>,
     left: BTreeMap<Arc<str>, Instant>,
-    disturbed: Vec<Disturbance>,
+    disturbances: Vec<Disturbance>,
 }
 
 /// Runs the soak test with one seed.
@@ -135,13 +134,13 @@
     std::fs::create_dir_all(&folder).context(FileSnafu { path: &folder })?;
     let platform = Platform::spawn(seed).await;
     let runs = Runs::default();
-    let mut world = World {
+    let mut harness = Harness {
         shared: Arc::new(Shared {
             platform,
             runs: runs.clone(),
             calls: Mutex::default(),
-            open: Mutex::new(vec![None; options.boxes]),
-            numbers: AtomicU64::new(seed.wrapping_mul(1_000_000) + 1),
+            accepting: Mutex::new(vec![None; options.boxes]),
+            next_number: AtomicU64::new(seed.wrapping_mul(1_000_000) + 1),
             done: AtomicBool::new(false),
             arrivals: Arrivals::default(),
         }),
@@ -149,41 +148,42 @@
         nodes: Vec::new(),
         history: History::default(),
         version: 1,
-        paid: PAID,
-        late: false,
+        paid: INITIAL_PAID_TOKENS,
+        has_late_route: false,
         program: options.daemon.clone(),
         folder,
     };
-    world.configure().await;
-    let needs = need::draw(seed, ENDPOINTS.len(), options.length);
-    let announcements = word::draw(seed, &ENDPOINTS.map(|(_, service)| service), options.length);
+    harness.configure().await;
+    let limits = limit::draw(seed, ENDPOINTS.len(), options.length);
+    let announcements =
+        announcement::draw(seed, &ENDPOINTS.map(|(_, service)| service), options.length);
     for (number, (name, service)) in ENDPOINTS.into_iter().enumerate() {
-        let says = Says {
-            need: needs.get(&number).copied().filter(|_| options.limits),
-            word: announcements.get(&number).cloned().filter(|_| options.announcements),
+        let plan = Plan {
+            limit: limits.get(&number).copied().filter(|_| options.limits),
+            announcement: announcements.get(&number).cloned().filter(|_| options.announcements),
         };
-        let arrivals = world.shared.arrivals.clone();
-        let endpoint = Endpoint::spawn(name, service, runs.clone(), says, arrivals).await;
-        world.list(&endpoint, true).await;
-        world.endpoints.push(endpoint);
+        let arrivals = harness.shared.arrivals.clone();
+        let endpoint = Endpoint::spawn(name, service, runs.clone(), plan, arrivals).await;
+        harness.register(&endpoint, true).await;
+        harness.endpoints.push(endpoint);
     }
-    for at in 0..options.boxes {
-        world.add(at).await?;
+    for box_index in 0..options.boxes {
+        harness.add_box(box_index).await?;
     }
-    let faults = fault::draw(&mut random, options.boxes, world.endpoints.len(), options.length);
+    let faults = fault::draw(&mut random, options.boxes, harness.endpoints.len(), options.length);
     let count = faults.len();
     let mut callers = JoinSet::new();
-    for number in 0..options.boxes * CALLERS {
-        callers.spawn(call_on(world.shared.clone(), seed ^ (number as u64 + 1) << 32));
+    for number in 0..options.boxes * CALLERS_PER_BOX {
+        callers.spawn(run_caller(harness.shared.clone(), seed ^ (number as u64 + 1) << 32));
     }
-    world.play(faults, options.length).await?;
-    world.shared.done.store(true, Ordering::Relaxed);
+    harness.play(faults, options.length).await?;
+    harness.shared.done.store(true, Ordering::Relaxed);
     while callers.join_next().await.is_some() {}
-    world.end().await?;
-    Ok(world.judge(count).await)
+    harness.finish().await?;
+    Ok(harness.report(count).await)
 }
 
-struct World {
+struct Harness {
     shared: Arc<Shared>,
     endpoints: Vec<Endpoint>,
     nodes: Vec<Node>,
@@ -191,12 +191,12 @@
     version: u64,
     paid: u64,
     /// Whether the configuration has `Route::Late`.
-    late: bool,
+    has_late_route: bool,
     program: PathBuf,
     folder: PathBuf,
 }
 
-impl World {
+impl Harness {
     async fn write(&self, kind: &str, name: &str, value: String) {
         let memory = self.shared.platform.memory();
         let found = memory.get(kind, name).await.expect("memory answers");
@@ -206,24 +206,24 @@
 
     async fn configure(&self) {
         let routes = ["stream", "cancel", "confirm", "late"];
-        let routes = if self.late { &routes[..] } else { &routes[..3] };
+        let routes = if self.has_late_route { &routes[..] } else { &routes[..3] };
         let (kind, name) = platform::CONFIG;
         self.write(kind, name, fixtures::config(self.version, self.paid, routes)).await;
     }
 
-    async fn list(&self, endpoint: &Endpoint, ready: bool) {
+    async fn register(&self, endpoint: &Endpoint, ready: bool) {
         let entry = fixtures::entry(endpoint.service, endpoint.address(), ready);
         self.write(platform::ENDPOINTS, &endpoint.name, entry).await;
     }
 
-    async fn add(&mut self, at: usize) -> Result<(), Error> {
+    async fn add_box(&mut self, box_index: usize) -> Result<(), Error> {
         let store = self.shared.platform.socket();
-        let settings = self.folder.join(format!("box-{at}.jsonc"));
+        let settings = self.folder.join(format!("box-{box_index}.jsonc"));
         let link =
             Link::bind(store, Duration::ZERO).await.context(FileSnafu { path: &settings })?;
         let text = format!(
             r#"{{
-                "box": "box-{at}", "zone": "z{zone}",
+                "box": "box-{box_index}", "zone": "z{zone}",
                 "listen": {{
                     "callers": "127.0.0.1:0", "ready": "127.0.0.1:0",
                     "operators": "127.0.0.1:0", "peers": "127.0.0.1:0"
@@ -231,143 +231,145 @@
                 "store": {{ "address": "{store}", "timeout_ms": 500 }},
                 "limits": {{ "notice_ms": {NOTICE_MS}, "stop_ms": {STOP_MS} }},
             }}"#,
-            zone = at % 2,
+            zone = box_index % 2,
             store = link.address(),
         );
         std::fs::write(&settings, text).context(FileSnafu { path: &settings })?;
-        self.nodes.push(Node { settings, link, life: 0, daemon: None });
-        self.start(at).await
+        self.nodes.push(Node { settings, link, starts: 0, daemon: None });
+        self.start(box_index).await
     }
 
     /// Starts the daemon of a box.
-    async fn start(&mut self, at: usize) -> Result<(), Error> {
-        let node = &mut self.nodes[at];
-        node.life += 1;
-        let log = self.folder.join(format!("box-{at}.{}.log", node.life));
+    async fn start(&mut self, box_index: usize) -> Result<(), Error> {
+        let node = &mut self.nodes[box_index];
+        node.starts += 1;
+        let log = self.folder.join(format!("box-{box_index}.{}.log", node.starts));
         let daemon = Daemon::spawn(&self.program, &node.settings, &log).await;
         let daemon = daemon.context(DaemonSnafu)?;
-        let life = Life { at, number: node.life };
-        self.shared.open.lock()[at] = Some((daemon.callers(), life));
+        let incarnation = Incarnation { box_index, number: node.starts };
+        self.shared.accepting.lock()[box_index] = Some((daemon.callers(), incarnation));
         node.daemon = Some(daemon);
         Ok(())
     }
 
     /// Begins and undoes faults as scheduled, then waits for the end of the load.
     async fn play(&mut self, faults: Vec<Fault>, length: Duration) -> Result<(), Error> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut due: Vec<(Instant, Step)> =
-            faults.into_iter().map(|fault| (began + fault.at, Step::Begin(fault))).collect();
-        while let Some(next) = (0..due.len()).min_by_key(|at| due[*at].0) {
-            let (at, step) = due.swap_remove(next);
-            tokio::time::sleep_until(at).await;
+            faults.into_iter().map(|fault| (started + fault.start, Step::Begin(fault))).collect();
+        while let Some(next) = (0..due.len()).min_by_key(|index| due[*index].0) {
+            let (due_at, step) = due.swap_remove(next);
+            tokio::time::sleep_until(due_at).await;
             match step {
                 Step::Begin(fault) => {
                     let end = self.begin(fault).await?;
-                    due.extend(end.map(|end| (Instant::now() + fault.lasts, Step::End(end))));
+                    due.extend(end.map(|end| (Instant::now() + fault.duration, Step::End(end))));
                 }
                 Step::End(end) => {
-                    let again = self.undo(end).await?;
-                    due.extend(again.map(|end| (Instant::now() + LOOK_AGAIN, Step::End(end))));
+                    let unfinished = self.undo(end).await?;
+                    due.extend(
+                        unfinished.map(|end| (Instant::now() + STOP_POLL_INTERVAL, Step::End(end))),
+                    );
                 }
             }
         }
-        tokio::time::sleep_until(began + length + CALM).await;
+        tokio::time::sleep_until(started + length + FINAL_LOAD_TIME).await;
         Ok(())
     }
 
-    fn life(&self, at: usize) -> Life {
-        Life { at, number: self.nodes[at].life }
+    fn incarnation(&self, box_index: usize) -> Incarnation {
+        Incarnation { box_index, number: self.nodes[box_index].starts }
     }
 
     /// Begins a fault; returns its end, if it must be undone.
-    async fn begin(&mut self, fault: Fault) -> Result<Option<End>, Error> {
-        if let Some(at) = fault.kind.disturbs() {
+    async fn begin(&mut self, fault: Fault) -> Result<Option<FaultEnd>, Error> {
+        if let Some(box_index) = fault.kind.disturbed_boxes() {
             let from = Instant::now();
-            let until = from + fault.lasts + IN_TOUCH;
-            self.history.disturbed.push(Disturbance { at, from, until });
+            let until = from + fault.duration + RECONNECT_TIMEOUT;
+            self.history.disturbances.push(Disturbance { box_index, from, until });
         }
         let platform = &self.shared.platform;
         match fault.kind {
             Kind::StoreDown => platform.set(|faults| faults.down = true),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::from_millis(150)),
-            Kind::StoreLosesAnswers => platform.set(|faults| {
+            Kind::StoreDropsResponses => platform.set(|faults| {
                 (faults.drop_responses, faults.dropped_write_delay) =
                     (0.4, Duration::from_millis(300));
             }),
-            Kind::Cut { at } => self.nodes[at].link.set_cut(true),
-            Kind::Silence { at } => {
-                self.nodes[at].link.stall_open_connections();
+            Kind::CutLink { box_index } => self.nodes[box_index].link.set_cut(true),
+            Kind::StallConnections { box_index } => {
+                self.nodes[box_index].link.stall_open_connections();
                 return Ok(None);
             }
-            Kind::Kill { at } => self.kill(at).await,
+            Kind::Kill { box_index } => self.kill(box_index).await,
             Kind::KillAll => {
-                for at in 0..self.nodes.len() {
-                    self.kill(at).await;
+                for box_index in 0..self.nodes.len() {
+                    self.kill(box_index).await;
                 }
             }
-            Kind::Pause { at } => {
-                self.history.harmed.insert(self.life(at));
-                self.signal(at, Signal::STOP)?;
+            Kind::Suspend { box_index } => {
+                self.history.interrupted.insert(self.incarnation(box_index));
+                self.signal(box_index, Signal::STOP)?;
             }
-            Kind::Stop { at } => return self.stop(at, fault.lasts),
-            Kind::Reload { at } => {
-                self.signal(at, Signal::HUP)?;
+            Kind::Stop { box_index } => return self.stop(box_index, fault.duration),
+            Kind::Reload { box_index } => {
+                self.signal(box_index, Signal::HUP)?;
                 return Ok(None);
             }
             Kind::Leave { endpoint } => {
                 let endpoint = &self.endpoints[endpoint];
-                self.list(endpoint, false).await;
+                self.register(endpoint, false).await;
                 self.history.left.insert(endpoint.name.clone(), Instant::now());
                 return Ok(None);
             }
             Kind::Configure => {
-                (self.version, self.late) = (self.version + 1, true);
+                (self.version, self.has_late_route) = (self.version + 1, true);
                 self.configure().await;
                 return Ok(None);
             }
             Kind::TopUp => {
-                (self.version, self.paid) = (self.version + 1, self.paid + RAISE);
+                (self.version, self.paid) = (self.version + 1, self.paid + TOP_UP_TOKENS);
                 self.configure().await;
                 return Ok(None);
             }
         }
-        let until = Instant::now() + fault.lasts;
-        Ok(Some(End { kind: fault.kind, life: None, until }))
+        let until = Instant::now() + fault.duration;
+        Ok(Some(FaultEnd { kind: fault.kind, incarnation: None, until }))
     }
 
     /// Undoes a fault; returns it if the daemon is still stopping. Does not wait for that daemon,
     /// because the daemon may itself wait for the end of another fault.
-    async fn undo(&mut self, end: End) -> Result<Option<End>, Error> {
+    async fn undo(&mut self, end: FaultEnd) -> Result<Option<FaultEnd>, Error> {
         let platform = &self.shared.platform;
         match end.kind {
             // Another fault killed the daemon meanwhile.
-            Kind::Stop { at } if end.life != Some(self.life(at)) => {}
+            Kind::Stop { box_index } if end.incarnation != Some(self.incarnation(box_index)) => {}
             Kind::StoreDown => platform.set(|faults| faults.down = false),
             Kind::StoreSlow => platform.set(|faults| faults.delay = Duration::ZERO),
-            Kind::StoreLosesAnswers => platform.set(|faults| faults.drop_responses = 0.0),
-            Kind::Cut { at } => self.nodes[at].link.set_cut(false),
-            Kind::Pause { at } => self.signal(at, Signal::CONT)?,
-            Kind::Kill { at } => self.start_again(at).await?,
-            Kind::Stop { at } => {
-                if let Some(daemon) = &mut self.nodes[at].daemon
-                    && !daemon.ended(Duration::ZERO).await
+            Kind::StoreDropsResponses => platform.set(|faults| faults.drop_responses = 0.0),
+            Kind::CutLink { box_index } => self.nodes[box_index].link.set_cut(false),
+            Kind::Suspend { box_index } => self.signal(box_index, Signal::CONT)?,
+            Kind::Kill { box_index } => self.start_if_down(box_index).await?,
+            Kind::Stop { box_index } => {
+                if let Some(daemon) = &mut self.nodes[box_index].daemon
+                    && !daemon.wait_exit(Duration::ZERO).await
                 {
                     if Instant::now() < end.until {
                         return Ok(Some(end));
                     }
                     // It may be suspended, so its planned stop cannot be checked.
-                    let life = self.life(at);
-                    self.history.harmed.insert(life);
+                    let incarnation = self.incarnation(box_index);
+                    self.history.interrupted.insert(incarnation);
                 }
-                self.nodes[at].daemon = None;
-                self.start_again(at).await?;
+                self.nodes[box_index].daemon = None;
+                self.start_if_down(box_index).await?;
             }
             Kind::KillAll => {
-                for at in 0..self.nodes.len() {
-                    self.start_again(at).await?;
+                for box_index in 0..self.nodes.len() {
+                    self.start_if_down(box_index).await?;
                 }
             }
-            Kind::Silence { .. }
+            Kind::StallConnections { .. }
             | Kind::Reload { .. }
             | Kind::Leave { .. }
             | Kind::Configure
@@ -376,75 +378,76 @@
         Ok(None)
     }
 
-    async fn start_again(&mut self, at: usize) -> Result<(), Error> {
-        match self.nodes[at].daemon {
+    async fn start_if_down(&mut self, box_index: usize) -> Result<(), Error> {
+        match self.nodes[box_index].daemon {
             Some(_) => Ok(()),
-            None => self.start(at).await,
+            None => self.start(box_index).await,
         }
     }
 
-    fn signal(&self, at: usize, signal: Signal) -> Result<(), Error> {
-        match &self.nodes[at].daemon {
+    fn signal(&self, box_index: usize, signal: Signal) -> Result<(), Error> {
+        match &self.nodes[box_index].daemon {
             Some(daemon) => daemon.signal(signal).context(DaemonSnafu),
             None => Ok(()),
         }
     }
 
-    async fn kill(&mut self, at: usize) {
-        let life = self.life(at);
-        if let Some(mut daemon) = self.nodes[at].daemon.take() {
-            self.history.harmed.insert(life);
-            self.shared.open.lock()[at] = None;
+    async fn kill(&mut self, box_index: usize) {
+        let incarnation = self.incarnation(box_index);
+        if let Some(mut daemon) = self.nodes[box_index].daemon.take() {
+            self.history.interrupted.insert(incarnation);
+            self.shared.accepting.lock()[box_index] = None;
             // May fail if the daemon has already exited.
             let _ = daemon.signal(Signal::KILL);
-            daemon.ended(ENDS_WITHIN).await;
+            daemon.wait_exit(EXIT_TIMEOUT).await;
         }
     }
 
     /// Begins a planned stop. Shortly before the box rejects requests, callers move to other boxes,
     /// as behind a load balancer.
-    fn stop(&mut self, at: usize, lasts: Duration) -> Result<Option<End>, Error> {
-        let life = self.life(at);
-        if self.nodes[at].daemon.is_none() || self.history.stopped.contains_key(&life) {
+    fn stop(&mut self, box_index: usize, duration: Duration) -> Result<Option<FaultEnd>, Error> {
+        let incarnation = self.incarnation(box_index);
+        if self.nodes[box_index].daemon.is_none() || self.history.stopped.contains_key(&incarnation)
+        {
             return Ok(None);
         }
         let now = Instant::now();
         // Requests sent just before the end of the notice may arrive after it.
-        let taken = Duration::from_millis(NOTICE_MS - 200);
-        self.history.stopped.insert(life, (now, now + taken));
-        self.signal(at, Signal::TERM)?;
-        let (open, shared) = (at, self.shared.clone());
+        let notice = Duration::from_millis(NOTICE_MS - 200);
+        self.history.stopped.insert(incarnation, (now, now + notice));
+        self.signal(box_index, Signal::TERM)?;
+        let (stopping, shared) = (box_index, self.shared.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(taken).await;
-            let mut all = shared.open.lock();
-            if all[open].is_some_and(|(_, of)| of == life) {
-                all[open] = None;
+            tokio::time::sleep(notice).await;
+            let mut all = shared.accepting.lock();
+            if all[stopping].is_some_and(|(_, running)| running == incarnation) {
+                all[stopping] = None;
             }
         });
-        let until = now + lasts + ENDS_WITHIN;
-        Ok(Some(End { kind: Kind::Stop { at }, life: Some(life), until }))
+        let until = now + duration + EXIT_TIMEOUT;
+        Ok(Some(FaultEnd { kind: Kind::Stop { box_index }, incarnation: Some(incarnation), until }))
     }
 
     /// Ends all faults and stops all boxes.
-    async fn end(&mut self) -> Result<(), Error> {
+    async fn finish(&mut self) -> Result<(), Error> {
         self.shared.platform.set(|faults| *faults = Default::default());
-        for at in 0..self.nodes.len() {
-            self.nodes[at].link.set_cut(false);
-            self.signal(at, Signal::CONT)?;
-            self.signal(at, Signal::TERM)?;
+        for box_index in 0..self.nodes.len() {
+            self.nodes[box_index].link.set_cut(false);
+            self.signal(box_index, Signal::CONT)?;
+            self.signal(box_index, Signal::TERM)?;
         }
-        for at in 0..self.nodes.len() {
-            let life = self.life(at);
-            if let Some(daemon) = &mut self.nodes[at].daemon
-                && !daemon.ended(ENDS_WITHIN).await
+        for box_index in 0..self.nodes.len() {
+            let incarnation = self.incarnation(box_index);
+            if let Some(daemon) = &mut self.nodes[box_index].daemon
+                && !daemon.wait_exit(EXIT_TIMEOUT).await
             {
-                self.history.harmed.insert(life);
+                self.history.interrupted.insert(incarnation);
             }
         }
         Ok(())
     }
 
-    async fn judge(&self, faults: usize) -> Report {
+    async fn report(&self, faults: usize) -> Report {
         let memory = self.shared.platform.memory();
         let book = memory.get(BOOK.0, BOOK.1).await.expect("memory answers");
         let book = book.and_then(|object| serde_json::from_str(&object.value).ok());
@@ -453,52 +456,55 @@
         let pages = pages.iter().filter_map(|page| serde_json::from_str::<Page>(&page.value).ok());
         let bills: Vec<_> = pages.flat_map(|page| page.bills).collect();
         let (calls, runs) = (self.shared.calls.lock(), self.shared.runs.lock());
-        let breaches = verdict::breaches(&Evidence {
+        let breaches = verdict::violations(&Evidence {
             calls: &calls,
             runs: &runs,
             book: &book,
             bills: &bills,
             paid: self.paid,
             stopped: &self.history.stopped,
-            harmed: &self.history.harmed,
+            interrupted: &self.history.interrupted,
             left: &self.history.left,
-            disturbed: &self.history.disturbed,
+            disturbances: &self.history.disturbances,
             arrivals: &self.shared.arrivals.lock(),
         });
-        let count = |of: fn(&call::End) -> bool| calls.iter().filter(|call| of(&call.end)).count();
-        let answered = count(|end| matches!(end, call::End::Answered { .. }));
-        let refused = count(|end| matches!(end, call::End::Refused(_)));
+        let count = |matches_kind: fn(&call::Outcome) -> bool| {
+            calls.iter().filter(|call| matches_kind(&call.outcome)).count()
+        };
+        let answered = count(|outcome| matches!(outcome, call::Outcome::Answered { .. }));
+        let refused = count(|outcome| matches!(outcome, call::Outcome::Refused(_)));
         Report { calls: (calls.len(), answered, refused), runs: runs.len(), faults, breaches }
     }
 }
 
 enum Step {
     Begin(Fault),
-    End(End),
+    End(FaultEnd),
 }
 
 /// The scheduled end of a fault.
-struct End {
+struct FaultEnd {
     kind: Kind,
     /// The incarnation that a planned stop concerns.
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
     /// When a planned stop counts as failed.
     until: Instant,
 }
 
 /// A caller, until the load ends. It stays at one box while calls succeed and the box accepts callers.
-async fn call_on(shared: Arc<Shared>, seed: u64) {
+async fn run_caller(shared: Arc<Shared>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let client = call::client();
-    let mut stays: Option<usize> = None;
+    let mut current: Option<usize> = None;
     while !shared.done.load(Ordering::Relaxed) {
-        let thinks = random.random_range(THINKS_MS.0..THINKS_MS.1);
-        tokio::time::sleep(Duration::from_millis(thinks)).await;
-        let open = shared.open.lock().clone();
-        let at = stays.filter(|at| open[*at].is_some() && random.random_bool(0.95));
-        let at = at.unwrap_or_else(|| random.random_range(0..open.len()));
-        let Some((address, life)) = open[at] else { continue };
-        stays = Some(at);
+        let pause_ms = random.random_range(CALLER_PAUSE_MS.0..CALLER_PAUSE_MS.1);
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let accepting = shared.accepting.lock().clone();
+        let box_index =
+            current.filter(|box_index| accepting[*box_index].is_some() && random.random_bool(0.95));
+        let box_index = box_index.unwrap_or_else(|| random.random_range(0..accepting.len()));
+        let Some((address, incarnation)) = accepting[box_index] else { continue };
+        current = Some(box_index);
         let route = match random.random_range(0..10) {
             0..5 => Route::Stream,
             5 | 6 => Route::Cancel,
@@ -507,17 +513,17 @@
         };
         let key = if random.random_bool(0.6) { "key-b" } else { "key-p" };
         let id = Id {
-            number: shared.numbers.fetch_add(1, Ordering::Relaxed),
+            number: shared.next_number.fetch_add(1, Ordering::Relaxed),
             prompt: random.random_range(20..400),
             events: random.random_range(1..20),
         };
         let sent = Instant::now();
-        let end = call::send(&client, address, route, key, id).await;
-        if !matches!(end, call::End::Answered { .. }) {
-            stays = None;
+        let outcome = call::send(&client, address, route, key, id).await;
+        if !matches!(outcome, call::Outcome::Answered { .. }) {
+            current = None;
         }
         let ended = Instant::now();
-        shared.calls.lock().push(Call { id, key, route, life, sent, ended, end });
+        shared.calls.lock().push(Call { id, key, route, incarnation, sent, ended, outcome });
     }
 }
 
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -11,27 +11,29 @@
 use tokio::time::Instant;
 
 use crate::{
-    call::{Call, End, Life, Route},
-    endpoint::{Arrival, Conduct, Id, Run},
+    call::{Call, Incarnation, Outcome, Route},
+    endpoint::{Arrival, Behavior, Id, Run},
 };
 
 /// Time after which a connected box sends no more requests to a leaving endpoint: 2 s, plus a call
 /// that was in flight.
-const LEAVES_WITHIN: Duration = Duration::from_secs(4);
-
-/// Time for a box to apply a limit or a back-off after the response that carries it. The platform's bound.
-const TOLD: Duration = Duration::from_millis(500);
-/// Time from the first response with a limit until the limit binds all boxes together. The platform's bound.
-const CONTACT: Duration = Duration::from_secs(3);
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time for a box to apply a limit or a back-off after the response that carries it; a bound of the
+/// platform.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time from the first response with a limit until the limit binds all boxes together; a bound of the
+/// platform.
+const LIMIT_SHARING_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time for a box to stop sending to an endpoint after a response that announces that it leaves.
-const SAID_WITHIN: Duration = Duration::from_secs(2);
-/// Requests of a box that may reach an endpoint during a back-off that the endpoint asked of that box.
-const MOST_IN_REST: usize = 2;
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest number of requests of a box that may reach an endpoint during a back-off that the endpoint
+/// asked of that box.
+const MAX_SENT_IN_BACK_OFF: usize = 2;
 /// Window in which arrivals are counted.
-const SPAN: Duration = Duration::from_secs(4);
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// Arrivals allowed in a window: the limit times this factor, plus a constant number of requests.
-const SLACK: f64 = 1.5;
-const EXTRA: f64 = 5.0;
+const LIMIT_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
 
 /// Everything that a run recorded.
 pub struct Evidence<'a> {
@@ -42,13 +44,13 @@
     /// Tokens that each customer has paid for at the end of the run.
     pub paid: u64,
     /// Planned stops: when the signal was sent, and until when the box accepts requests.
-    pub stopped: &'a BTreeMap<Life, (Instant, Instant)>,
+    pub stopped: &'a BTreeMap<Incarnation, (Instant, Instant)>,
     /// Incarnations that were killed or suspended: their connections may break.
-    pub harmed: &'a BTreeSet<Life>,
+    pub interrupted: &'a BTreeSet<Incarnation>,
     /// Endpoints that left, and when the store recorded it.
     pub left: &'a BTreeMap<Arc<str>, Instant>,
     /// Periods in which boxes may miss changes.
-    pub disturbed: &'a [Disturbance],
+    pub disturbances: &'a [Disturbance],
     /// Requests that reached endpoints that announce anything.
     pub arrivals: &'a HashMap<Arc<str>, Vec<Arrival>>,
 }
@@ -57,7 +59,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
     /// Number of the box; `None` means all boxes.
-    pub at: Option<usize>,
+    pub box_index: Option<usize>,
     pub from: Instant,
     /// When the box is connected again.
     pub until: Instant,
@@ -65,9 +67,9 @@
 
 /// A guarantee that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// The guarantee.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// The request, endpoint or ledger that violates it.
     pub detail: String,
 }
@@ -78,27 +80,27 @@
 }
 
 /// All violations.
-pub fn breaches(evidence: &Evidence) -> Vec<Breach> {
+pub fn violations(evidence: &Evidence) -> Vec<Violation> {
     let checks: [(&'static str, Vec<String>); 11] = [
         ("no customer spends past what it paid", overspent(evidence)),
-        ("what was served is spent in the book", forgotten(evidence)),
-        ("each request is billed once", billed(evidence)),
-        ("each caller gets its own whole answer", crossed(evidence)),
-        ("a refused request has not run and never will", lied(evidence)),
-        ("unrepeatable requests run at most once", repeated(evidence)),
-        ("a leaving endpoint gets no new work", kept_working(evidence)),
+        ("what was served is spent in the book", missing_in_book(evidence)),
+        ("each request is billed once", misbilled(evidence)),
+        ("each caller gets its own complete response", wrong_responses(evidence)),
+        ("a refused request has not run and never will", ran_despite_refusal(evidence)),
+        ("unrepeatable requests run at most once", ran_repeatedly(evidence)),
+        ("a leaving endpoint gets no new work", ran_after_leaving(evidence)),
         (
             "an endpoint that announces that it leaves gets no more requests",
-            sent_after_word(evidence),
+            sent_after_announcement(evidence),
         ),
-        ("a box observes the back-off that an endpoint asks for", sent_in_rest(evidence)),
+        ("a box observes the back-off that an endpoint asks for", sent_in_back_off(evidence)),
         ("all boxes together observe the rate limit of an endpoint", over_limit(evidence)),
         ("planned stops cut off nothing, configuration goes forwards", cut_off(evidence)),
     ];
-    let named = checks.into_iter().flat_map(|(promise, found)| {
-        found.into_iter().map(move |detail| Breach { promise, detail })
+    let all = checks.into_iter().flat_map(|(guarantee, found)| {
+        found.into_iter().map(move |detail| Violation { guarantee, detail })
     });
-    named.collect()
+    all.collect()
 }
 
 fn served(evidence: &Evidence) -> BTreeMap<&'static str, u64> {
@@ -116,40 +118,42 @@
         .collect()
 }
 
-fn forgotten(evidence: &Evidence) -> Vec<String> {
-    let counted = |name: &str| {
+fn missing_in_book(evidence: &Evidence) -> Vec<String> {
+    let booked = |name: &str| {
         let of = evidence.book.ledgers.get(name);
         of.map_or(0, |ledger| ledger.spent + ledger.granted())
     };
     let unsound = evidence.book.ledgers.iter().filter(|(_, ledger)| !ledger.is_sound());
     let unsound = unsound.map(|(name, ledger)| format!("{name} is unsound: {ledger:?}"));
-    let less = served(evidence).into_iter().filter(|(name, tokens)| counted(name) < *tokens);
+    let less = served(evidence).into_iter().filter(|(name, tokens)| booked(name) < *tokens);
     let less = less.map(|(name, tokens)| {
-        format!("{name}: {tokens} served, {} spent or granted", counted(name))
+        format!("{name}: {tokens} served, {} spent or granted", booked(name))
     });
     unsound.chain(less).collect()
 }
 
-fn billed(evidence: &Evidence) -> Vec<String> {
+fn misbilled(evidence: &Evidence) -> Vec<String> {
     let mut bills: HashMap<&str, usize> = HashMap::new();
     evidence.bills.iter().for_each(|bill| *bills.entry(&bill.key).or_default() += 1);
     let twice = bills.iter().filter(|(_, count)| **count > 1);
     let twice = twice.map(|(id, count)| format!("{id} is on {count} bills"));
     // A killed box loses the bills that it had not yet written.
     let answered = evidence.calls.iter().filter(|call| {
-        let whole = matches!(call.end, End::Answered { .. });
-        whole && call.route == Route::Stream && !evidence.harmed.contains(&call.life)
+        let whole = matches!(call.outcome, Outcome::Answered { .. });
+        whole && call.route == Route::Stream && !evidence.interrupted.contains(&call.incarnation)
     });
     let missing = answered.filter(|call| !bills.contains_key(&*call.id.text()));
     let missing =
-        missing.map(|call| format!("{} of {:?} is on no bill", call.id.text(), call.life));
+        missing.map(|call| format!("{} of {:?} is on no bill", call.id.text(), call.incarnation));
     twice.chain(missing).collect()
 }
 
-fn crossed(evidence: &Evidence) -> Vec<String> {
-    let wrong = evidence.calls.iter().filter_map(|call| match &call.end {
-        End::Answered { own: false, body } => Some(format!("{}: {body:?}", call.id.text())),
-        End::Answered { .. } if call.id.conduct() == Conduct::Tears => {
+fn wrong_responses(evidence: &Evidence) -> Vec<String> {
+    let wrong = evidence.calls.iter().filter_map(|call| match &call.outcome {
+        Outcome::Answered { is_correct: false, body } => {
+            Some(format!("{}: {body:?}", call.id.text()))
+        }
+        Outcome::Answered { .. } if call.id.behavior() == Behavior::Truncated => {
             Some(format!("{}: truncated response was accepted as complete", call.id.text()))
         }
         _ => None,
@@ -157,11 +161,11 @@
     wrong.collect()
 }
 
-fn lied(evidence: &Evidence) -> Vec<String> {
+fn ran_despite_refusal(evidence: &Evidence) -> Vec<String> {
     let ran: BTreeSet<Id> = evidence.runs.iter().map(|run| run.id).collect();
-    let promise = |status: &StatusCode| matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    let refused = evidence.calls.iter().filter_map(|call| match &call.end {
-        End::Refused(status) if promise(status) && ran.contains(&call.id) => {
+    let denies_run = |status: &StatusCode| matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    let refused = evidence.calls.iter().filter_map(|call| match &call.outcome {
+        Outcome::Refused(status) if denies_run(status) && ran.contains(&call.id) => {
             Some(format!("{}: refused with {status}, but it ran", call.id.text()))
         }
         _ => None,
@@ -169,7 +173,7 @@
     refused.collect()
 }
 
-fn repeated(evidence: &Evidence) -> Vec<String> {
+fn ran_repeatedly(evidence: &Evidence) -> Vec<String> {
     let mut runs: HashMap<Id, usize> = HashMap::new();
     evidence.runs.iter().for_each(|run| *runs.entry(run.id).or_default() += 1);
     let once = evidence.calls.iter().filter(|call| !call.route.is_repeatable());
@@ -180,58 +184,72 @@
     twice.collect()
 }
 
-fn kept_working(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
+fn ran_after_leaving(evidence: &Evidence) -> Vec<String> {
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let late = evidence.runs.iter().filter_map(|run| {
         let left = *evidence.left.get(&run.endpoint)?;
-        let at = lives.get(&run.id)?.at;
-        let of = |disturbed: &&Disturbance| {
-            disturbed.at.is_none_or(|of| of == at) && disturbed.from < run.at
+        let box_index = incarnations.get(&run.id)?.box_index;
+        let concerns = |disturbance: &&Disturbance| {
+            disturbance.box_index.is_none_or(|of| of == box_index) && disturbance.from < run.at
         };
-        let calm = evidence.disturbed.iter().filter(of).map(|disturbed| disturbed.until);
-        let calm = calm.fold(left, Instant::max);
-        let late = run.at.checked_duration_since(calm + LEAVES_WITHIN)?;
+        let connected =
+            evidence.disturbances.iter().filter(concerns).map(|disturbance| disturbance.until);
+        let connected = connected.fold(left, Instant::max);
+        let late = run.at.checked_duration_since(connected + LEAVING_TIMEOUT)?;
         Some(format!("{} ran at {} {late:?} too late", run.id.text(), run.endpoint))
     });
     late.collect()
 }
 
-/// Requests that a box sent to an endpoint although an earlier response through the same box had announced that the
-/// endpoint leaves. `SAID_WITHIN` counts from the end of the earlier call to the start of the later one.
-fn sent_after_word(evidence: &Evidence) -> Vec<String> {
+/// Requests that a box sent to an endpoint although an earlier response through the same box had
+/// announced that the endpoint leaves. `ANNOUNCEMENT_TIMEOUT` counts from the end of the earlier call
+/// to the start of the later one.
+fn sent_after_announcement(evidence: &Evidence) -> Vec<String> {
     let calls: HashMap<Id, &Call> = evidence.calls.iter().map(|call| (call.id, call)).collect();
     let mut late = Vec::new();
     for (endpoint, arrived) in evidence.arrivals {
-        let mut told: HashMap<Life, Instant> = HashMap::new();
-        let known = arrived.iter().filter_map(|arrival| Some((arrival, *calls.get(&arrival.id)?)));
-        let saying = known.clone().filter(|(arrival, _)| arrival.leaves && arrival.answered);
-        for (_, call) in saying {
-            let first = told.entry(call.life).or_insert(call.ended);
+        let mut informed: HashMap<Incarnation, Instant> = HashMap::new();
+        let known_arrivals =
+            arrived.iter().filter_map(|arrival| Some((arrival, *calls.get(&arrival.id)?)));
+        let announcing =
+            known_arrivals.clone().filter(|(arrival, _)| arrival.leaves && arrival.answered);
+        for (_, call) in announcing {
+            let first = informed.entry(call.incarnation).or_insert(call.ended);
             *first = call.ended.min(*first);
         }
-        late.extend(known.filter_map(|(_, call)| {
-            let after = call.sent.checked_duration_since(*told.get(&call.life)? + SAID_WITHIN)?;
-            let is_excused = evidence.harmed.contains(&call.life);
-            (!is_excused)
+        late.extend(known_arrivals.filter_map(|(_, call)| {
+            let after = call
+                .sent
+                .checked_duration_since(*informed.get(&call.incarnation)? + ANNOUNCEMENT_TIMEOUT)?;
+            let was_interrupted = evidence.interrupted.contains(&call.incarnation);
+            (!was_interrupted)
                 .then(|| format!("{} reached {endpoint} {after:?} too late", call.id.text()))
         }));
     }
     late
 }
 
-/// Back-offs during which the box concerned sent more than `MOST_IN_REST` requests to the endpoint.
-fn sent_in_rest(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
+/// Back-offs during which the box concerned sent more than `MAX_SENT_IN_BACK_OFF` requests to the
+/// endpoint.
+fn sent_in_back_off(evidence: &Evidence) -> Vec<String> {
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let mut broken = Vec::new();
     for (endpoint, arrived) in evidence.arrivals {
-        for asked in arrived {
-            let (Some(life), Some(rest)) = (lives.get(&asked.id), asked.asks) else { continue };
-            let within = asked.at + TOLD..asked.at + rest;
-            let of_box = arrived.iter().filter(|other| lives.get(&other.id) == Some(life));
+        for arrival in arrived {
+            let (Some(incarnation), Some(back_off)) =
+                (incarnations.get(&arrival.id), arrival.back_off)
+            else {
+                continue;
+            };
+            let within = arrival.at + APPLY_TIMEOUT..arrival.at + back_off;
+            let of_box =
+                arrived.iter().filter(|other| incarnations.get(&other.id) == Some(incarnation));
             let count = of_box.filter(|other| within.contains(&other.at)).count();
-            if count > MOST_IN_REST && !evidence.harmed.contains(life) {
+            if count > MAX_SENT_IN_BACK_OFF && !evidence.interrupted.contains(incarnation) {
                 broken.push(format!(
-                    "{endpoint} got {count} requests of {life:?} in a back-off of {rest:?}"
+                    "{endpoint} got {count} requests of {incarnation:?} in a back-off of {back_off:?}"
                 ));
             }
         }
@@ -241,83 +259,94 @@
 
 /// Endpoints that got more requests within a window than their limit allows.
 fn over_limit(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let found = evidence.arrivals.iter().filter_map(|(endpoint, arrived)| {
-        let counted = counted(evidence, &lives, arrived);
+        let counted_arrivals = counted_arrivals(evidence, &incarnations, arrived);
         let over = |(first, (from, limit)): (usize, &(Instant, f64))| {
-            let within = counted[first..].iter().filter(|(at, _)| *at < *from + SPAN).count();
-            let most = limit * SPAN.as_secs_f64() * SLACK + EXTRA;
-            (within as f64 > most)
-                .then(|| format!("{endpoint} got {within} requests in 4 s, {most:.1} allowed"))
+            let count = counted_arrivals[first..]
+                .iter()
+                .filter(|(at, _)| *at < *from + LIMIT_WINDOW)
+                .count();
+            let allowed = limit * LIMIT_WINDOW.as_secs_f64() * LIMIT_FACTOR + EXTRA_REQUESTS;
+            (count as f64 > allowed)
+                .then(|| format!("{endpoint} got {count} requests in 4 s, {allowed:.1} allowed"))
         };
-        counted.iter().enumerate().find_map(over)
+        counted_arrivals.iter().enumerate().find_map(over)
     });
     found.collect()
 }
 
 /// Arrivals at an endpoint that count against its limit: from boxes that had time to apply it and
 /// were not disturbed.
-fn counted(
+fn counted_arrivals(
     evidence: &Evidence,
-    lives: &HashMap<Id, Life>,
+    incarnations: &HashMap<Id, Incarnation>,
     arrived: &[Arrival],
 ) -> Vec<(Instant, f64)> {
-    let mut told: HashMap<Life, Instant> = HashMap::new();
-    let mut named: Option<Instant> = None;
-    let mut counted = Vec::new();
+    let mut informed: HashMap<Incarnation, Instant> = HashMap::new();
+    let mut announced_at: Option<Instant> = None;
+    let mut counted_arrivals = Vec::new();
     for arrival in arrived {
-        let (Some(life), Some(limit)) = (lives.get(&arrival.id), arrival.limit) else { continue };
-        let was_told = told.get(life).is_some_and(|at| *at + TOLD <= arrival.at);
+        let (Some(incarnation), Some(limit)) = (incarnations.get(&arrival.id), arrival.limit)
+        else {
+            continue;
+        };
+        let was_informed =
+            informed.get(incarnation).is_some_and(|at| *at + APPLY_TIMEOUT <= arrival.at);
         if arrival.answered {
-            told.entry(*life).or_insert(arrival.at);
-            named = named.or(Some(arrival.at));
+            informed.entry(*incarnation).or_insert(arrival.at);
+            announced_at = announced_at.or(Some(arrival.at));
         }
-        let is_late = named.is_some_and(|since| since + CONTACT <= arrival.at);
-        if was_told && is_late && !is_excused(evidence, life, arrival.at) {
-            counted.push((arrival.at, limit));
+        let binds_all_boxes =
+            announced_at.is_some_and(|since| since + LIMIT_SHARING_TIMEOUT <= arrival.at);
+        if was_informed && binds_all_boxes && !was_disturbed(evidence, incarnation, arrival.at) {
+            counted_arrivals.push((arrival.at, limit));
         }
     }
-    counted
+    counted_arrivals
 }
 
 /// Whether a box was disconnected, suspended or restarted shortly before.
-fn is_excused(evidence: &Evidence, life: &Life, at: Instant) -> bool {
-    let mut of_box =
-        evidence.disturbed.iter().filter(|disturbance| disturbance.at == Some(life.at));
+fn was_disturbed(evidence: &Evidence, incarnation: &Incarnation, at: Instant) -> bool {
+    let mut of_box = evidence
+        .disturbances
+        .iter()
+        .filter(|disturbance| disturbance.box_index == Some(incarnation.box_index));
     of_box.any(|disturbance| {
-        let ends = disturbance.until.max(disturbance.from + CONTACT);
-        (disturbance.from..=ends + SPAN).contains(&at)
+        let ends = disturbance.until.max(disturbance.from + LIMIT_SHARING_TIMEOUT);
+        (disturbance.from..=ends + LIMIT_WINDOW).contains(&at)
     })
 }
 
 /// Calls that a planned stop cut off, and incarnations that lost a route that they had served.
 fn cut_off(evidence: &Evidence) -> Vec<String> {
-    let sound = |call: &&Call| {
-        matches!(call.id.conduct(), Conduct::Answers | Conduct::Declines)
-            && !evidence.harmed.contains(&call.life)
+    let is_sound_call = |call: &&Call| {
+        matches!(call.id.behavior(), Behavior::Complete | Behavior::NotRun)
+            && !evidence.interrupted.contains(&call.incarnation)
     };
-    let cut = evidence.calls.iter().filter(sound).filter_map(|call| {
-        let (from, until) = evidence.stopped.get(&call.life)?;
-        let around = call.ended >= *from && call.sent < *until;
-        match &call.end {
-            End::Failed { reason, .. } if around && !reason.contains("deadline") => {
-                Some(format!("{} of {:?} was cut off: {reason}", call.id.text(), call.life))
+    let cut = evidence.calls.iter().filter(is_sound_call).filter_map(|call| {
+        let (from, until) = evidence.stopped.get(&call.incarnation)?;
+        let overlaps = call.ended >= *from && call.sent < *until;
+        match &call.outcome {
+            Outcome::Failed { reason, .. } if overlaps && !reason.contains("deadline") => {
+                Some(format!("{} of {:?} was cut off: {reason}", call.id.text(), call.incarnation))
             }
             _ => None,
         }
     });
-    let mut known: BTreeMap<Life, Instant> = BTreeMap::new();
-    let of_late = evidence.calls.iter().filter(|call| call.route == Route::Late);
-    for call in of_late.clone() {
-        if matches!(call.end, End::Answered { .. }) {
-            let first = known.entry(call.life).or_insert(call.ended);
+    let mut first_success: BTreeMap<Incarnation, Instant> = BTreeMap::new();
+    let late_calls = evidence.calls.iter().filter(|call| call.route == Route::Late);
+    for call in late_calls.clone() {
+        if matches!(call.outcome, Outcome::Answered { .. }) {
+            let first = first_success.entry(call.incarnation).or_insert(call.ended);
             *first = call.ended.min(*first);
         }
     }
-    let forgot = of_late.filter(|call| {
-        let after = known.get(&call.life).is_some_and(|first| call.sent > *first);
-        after && call.end == End::Refused(StatusCode::NOT_FOUND)
+    let lost = late_calls.filter(|call| {
+        let after = first_success.get(&call.incarnation).is_some_and(|first| call.sent > *first);
+        after && call.outcome == Outcome::Refused(StatusCode::NOT_FOUND)
     });
-    let forgot = forgot.map(|call| format!("{:?} lost a route", call.life));
-    cut.chain(forgot).collect()
+    let lost = lost.map(|call| format!("{:?} lost a route", call.incarnation));
+    cut.chain(lost).collect()
 }
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -14,7 +14,7 @@
 
 /// Faults of the platform.
 #[derive(Debug, Clone, Default)]
-pub struct Faults {
+pub struct PlatformFaults {
     /// Never responds to any call.
     pub down: bool,
     /// Delay of every call but a watch.
@@ -55,7 +55,7 @@
 
 struct Shared {
     memory: Memory,
-    faults: Mutex<Faults>,
+    faults: Mutex<PlatformFaults>,
     random: Mutex<ChaCha8Rng>,
     writes: Mutex<Bucket>,
     reads: Mutex<Bucket>,
@@ -95,7 +95,7 @@
     }
 
     /// Changes the faults.
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn set(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.shared.faults.lock());
     }
 
@@ -132,11 +132,11 @@
     async fn serve(&self, request: &mut Request) -> Answer {
         let faults = self.0.faults.lock().clone();
         let from = request.remote_addr().as_ipv4().map(|address| (*address.ip()).into());
-        let refuses = from.is_some_and(|from: IpAddr| faults.rejected_sources.contains(&from));
-        if faults.down && !refuses {
+        let rejects = from.is_some_and(|from: IpAddr| faults.rejected_sources.contains(&from));
+        if faults.down && !rejects {
             std::future::pending::<()>().await;
         }
-        if refuses {
+        if rejects {
             return (StatusCode::SERVICE_UNAVAILABLE, "busy".into());
         }
         let body = request.payload_with_max_size(2 << 20).await.map(|body| body.to_vec());
@@ -170,7 +170,7 @@
         }
     }
 
-    fn admit(&self, write: bool, faults: &Faults) -> bool {
+    fn admit(&self, write: bool, faults: &PlatformFaults) -> bool {
         match write {
             true => self.0.writes.lock().take(faults.writes_per_s),
             false => self.0.reads.lock().take(faults.reads_per_s),
@@ -191,13 +191,14 @@
         name: &str,
         value: Option<Arc<str>>,
         expect: Expect,
-        faults: &Faults,
+        faults: &PlatformFaults,
     ) -> Answer {
-        let lost = faults.drop_responses > 0.0
+        let dropped = faults.drop_responses > 0.0
             && self.0.random.lock().random_bool(faults.drop_responses.min(1.0));
-        let delay = if lost { faults.dropped_write_delay.max(faults.delay) } else { faults.delay };
+        let delay =
+            if dropped { faults.dropped_write_delay.max(faults.delay) } else { faults.delay };
         let applied = self.apply_later(kind, name, value, expect, delay);
-        if lost {
+        if dropped {
             // With a delay, the write is applied after this response.
             if faults.dropped_write_delay.is_zero() {
                 applied.await;
--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -102,8 +102,8 @@
 
     fn admit(&mut self, slots: usize) {
         self.waiting.sort_by_key(|job| (job.priority, job.number));
-        let room = slots.saturating_sub(self.running.len()).min(self.waiting.len());
-        self.running.extend(self.waiting.drain(..room));
+        let free = slots.saturating_sub(self.running.len()).min(self.waiting.len());
+        self.running.extend(self.waiting.drain(..free));
         self.running.sort_by_key(|job| (job.priority, job.number));
     }
 
--- a/crates/standin/src/cache.rs
+++ b/crates/standin/src/cache.rs
@@ -23,7 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Cache {
     capacity: usize,
-    used: u64,
+    /// Number of inserts so far.
+    inserts: u64,
+    /// Blocks, each with the number of the last insert that contained it.
     blocks: BTreeMap<u64, u64>,
 }
 
@@ -40,24 +42,24 @@
 
     /// Adds a prompt's blocks; returns those added and those evicted.
     pub fn insert(&mut self, prompt: &[u64]) -> (Vec<u64>, Vec<u64>) {
-        self.used += 1;
+        self.inserts += 1;
         let mut added = Vec::new();
         for block in prompt {
-            if self.blocks.insert(*block, self.used).is_none() {
+            if self.blocks.insert(*block, self.inserts).is_none() {
                 added.push(*block);
             }
         }
-        let mut dropped = Vec::new();
+        let mut evicted = Vec::new();
         if self.blocks.len() > self.capacity {
-            let mut by_age: Vec<(u64, u64)> =
-                self.blocks.iter().map(|(block, used)| (*used, *block)).collect();
-            by_age.sort_unstable();
-            let spare = self.blocks.len() - self.capacity * 9 / 10;
-            dropped = by_age.into_iter().take(spare).map(|(_, block)| block).collect();
-            for block in &dropped {
+            let mut by_last_use: Vec<(u64, u64)> =
+                self.blocks.iter().map(|(block, last_insert)| (*last_insert, *block)).collect();
+            by_last_use.sort_unstable();
+            let excess = self.blocks.len() - self.capacity * 9 / 10;
+            evicted = by_last_use.into_iter().take(excess).map(|(_, block)| block).collect();
+            for block in &evicted {
                 self.blocks.remove(block);
             }
         }
-        (added, dropped)
+        (added, evicted)
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -27,7 +27,7 @@
 /// Bytes of a prompt in one token.
 const BYTES_PER_TOKEN: u64 = 4;
 /// Samples of the load kept for delayed reports.
-const SAMPLES: usize = 1_024;
+const MAX_SAMPLES: usize = 1_024;
 
 /// Settings of an engine.
 #[derive(Debug, Clone)]
@@ -39,9 +39,9 @@
     /// Age of load reports and cache events.
     pub report_lag: Duration,
     /// Whether orders with a fence older than the newest are refused.
-    pub checks_orders: bool,
+    pub checks_fences: bool,
     /// Time after which a run without a stream is cancelled.
-    pub resume_for: Duration,
+    pub resume_timeout: Duration,
 }
 
 impl Default for Settings {
@@ -50,31 +50,31 @@
             speed: Speed::default(),
             cache_blocks: 4_096,
             report_lag: Duration::from_millis(500),
-            checks_orders: true,
-            resume_for: Duration::from_millis(500),
+            checks_fences: true,
+            resume_timeout: Duration::from_millis(500),
         }
     }
 }
 
 /// Faults of an engine.
 #[derive(Debug, Clone, Default)]
-pub struct Fault {
+pub struct EngineFaults {
     /// Never responds.
     pub hang: bool,
     /// Refuses every request.
     pub refuse: bool,
     /// Seconds in the `retry-after` header of each refusal.
-    pub asks_rest: Option<u32>,
+    pub retry_after_s: Option<u32>,
     /// Time added to every step.
     pub slow: Duration,
     /// Output tokens beyond the limit.
     pub overshoot: u64,
     /// Responds with the id of another request.
-    pub cross: bool,
+    pub wrong_id: bool,
     /// Breaks streams after this many tokens.
     pub break_after: Option<u64>,
     /// Serves no load report.
-    pub no_report: bool,
+    pub hide_load: bool,
     /// Reports that it is leaving.
     pub leaving: bool,
 }
@@ -111,11 +111,11 @@
     pub orders: Vec<(u64, Value)>,
 }
 
-struct Live {
+struct RunState {
     run: Run,
     limit: u64,
     mark: String,
-    stream_gone: Option<Instant>,
+    last_stream_closed: Option<Instant>,
     streams: u32,
 }
 
@@ -124,13 +124,13 @@
     cache: Cache,
     /// Number of refused requests.
     refused: usize,
-    runs: Vec<Live>,
+    runs: Vec<RunState>,
     by_id: BTreeMap<String, usize>,
     samples: VecDeque<(Instant, usize, usize)>,
     cache_events: Vec<(Instant, bool, u64)>,
     fence: u64,
     orders: Vec<(u64, Value)>,
-    fault: Fault,
+    faults: EngineFaults,
 }
 
 struct Shared {
@@ -169,7 +169,7 @@
             cache_events: Vec::new(),
             fence: 0,
             orders: Vec::new(),
-            fault: Fault::default(),
+            faults: EngineFaults::default(),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
@@ -178,7 +178,7 @@
             settings,
         });
         let server = Server::spawn(Router::with_path("{**rest}").goal(Api(shared.clone()))).await;
-        let task = Task(tokio::spawn(steps(shared.clone())));
+        let task = Task(tokio::spawn(run_steps(shared.clone())));
         Engine { shared, server: Arc::new(server), task: Arc::new(task) }
     }
 
@@ -188,8 +188,8 @@
     }
 
     /// Changes the faults.
-    pub fn set(&self, change: impl FnOnce(&mut Fault)) {
-        change(&mut self.shared.state.lock().fault);
+    pub fn set(&self, change: impl FnOnce(&mut EngineFaults)) {
+        change(&mut self.shared.state.lock().faults);
     }
 
     /// Number of requests refused so far.
@@ -200,24 +200,24 @@
     /// Runs and orders so far.
     pub fn truth(&self) -> Truth {
         let state = self.shared.state.lock();
-        let runs = state.runs.iter().map(|live| live.run.clone()).collect();
+        let runs = state.runs.iter().map(|run_state| run_state.run.clone()).collect();
         Truth { runs, orders: state.orders.clone() }
     }
 
     /// Stops the engine for good: it runs nothing and responds to nothing.
     pub fn kill(&self) {
         self.task.0.abort();
-        self.shared.state.lock().fault.hang = true;
+        self.shared.state.lock().faults.hang = true;
     }
 }
 
-async fn steps(shared: Arc<Shared>) {
+async fn run_steps(shared: Arc<Shared>) {
     loop {
         let (step, slow) = {
             let mut state = shared.state.lock();
-            cancel_abandoned(&mut state, shared.settings.resume_for);
+            cancel_abandoned(&mut state, shared.settings.resume_timeout);
             sample(&mut state);
-            (state.batch.step(&shared.settings.speed), state.fault.slow)
+            (state.batch.step(&shared.settings.speed), state.faults.slow)
         };
         let Some(step) = step else {
             let idle = Duration::from_millis(100);
@@ -227,9 +227,9 @@
         tokio::time::sleep(step.time + slow).await;
         let mut state = shared.state.lock();
         for number in step.produced {
-            let live = &mut state.runs[number as usize];
-            if !live.run.ended {
-                live.run.output += 1;
+            let run_state = &mut state.runs[number as usize];
+            if !run_state.run.ended {
+                run_state.run.output += 1;
             }
         }
         for number in step.done {
@@ -240,20 +240,20 @@
     }
 }
 
-fn cancel_abandoned(state: &mut State, resume_for: Duration) {
+fn cancel_abandoned(state: &mut State, resume_timeout: Duration) {
     let State { runs, batch, .. } = state;
-    let recent = runs.len().saturating_sub(4_096);
-    for (number, live) in runs.iter_mut().enumerate().skip(recent) {
-        let gone = live.stream_gone.is_some_and(|at| at.elapsed() >= resume_for);
-        if gone && live.streams == 0 && !live.run.ended {
-            cancel(live, batch, number);
+    let first_recent = runs.len().saturating_sub(4_096);
+    for (number, run_state) in runs.iter_mut().enumerate().skip(first_recent) {
+        let gone = run_state.last_stream_closed.is_some_and(|at| at.elapsed() >= resume_timeout);
+        if gone && run_state.streams == 0 && !run_state.run.ended {
+            cancel(run_state, batch, number);
         }
     }
 }
 
-fn cancel(live: &mut Live, batch: &mut Batch, number: usize) {
-    live.run.ended = true;
-    live.run.cancelled = true;
+fn cancel(run_state: &mut RunState, batch: &mut Batch, number: usize) {
+    run_state.run.ended = true;
+    run_state.run.cancelled = true;
     batch.cancel(number as u64);
 }
 
@@ -261,7 +261,7 @@
     let (running, waiting) = state.batch.load();
     let due = state.samples.back().is_none_or(|(at, ..)| at.elapsed().as_millis() >= 20);
     if due {
-        if state.samples.len() == SAMPLES {
+        if state.samples.len() == MAX_SAMPLES {
             state.samples.pop_front();
         }
         state.samples.push_back((Instant::now(), running, waiting));
@@ -279,7 +279,7 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        if self.0.state.lock().fault.hang {
+        if self.0.state.lock().faults.hang {
             std::future::pending::<()>().await;
         }
         let path = request.uri().path().to_owned();
@@ -299,11 +299,11 @@
 
 impl Shared {
     /// Whether a request is refused: `Some` with the seconds for `retry-after`, if any.
-    fn refuses(&self, body: &Value) -> Option<Option<u32>> {
+    fn refusal(&self, body: &Value) -> Option<Option<u32>> {
         let mut state = self.state.lock();
-        let refuses = state.fault.refuse || !body["messages"].is_array();
-        state.refused += usize::from(refuses);
-        refuses.then_some(state.fault.asks_rest)
+        let refuse = state.faults.refuse || !body["messages"].is_array();
+        state.refused += usize::from(refuse);
+        refuse.then_some(state.faults.retry_after_s)
     }
 }
 
@@ -320,9 +320,9 @@
             Ok(body) => serde_json::from_slice::<Value>(body).unwrap_or_default(),
             Err(_) => Value::Null,
         };
-        if let Some(rest) = self.0.refuses(&body) {
+        if let Some(retry_after_s) = self.0.refusal(&body) {
             response.status_code(StatusCode::SERVICE_UNAVAILABLE);
-            if let Some(seconds) = rest {
+            if let Some(seconds) = retry_after_s {
                 let _ = response.add_header("retry-after", seconds.to_string(), true);
             }
             json_body(response, &json!({"error": {"message": "not accepted", "ran": false}}));
@@ -356,24 +356,24 @@
         let events = events.chain(dropped.into_iter().map(|block| (now, false, block)));
         state.cache_events.extend(events);
         let number = state.runs.len();
-        let output = wanted(prompt).min(limit) + state.fault.overshoot;
+        let output = requested_output(prompt).min(limit) + state.faults.overshoot;
         let prefill = run.prompt.saturating_sub(run.cached);
         state.batch.push(Job { number: number as u64, priority, prefill, output });
         state.by_id.insert(run.id.clone(), number);
         let mark = mark_of(prompt);
-        state.runs.push(Live { run, limit, mark, stream_gone: None, streams: 0 });
+        state.runs.push(RunState { run, limit, mark, last_stream_closed: None, streams: 0 });
         drop(state);
         self.0.work.notify_one();
         number
     }
 
     fn stream(&self, number: usize, from: u64, response: &mut Response) {
-        let (id, cross) = {
+        let (id, wrong_id) = {
             let state = self.0.state.lock();
-            (state.runs[number].run.id.clone(), state.fault.cross)
+            (state.runs[number].run.id.clone(), state.faults.wrong_id)
         };
-        let echoed = if cross { "someone-else".to_owned() } else { id };
-        let _ = response.add_header("x-request-id", echoed, true);
+        let response_id = if wrong_id { "someone-else".to_owned() } else { id };
+        let _ = response.add_header("x-request-id", response_id, true);
         let _ = response.add_header("content-type", "text/event-stream", true);
         response.stream(tokens(Reader::open(self.0.clone(), number, from)));
     }
@@ -385,9 +385,9 @@
             return;
         };
         let run = &state.runs[*number].run;
-        let word = if run.ended { "ended" } else { "running" };
+        let state_name = if run.ended { "ended" } else { "running" };
         let answer = json!({
-            "state": word, "prompt_tokens": run.prompt, "output_tokens": run.output,
+            "state": state_name, "prompt_tokens": run.prompt, "output_tokens": run.output,
             "cancelled": run.cancelled,
         });
         json_body(response, &answer);
@@ -417,7 +417,7 @@
 
     fn load(&self, response: &mut Response) {
         let state = self.0.state.lock();
-        if state.fault.no_report {
+        if state.faults.hide_load {
             response.status_code(StatusCode::NOT_FOUND);
             return;
         }
@@ -427,7 +427,7 @@
             old.map_or((lag, 0, 0), |(at, running, waiting)| (at.elapsed(), *running, *waiting));
         let report = json!({
             "running": running, "waiting": waiting, "slots": self.0.settings.speed.slots,
-            "age_ms": age.as_millis() as u64, "leaving": state.fault.leaving,
+            "age_ms": age.as_millis() as u64, "leaving": state.faults.leaving,
         });
         json_body(response, &report);
     }
@@ -457,7 +457,7 @@
         let order: Value = serde_json::from_slice(&body).unwrap_or_default();
         let fence = order["fence"].as_u64().unwrap_or(0);
         let mut state = self.0.state.lock();
-        if self.0.settings.checks_orders && fence < state.fence {
+        if self.0.settings.checks_fences && fence < state.fence {
             response.status_code(StatusCode::CONFLICT);
             json_body(response, &json!({"fence": state.fence}));
             return;
@@ -485,10 +485,10 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         let mut state = self.shared.state.lock();
-        let live = &mut state.runs[self.number];
-        live.streams -= 1;
-        if live.streams == 0 {
-            live.stream_gone = Some(Instant::now());
+        let run_state = &mut state.runs[self.number];
+        run_state.streams -= 1;
+        if run_state.streams == 0 {
+            run_state.last_stream_closed = Some(Instant::now());
         }
     }
 }
@@ -498,12 +498,12 @@
         if reader.finished {
             return None;
         }
-        let chunk = next(&mut reader).await;
+        let chunk = next_chunk(&mut reader).await;
         Some((chunk, reader))
     })
 }
 
-async fn next(reader: &mut Reader) -> Result<Bytes, std::io::Error> {
+async fn next_chunk(reader: &mut Reader) -> Result<Bytes, std::io::Error> {
     loop {
         let shared = reader.shared.clone();
         let progress = shared.progress.notified();
@@ -511,28 +511,28 @@
         progress.as_mut().enable();
         {
             let state = shared.state.lock();
-            let live = &state.runs[reader.number];
-            let broken = state.fault.break_after.is_some_and(|after| reader.sent >= after);
-            if broken || live.run.cancelled {
+            let run_state = &state.runs[reader.number];
+            let broken = state.faults.break_after.is_some_and(|after| reader.sent >= after);
+            if broken || run_state.run.cancelled {
                 reader.finished = true;
                 return Err(std::io::Error::other("the stream broke"));
             }
-            if live.run.output > reader.sent {
-                let text = chunk(live, reader.sent);
-                reader.sent = live.run.output;
+            if run_state.run.output > reader.sent {
+                let text = chunk(run_state, reader.sent);
+                reader.sent = run_state.run.output;
                 return Ok(text);
             }
-            if live.run.ended {
+            if run_state.run.ended {
                 reader.finished = true;
-                return Ok(last(&live.run, live.limit));
+                return Ok(final_chunk(&run_state.run, run_state.limit));
             }
         }
         progress.await;
     }
 }
 
-fn chunk(live: &Live, from: u64) -> Bytes {
-    let (run, mark) = (&live.run, &live.mark);
+fn chunk(run_state: &RunState, from: u64) -> Bytes {
+    let (run, mark) = (&run_state.run, &run_state.mark);
     let mut text = String::new();
     for token in from..run.output {
         text.push_str(&format!(
@@ -544,7 +544,7 @@
     text.into()
 }
 
-fn last(run: &Run, limit: u64) -> Bytes {
+fn final_chunk(run: &Run, limit: u64) -> Bytes {
     let reason = if run.output >= limit { "length" } else { "stop" };
     let end = json!({
         "id": run.id, "object": "chat.completion.chunk",
@@ -570,7 +570,7 @@
     after.chars().take_while(|c| c.is_ascii_alphanumeric() || *c == '-').collect()
 }
 
-fn wanted(prompt: &str) -> u64 {
+fn requested_output(prompt: &str) -> u64 {
     let after = prompt.rsplit_once("tokens=").map(|(_, after)| after);
     let digits = after.map(|text| text.chars().take_while(char::is_ascii_digit));
     digits.and_then(|digits| digits.collect::<String>().parse().ok()).unwrap_or(DEFAULT_OUTPUT)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -15,9 +15,9 @@
 mod service;
 mod store;
 
-pub use api::{Faults, Platform};
+pub use api::{Platform, PlatformFaults};
 pub use batch::Speed;
-pub use engine::{Engine, Fault, Run, Settings, Truth};
+pub use engine::{Engine, EngineFaults, Run, Settings, Truth};
 pub use link::Link;
 pub use scripted::{ReceivedRequest, Reply, ScriptedEndpoint};
 pub use serve::Server;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -15,22 +15,22 @@
 };
 
 /// Size of a copy buffer, in bytes.
-const CHUNK: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
 /// What a link forwards.
 #[derive(Debug, Clone, Default)]
-struct Gate {
+struct Filter {
     cut: bool,
     blocked: HashSet<IpAddr>,
     target: Option<SocketAddr>,
     /// Number of calls of `stall_open_connections`; connections opened at a lower count are stalled.
-    lost: u64,
+    stall_count: u64,
 }
 
-impl Gate {
-    fn passes(&self, source: IpAddr, opened: u64) -> bool {
+impl Filter {
+    fn passes(&self, source: IpAddr, opened_at_count: u64) -> bool {
         let open = !self.cut && !self.blocked.contains(&source) && self.target.is_some();
-        open && opened >= self.lost
+        open && opened_at_count >= self.stall_count
     }
 }
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
-    gate: Arc<watch::Sender<Gate>>,
+    filter: Arc<watch::Sender<Filter>>,
     task: JoinHandle<()>,
 }
 
@@ -54,13 +54,13 @@
     pub async fn bind_at(address: SocketAddr, delay: Duration) -> std::io::Result<Link> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (gate, state) = watch::channel(Gate::default());
+        let (filter, state) = watch::channel(Filter::default());
         let task = tokio::spawn(async move {
             while let Ok((stream, source)) = listener.accept().await {
                 tokio::spawn(forward(stream, source.ip(), delay, state.clone()));
             }
         });
-        Ok(Link { address, gate: Arc::new(gate), task })
+        Ok(Link { address, filter: Arc::new(filter), task })
     }
 
     /// Address that the link listens on.
@@ -70,25 +70,25 @@
 
     /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
-        self.gate.send_modify(|gate| gate.target = Some(target));
+        self.filter.send_modify(|filter| filter.target = Some(target));
     }
 
     /// Stops or resumes forwarding of all connections in both directions.
     pub fn set_cut(&self, cut: bool) {
-        self.gate.send_modify(|gate| gate.cut = cut);
+        self.filter.send_modify(|filter| filter.cut = cut);
     }
 
     /// Stops forwarding of the connections that are open now, for ever; new ones work.
     pub fn stall_open_connections(&self) {
-        self.gate.send_modify(|gate| gate.lost += 1);
+        self.filter.send_modify(|filter| filter.stall_count += 1);
     }
 
     /// Stops or resumes forwarding of connections from one source address.
     pub fn set_blocked(&self, source: IpAddr, blocked: bool) {
-        self.gate.send_modify(|gate| {
+        self.filter.send_modify(|filter| {
             match blocked {
-                true => gate.blocked.insert(source),
-                false => gate.blocked.remove(&source),
+                true => filter.blocked.insert(source),
+                false => filter.blocked.remove(&source),
             };
         });
     }
@@ -101,22 +101,22 @@
 }
 
 async fn forward(
-    near: TcpStream,
+    client: TcpStream,
     source: IpAddr,
     delay: Duration,
-    mut gate: watch::Receiver<Gate>,
+    mut filter: watch::Receiver<Filter>,
 ) {
-    let opened = gate.borrow().lost;
-    let passed = gate.wait_for(|gate| gate.passes(source, opened)).await;
-    let Ok(target) = passed.map(|gate| gate.target) else { return };
+    let opened_at_count = filter.borrow().stall_count;
+    let passed = filter.wait_for(|filter| filter.passes(source, opened_at_count)).await;
+    let Ok(target) = passed.map(|filter| filter.target) else { return };
     let Some(target) = target else { return };
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy(near_read, far_write, delay, source, opened, gate.clone());
-    let back = copy(far_read, near_write, delay, source, opened, gate);
-    tokio::join!(there, back);
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let upstream = copy(client_read, server_write, delay, source, opened_at_count, filter.clone());
+    let downstream = copy(server_read, client_write, delay, source, opened_at_count, filter);
+    tokio::join!(upstream, downstream);
 }
 
 async fn copy(
@@ -124,10 +124,10 @@
     mut to: impl AsyncWriteExt + Unpin,
     delay: Duration,
     source: IpAddr,
-    opened: u64,
-    mut gate: watch::Receiver<Gate>,
+    opened_at_count: u64,
+    mut filter: watch::Receiver<Filter>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read) = from.read(&mut buffer).await {
         if read == 0 {
             break;
@@ -135,7 +135,7 @@
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        let _ = gate.wait_for(|gate| gate.passes(source, opened)).await;
+        let _ = filter.wait_for(|filter| filter.passes(source, opened_at_count)).await;
         if to.write_all(&buffer[..read]).await.is_err() {
             break;
         }
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -13,7 +13,7 @@
 };
 
 /// Largest head of a request, in bytes; a larger one ends the connection.
-const MOST_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 #[derive(Default)]
-struct Seen {
+struct State {
     arrived: Vec<ReceivedRequest>,
     connections: usize,
     closed: usize,
@@ -65,7 +65,7 @@
 /// A running endpoint on loopback; it stops when dropped.
 pub struct ScriptedEndpoint {
     address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
 }
 
@@ -76,8 +76,8 @@
     ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let (script, shared): (Arc<Script>, _) = (Arc::new(script), seen.clone());
+        let state: Arc<Mutex<State>> = Arc::default();
+        let (script, shared): (Arc<Script>, _) = (Arc::new(script), state.clone());
         let task = tokio::spawn(async move {
             let crash = Arc::new(Notify::new());
             // Dropping the set closes all open connections.
@@ -92,7 +92,7 @@
                 }
             }
         });
-        ScriptedEndpoint { address, seen, task }
+        ScriptedEndpoint { address, state, task }
     }
 
     /// Address that it listens on.
@@ -102,7 +102,7 @@
 
     /// All requests received so far, in order.
     pub fn arrived(&self) -> Vec<ReceivedRequest> {
-        self.seen.lock().arrived.clone()
+        self.state.lock().arrived.clone()
     }
 
     /// Whether the endpoint has crashed.
@@ -112,12 +112,12 @@
 
     /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
-        self.seen.lock().connections
+        self.state.lock().connections
     }
 
     /// Number of connections that have ended.
     pub fn closed(&self) -> usize {
-        self.seen.lock().closed
+        self.state.lock().closed
     }
 }
 
@@ -130,29 +130,29 @@
 async fn serve(
     mut stream: TcpStream,
     script: Arc<Script>,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     crash: Arc<Notify>,
 ) {
     let _ = stream.set_nodelay(true);
     let connection = {
-        let mut seen = seen.lock();
-        seen.connections += 1;
-        seen.connections
+        let mut state = state.lock();
+        state.connections += 1;
+        state.connections
     };
     let mut buffer = Vec::new();
     while let Some(arrived) = read(&mut stream, &mut buffer, connection).await {
         let reply = script(&arrived);
-        seen.lock().arrived.push(arrived);
+        state.lock().arrived.push(arrived);
         let crashes = matches!(reply, Reply::Crash(..) | Reply::CrashUnframed(..));
-        let goes_on = answer(&mut stream, reply).await;
+        let stays_open = send_reply(&mut stream, reply).await;
         if crashes {
             crash.notify_one();
         }
-        if !goes_on {
+        if !stays_open {
             break;
         }
     }
-    seen.lock().closed += 1;
+    state.lock().closed += 1;
 }
 
 async fn read(
@@ -164,7 +164,7 @@
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
             Some(at) => break at + 4,
-            None if buffer.len() > MOST_HEAD => return None,
+            None if buffer.len() > MAX_HEAD_BYTES => return None,
             None if stream.read_buf(buffer).await.ok()? == 0 => return None,
             None => {}
         }
@@ -197,7 +197,7 @@
     text + "\r\n"
 }
 
-fn whole(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
+fn complete(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
     head(status, headers, &format!("content-length: {}\r\n", body.len())) + body
 }
 
@@ -206,14 +206,14 @@
 }
 
 /// Sends a reply; returns whether the connection stays open.
-async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
+async fn send_reply(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
         Reply::Complete(status, headers, body) => {
-            stream.write_all(whole(status, &headers, &body).as_bytes()).await.is_ok()
+            stream.write_all(complete(status, &headers, &body).as_bytes()).await.is_ok()
         }
         Reply::TrailingData(status, headers, body, extra) => {
-            let bytes = whole(status, &headers, &body) + &extra;
+            let bytes = complete(status, &headers, &body) + &extra;
             stream.write_all(bytes.as_bytes()).await.is_ok()
         }
         Reply::Unframed(headers, body) => {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -25,7 +25,7 @@
 struct Shared {
     runs: Mutex<Vec<Execution>>,
     delay: Mutex<Duration>,
-    drop_answers: Mutex<bool>,
+    drop_responses: Mutex<bool>,
 }
 
 /// A plain service on loopback.
@@ -55,8 +55,8 @@
     }
 
     /// Sets whether calls run without ever getting a response.
-    pub fn set_drop_answers(&self, drop: bool) {
-        *self.shared.drop_answers.lock() = drop;
+    pub fn set_drop_responses(&self, drop: bool) {
+        *self.shared.drop_responses.lock() = drop;
     }
 
     /// All executions so far, in order.
@@ -107,7 +107,7 @@
         };
         let delay = *self.0.delay.lock();
         tokio::time::sleep(delay).await;
-        if *self.0.drop_answers.lock() {
+        if *self.0.drop_responses.lock() {
             std::future::pending::<()>().await;
         }
         let _ = response.add_header("x-request-id", id, true);
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -11,9 +11,9 @@
 use tokio::sync::Notify;
 
 /// Changes kept for watches.
-const LOG: usize = 200_000;
+const MAX_LOG_CHANGES: usize = 200_000;
 /// Largest value, in bytes.
-const MAX_VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Counters of calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -104,7 +104,7 @@
         value: Option<Arc<str>>,
         expect: Expect,
     ) -> Write {
-        if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE) {
+        if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
             return Write::Failed;
         }
         let id: Id = (kind.into(), name.into());
@@ -112,11 +112,11 @@
         state.usage.writes += 1;
         *state.by_kind.entry(id.0.clone()).or_default() += 1;
         let current = state.objects.get(&id).map(|(version, _)| *version);
-        let fits = match expect {
+        let is_as_expected = match expect {
             Expect::Absent => current.is_none(),
             Expect::Version(version) => current == Some(version),
         };
-        if !fits {
+        if !is_as_expected {
             state.usage.refused += 1;
             return Write::Refused;
         }
@@ -129,7 +129,7 @@
             }
             None => drop(state.objects.remove(&id)),
         }
-        if state.log.len() == LOG {
+        if state.log.len() == MAX_LOG_CHANGES {
             state.log.pop_front();
         }
         state.log.push_back(Change { kind: id.0, name: id.1, version, value });
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -61,7 +61,7 @@
 pub struct Audit {
     responses: Vec<Response>,
     /// Runs by `customer.key`, each with its budget and its tokens.
-    ran: BTreeMap<String, Vec<(String, u64)>>,
+    executions: BTreeMap<String, Vec<(String, u64)>>,
     unrepeatable: BTreeSet<String>,
     bills: BTreeMap<String, Vec<Bill>>,
     ledgers: BTreeMap<String, Ledger>,
@@ -73,7 +73,7 @@
     pub async fn of(fleet: &Fleet) -> Audit {
         let mut audit = Audit {
             responses: fleet.caller.responses(),
-            ran: BTreeMap::new(),
+            executions: BTreeMap::new(),
             unrepeatable: BTreeSet::new(),
             bills: BTreeMap::new(),
             ledgers: BTreeMap::new(),
@@ -87,15 +87,15 @@
     async fn read_truth(&mut self, fleet: &Fleet) {
         for run in fleet.engines.iter().flat_map(|engine| engine.truth().runs) {
             let entry = (run.budget, run.prompt + run.output);
-            self.ran.entry(run.key).or_default().push(entry);
+            self.executions.entry(run.key).or_default().push(entry);
         }
         let cost = fleet.spec("pool", "bookings").await["serves"]["service"]["cost"].as_u64();
         for run in fleet.services.iter().flat_map(|service| service.executions()) {
-            let runs = self.ran.entry(run.key.clone()).or_default();
+            let runs = self.executions.entry(run.key.clone()).or_default();
             runs.push((run.budget, cost.unwrap_or(0)));
         }
-        let unrepeatable = self.responses.iter().filter(|got| got.route == "cancel");
-        self.unrepeatable = unrepeatable.map(id).collect();
+        let unrepeatable = self.responses.iter().filter(|response| response.route == "cancel");
+        self.unrepeatable = unrepeatable.map(request_id).collect();
     }
 
     async fn read_books(&mut self, fleet: &Fleet) {
@@ -125,7 +125,7 @@
     /// Tokens served by budget, as counted at the endpoints.
     pub fn served(&self) -> BTreeMap<&str, u64> {
         let mut served = BTreeMap::new();
-        for (budget, tokens) in self.ran.values().flatten() {
+        for (budget, tokens) in self.executions.values().flatten() {
             *served.entry(budget.as_str()).or_default() += tokens;
         }
         served
@@ -134,27 +134,32 @@
     /// Compares what was read.
     pub fn figures(&self) -> Figures {
         let count = |outcome: &[Outcome]| {
-            self.responses.iter().filter(|got| outcome.contains(&got.outcome)).count() as u64
+            self.responses.iter().filter(|response| outcome.contains(&response.outcome)).count()
+                as u64
         };
         let served = self.served();
         let over = |(budget, tokens): (&&str, &u64)| {
             tokens.saturating_sub(self.paid.get(*budget).copied().unwrap_or(0))
         };
-        let twice = |key: &&String| self.ran.get(*key).is_some_and(|runs| runs.len() > 1);
+        let twice = |key: &&String| self.executions.get(*key).is_some_and(|runs| runs.len() > 1);
         Figures {
             requests: self.responses.len() as u64,
             answered: count(&[Outcome::Answered]),
             refused_not_run: count(&[Outcome::NotRun]),
             unknown: count(&[Outcome::Unknown, Outcome::NoResponse]),
             overspend_tokens: served.iter().map(over).sum(),
-            unbilled: self.ran.keys().filter(|key| !self.bills.contains_key(*key)).count() as u64,
+            unbilled: self.executions.keys().filter(|key| !self.bills.contains_key(*key)).count()
+                as u64,
             double_billed: self.bills.values().filter(|bills| bills.len() > 1).count() as u64,
             ran_twice: self.unrepeatable.iter().filter(twice).count() as u64,
-            crossed: self.responses.iter().filter(|got| got.crossed).count() as u64,
-            lied_not_run: self.lied(),
+            crossed: self.responses.iter().filter(|response| response.crossed).count() as u64,
+            lied_not_run: self.ran_despite_refusal(),
             stranded_tokens: self.ledgers.values().flat_map(|l| l.stranded().into_values()).sum(),
-            unsound_ledgers: self.ledgers.iter().filter(|(name, l)| !self.adds_up(name, l)).count()
-                as u64,
+            unsound_ledgers: self
+                .ledgers
+                .iter()
+                .filter(|(name, l)| !self.is_consistent(name, l))
+                .count() as u64,
             served_tokens: served.values().sum(),
             billed_tokens: self.bills.values().flatten().map(|bill| bill.tokens).sum(),
         }
@@ -162,39 +167,41 @@
 
     /// Descriptions of missing bills, double bills and inconsistent ledgers.
     pub fn faults(&self) -> Vec<String> {
-        let unbilled = self.ran.iter().filter(|(key, _)| !self.bills.contains_key(*key));
+        let unbilled = self.executions.iter().filter(|(key, _)| !self.bills.contains_key(*key));
         let mut faults: Vec<String> =
             unbilled.map(|(key, runs)| format!("`{key}` ran {runs:?} and is on no bill")).collect();
         let twice = self.bills.iter().filter(|(_, bills)| bills.len() > 1);
         faults.extend(twice.map(|(key, bills)| format!("`{key}` is billed by {bills:?}")));
-        let unsound = self.ledgers.iter().filter(|(name, ledger)| !self.adds_up(name, ledger));
+        let unsound =
+            self.ledgers.iter().filter(|(name, ledger)| !self.is_consistent(name, ledger));
         faults.extend(unsound.map(|(name, ledger)| format!("ledger `{name}`: {ledger:?}")));
         faults
     }
 
-    fn lied(&self) -> u64 {
+    fn ran_despite_refusal(&self) -> u64 {
         let mut only_refused: BTreeMap<String, bool> = BTreeMap::new();
-        for got in &self.responses {
-            let refused = got.outcome == Outcome::NotRun && got.reason != "key_reused";
-            let all = only_refused.entry(id(got)).or_insert(true);
+        for response in &self.responses {
+            let refused = response.outcome == Outcome::NotRun && response.reason != "key_reused";
+            let all = only_refused.entry(request_id(response)).or_insert(true);
             *all &= refused;
         }
-        let lied = |(key, refused): &(&String, &bool)| **refused && self.ran.contains_key(*key);
-        only_refused.iter().filter(lied).count() as u64
+        let ran_despite_refusal =
+            |(key, refused): &(&String, &bool)| **refused && self.executions.contains_key(*key);
+        only_refused.iter().filter(ran_despite_refusal).count() as u64
     }
 
-    fn adds_up(&self, name: &str, ledger: &Ledger) -> bool {
+    fn is_consistent(&self, name: &str, ledger: &Ledger) -> bool {
         // Bills name their customer, not their budget: the sum can be compared only while all bills
         // of the budget are still in its statement.
         let statement = &ledger.statement;
         let recent: u64 = statement.recent.iter().map(|bill| bill.tokens).sum();
-        let whole = statement.pages > 0 || recent == statement.tokens;
+        let is_complete = statement.pages > 0 || recent == statement.tokens;
         let spent = ledger.spent == statement.tokens + ledger.absorbed;
         let paid = self.paid.get(name).is_none_or(|paid| ledger.spent <= *paid.max(&ledger.paid));
-        ledger.is_sound() && whole && spent && paid
+        ledger.is_sound() && is_complete && spent && paid
     }
 }
 
-fn id(got: &Response) -> String {
-    format!("{}.{}", got.customer, got.key)
+fn request_id(response: &Response) -> String {
+    format!("{}.{}", response.customer, response.key)
 }
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -136,11 +136,11 @@
     }
 
     /// Sends a request to a box.
-    pub async fn send(&self, to: SocketAddr, ask: &Request) -> Response {
+    pub async fn send(&self, to: SocketAddr, request: &Request) -> Response {
         let start = Instant::now();
-        let mut got = Response {
-            key: ask.key.clone(),
-            customer: ask.customer.clone(),
+        let mut response = Response {
+            key: request.key.clone(),
+            customer: request.customer.clone(),
             outcome: Outcome::NoResponse,
             reason: String::new(),
             status: 0,
@@ -150,16 +150,16 @@
             time_to_first_byte: Duration::ZERO,
             gaps: Vec::new(),
             total: Duration::ZERO,
-            route: ask.route.clone(),
+            route: request.route.clone(),
         };
-        let receive = self.receive(to, ask, start, &mut got);
+        let receive = self.receive(to, request, start, &mut response);
         if tokio::time::timeout(self.request_timeout, receive).await.is_err() {
-            got.outcome = Outcome::NoResponse;
-            got.reason = "caller_gave_up".into();
+            response.outcome = Outcome::NoResponse;
+            response.reason = "caller_gave_up".into();
         }
-        got.total = start.elapsed();
-        self.responses.lock().push(got.clone());
-        got
+        response.total = start.elapsed();
+        self.responses.lock().push(response.clone());
+        response
     }
 
     /// Requests tickets for unrepeatable calls from a box.
@@ -170,35 +170,41 @@
         budget: &str,
         count: u64,
     ) -> Vec<String> {
-        let request = self.http.post(format!("http://{to}/v1/tickets"));
-        let request = request.bearer_auth(api_key(customer, budget)).json(&json!({"count": count}));
-        let Ok(answer) = request.send().await else { return Vec::new() };
+        let builder = self.http.post(format!("http://{to}/v1/tickets"));
+        let builder = builder.bearer_auth(api_key(customer, budget)).json(&json!({"count": count}));
+        let Ok(answer) = builder.send().await else { return Vec::new() };
         let body: Value = answer.json().await.unwrap_or_default();
         let tickets = body["tickets"].as_array().into_iter().flatten();
         tickets.filter_map(|ticket| ticket.as_str().map(str::to_owned)).collect()
     }
 
-    fn request(&self, to: SocketAddr, ask: &Request) -> reqwest::RequestBuilder {
-        let request = match ask.service {
+    fn build(&self, to: SocketAddr, request: &Request) -> reqwest::RequestBuilder {
+        let builder = match request.service {
             true => {
-                let url = format!("http://{to}/services/{}/chairs/7", ask.route);
-                self.http.post(url).body(ask.content())
+                let url = format!("http://{to}/services/{}/chairs/7", request.route);
+                self.http.post(url).body(request.content())
             }
             false => self.http.post(format!("http://{to}/v1/chat/completions")).json(&json!({
-                "model": ask.route, "stream": ask.stream, "max_tokens": ask.max_tokens,
-                "messages": [{"role": "user", "content": ask.content()}],
+                "model": request.route, "stream": request.stream, "max_tokens": request.max_tokens,
+                "messages": [{"role": "user", "content": request.content()}],
             })),
         };
-        let key = api_key(&ask.customer, &ask.budget);
-        request.bearer_auth(key).header("idempotency-key", &ask.key)
+        let key = api_key(&request.customer, &request.budget);
+        builder.bearer_auth(key).header("idempotency-key", &request.key)
     }
 
-    async fn receive(&self, to: SocketAddr, ask: &Request, start: Instant, got: &mut Response) {
-        let Ok(answer) = self.request(to, ask).send().await else { return };
-        got.status = answer.status().as_u16();
+    async fn receive(
+        &self,
+        to: SocketAddr,
+        request: &Request,
+        start: Instant,
+        response: &mut Response,
+    ) {
+        let Ok(answer) = self.build(to, request).send().await else { return };
+        response.status = answer.status().as_u16();
         let header = answer.headers().get("flintstall-outcome");
-        let responses = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
-        let outcome = match responses {
+        let value = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let outcome = match value {
             "answered" => Outcome::Answered,
             "not-run" => Outcome::NotRun,
             "unknown" => Outcome::Unknown,
@@ -206,60 +212,60 @@
         };
         let mut parts = answer.bytes_stream();
         let mut body = Vec::new();
-        let mut last = None;
+        let mut previous = None;
         while let Some(part) = parts.next().await {
             let Ok(part) = part else { return };
             let now = Instant::now();
-            match last.replace(now) {
-                None => got.time_to_first_byte = now - start,
-                Some(before) => got.gaps.push(now - before),
+            match previous.replace(now) {
+                None => response.time_to_first_byte = now - start,
+                Some(since) => response.gaps.push(now - since),
             }
             body.extend_from_slice(&part);
         }
-        got.outcome = outcome;
-        got.body = String::from_utf8_lossy(&body).into_owned();
-        judge(ask, got);
+        response.outcome = outcome;
+        response.body = String::from_utf8_lossy(&body).into_owned();
+        evaluate(request, response);
     }
 }
 
-fn judge(ask: &Request, got: &mut Response) {
-    if got.outcome != Outcome::Answered {
-        let error: Value = serde_json::from_str(&got.body).unwrap_or_default();
-        got.reason = error["error"]["code"].as_str().unwrap_or_default().to_owned();
+fn evaluate(request: &Request, response: &mut Response) {
+    if response.outcome != Outcome::Answered {
+        let error: Value = serde_json::from_str(&response.body).unwrap_or_default();
+        response.reason = error["error"]["code"].as_str().unwrap_or_default().to_owned();
         return;
     }
-    if ask.service {
+    if request.service {
         return;
     }
-    let text = if ask.stream { streamed_text(got) } else { plain_text(got) };
+    let text = if request.stream { streamed_text(response) } else { plain_text(response) };
     let words: Vec<&str> = text.split_whitespace().collect();
-    got.tokens = words.len() as u64;
-    let mark = ask.mark();
+    response.tokens = words.len() as u64;
+    let mark = request.mark();
     let own = |(index, word): (usize, &&str)| **word == format!("{mark}.{index}");
-    got.crossed = !words.iter().enumerate().all(own);
+    response.crossed = !words.iter().enumerate().all(own);
 }
 
-fn streamed_text(got: &mut Response) -> String {
+fn streamed_text(response: &mut Response) -> String {
     let mut text = String::new();
-    let mut whole = false;
-    for line in got.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
+    let mut is_complete = false;
+    for line in response.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            whole = true;
+            is_complete = true;
             break;
         }
         let event: Value = serde_json::from_str(line).unwrap_or_default();
         text.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
         if let Some(code) = event["error"]["code"].as_str() {
-            got.reason = code.to_owned();
+            response.reason = code.to_owned();
         }
     }
-    if !whole {
-        got.outcome = Outcome::Unknown;
+    if !is_complete {
+        response.outcome = Outcome::Unknown;
     }
     text
 }
 
-fn plain_text(got: &Response) -> String {
-    let body: Value = serde_json::from_str(&got.body).unwrap_or_default();
+fn plain_text(response: &Response) -> String {
+    let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
     body["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
 }
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -97,7 +97,7 @@
     /// The link to each router from all others.
     pub peer_links: Vec<Link>,
     pub caller: Caller,
-    starts: u64,
+    start_count: u64,
 }
 
 impl Fleet {
@@ -123,7 +123,7 @@
             links: Vec::new(),
             peer_links: Vec::new(),
             caller,
-            starts: 0,
+            start_count: 0,
         };
         fleet.declare_samples().await;
         for index in 0..fleet.plan.boxes {
@@ -136,7 +136,7 @@
             let node = fleet.start(index).await;
             fleet.nodes.push(node);
         }
-        fleet.wait_in_force().await;
+        fleet.wait_until_applied().await;
         fleet
     }
 
@@ -146,8 +146,8 @@
     }
 
     async fn start(&mut self, index: usize) -> Node {
-        self.starts += 1;
-        let seed = self.plan.seed.wrapping_mul(1_000_003) + self.starts;
+        self.start_count += 1;
+        let seed = self.plan.seed.wrapping_mul(1_000_003) + self.start_count;
         let node = Node::spawn(self.settings(index), seed).await;
         if let Some(address) = node.peers() {
             self.peer_links[index].set_target(address);
@@ -199,7 +199,7 @@
     pub async fn restart(&mut self, index: usize) {
         let node = self.start(index).await;
         self.nodes[index] = node;
-        self.wait_in_force().await;
+        self.wait_until_applied().await;
     }
 
     async fn declare_samples(&self) {
@@ -247,7 +247,7 @@
     }
 
     /// Waits until every resource is accepted and applied by every router that runs.
-    pub async fn wait_in_force(&self) {
+    pub async fn wait_until_applied(&self) {
         let memory = self.platform.memory();
         let mut sources = 0;
         for kind in resource::Kind::ALL {
@@ -278,10 +278,10 @@
         object.and_then(|object| serde_json::from_str(&object.value).ok()).unwrap_or_default()
     }
 
-    /// Waits until every run is billed and every journal is folded into the ledgers, for `most` at
+    /// Waits until every run is billed and every journal is folded into the ledgers, for `timeout` at
     /// most; returns whether that is so.
-    pub async fn settle(&self, most: Duration) -> bool {
-        let end = tokio::time::Instant::now() + most;
+    pub async fn settle(&self, timeout: Duration) -> bool {
+        let end = tokio::time::Instant::now() + timeout;
         while tokio::time::Instant::now() < end {
             if self.is_settled().await && self.audit().await.unbilled == 0 {
                 return true;
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -18,7 +18,7 @@
     Kill,
     Pause(mpsc::Receiver<()>),
     Incarnation(oneshot::Sender<Incarnation>),
-    Watched(u64, oneshot::Sender<()>),
+    WaitForVersion(u64, oneshot::Sender<()>),
     Version(Kind, String, oneshot::Sender<u64>),
 }
 
@@ -35,7 +35,7 @@
     resume: Option<mpsc::Sender<()>>,
 }
 
-struct Up {
+struct Started {
     callers: SocketAddr,
     operators: SocketAddr,
     peers: Option<SocketAddr>,
@@ -48,19 +48,19 @@
     pub async fn spawn(settings: Settings, seed: u64) -> Node {
         let name = settings.box_name.clone();
         let (commands, receiver) = tokio::sync::mpsc::unbounded_channel();
-        let (ready, up) = oneshot::channel();
+        let (ready, started) = oneshot::channel();
         let thread = std::thread::Builder::new()
             .name(name.to_string())
             .spawn(move || run(settings, seed, ready, receiver))
             .expect("a thread can be started");
-        let up = up.await.expect("the router starts on loopback");
+        let started = started.await.expect("the router starts on loopback");
         Node {
             name,
-            callers: up.callers,
-            operators: up.operators,
-            peers: up.peers,
-            log: up.log,
-            calls: up.calls,
+            callers: started.callers,
+            operators: started.operators,
+            peers: started.peers,
+            log: started.log,
+            calls: started.calls,
             commands,
             thread: Some(thread),
             resume: None,
@@ -107,7 +107,7 @@
     /// Waits until the router has applied all changes up to a version of the platform.
     pub async fn wait_for_version(&self, version: u64) {
         let (sender, receiver) = oneshot::channel();
-        if self.commands.send(Command::Watched(version, sender)).is_ok() {
+        if self.commands.send(Command::WaitForVersion(version, sender)).is_ok() {
             let _ = receiver.await;
         }
     }
@@ -179,7 +179,7 @@
 fn run(
     settings: Settings,
     seed: u64,
-    ready: oneshot::Sender<Up>,
+    ready: oneshot::Sender<Started>,
     commands: tokio::sync::mpsc::UnboundedReceiver<Command>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -194,7 +194,7 @@
 async fn serve(
     settings: Settings,
     seed: u64,
-    ready: oneshot::Sender<Up>,
+    ready: oneshot::Sender<Started>,
     mut commands: tokio::sync::mpsc::UnboundedReceiver<Command>,
 ) {
     let router = match Router::spawn(settings, seed).await {
@@ -204,7 +204,7 @@
             return;
         }
     };
-    let _ = ready.send(Up {
+    let _ = ready.send(Started {
         callers: router.callers(),
         operators: router.operators(),
         peers: router.peers(),
@@ -225,7 +225,7 @@
             Command::Version(kind, name, answer) => {
                 let _ = answer.send(router.version(kind, &name));
             }
-            Command::Watched(version, done) => {
+            Command::WaitForVersion(version, done) => {
                 router.wait_for_version(version).await;
                 let _ = done.send(());
             }
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -17,22 +17,22 @@
     fleet
 }
 
-fn ask(key: &str) -> Request {
+fn request(key: &str) -> Request {
     Request::chat("dis", "bornova", key)
 }
 
 /// Sends a request again with the same key until there is a complete response.
-async fn insist(fleet: &Fleet, at: usize, ask: &Request) -> Response {
+async fn send_until_answered(fleet: &Fleet, at: usize, request: &Request) -> Response {
     loop {
-        let got = fleet.caller.send(fleet.callers_address(at), ask).await;
-        if got.outcome == Outcome::Answered {
-            return got;
+        let response = fleet.caller.send(fleet.callers_address(at), request).await;
+        if response.outcome == Outcome::Answered {
+            return response;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn settled(fleet: &Fleet) -> Figures {
+async fn sound_figures(fleet: &Fleet) -> Figures {
     assert!(fleet.settle(SETTLE).await, "not all runs were billed in time");
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
@@ -44,11 +44,11 @@
     let fleet = ready(Plan::default()).await;
     fleet.set_partition(&[0], true);
     for number in 0..5 {
-        insist(&fleet, 0, &ask(&format!("cut-{number}"))).await;
-        insist(&fleet, 1, &ask(&format!("whole-{number}"))).await;
+        send_until_answered(&fleet, 0, &request(&format!("cut-{number}"))).await;
+        send_until_answered(&fleet, 1, &request(&format!("whole-{number}"))).await;
     }
     fleet.set_partition(&[0], false);
-    let figures = settled(&fleet).await;
+    let figures = sound_figures(&fleet).await;
     assert_eq!((figures.unbilled, figures.served_tokens), (0, figures.billed_tokens));
 }
 
@@ -58,17 +58,17 @@
     fleet.links[0].set_cut(true);
     let cancel = |n: usize| Request::service("dis", "bornova", "cancel", &format!("chair-{n}"));
     // A claim needs the platform, so a response shows that the box worked through a peer.
-    insist(&fleet, 0, &cancel(1)).await;
-    insist(&fleet, 0, &cancel(2)).await;
+    send_until_answered(&fleet, 0, &cancel(1)).await;
+    send_until_answered(&fleet, 0, &cancel(2)).await;
     fleet.links[0].set_cut(false);
-    settled(&fleet).await;
+    sound_figures(&fleet).await;
     assert_eq!(fleet.services[0].runs_by_key().values().max(), Some(&1));
 }
 
 #[tokio::test]
 async fn a_frozen_box_is_sealed_and_goes_on_as_another_incarnation() {
     let mut fleet = ready(Plan::default()).await;
-    insist(&fleet, 0, &ask("before")).await;
+    send_until_answered(&fleet, 0, &request("before")).await;
     let first = fleet.nodes[0].incarnation().await.unwrap();
     fleet.nodes[0].pause();
     // The others seal its journal when it has been silent for the configured time.
@@ -76,11 +76,11 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     fleet.nodes[0].resume();
-    insist(&fleet, 0, &ask("after")).await;
+    send_until_answered(&fleet, 0, &request("after")).await;
     while fleet.nodes[0].incarnation().await.unwrap() == first {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    settled(&fleet).await;
+    sound_figures(&fleet).await;
     // The box itself returns the tokens of its former incarnation, so that none stay stranded.
     while fleet.ledger("bornova").await.grants.contains_key(&first) {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -90,17 +90,17 @@
 #[tokio::test]
 async fn a_killed_box_loses_no_bill_and_its_online_tokens_come_back() {
     let mut fleet = ready(Plan::default()).await;
-    let long = Request { output: 60, max_tokens: 80, ..ask("long") };
-    let (to, caller, wanted) = (fleet.callers_address(0), fleet.caller.clone(), long.clone());
-    let asking = tokio::spawn(async move { caller.send(to, &wanted).await });
+    let long = Request { output: 60, max_tokens: 80, ..request("long") };
+    let (to, caller, request) = (fleet.callers_address(0), fleet.caller.clone(), long.clone());
+    let pending = tokio::spawn(async move { caller.send(to, &request).await });
     while fleet.engines.iter().all(|engine| engine.truth().runs.is_empty()) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let dead = fleet.nodes[0].incarnation().await.unwrap();
     fleet.nodes[0].kill();
-    assert_ne!(asking.await.unwrap().outcome, Outcome::NotRun);
-    insist(&fleet, 1, &long).await;
-    let figures = settled(&fleet).await;
+    assert_ne!(pending.await.unwrap().outcome, Outcome::NotRun);
+    send_until_answered(&fleet, 1, &long).await;
+    let figures = sound_figures(&fleet).await;
     assert_eq!(figures.double_billed, 0);
     let ledger = fleet.ledger("bornova").await;
     let grant = ledger.grants.get(&dead);
@@ -119,28 +119,28 @@
     let fleet = ready(Plan::default()).await;
     fleet.platform.set(|faults| faults.drop_responses = 0.3);
     for number in 0..12 {
-        insist(&fleet, number % 3, &ask(&format!("lossy-{number}"))).await;
+        send_until_answered(&fleet, number % 3, &request(&format!("lossy-{number}"))).await;
         let key = format!("chair-{number}");
         let cancel = Request::service("dis", "bornova", "cancel", &key);
-        insist(&fleet, (number + 1) % 3, &cancel).await;
+        send_until_answered(&fleet, (number + 1) % 3, &cancel).await;
     }
     fleet.platform.set(|faults| faults.drop_responses = 0.0);
-    settled(&fleet).await;
+    sound_figures(&fleet).await;
 }
 
 /// Guards against a box that sends further requests to an engine whose refusal asked for a back-off.
 #[tokio::test]
 async fn an_engine_that_asks_a_box_for_rest_gets_none_of_its_requests_meanwhile() {
     let fleet = ready(Plan { boxes: 1, ..Plan::default() }).await;
-    fleet.engines[0].set(|fault| (fault.refuse, fault.asks_rest) = (true, Some(60)));
+    fleet.engines[0].set(|faults| (faults.refuse, faults.retry_after_s) = (true, Some(60)));
     let mut number = 0;
     while fleet.engines[0].refused() == 0 {
         number += 1;
-        insist(&fleet, 0, &ask(&format!("first-{number}"))).await;
+        send_until_answered(&fleet, 0, &request(&format!("first-{number}"))).await;
     }
     for number in 0..20 {
-        insist(&fleet, 0, &ask(&format!("later-{number}"))).await;
+        send_until_answered(&fleet, 0, &request(&format!("later-{number}"))).await;
     }
     assert_eq!(fleet.engines[0].refused(), 1, "later requests go to the other engines");
-    settled(&fleet).await;
+    sound_figures(&fleet).await;
 }
--- a/crates/trial/tests/path.rs
+++ b/crates/trial/tests/path.rs
@@ -28,14 +28,14 @@
 #[tokio::test]
 async fn an_unrepeatable_call_runs_once_whichever_box_gets_the_retry() {
     let fleet = Fleet::spawn(Plan::default()).await;
-    let ask = Request::service("dis", "bornova", "cancel", "chair-7");
-    let first = fleet.caller.send(fleet.callers_address(0), &ask).await;
+    let request = Request::service("dis", "bornova", "cancel", "chair-7");
+    let first = fleet.caller.send(fleet.callers_address(0), &request).await;
     assert_eq!(first.outcome, Outcome::Answered);
-    let same_box = fleet.caller.send(fleet.callers_address(0), &ask).await;
+    let same_box = fleet.caller.send(fleet.callers_address(0), &request).await;
     assert_eq!((same_box.outcome, &same_box.body), (Outcome::Answered, &first.body));
     // The claim is resolved shortly after the caller has its response; until then a retry is "unknown".
     let retried = loop {
-        let other_box = fleet.caller.send(fleet.callers_address(1), &ask).await;
+        let other_box = fleet.caller.send(fleet.callers_address(1), &request).await;
         if other_box.outcome != Outcome::Unknown {
             break other_box;
         }
@@ -48,11 +48,11 @@
 async fn a_request_past_its_budget_is_refused_and_did_not_run() {
     let customers = vec![("dis".into(), vec![("bornova".into(), 60)])];
     let fleet = Fleet::spawn(Plan { customers, ..Plan::default() }).await;
-    let ask = Request { output: 30, max_tokens: 30, ..Request::chat("dis", "bornova", "a") };
-    let first = fleet.caller.send(fleet.callers_address(0), &ask).await;
+    let request = Request { output: 30, max_tokens: 30, ..Request::chat("dis", "bornova", "a") };
+    let first = fleet.caller.send(fleet.callers_address(0), &request).await;
     assert_eq!(first.outcome, Outcome::Answered, "{first:?}");
     let second =
-        fleet.caller.send(fleet.callers_address(1), &Request { key: "b".into(), ..ask }).await;
+        fleet.caller.send(fleet.callers_address(1), &Request { key: "b".into(), ..request }).await;
     assert_eq!((second.outcome, second.reason.as_str()), (Outcome::NotRun, "budget_exhausted"));
     assert_eq!(second.status, 402);
     assert!(fleet.settle(SETTLE).await);
@@ -71,8 +71,8 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     fleet.nodes[0].stop().await;
-    let got = answer.await.unwrap();
-    assert_eq!((got.outcome, got.tokens), (Outcome::Answered, 120), "{got:?}");
+    let response = answer.await.unwrap();
+    assert_eq!((response.outcome, response.tokens), (Outcome::Answered, 120), "{response:?}");
     let ledger = fleet.ledger("bornova").await;
     let of_box = ledger.grants.keys().filter(|holder| holder.box_name() == "box-0").count();
     assert_eq!(of_box, 0, "{ledger:?}");
@@ -84,15 +84,15 @@
 #[tokio::test]
 async fn resolving_a_dead_box_calls_no_service() {
     let mut fleet = Fleet::spawn(Plan::default()).await;
-    fleet.services[0].set_drop_answers(true);
-    let ask = Request::service("dis", "bornova", "cancel", "chair-9");
+    fleet.services[0].set_drop_responses(true);
+    let request = Request::service("dis", "bornova", "cancel", "chair-9");
     let (to, caller) = (fleet.callers_address(0), fleet.caller.clone());
-    let asking = tokio::spawn(async move { caller.send(to, &ask).await });
+    let pending = tokio::spawn(async move { caller.send(to, &request).await });
     while fleet.services[0].executions().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     fleet.nodes[0].kill();
-    asking.await.unwrap();
+    pending.await.unwrap();
     assert!(fleet.settle(SETTLE).await);
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
@@ -108,23 +108,23 @@
     }
     let tickets = fleet.caller.tickets(fleet.callers_address(0), "dis", "bornova", 2).await;
     fleet.platform.set(|faults| faults.down = true);
-    let ask = |key: &str| Request::service("dis", "bornova", "cancel", key);
+    let request = |key: &str| Request::service("dis", "bornova", "cancel", key);
     let first = loop {
-        let got = fleet.caller.send(fleet.callers_address(0), &ask(&tickets[0])).await;
-        if got.outcome == Outcome::Answered {
-            break got;
+        let response = fleet.caller.send(fleet.callers_address(0), &request(&tickets[0])).await;
+        if response.outcome == Outcome::Answered {
+            break response;
         }
     };
-    let plain = fleet.caller.send(fleet.callers_address(0), &ask("chair-8")).await;
+    let plain = fleet.caller.send(fleet.callers_address(0), &request("chair-8")).await;
     assert_eq!((plain.outcome, plain.reason.as_str()), (Outcome::NotRun, "claim_unreachable"));
-    let elsewhere = fleet.caller.send(fleet.callers_address(1), &ask(&tickets[0])).await;
+    let elsewhere = fleet.caller.send(fleet.callers_address(1), &request(&tickets[0])).await;
     assert_eq!(elsewhere.outcome, Outcome::Unknown, "{elsewhere:?}");
     fleet.platform.set(|faults| faults.down = false);
     // When the box has handed in its runs, others replay the response.
     let replayed = loop {
-        let got = fleet.caller.send(fleet.callers_address(1), &ask(&tickets[0])).await;
-        if got.outcome != Outcome::Unknown {
-            break got;
+        let response = fleet.caller.send(fleet.callers_address(1), &request(&tickets[0])).await;
+        if response.outcome != Outcome::Unknown {
+            break response;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
