--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -139,8 +139,10 @@
     let twice = twice.map(|(id, count)| format!("{id} is on {count} bills"));
     // A killed box loses the bills that it had not yet written.
     let answered = evidence.calls.iter().filter(|call| {
-        let whole = matches!(call.outcome, Outcome::Answered { .. });
-        whole && call.route == Route::Stream && !evidence.interrupted.contains(&call.incarnation)
+        let is_answered = matches!(call.outcome, Outcome::Answered { .. });
+        is_answered
+            && call.route == Route::Stream
+            && !evidence.interrupted.contains(&call.incarnation)
     });
     let missing = answered.filter(|call| !bills.contains_key(&*call.id.text()));
     let missing =
@@ -235,7 +237,7 @@
 fn sent_in_back_off(evidence: &Evidence) -> Vec<String> {
     let incarnations: HashMap<Id, Incarnation> =
         evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
-    let mut broken = Vec::new();
+    let mut found = Vec::new();
     for (endpoint, arrived) in evidence.arrivals {
         for arrival in arrived {
             let (Some(incarnation), Some(back_off)) =
@@ -248,13 +250,13 @@
                 arrived.iter().filter(|other| incarnations.get(&other.id) == Some(incarnation));
             let count = of_box.filter(|other| within.contains(&other.at)).count();
             if count > MAX_SENT_IN_BACK_OFF && !evidence.interrupted.contains(incarnation) {
-                broken.push(format!(
+                found.push(format!(
                     "{endpoint} got {count} requests of {incarnation:?} in a back-off of {back_off:?}"
                 ));
             }
         }
     }
-    broken
+    found
 }
 
 /// Endpoints that got more requests within a window than their limit allows.
@@ -262,17 +264,15 @@
     let incarnations: HashMap<Id, Incarnation> =
         evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let found = evidence.arrivals.iter().filter_map(|(endpoint, arrived)| {
-        let counted_arrivals = counted_arrivals(evidence, &incarnations, arrived);
+        let arrivals = counted_arrivals(evidence, &incarnations, arrived);
         let over = |(first, (from, limit)): (usize, &(Instant, f64))| {
-            let count = counted_arrivals[first..]
-                .iter()
-                .filter(|(at, _)| *at < *from + LIMIT_WINDOW)
-                .count();
+            let count =
+                arrivals[first..].iter().filter(|(at, _)| *at < *from + LIMIT_WINDOW).count();
             let allowed = limit * LIMIT_WINDOW.as_secs_f64() * LIMIT_FACTOR + EXTRA_REQUESTS;
             (count as f64 > allowed)
                 .then(|| format!("{endpoint} got {count} requests in 4 s, {allowed:.1} allowed"))
         };
-        counted_arrivals.iter().enumerate().find_map(over)
+        arrivals.iter().enumerate().find_map(over)
     });
     found.collect()
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -114,8 +114,11 @@
 struct RunState {
     run: Run,
     limit: u64,
+    /// Text that each output token carries.
     mark: String,
+    /// When the number of open streams last became zero.
     last_stream_closed: Option<Instant>,
+    /// Number of open streams.
     streams: u32,
 }
 
@@ -126,7 +129,9 @@
     refused: usize,
     runs: Vec<RunState>,
     by_id: BTreeMap<String, usize>,
+    /// Load over time: requests in the batch and in the queue.
     samples: VecDeque<(Instant, usize, usize)>,
+    /// Changes of the prefix cache: whether a block was added or evicted, and its hash.
     cache_events: Vec<(Instant, bool, u64)>,
     fence: u64,
     orders: Vec<(u64, Value)>,
@@ -135,7 +140,9 @@
 
 struct Shared {
     state: Mutex<State>,
+    /// Notified when runs have produced tokens or ended.
     progress: Notify,
+    /// Notified when a job arrives.
     work: Notify,
     settings: Settings,
 }
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -195,10 +195,10 @@
         // of the budget are still in its statement.
         let statement = &ledger.statement;
         let recent: u64 = statement.recent.iter().map(|bill| bill.tokens).sum();
-        let is_complete = statement.pages > 0 || recent == statement.tokens;
+        let sum_matches = statement.pages > 0 || recent == statement.tokens;
         let spent = ledger.spent == statement.tokens + ledger.absorbed;
         let paid = self.paid.get(name).is_none_or(|paid| ledger.spent <= *paid.max(&ledger.paid));
-        ledger.is_sound() && is_complete && spent && paid
+        ledger.is_sound() && sum_matches && spent && paid
     }
 }
 
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -241,8 +241,8 @@
     let words: Vec<&str> = text.split_whitespace().collect();
     response.tokens = words.len() as u64;
     let mark = request.mark();
-    let own = |(index, word): (usize, &&str)| **word == format!("{mark}.{index}");
-    response.crossed = !words.iter().enumerate().all(own);
+    let has_mark = |(index, word): (usize, &&str)| **word == format!("{mark}.{index}");
+    response.crossed = !words.iter().enumerate().all(has_mark);
 }
 
 fn streamed_text(response: &mut Response) -> String {
