--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -123,7 +123,7 @@
     use super::*;
 
     #[test]
-    fn urgent_jobs_are_admitted_first_and_all_end() {
+    fn urgent_jobs_are_admitted_first_and_all_jobs_finish() {
         let speed = Speed { slots: 1, prefill_chunk: 10, ..Speed::default() };
         let mut batch = Batch::default();
         batch.push(Job { number: 1, priority: 2, prefill: 25, output: 2 });
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn a_box_cut_off_from_everyone_serves_and_is_billed_later() {
+async fn partitioned_box_serves_and_is_billed_later() {
     let fleet = ready(Plan::default()).await;
     fleet.set_partition(&[0], true);
     for number in 0..5 {
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_box_cut_off_from_the_platform_alone_works_through_a_peer() {
+async fn box_without_platform_works_through_a_peer() {
     let fleet = ready(Plan::default()).await;
     fleet.links[0].set_cut(true);
     let cancel = |n: usize| Request::service("dis", "bornova", "cancel", &format!("chair-{n}"));
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_box_is_sealed_and_goes_on_as_another_incarnation() {
+async fn suspended_box_is_sealed_and_continues_as_another_incarnation() {
     let mut fleet = ready(Plan::default()).await;
     send_until_answered(&fleet, 0, &request("before")).await;
     let first = fleet.nodes[0].incarnation().await.unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_box_loses_no_bill_and_its_online_tokens_come_back() {
+async fn killed_box_loses_no_bill_and_its_online_tokens_are_returned() {
     let mut fleet = ready(Plan::default()).await;
     let long = Request { output: 60, max_tokens: 80, ..request("long") };
     let (to, caller, request) = (fleet.callers_address(0), fleet.caller.clone(), long.clone());
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_lose_and_double_nothing() {
+async fn dropped_responses_cause_no_missing_or_double_bills() {
     let fleet = ready(Plan::default()).await;
     fleet.platform.set(|faults| faults.drop_responses = 0.3);
     for number in 0..12 {
@@ -130,7 +130,7 @@
 
 /// Guards against a box that sends further requests to an engine whose refusal asked for a back-off.
 #[tokio::test]
-async fn an_engine_that_asks_a_box_for_rest_gets_none_of_its_requests_meanwhile() {
+async fn engine_gets_no_requests_of_a_box_during_back_off() {
     let fleet = ready(Plan { boxes: 1, ..Plan::default() }).await;
     fleet.engines[0].set(|faults| (faults.refuse, faults.retry_after_s) = (true, Some(60)));
     let mut number = 0;
--- a/crates/trial/tests/path.rs
+++ b/crates/trial/tests/path.rs
@@ -8,7 +8,7 @@
 const SETTLE: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn answers_are_whole_and_billed_once() {
+async fn responses_are_complete_and_billed_once() {
     let fleet = Fleet::spawn(Plan::default()).await;
     let streamed =
         fleet.caller.send(fleet.callers_address(0), &Request::chat("dis", "bornova", "a")).await;
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn an_unrepeatable_call_runs_once_whichever_box_gets_the_retry() {
+async fn unrepeatable_call_runs_once_whichever_box_gets_the_retry() {
     let fleet = Fleet::spawn(Plan::default()).await;
     let request = Request::service("dis", "bornova", "cancel", "chair-7");
     let first = fleet.caller.send(fleet.callers_address(0), &request).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_request_past_its_budget_is_refused_and_did_not_run() {
+async fn request_beyond_its_budget_is_refused_without_running() {
     let customers = vec![("dis".into(), vec![("bornova".into(), 60)])];
     let fleet = Fleet::spawn(Plan { customers, ..Plan::default() }).await;
     let request = Request { output: 30, max_tokens: 30, ..Request::chat("dis", "bornova", "a") };
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_off_nothing_and_returns_everything() {
+async fn planned_stop_completes_requests_and_returns_all_tokens() {
     let mut fleet = Fleet::spawn(Plan::default()).await;
     let long = Request { output: 120, max_tokens: 150, ..Request::chat("dis", "bornova", "long") };
     let (to, caller) = (fleet.callers_address(0), fleet.caller.clone());
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_ticket_runs_once_without_the_platform_and_only_at_its_box() {
+async fn ticket_runs_once_without_the_platform_and_only_at_its_box() {
     let fleet = Fleet::spawn(Plan::default()).await;
     // All boxes must hold offline tokens before the platform goes down.
     while fleet.ledger("bornova").await.grants.values().filter(|g| g.offline > 0).count() < 3 {
