--- a/crates/soak/src/announcement.rs
+++ b/crates/soak/src/announcement.rs
@@ -9,11 +9,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Combined with the seed of the run, so that this generator differs from those for limits and faults.
+/// Combined with the seed of the run, so that this generator differs from the others.
 const SEED_SALT: u64 = 0x776f_7264_7300;
 /// Probability that an endpoint leaves, unless it is the last one of its service.
 const LEAVING_PROBABILITY: f64 = 0.5;
-/// The same draw decides: an endpoint that does not leave asks for back-offs if the draw is below this.
+/// An endpoint that does not leave asks for back-offs if the same random number is below this.
 const BACK_OFF_THRESHOLD: f64 = 0.6;
 /// Shortest and longest back-off, in milliseconds.
 const BACK_OFF_MS: Range<u64> = 600..4_000;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,11 +1,11 @@
-//! Soak test: real daemon processes under load and random faults.
+//! Soak test with real daemon processes under load and random faults.
 //!
 //! [`run`] plays one seed. It starts a stand-in store and endpoints in this process, and one daemon
 //! for each box, which reaches the store through a link that can be cut or stalled. Callers
-//! ([`call`]) keep their connections, faults ([`fault`]) overlap, and endpoints may announce rate
-//! limits ([`limit`]), that they leave, or back-offs ([`announcement`]). At the end, [`verdict`] compares
-//! the responses, the runs at the endpoints ([`endpoint`]), the book and the bills. A run signals
-//! only processes that it started, by their ids, and kills them when it ends.
+//! ([`call`]) keep their connections, and faults ([`fault`]) overlap. Endpoints may announce rate
+//! limits ([`limit`]), that they leave, or back-offs ([`announcement`]). At the end, [`verdict`]
+//! compares the responses, the runs at the endpoints ([`endpoint`]), the book and the bills. A run
+//! signals only processes that it started, by their ids, and kills them when it ends.
 
 pub mod announcement;
 pub mod call;
--- a/crates/soak/src/limit.rs
+++ b/crates/soak/src/limit.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Combined with the seed of the run, so that this generator differs from the one for faults.
+/// Combined with the seed of the run, so that this generator differs from the others.
 const SEED_SALT: u64 = 0x6c69_6d69_7400;
 /// Lowest and highest limit, in tenths of a request a second; far below what callers ask for.
 const LIMIT_TENTHS_PER_S: (u32, u32) = (0, 60);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -53,7 +53,8 @@
 /// Time after a fault until boxes are connected to the store again: the longest call plus the
 /// longest delay between two calls.
 const RECONNECT_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Time of load after the last fault, in which requests to endpoints that left are violations again.
+/// Time of load after the last fault, long enough for boxes to be connected again and for requests to
+/// endpoints that left to count as violations.
 const FINAL_LOAD_TIME: Duration = Duration::from_millis(8_500);
 
 /// Options of a run.
@@ -491,7 +492,8 @@
     until: Instant,
 }
 
-/// A caller, until the load ends. It stays at one box while calls succeed and the box accepts callers.
+/// Runs a caller until the load ends. It usually stays at one box while calls succeed and the box
+/// accepts callers.
 async fn run_caller(shared: Arc<Shared>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let client = call::client();
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -21,13 +21,13 @@
 /// Time for a box to apply a limit or a back-off after the response that carries it; a bound of the
 /// platform.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time from the first response with a limit until the limit binds all boxes together; a bound of the
-/// platform.
+/// Time from the first response with a limit until the limit binds all boxes together; a bound of
+/// the platform.
 const LIMIT_SHARING_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time for a box to stop sending to an endpoint after a response that announces that it leaves.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest number of requests of a box that may reach an endpoint during a back-off that the endpoint
-/// asked of that box.
+/// Largest number of requests of a box that may reach an endpoint during a back-off that the
+/// endpoint asked of that box.
 const MAX_SENT_IN_BACK_OFF: usize = 2;
 /// Window in which arrivals are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
@@ -95,7 +95,7 @@
         ),
         ("a box observes the back-off that an endpoint asks for", sent_in_back_off(evidence)),
         ("all boxes together observe the rate limit of an endpoint", over_limit(evidence)),
-        ("planned stops cut off nothing, configuration goes forwards", cut_off(evidence)),
+        ("planned stops cut off nothing, configuration is never rolled back", cut_off(evidence)),
     ];
     let all = checks.into_iter().flat_map(|(guarantee, found)| {
         found.into_iter().map(move |detail| Violation { guarantee, detail })
@@ -205,8 +205,8 @@
 }
 
 /// Requests that a box sent to an endpoint although an earlier response through the same box had
-/// announced that the endpoint leaves. `ANNOUNCEMENT_TIMEOUT` counts from the end of the earlier call
-/// to the start of the later one.
+/// announced that the endpoint leaves. `ANNOUNCEMENT_TIMEOUT` counts from the end of the earlier
+/// call to the start of the later one.
 fn sent_after_announcement(evidence: &Evidence) -> Vec<String> {
     let calls: HashMap<Id, &Call> = evidence.calls.iter().map(|call| (call.id, call)).collect();
     let mut late = Vec::new();
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -21,7 +21,7 @@
     pub delay: Duration,
     /// Probability, from 0 to 1, that a write is applied but answered with 504.
     pub drop_responses: f64,
-    /// Delay of a write that is answered with 504; zero means that it is applied before the response.
+    /// Delay of a write that is answered with 504; zero means that it is applied before that.
     pub dropped_write_delay: Duration,
     /// Sources whose calls are rejected with 503, also while `down` is set.
     pub rejected_sources: HashSet<IpAddr>,
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -23,7 +23,7 @@
     cut: bool,
     blocked: HashSet<IpAddr>,
     target: Option<SocketAddr>,
-    /// Number of calls of `stall_open_connections`; connections opened at a lower count are stalled.
+    /// Calls of `stall_open_connections` so far; connections opened at a lower count are stalled.
     stall_count: u64,
 }
 
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,4 +1,5 @@
-//! An endpoint that responds to each request as a script decides, also in violation of the protocol.
+//! An endpoint that responds to each request as a script decides, even in violation of the
+//! protocol.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -278,8 +278,8 @@
         object.and_then(|object| serde_json::from_str(&object.value).ok()).unwrap_or_default()
     }
 
-    /// Waits until every run is billed and every journal is folded into the ledgers, for `timeout` at
-    /// most; returns whether that is so.
+    /// Waits until every run is billed and every journal is folded into the ledgers; returns `false`
+    /// after `timeout`.
     pub async fn settle(&self, timeout: Duration) -> bool {
         let end = tokio::time::Instant::now() + timeout;
         while tokio::time::Instant::now() < end {
--- a/crates/trial/tests/failure.rs
+++ b/crates/trial/tests/failure.rs
@@ -5,10 +5,10 @@
 use trial::{Figures, Fleet, Outcome, Plan, Request, Response};
 
 /// Longest wait until all runs are billed.
-const SETTLE: Duration = Duration::from_secs(40);
+const BILLING_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Starts a fleet and waits until every box holds offline tokens of the sample budget.
-async fn ready(plan: Plan) -> Fleet {
+async fn spawn_with_offline_tokens(plan: Plan) -> Fleet {
     let fleet = Fleet::spawn(plan).await;
     let boxes = fleet.nodes.len();
     while fleet.ledger("bornova").await.grants.values().filter(|g| g.offline > 0).count() < boxes {
@@ -33,7 +33,7 @@
 }
 
 async fn sound_figures(fleet: &Fleet) -> Figures {
-    assert!(fleet.settle(SETTLE).await, "not all runs were billed in time");
+    assert!(fleet.settle(BILLING_TIMEOUT).await, "not all runs were billed in time");
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     figures
@@ -41,7 +41,7 @@
 
 #[tokio::test]
 async fn partitioned_box_serves_and_is_billed_later() {
-    let fleet = ready(Plan::default()).await;
+    let fleet = spawn_with_offline_tokens(Plan::default()).await;
     fleet.set_partition(&[0], true);
     for number in 0..5 {
         send_until_answered(&fleet, 0, &request(&format!("cut-{number}"))).await;
@@ -54,7 +54,7 @@
 
 #[tokio::test]
 async fn box_without_platform_works_through_a_peer() {
-    let fleet = ready(Plan::default()).await;
+    let fleet = spawn_with_offline_tokens(Plan::default()).await;
     fleet.links[0].set_cut(true);
     let cancel = |n: usize| Request::service("dis", "bornova", "cancel", &format!("chair-{n}"));
     // A claim needs the platform, so a response shows that the box worked through a peer.
@@ -67,7 +67,7 @@
 
 #[tokio::test]
 async fn suspended_box_is_sealed_and_continues_as_another_incarnation() {
-    let mut fleet = ready(Plan::default()).await;
+    let mut fleet = spawn_with_offline_tokens(Plan::default()).await;
     send_until_answered(&fleet, 0, &request("before")).await;
     let first = fleet.nodes[0].incarnation().await.unwrap();
     fleet.nodes[0].pause();
@@ -89,7 +89,7 @@
 
 #[tokio::test]
 async fn killed_box_loses_no_bill_and_its_online_tokens_are_returned() {
-    let mut fleet = ready(Plan::default()).await;
+    let mut fleet = spawn_with_offline_tokens(Plan::default()).await;
     let long = Request { output: 60, max_tokens: 80, ..request("long") };
     let (to, caller, request) = (fleet.callers_address(0), fleet.caller.clone(), long.clone());
     let pending = tokio::spawn(async move { caller.send(to, &request).await });
@@ -116,7 +116,7 @@
 
 #[tokio::test]
 async fn dropped_responses_cause_no_missing_or_double_bills() {
-    let fleet = ready(Plan::default()).await;
+    let fleet = spawn_with_offline_tokens(Plan::default()).await;
     fleet.platform.set(|faults| faults.drop_responses = 0.3);
     for number in 0..12 {
         send_until_answered(&fleet, number % 3, &request(&format!("lossy-{number}"))).await;
@@ -128,10 +128,10 @@
     sound_figures(&fleet).await;
 }
 
-/// Guards against a box that sends further requests to an engine whose refusal asked for a back-off.
+/// Guards against further requests to an engine that asked for a back-off with a refusal.
 #[tokio::test]
 async fn engine_gets_no_requests_of_a_box_during_back_off() {
-    let fleet = ready(Plan { boxes: 1, ..Plan::default() }).await;
+    let fleet = spawn_with_offline_tokens(Plan { boxes: 1, ..Plan::default() }).await;
     fleet.engines[0].set(|faults| (faults.refuse, faults.retry_after_s) = (true, Some(60)));
     let mut number = 0;
     while fleet.engines[0].refused() == 0 {
--- a/crates/trial/tests/path.rs
+++ b/crates/trial/tests/path.rs
@@ -5,7 +5,7 @@
 use trial::{Fleet, Outcome, Plan, Request};
 
 /// Longest wait until all runs are billed.
-const SETTLE: Duration = Duration::from_secs(20);
+const BILLING_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
 async fn responses_are_complete_and_billed_once() {
@@ -19,7 +19,7 @@
     let service = Request::service("dis", "bornova", "lookup", "c");
     let service = fleet.caller.send(fleet.callers_address(2), &service).await;
     assert_eq!(service.outcome, Outcome::Answered, "{service:?}");
-    assert!(fleet.settle(SETTLE).await);
+    assert!(fleet.settle(BILLING_TIMEOUT).await);
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     assert_eq!((figures.answered, figures.served_tokens), (3, figures.billed_tokens));
@@ -33,7 +33,8 @@
     assert_eq!(first.outcome, Outcome::Answered);
     let same_box = fleet.caller.send(fleet.callers_address(0), &request).await;
     assert_eq!((same_box.outcome, &same_box.body), (Outcome::Answered, &first.body));
-    // The claim is resolved shortly after the caller has its response; until then a retry is "unknown".
+    // The claim is resolved shortly after the caller has its response; a retry before that is
+    // "unknown".
     let retried = loop {
         let other_box = fleet.caller.send(fleet.callers_address(1), &request).await;
         if other_box.outcome != Outcome::Unknown {
@@ -55,7 +56,7 @@
         fleet.caller.send(fleet.callers_address(1), &Request { key: "b".into(), ..request }).await;
     assert_eq!((second.outcome, second.reason.as_str()), (Outcome::NotRun, "budget_exhausted"));
     assert_eq!(second.status, 402);
-    assert!(fleet.settle(SETTLE).await);
+    assert!(fleet.settle(BILLING_TIMEOUT).await);
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     assert_eq!(fleet.engines.iter().map(|e| e.truth().runs.len()).sum::<usize>(), 1);
@@ -93,7 +94,7 @@
     }
     fleet.nodes[0].kill();
     pending.await.unwrap();
-    assert!(fleet.settle(SETTLE).await);
+    assert!(fleet.settle(BILLING_TIMEOUT).await);
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     assert_eq!(fleet.services[0].executions().len(), 1);
@@ -129,7 +130,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     };
     assert_eq!((replayed.outcome, &replayed.body), (Outcome::Answered, &first.body));
-    assert!(fleet.settle(SETTLE).await);
+    assert!(fleet.settle(BILLING_TIMEOUT).await);
     let figures = fleet.audit().await;
     assert!(figures.is_sound(), "{figures:?}");
     assert_eq!(fleet.services[0].executions().len(), 1);
