--- a/crates/soak/src/daemon.rs
+++ b/crates/soak/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One process of the daemon.
+//! A daemon process under test.
 
 use std::{
     net::SocketAddr,
@@ -14,20 +14,20 @@
     process::{Child, Command},
 };
 
-/// Longest wait for a process to start.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
+/// Longest wait for a daemon to report the address that it listens on.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What went wrong with a process.
+/// Failure to start or signal a daemon.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A file or the program cannot be used.
+    /// A file cannot be created, or the binary cannot be started.
     #[snafu(display("{}: {source}", path.display()))]
     File { path: PathBuf, source: std::io::Error },
-    /// It did not say where it listens.
-    #[snafu(display("the process did not start; its lines are in {}", log.display()))]
+    /// The daemon did not report the address that it listens on.
+    #[snafu(display("the daemon did not start; see its log {}", log.display()))]
     Start { log: PathBuf },
-    /// It cannot be signalled.
-    #[snafu(display("cannot signal the process: {source}"))]
+    /// The daemon cannot be signalled.
+    #[snafu(display("cannot signal the daemon: {source}"))]
     Signal { source: rustix::io::Errno },
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Daemon {
-    /// Starts the program with settings; its lines go to `log`.
+    /// Starts `program` as a gateway; its output goes to `log`.
     pub async fn spawn(program: &Path, settings: &Path, log: &Path) -> Result<Daemon, Error> {
         let mut child = Command::new(program)
             .arg("--gateway")
@@ -56,42 +56,42 @@
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).context(started)?;
         let out = child.stdout.take().context(started)?;
         let file = tokio::fs::File::create(log).await.context(FileSnafu { path: log })?;
-        let (told, callers) = tokio::sync::oneshot::channel();
-        tokio::spawn(keep_lines(BufReader::new(out), file, told));
-        let callers = tokio::time::timeout(STARTS_WITHIN, callers).await;
+        let (sender, callers) = tokio::sync::oneshot::channel();
+        tokio::spawn(copy_output(BufReader::new(out), file, sender));
+        let callers = tokio::time::timeout(START_TIMEOUT, callers).await;
         let callers = callers.ok().and_then(Result::ok).context(started)?;
         Ok(Daemon { child, pid, callers })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         kill_process(self.pid, signal).context(SignalSnafu)
     }
 
-    /// Waits until it has ended; says whether it did in time.
-    pub async fn ended(&mut self, within: Duration) -> bool {
-        tokio::time::timeout(within, self.child.wait()).await.is_ok()
+    /// Waits for the process to exit; returns whether it did in time.
+    pub async fn wait_exit(&mut self, timeout: Duration) -> bool {
+        tokio::time::timeout(timeout, self.child.wait()).await.is_ok()
     }
 }
 
-/// Copies lines to the log, and tells the address that the process says it listens at.
-async fn keep_lines(
+/// Copies output to the log, and sends the address from the `started` event.
+async fn copy_output(
     out: BufReader<tokio::process::ChildStdout>,
     mut file: tokio::fs::File,
-    told: tokio::sync::oneshot::Sender<SocketAddr>,
+    sender: tokio::sync::oneshot::Sender<SocketAddr>,
 ) {
-    let mut told = Some(told);
+    let mut sender = Some(sender);
     let mut lines = out.lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        if told.is_some()
-            && let Some(address) = listens_at(&line)
+        if sender.is_some()
+            && let Some(address) = listening_address(&line)
         {
-            let _ = told.take().map(|told| told.send(address));
+            let _ = sender.take().map(|sender| sender.send(address));
         }
         if file.write_all(line.as_bytes()).await.is_err() || file.write_all(b"\n").await.is_err() {
             return;
@@ -100,7 +100,7 @@
     let _ = file.flush().await;
 }
 
-fn listens_at(line: &str) -> Option<SocketAddr> {
+fn listening_address(line: &str) -> Option<SocketAddr> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     match line["event"].as_str() {
         Some("started") => line["callers"].as_str()?.parse().ok(),
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! The endpoints of a soak, and what they ran.
+//! Endpoints of a run, and the requests that they ran.
 //!
-//! What an endpoint does with a request follows from its number, which its id tells: most are
-//! answered whole, some in ways that break the protocol.
+//! The number in the id of a request determines how the endpoint responds: completely in most
+//! cases, in some with an error or a violation of the protocol.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,83 +11,82 @@
 use standin::{ReceivedRequest, Reply, ScriptedEndpoint};
 use tokio::time::Instant;
 
-use crate::{need::Need, word::Word};
+use crate::{announcement::Announcement, limit::Limit};
 
-/// Tokens that one event holds, as the configuration of the stand-ins says.
-pub const EVENT_TOKENS: u64 = 2;
-/// Pause between two events.
-const PAUSE: Duration = Duration::from_millis(15);
+/// Tokens of one event; equals `stride` in the configuration.
+pub const TOKENS_PER_EVENT: u64 = 2;
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// A request of the soak, as its id tells.
+/// Parameters of a request, encoded in its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// Number of the try, given once.
+    /// Unique number of the request.
     pub number: u64,
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Events of the answer.
+    /// Events of a streamed response.
     pub events: u64,
 }
 
 impl Id {
-    /// The id as text.
+    /// Text form of the id, as in the request header.
     pub fn text(&self) -> String {
         format!("soak-{}-{}-{}", self.number, self.prompt, self.events)
     }
 
-    /// Reads an id.
+    /// Parses the text form.
     pub fn read(text: &str) -> Option<Id> {
         let mut numbers = text.strip_prefix("soak-")?.split('-').map(|n| n.parse().ok());
         let (number, prompt, events) = (numbers.next()??, numbers.next()??, numbers.next()??);
         Some(Id { number, prompt, events })
     }
 
-    /// What an endpoint does with it.
-    pub fn conduct(&self) -> Conduct {
+    /// How an endpoint handles the request.
+    pub fn behavior(&self) -> Behavior {
         match self.number {
-            n if n % 41 == 0 => Conduct::Closes,
-            n if n % 43 == 0 => Conduct::Tears,
-            n if n % 47 == 0 => Conduct::SaysMore,
-            n if n % 31 == 0 => Conduct::Declines,
-            _ => Conduct::Answers,
+            n if n % 41 == 0 => Behavior::NoResponse,
+            n if n % 43 == 0 => Behavior::Truncated,
+            n if n % 47 == 0 => Behavior::TrailingResponse,
+            n if n % 31 == 0 => Behavior::NotRun,
+            _ => Behavior::Complete,
         }
     }
 
-    /// Tokens that the customer owes for the whole answer.
+    /// Tokens that the complete response costs.
     pub fn tokens(&self) -> u64 {
-        self.prompt + self.events * EVENT_TOKENS
+        self.prompt + self.events * TOKENS_PER_EVENT
     }
 
-    /// One event of the answer.
+    /// One event of a streamed response.
     pub fn event(&self, number: u64) -> String {
         format!("data: {} {number}\n\n", self.text())
     }
 
-    /// The plain answer.
+    /// Body of the plain response.
     pub fn answer(&self) -> String {
         format!("done {}", self.text())
     }
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conduct {
-    /// Answers whole.
-    Answers,
-    /// Answers whole, and sends the answer to another request after it.
-    SaysMore,
-    /// Runs it and closes without an answer.
-    Closes,
-    /// Runs it and breaks its answer off.
-    Tears,
-    /// Says that it does not run it.
-    Declines,
+pub enum Behavior {
+    /// Sends a complete response.
+    Complete,
+    /// Sends a complete response, followed by the response to another request.
+    TrailingResponse,
+    /// Runs it and closes the connection without a response.
+    NoResponse,
+    /// Runs it and closes the connection in the middle of the response.
+    Truncated,
+    /// Responds that it did not run it.
+    NotRun,
 }
 
-/// A request that arrived and was not declined.
+/// A request that an endpoint ran.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Which request.
     pub id: Id,
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
@@ -95,83 +94,85 @@
     pub at: Instant,
 }
 
-/// A request that reached an endpoint.
+/// A request that reached an endpoint, and what the response announces.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub id: Id,
     pub at: Instant,
-    /// The limit that the endpoint named then.
+    /// Rate limit, in requests a second.
     pub limit: Option<f64>,
-    /// Whether there was an answer to say it.
+    /// Whether there was a response that carries the announcements.
     pub answered: bool,
-    /// Whether the endpoint said that it leaves.
+    /// Whether the endpoint announces that it leaves.
     pub leaves: bool,
-    /// How long a rest it asked for.
-    pub asks: Option<Duration>,
+    /// Back-off that the endpoint asks for.
+    pub back_off: Option<Duration>,
 }
 
-/// What an endpoint says of itself in a run.
+/// What an endpoint announces in a run.
 #[derive(Debug, Clone, Default)]
-pub struct Says {
-    /// A limit that it names for a time.
-    pub need: Option<Need>,
-    /// That it leaves, or asks for rest.
-    pub word: Option<Word>,
+pub struct Plan {
+    /// A rate limit for a part of the run.
+    pub limit: Option<Limit>,
+    /// Leaving, or back-offs.
+    pub announcement: Option<Announcement>,
 }
 
-impl Says {
-    /// Whether it ever says anything.
-    fn anything(&self) -> bool {
-        self.need.is_some() || self.word.is_some()
+impl Plan {
+    /// Whether the endpoint announces anything during the run.
+    fn announces_anything(&self) -> bool {
+        self.limit.is_some() || self.announcement.is_some()
     }
 }
 
-/// What arrived at the endpoints that say anything of themselves, by their names.
+/// Requests that reached endpoints that announce anything, by name of the endpoint.
 pub type Arrivals = Arc<Mutex<HashMap<Arc<str>, Vec<Arrival>>>>;
 
-/// All that endpoints ran.
+/// All requests that endpoints ran.
 pub type Runs = Arc<Mutex<Vec<Run>>>;
 
 /// A running endpoint.
 pub struct Endpoint {
-    /// Its id in the store.
+    /// Id in the store.
     pub name: Arc<str>,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: &'static str,
     scripted: ScriptedEndpoint,
 }
 
 impl Endpoint {
-    /// Starts one that records what it runs, and says of itself what is drawn for it.
+    /// Starts an endpoint that records requests in `runs` and `arrivals`.
     pub async fn spawn(
         name: &str,
         service: &'static str,
         runs: Runs,
-        says: Says,
+        plan: Plan,
         arrivals: Arrivals,
     ) -> Endpoint {
         let name: Arc<str> = name.into();
         let endpoint = name.clone();
-        let began = Instant::now();
+        let started = Instant::now();
         let scripted = ScriptedEndpoint::spawn(move |arrived| {
             let Some(id) = Id::read(&arrived.head.id) else { return Reply::Close };
-            let now = began.elapsed();
-            let in_need = says.need.filter(|need| (need.from..need.until).contains(&now));
-            let limit = in_need.map(|need| need.per_s);
-            let leaves = says.word.as_ref().is_some_and(|word| word.leaves(now));
-            let asks = says.word.as_ref().and_then(|word| word.asks(now));
+            let now = started.elapsed();
+            let active_limit = plan.limit.filter(|limit| (limit.from..limit.until).contains(&now));
+            let limit = active_limit.map(|limit| limit.per_s);
+            let leaves =
+                plan.announcement.as_ref().is_some_and(|announcement| announcement.leaves(now));
+            let back_off =
+                plan.announcement.as_ref().and_then(|announcement| announcement.back_off(now));
             let arrival = Arrival {
                 id,
                 at: Instant::now(),
                 limit,
-                answered: asks.is_some() || id.conduct() != Conduct::Closes,
+                answered: back_off.is_some() || id.behavior() != Behavior::NoResponse,
                 leaves,
-                asks,
+                back_off,
             };
-            if says.anything() {
+            if plan.announces_anything() {
                 arrivals.lock().entry(endpoint.clone()).or_default().push(arrival);
             }
-            if asks.is_none() && id.conduct() != Conduct::Declines {
+            if back_off.is_none() && id.behavior() != Behavior::NotRun {
                 let run = Run { id, endpoint: endpoint.clone(), at: Instant::now() };
                 runs.lock().push(run);
             }
@@ -181,7 +182,7 @@
         Endpoint { name, service, scripted }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.scripted.address()
     }
@@ -189,35 +190,35 @@
 
 fn reply(arrival: &Arrival, arrived: &ReceivedRequest, service: &str) -> Reply {
     let id = arrival.id;
-    let name = |mut headers: HeaderMap| {
-        let number = |number: f64| HeaderValue::try_from(number.to_string()).expect("a number");
+    let announce = |mut headers: HeaderMap| {
+        let value = |number: f64| HeaderValue::try_from(number.to_string()).expect("a number");
         if let Some(limit) = arrival.limit {
-            headers.insert(fixtures::LIMIT, number(limit));
+            headers.insert(fixtures::LIMIT, value(limit));
         }
-        if let Some(rest) = arrival.asks {
-            headers.insert(header::RETRY_AFTER, number(rest.as_secs_f64()));
+        if let Some(back_off) = arrival.back_off {
+            headers.insert(header::RETRY_AFTER, value(back_off.as_secs_f64()));
         }
         if arrival.leaves {
             headers.insert(fixtures::LEAVING, HeaderValue::from_static("1"));
         }
         headers
     };
-    let headers = name(fixtures::response_headers(&arrived.head.id, None));
+    let headers = announce(fixtures::response_headers(&arrived.head.id, None));
     let events = |count: u64| (0..count).map(|number| id.event(number)).collect::<Vec<_>>();
-    // Whoever asks for rest runs nothing.
-    let conduct = arrival.asks.map_or(id.conduct(), |_| Conduct::Declines);
-    match conduct {
-        Conduct::Closes => Reply::Close,
-        Conduct::Declines => {
+    // An endpoint that asks for a back-off runs nothing.
+    let behavior = arrival.back_off.map_or(id.behavior(), |_| Behavior::NotRun);
+    match behavior {
+        Behavior::NoResponse => Reply::Close,
+        Behavior::NotRun => {
             let (status, headers) = fixtures::not_run_response(&arrived.head.id);
-            Reply::Complete(status, name(headers), "full".into())
+            Reply::Complete(status, announce(headers), "full".into())
         }
-        Conduct::Tears => Reply::Truncated(headers, events(id.events / 2)),
-        Conduct::Answers if service == "engines" => {
-            Reply::Events(headers, events(id.events), PAUSE)
+        Behavior::Truncated => Reply::Truncated(headers, events(id.events / 2)),
+        Behavior::Complete if service == "engines" => {
+            Reply::Events(headers, events(id.events), EVENT_INTERVAL)
         }
-        Conduct::Answers => Reply::Complete(StatusCode::OK, headers, id.answer()),
-        Conduct::SaysMore => {
+        Behavior::Complete => Reply::Complete(StatusCode::OK, headers, id.answer()),
+        Behavior::TrailingResponse => {
             let other = Id { number: id.number + 1, ..id };
             let body = other.answer();
             let length = body.len();
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,113 +1,112 @@
-//! Faults of one run, drawn from its seed.
+//! Random faults of one run.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Something that goes wrong, or is done by plan.
+/// A failure or an operator's action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The store answers nothing.
+    /// The store answers no calls.
     StoreDown,
-    /// Each call of the store takes long.
+    /// Calls of the store are slow.
     StoreSlow,
-    /// The store carries writes out, some of them later, and does not answer.
-    StoreLosesAnswers,
-    /// Box and store do not reach each other.
-    Cut { at: usize },
-    /// Connections of a box to the store that are open carry nothing more, without a reset.
-    Silence { at: usize },
-    /// A process is killed.
-    Kill { at: usize },
-    /// All processes are killed at once.
+    /// The store drops the responses of some writes and applies these writes after a delay.
+    StoreDropsResponses,
+    /// The link between a box and the store carries no bytes.
+    CutLink { box_index: usize },
+    /// Open connections from a box to the store stall without a reset; new ones work.
+    StallConnections { box_index: usize },
+    /// One daemon is killed.
+    Kill { box_index: usize },
+    /// All daemons are killed.
     KillAll,
-    /// A process stands still.
-    Pause { at: usize },
-    /// A process is stopped by plan.
-    Stop { at: usize },
-    /// A process is told to read its settings again.
-    Reload { at: usize },
-    /// An endpoint says that it leaves.
+    /// A daemon is suspended by SIGSTOP.
+    Suspend { box_index: usize },
+    /// A daemon is stopped by SIGTERM.
+    Stop { box_index: usize },
+    /// A daemon reloads its settings on SIGHUP.
+    Reload { box_index: usize },
+    /// An endpoint is no longer ready in its entry in the store.
     Leave { endpoint: usize },
     /// The operator adds a route.
     Configure,
-    /// The operator raises what customers paid.
+    /// The operator increases the tokens that customers have paid for.
     TopUp,
 }
 
 impl Kind {
-    /// Boxes that may not hear of changes while it lasts: one or all; `None` for none.
-    pub fn disturbs(self) -> Option<Option<usize>> {
+    /// Boxes that may miss changes meanwhile: `Some(Some(box))`, `Some(None)` for all, or `None`.
+    pub fn disturbed_boxes(self) -> Option<Option<usize>> {
         match self {
-            Kind::StoreDown | Kind::StoreSlow | Kind::StoreLosesAnswers | Kind::KillAll => {
+            Kind::StoreDown | Kind::StoreSlow | Kind::StoreDropsResponses | Kind::KillAll => {
                 Some(None)
             }
-            Kind::Cut { at }
-            | Kind::Silence { at }
-            | Kind::Kill { at }
-            | Kind::Pause { at }
-            | Kind::Stop { at } => Some(Some(at)),
+            Kind::CutLink { box_index }
+            | Kind::StallConnections { box_index }
+            | Kind::Kill { box_index }
+            | Kind::Suspend { box_index }
+            | Kind::Stop { box_index } => Some(Some(box_index)),
             Kind::Reload { .. } | Kind::Leave { .. } | Kind::Configure | Kind::TopUp => None,
         }
     }
 }
 
-/// A fault, and when it begins and ends.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
-    /// From the start of the load.
-    pub at: Duration,
-    /// How long it lasts, where it does.
-    pub lasts: Duration,
-    /// What happens.
+    /// Time since the start of the load.
+    pub start: Duration,
+    /// Ignored by kinds that take effect at once and need not be undone.
+    pub duration: Duration,
     pub kind: Kind,
 }
 
-/// Mean time between two faults.
-const EACH: Duration = Duration::from_millis(900);
-/// Shortest and longest time that a fault lasts, in milliseconds.
-const LASTS_MS: (u64, u64) = (200, 4_000);
+/// Mean time between the starts of two faults.
+const MEAN_INTERVAL: Duration = Duration::from_millis(900);
+/// Shortest and longest duration of a fault, in milliseconds.
+const DURATION_MS: (u64, u64) = (200, 4_000);
 
-/// The faults of a run, in their order. They come in series and overlap.
+/// Draws the faults of a run, ordered by start. They may overlap.
 pub fn draw(
     random: &mut ChaCha8Rng,
     boxes: usize,
     endpoints: usize,
     length: Duration,
 ) -> Vec<Fault> {
-    let count = (length.as_millis() / EACH.as_millis()) as usize;
+    let count = (length.as_millis() / MEAN_INTERVAL.as_millis()) as usize;
     let mut faults: Vec<Fault> = (0..count)
         .map(|_| {
-            let at = Duration::from_millis(random.random_range(0..length.as_millis() as u64));
-            let lasts = Duration::from_millis(random.random_range(LASTS_MS.0..LASTS_MS.1));
-            Fault { at, lasts, kind: kind(random, boxes) }
+            let start = Duration::from_millis(random.random_range(0..length.as_millis() as u64));
+            let duration = Duration::from_millis(random.random_range(DURATION_MS.0..DURATION_MS.1));
+            Fault { start, duration, kind: kind(random, boxes) }
         })
         .collect();
-    // One endpoint leaves, early enough to be missed.
-    let at = Duration::from_millis(random.random_range(0..length.as_millis() as u64 / 2));
+    // One endpoint leaves in the first half, so that requests that reach it later are noticed.
+    let start = Duration::from_millis(random.random_range(0..length.as_millis() as u64 / 2));
     let endpoint = random.random_range(0..endpoints);
-    faults.push(Fault { at, lasts: Duration::ZERO, kind: Kind::Leave { endpoint } });
+    faults.push(Fault { start, duration: Duration::ZERO, kind: Kind::Leave { endpoint } });
     if random.random_bool(0.3) {
-        let at = length * 3 / 4;
-        faults.push(Fault { at, lasts: Duration::from_millis(300), kind: Kind::KillAll });
+        let start = length * 3 / 4;
+        faults.push(Fault { start, duration: Duration::from_millis(300), kind: Kind::KillAll });
     }
-    faults.sort_by_key(|fault| fault.at);
+    faults.sort_by_key(|fault| fault.start);
     faults
 }
 
 fn kind(random: &mut ChaCha8Rng, boxes: usize) -> Kind {
-    let at = random.random_range(0..boxes);
+    let box_index = random.random_range(0..boxes);
     match random.random_range(0..14) {
         0 => Kind::StoreDown,
         1 => Kind::StoreSlow,
-        2 => Kind::StoreLosesAnswers,
-        3 | 4 => Kind::Cut { at },
-        5 => Kind::Silence { at },
-        6 | 7 => Kind::Kill { at },
-        8 => Kind::Pause { at },
-        9 | 10 => Kind::Stop { at },
-        11 => Kind::Reload { at },
+        2 => Kind::StoreDropsResponses,
+        3 | 4 => Kind::CutLink { box_index },
+        5 => Kind::StallConnections { box_index },
+        6 | 7 => Kind::Kill { box_index },
+        8 => Kind::Suspend { box_index },
+        9 | 10 => Kind::Stop { box_index },
+        11 => Kind::Reload { box_index },
         12 => Kind::TopUp,
         _ => Kind::Configure,
     }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What must hold, judged by what callers got, what endpoints ran, and what the store has.
+//! Checks the guarantees of the daemon against the calls, the runs at endpoints and the store.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -11,64 +11,66 @@
 use tokio::time::Instant;
 
 use crate::{
-    call::{Call, End, Life, Route},
-    endpoint::{Arrival, Conduct, Id, Run},
+    call::{Call, Incarnation, Outcome, Route},
+    endpoint::{Arrival, Behavior, Id, Run},
 };
 
-/// Time within which boxes in touch give a leaving endpoint no more work: 2 s, and a call that was
-/// under way.
-const LEAVES_WITHIN: Duration = Duration::from_secs(4);
+/// Time after which a connected box sends no more requests to a leaving endpoint: 2 s, plus a call
+/// that was in flight.
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time for a box to apply a limit or a back-off after the response that carries it; a bound of the
+/// platform.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time from the first response with a limit until the limit binds all boxes together; a bound of
+/// the platform.
+const LIMIT_SHARING_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for a box to stop sending to an endpoint after a response that announces that it leaves.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest number of requests of a box that may reach an endpoint during a back-off that the
+/// endpoint asked of that box.
+const MAX_SENT_IN_BACK_OFF: usize = 2;
+/// Window in which arrivals are counted.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// Arrivals allowed in a window: the limit times this factor, plus a constant number of requests.
+const LIMIT_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
 
-/// Time for a box to send by a limit that it was told, and time from the first word until the sum is counted: those
-/// of the platform.
-const TOLD: Duration = Duration::from_millis(500);
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time after an answer that says that its endpoint leaves from which on callers' requests do not reach that any more.
-const SAID_WITHIN: Duration = Duration::from_secs(2);
-/// Requests of a box that may reach an endpoint within a rest that it asked that box for.
-const MOST_IN_REST: usize = 2;
-/// The span in which arrivals are counted, and what may arrive in it besides the limit.
-const SPAN: Duration = Duration::from_secs(4);
-const SLACK: f64 = 1.5;
-const EXTRA: f64 = 5.0;
-
-/// Everything that a run left.
+/// Everything that a run recorded.
 pub struct Evidence<'a> {
     pub calls: &'a [Call],
     pub runs: &'a [Run],
     pub book: &'a Book,
     pub bills: &'a [Bill],
-    /// What each customer paid in the end, by key.
+    /// Tokens that each customer has paid for at the end of the run.
     pub paid: u64,
-    /// Lives that ended by plan, from the signal to the moment when nothing more is taken.
-    pub stopped: &'a BTreeMap<Life, (Instant, Instant)>,
-    /// Lives that were killed or stood still: their connections may break.
-    pub harmed: &'a BTreeSet<Life>,
-    /// Endpoints that left, and when the store said so.
+    /// Planned stops: when the signal was sent, and until when the box accepts requests.
+    pub stopped: &'a BTreeMap<Incarnation, (Instant, Instant)>,
+    /// Incarnations that were killed or suspended: their connections may break.
+    pub interrupted: &'a BTreeSet<Incarnation>,
+    /// Endpoints that left, and when the store recorded it.
     pub left: &'a BTreeMap<Arc<str>, Instant>,
-    /// Times in which boxes might not hear of changes.
-    pub disturbed: &'a [Disturbance],
-    /// What arrived at endpoints that name limits.
+    /// Periods in which boxes may miss changes.
+    pub disturbances: &'a [Disturbance],
+    /// Requests that reached endpoints that announce anything.
     pub arrivals: &'a HashMap<Arc<str>, Vec<Arrival>>,
 }
 
-/// A time in which a box might not hear of changes.
+/// A period in which a box may miss changes.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
-    /// Number of the box, or all of them.
-    pub at: Option<usize>,
-    /// When it began.
+    /// Number of the box; `None` means all boxes.
+    pub box_index: Option<usize>,
     pub from: Instant,
-    /// When the box was in touch again.
+    /// When the box is connected again.
     pub until: Instant,
 }
 
-/// A promise that was broken.
+/// A guarantee that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
-    /// Which one.
-    pub promise: &'static str,
-    /// By what.
+pub struct Violation {
+    /// The guarantee.
+    pub guarantee: &'static str,
+    /// The request, endpoint or ledger that violates it.
     pub detail: String,
 }
 
@@ -77,25 +79,28 @@
     if key == "key-b" { "bornova" } else { "pasila" }
 }
 
-/// Every promise that was broken.
-pub fn breaches(evidence: &Evidence) -> Vec<Breach> {
+/// All violations.
+pub fn violations(evidence: &Evidence) -> Vec<Violation> {
     let checks: [(&'static str, Vec<String>); 11] = [
         ("no customer spends past what it paid", overspent(evidence)),
-        ("what was served is spent in the book", forgotten(evidence)),
-        ("each request is billed once", billed(evidence)),
-        ("each caller gets its own whole answer", crossed(evidence)),
-        ("a refused request has not run and never will", lied(evidence)),
-        ("unrepeatable requests run at most once", repeated(evidence)),
-        ("a leaving endpoint gets no new work", kept_working(evidence)),
-        ("an endpoint that says that it leaves gets nothing more", sent_after_word(evidence)),
-        ("an endpoint that asks a box for rest gets it", sent_in_rest(evidence)),
-        ("an endpoint gets what it takes from all boxes together", over_limit(evidence)),
-        ("planned stops cut off nothing, configuration goes forwards", cut_off(evidence)),
+        ("what was served is spent in the book", missing_in_book(evidence)),
+        ("each request is billed once", misbilled(evidence)),
+        ("each caller gets its own complete response", wrong_responses(evidence)),
+        ("a refused request has not run and never will", ran_despite_refusal(evidence)),
+        ("unrepeatable requests run at most once", ran_repeatedly(evidence)),
+        ("a leaving endpoint gets no new work", ran_after_leaving(evidence)),
+        (
+            "an endpoint that announces that it leaves gets no more requests",
+            sent_after_announcement(evidence),
+        ),
+        ("a box observes the back-off that an endpoint asks for", sent_in_back_off(evidence)),
+        ("all boxes together observe the rate limit of an endpoint", over_limit(evidence)),
+        ("planned stops cut off nothing, configuration is never rolled back", cut_off(evidence)),
     ];
-    let named = checks.into_iter().flat_map(|(promise, found)| {
-        found.into_iter().map(move |detail| Breach { promise, detail })
+    let all = checks.into_iter().flat_map(|(guarantee, found)| {
+        found.into_iter().map(move |detail| Violation { guarantee, detail })
     });
-    named.collect()
+    all.collect()
 }
 
 fn served(evidence: &Evidence) -> BTreeMap<&'static str, u64> {
@@ -109,63 +114,68 @@
 
 fn overspent(evidence: &Evidence) -> Vec<String> {
     let over = served(evidence).into_iter().filter(|(_, tokens)| *tokens > evidence.paid);
-    over.map(|(name, tokens)| format!("{name}: {tokens} of {}", evidence.paid)).collect()
+    over.map(|(name, tokens)| format!("{name}: {tokens} tokens served, {} paid", evidence.paid))
+        .collect()
 }
 
-fn forgotten(evidence: &Evidence) -> Vec<String> {
-    let counted = |name: &str| {
+fn missing_in_book(evidence: &Evidence) -> Vec<String> {
+    let booked = |name: &str| {
         let of = evidence.book.ledgers.get(name);
         of.map_or(0, |ledger| ledger.spent + ledger.granted())
     };
     let unsound = evidence.book.ledgers.iter().filter(|(_, ledger)| !ledger.is_sound());
     let unsound = unsound.map(|(name, ledger)| format!("{name} is unsound: {ledger:?}"));
-    let less = served(evidence).into_iter().filter(|(name, tokens)| counted(name) < *tokens);
+    let less = served(evidence).into_iter().filter(|(name, tokens)| booked(name) < *tokens);
     let less = less.map(|(name, tokens)| {
-        format!("{name}: {tokens} served, {} spent or granted", counted(name))
+        format!("{name}: {tokens} served, {} spent or granted", booked(name))
     });
     unsound.chain(less).collect()
 }
 
-fn billed(evidence: &Evidence) -> Vec<String> {
+fn misbilled(evidence: &Evidence) -> Vec<String> {
     let mut bills: HashMap<&str, usize> = HashMap::new();
     evidence.bills.iter().for_each(|bill| *bills.entry(&bill.key).or_default() += 1);
     let twice = bills.iter().filter(|(_, count)| **count > 1);
-    let twice = twice.map(|(id, count)| format!("{id} stands on {count} bills"));
-    // A life that was killed takes the bills of its last seconds with it.
+    let twice = twice.map(|(id, count)| format!("{id} is on {count} bills"));
+    // A killed box loses the bills that it had not yet written.
     let answered = evidence.calls.iter().filter(|call| {
-        let whole = matches!(call.end, End::Answered { .. });
-        whole && call.route == Route::Stream && !evidence.harmed.contains(&call.life)
+        let is_answered = matches!(call.outcome, Outcome::Answered { .. });
+        is_answered
+            && call.route == Route::Stream
+            && !evidence.interrupted.contains(&call.incarnation)
     });
     let missing = answered.filter(|call| !bills.contains_key(&*call.id.text()));
     let missing =
-        missing.map(|call| format!("{} of {:?} is on no bill", call.id.text(), call.life));
+        missing.map(|call| format!("{} of {:?} is on no bill", call.id.text(), call.incarnation));
     twice.chain(missing).collect()
 }
 
-fn crossed(evidence: &Evidence) -> Vec<String> {
-    let wrong = evidence.calls.iter().filter_map(|call| match &call.end {
-        End::Answered { own: false, body } => Some(format!("{}: {body:?}", call.id.text())),
-        End::Answered { .. } if call.id.conduct() == Conduct::Tears => {
-            Some(format!("{}: torn, and taken for whole", call.id.text()))
+fn wrong_responses(evidence: &Evidence) -> Vec<String> {
+    let wrong = evidence.calls.iter().filter_map(|call| match &call.outcome {
+        Outcome::Answered { is_correct: false, body } => {
+            Some(format!("{}: {body:?}", call.id.text()))
+        }
+        Outcome::Answered { .. } if call.id.behavior() == Behavior::Truncated => {
+            Some(format!("{}: truncated response was accepted as complete", call.id.text()))
         }
         _ => None,
     });
     wrong.collect()
 }
 
-fn lied(evidence: &Evidence) -> Vec<String> {
+fn ran_despite_refusal(evidence: &Evidence) -> Vec<String> {
     let ran: BTreeSet<Id> = evidence.runs.iter().map(|run| run.id).collect();
-    let promise = |status: &StatusCode| matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    let refused = evidence.calls.iter().filter_map(|call| match &call.end {
-        End::Refused(status) if promise(status) && ran.contains(&call.id) => {
-            Some(format!("{}: {status}, and it ran", call.id.text()))
+    let denies_run = |status: &StatusCode| matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    let refused = evidence.calls.iter().filter_map(|call| match &call.outcome {
+        Outcome::Refused(status) if denies_run(status) && ran.contains(&call.id) => {
+            Some(format!("{}: refused with {status}, but it ran", call.id.text()))
         }
         _ => None,
     });
     refused.collect()
 }
 
-fn repeated(evidence: &Evidence) -> Vec<String> {
+fn ran_repeatedly(evidence: &Evidence) -> Vec<String> {
     let mut runs: HashMap<Id, usize> = HashMap::new();
     evidence.runs.iter().for_each(|run| *runs.entry(run.id).or_default() += 1);
     let once = evidence.calls.iter().filter(|call| !call.route.is_repeatable());
@@ -176,140 +186,167 @@
     twice.collect()
 }
 
-fn kept_working(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
+fn ran_after_leaving(evidence: &Evidence) -> Vec<String> {
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let late = evidence.runs.iter().filter_map(|run| {
         let left = *evidence.left.get(&run.endpoint)?;
-        let at = lives.get(&run.id)?.at;
-        let of = |disturbed: &&Disturbance| {
-            disturbed.at.is_none_or(|of| of == at) && disturbed.from < run.at
+        let box_index = incarnations.get(&run.id)?.box_index;
+        let concerns = |disturbance: &&Disturbance| {
+            disturbance.box_index.is_none_or(|of| of == box_index) && disturbance.from < run.at
         };
-        let calm = evidence.disturbed.iter().filter(of).map(|disturbed| disturbed.until);
-        let calm = calm.fold(left, Instant::max);
-        let late = run.at.checked_duration_since(calm + LEAVES_WITHIN)?;
+        let connected =
+            evidence.disturbances.iter().filter(concerns).map(|disturbance| disturbance.until);
+        let connected = connected.fold(left, Instant::max);
+        let late = run.at.checked_duration_since(connected + LEAVING_TIMEOUT)?;
         Some(format!("{} ran at {} {late:?} too late", run.id.text(), run.endpoint))
     });
     late.collect()
 }
 
-/// Requests that callers sent later than is allowed after a box had answered another one, whose endpoint said that it leaves,
-/// and that reached that endpoint from that box.
-fn sent_after_word(evidence: &Evidence) -> Vec<String> {
+/// Requests that a box sent to an endpoint although an earlier response through the same box had
+/// announced that the endpoint leaves. `ANNOUNCEMENT_TIMEOUT` counts from the end of the earlier
+/// call to the start of the later one.
+fn sent_after_announcement(evidence: &Evidence) -> Vec<String> {
     let calls: HashMap<Id, &Call> = evidence.calls.iter().map(|call| (call.id, call)).collect();
     let mut late = Vec::new();
     for (endpoint, arrived) in evidence.arrivals {
-        let mut told: HashMap<Life, Instant> = HashMap::new();
-        let known = arrived.iter().filter_map(|arrival| Some((arrival, *calls.get(&arrival.id)?)));
-        let saying = known.clone().filter(|(arrival, _)| arrival.leaves && arrival.answered);
-        for (_, call) in saying {
-            let first = told.entry(call.life).or_insert(call.ended);
+        let mut informed: HashMap<Incarnation, Instant> = HashMap::new();
+        let known_arrivals =
+            arrived.iter().filter_map(|arrival| Some((arrival, *calls.get(&arrival.id)?)));
+        let announcing =
+            known_arrivals.clone().filter(|(arrival, _)| arrival.leaves && arrival.answered);
+        for (_, call) in announcing {
+            let first = informed.entry(call.incarnation).or_insert(call.ended);
             *first = call.ended.min(*first);
         }
-        late.extend(known.filter_map(|(_, call)| {
-            let after = call.sent.checked_duration_since(*told.get(&call.life)? + SAID_WITHIN)?;
-            let is_excused = evidence.harmed.contains(&call.life);
-            (!is_excused)
+        late.extend(known_arrivals.filter_map(|(_, call)| {
+            let after = call
+                .sent
+                .checked_duration_since(*informed.get(&call.incarnation)? + ANNOUNCEMENT_TIMEOUT)?;
+            let was_interrupted = evidence.interrupted.contains(&call.incarnation);
+            (!was_interrupted)
                 .then(|| format!("{} reached {endpoint} {after:?} too late", call.id.text()))
         }));
     }
     late
 }
 
-/// Rests in which an endpoint got more requests of the box that it had asked than two.
-fn sent_in_rest(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
-    let mut broken = Vec::new();
+/// Back-offs during which the box concerned sent more than `MAX_SENT_IN_BACK_OFF` requests to the
+/// endpoint.
+fn sent_in_back_off(evidence: &Evidence) -> Vec<String> {
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
+    let mut found = Vec::new();
     for (endpoint, arrived) in evidence.arrivals {
-        for asked in arrived {
-            let (Some(life), Some(rest)) = (lives.get(&asked.id), asked.asks) else { continue };
-            let within = asked.at + TOLD..asked.at + rest;
-            let of_box = arrived.iter().filter(|other| lives.get(&other.id) == Some(life));
+        for arrival in arrived {
+            let (Some(incarnation), Some(back_off)) =
+                (incarnations.get(&arrival.id), arrival.back_off)
+            else {
+                continue;
+            };
+            let within = arrival.at + APPLY_TIMEOUT..arrival.at + back_off;
+            let of_box =
+                arrived.iter().filter(|other| incarnations.get(&other.id) == Some(incarnation));
             let count = of_box.filter(|other| within.contains(&other.at)).count();
-            if count > MOST_IN_REST && !evidence.harmed.contains(life) {
-                broken.push(format!("{endpoint} got {count} of {life:?} in {rest:?} of rest"));
+            if count > MAX_SENT_IN_BACK_OFF && !evidence.interrupted.contains(incarnation) {
+                found.push(format!(
+                    "{endpoint} got {count} requests of {incarnation:?} in a back-off of {back_off:?}"
+                ));
             }
         }
     }
-    broken
+    found
 }
 
-/// Endpoints that got more within a span than their limit allows, of boxes that they had told.
+/// Endpoints that got more requests within a window than their limit allows.
 fn over_limit(evidence: &Evidence) -> Vec<String> {
-    let lives: HashMap<Id, Life> = evidence.calls.iter().map(|call| (call.id, call.life)).collect();
+    let incarnations: HashMap<Id, Incarnation> =
+        evidence.calls.iter().map(|call| (call.id, call.incarnation)).collect();
     let found = evidence.arrivals.iter().filter_map(|(endpoint, arrived)| {
-        let counted = counted(evidence, &lives, arrived);
+        let arrivals = counted_arrivals(evidence, &incarnations, arrived);
         let over = |(first, (from, limit)): (usize, &(Instant, f64))| {
-            let within = counted[first..].iter().filter(|(at, _)| *at < *from + SPAN).count();
-            let most = limit * SPAN.as_secs_f64() * SLACK + EXTRA;
-            (within as f64 > most).then(|| format!("{endpoint} got {within} in 4 s, of {most:.1}"))
+            let count =
+                arrivals[first..].iter().filter(|(at, _)| *at < *from + LIMIT_WINDOW).count();
+            let allowed = limit * LIMIT_WINDOW.as_secs_f64() * LIMIT_FACTOR + EXTRA_REQUESTS;
+            (count as f64 > allowed)
+                .then(|| format!("{endpoint} got {count} requests in 4 s, {allowed:.1} allowed"))
         };
-        counted.iter().enumerate().find_map(over)
+        arrivals.iter().enumerate().find_map(over)
     });
     found.collect()
 }
 
-/// Arrivals at an endpoint that count against its limit: of boxes that were told in time, and that nothing excuses.
-fn counted(
+/// Arrivals at an endpoint that count against its limit: from boxes that had time to apply it and
+/// were not disturbed.
+fn counted_arrivals(
     evidence: &Evidence,
-    lives: &HashMap<Id, Life>,
+    incarnations: &HashMap<Id, Incarnation>,
     arrived: &[Arrival],
 ) -> Vec<(Instant, f64)> {
-    let mut told: HashMap<Life, Instant> = HashMap::new();
-    let mut named: Option<Instant> = None;
-    let mut counted = Vec::new();
+    let mut informed: HashMap<Incarnation, Instant> = HashMap::new();
+    let mut announced_at: Option<Instant> = None;
+    let mut counted_arrivals = Vec::new();
     for arrival in arrived {
-        let (Some(life), Some(limit)) = (lives.get(&arrival.id), arrival.limit) else { continue };
-        let was_told = told.get(life).is_some_and(|at| *at + TOLD <= arrival.at);
+        let (Some(incarnation), Some(limit)) = (incarnations.get(&arrival.id), arrival.limit)
+        else {
+            continue;
+        };
+        let was_informed =
+            informed.get(incarnation).is_some_and(|at| *at + APPLY_TIMEOUT <= arrival.at);
         if arrival.answered {
-            told.entry(*life).or_insert(arrival.at);
-            named = named.or(Some(arrival.at));
+            informed.entry(*incarnation).or_insert(arrival.at);
+            announced_at = announced_at.or(Some(arrival.at));
         }
-        let is_late = named.is_some_and(|since| since + CONTACT <= arrival.at);
-        if was_told && is_late && !is_excused(evidence, life, arrival.at) {
-            counted.push((arrival.at, limit));
+        let binds_all_boxes =
+            announced_at.is_some_and(|since| since + LIMIT_SHARING_TIMEOUT <= arrival.at);
+        if was_informed && binds_all_boxes && !was_disturbed(evidence, incarnation, arrival.at) {
+            counted_arrivals.push((arrival.at, limit));
         }
     }
-    counted
+    counted_arrivals
 }
 
-/// Whether a box was cut, paused or started anew a while before.
-fn is_excused(evidence: &Evidence, life: &Life, at: Instant) -> bool {
-    let mut of_box =
-        evidence.disturbed.iter().filter(|disturbance| disturbance.at == Some(life.at));
+/// Whether a box was disconnected, suspended or restarted shortly before.
+fn was_disturbed(evidence: &Evidence, incarnation: &Incarnation, at: Instant) -> bool {
+    let mut of_box = evidence
+        .disturbances
+        .iter()
+        .filter(|disturbance| disturbance.box_index == Some(incarnation.box_index));
     of_box.any(|disturbance| {
-        let ends = disturbance.until.max(disturbance.from + CONTACT);
-        (disturbance.from..=ends + SPAN).contains(&at)
+        let ends = disturbance.until.max(disturbance.from + LIMIT_SHARING_TIMEOUT);
+        (disturbance.from..=ends + LIMIT_WINDOW).contains(&at)
     })
 }
 
-/// Calls that a planned stop broke, and routes that a life forgot.
+/// Calls that a planned stop cut off, and incarnations that lost a route that they had served.
 fn cut_off(evidence: &Evidence) -> Vec<String> {
-    let sound = |call: &&Call| {
-        matches!(call.id.conduct(), Conduct::Answers | Conduct::Declines)
-            && !evidence.harmed.contains(&call.life)
+    let is_sound_call = |call: &&Call| {
+        matches!(call.id.behavior(), Behavior::Complete | Behavior::NotRun)
+            && !evidence.interrupted.contains(&call.incarnation)
     };
-    let cut = evidence.calls.iter().filter(sound).filter_map(|call| {
-        let (from, until) = evidence.stopped.get(&call.life)?;
-        let around = call.ended >= *from && call.sent < *until;
-        match &call.end {
-            End::Failed { reason, .. } if around && !reason.contains("deadline") => {
-                Some(format!("{} of {:?} was cut off: {reason}", call.id.text(), call.life))
+    let cut = evidence.calls.iter().filter(is_sound_call).filter_map(|call| {
+        let (from, until) = evidence.stopped.get(&call.incarnation)?;
+        let overlaps = call.ended >= *from && call.sent < *until;
+        match &call.outcome {
+            Outcome::Failed { reason, .. } if overlaps && !reason.contains("deadline") => {
+                Some(format!("{} of {:?} was cut off: {reason}", call.id.text(), call.incarnation))
             }
             _ => None,
         }
     });
-    let mut known: BTreeMap<Life, Instant> = BTreeMap::new();
-    let of_late = evidence.calls.iter().filter(|call| call.route == Route::Late);
-    for call in of_late.clone() {
-        if matches!(call.end, End::Answered { .. }) {
-            let first = known.entry(call.life).or_insert(call.ended);
+    let mut first_success: BTreeMap<Incarnation, Instant> = BTreeMap::new();
+    let late_calls = evidence.calls.iter().filter(|call| call.route == Route::Late);
+    for call in late_calls.clone() {
+        if matches!(call.outcome, Outcome::Answered { .. }) {
+            let first = first_success.entry(call.incarnation).or_insert(call.ended);
             *first = call.ended.min(*first);
         }
     }
-    let forgot = of_late.filter(|call| {
-        let after = known.get(&call.life).is_some_and(|first| call.sent > *first);
-        after && call.end == End::Refused(StatusCode::NOT_FOUND)
+    let lost = late_calls.filter(|call| {
+        let after = first_success.get(&call.incarnation).is_some_and(|first| call.sent > *first);
+        after && call.outcome == Outcome::Refused(StatusCode::NOT_FOUND)
     });
-    let forgot = forgot.map(|call| format!("{:?} forgot a route", call.life));
-    cut.chain(forgot).collect()
+    let lost = lost.map(|call| format!("{:?} lost a route", call.incarnation));
+    cut.chain(lost).collect()
 }
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,4 +1,5 @@
-//! An endpoint that answers each request as a script says, also in ways that break the protocol.
+//! An endpoint that responds to each request as a script decides, even in violation of the
+//! protocol.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,75 +13,75 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// Largest head that is read, in bytes.
-const MOST_HEAD: usize = 64 << 10;
+/// Largest head of a request, in bytes; a larger one ends the connection.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A request as it arrived.
+/// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// Method and path.
+    /// Request line.
     pub line: String,
-    /// What the router said about it.
+    /// Headers that the router sets.
     pub head: ForwardedHead,
     /// Body.
     pub body: Vec<u8>,
-    /// Number of the connection that it came on.
+    /// Number of the connection that it arrived on, from 1.
     pub connection: usize,
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint responds to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Answers whole, with a length.
+    /// Sends a complete response with a length.
     Complete(StatusCode, HeaderMap, String),
-    /// Answers whole, and sends this after it.
+    /// Sends a complete response with a length, followed by further bytes.
     TrailingData(StatusCode, HeaderMap, String, String),
-    /// Answers without a length and closes.
+    /// Sends a response without a length and closes the connection.
     Unframed(HeaderMap, String),
-    /// Answers without a length and resets the connection.
+    /// Sends a response without a length and resets the connection.
     UnframedReset(HeaderMap, String),
-    /// Sends events with pauses between them, in chunks.
+    /// Sends a complete chunked response, one event in each chunk, with a pause after each.
     Events(HeaderMap, Vec<String>, Duration),
-    /// Sends some events and closes without the end.
+    /// Sends events in chunks and closes the connection without the last chunk.
     Truncated(HeaderMap, Vec<String>),
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Reads on and never answers.
+    /// Never responds, but goes on reading.
     Silent,
-    /// Begins an answer, and a little later the endpoint ends: its port and all its connections are gone.
+    /// Begins a chunked response, and after the duration closes its port and all its connections.
     Crash(HeaderMap, Duration),
-    /// The same, with an answer that ends with its connection.
+    /// The same, with a response without a length.
     CrashUnframed(HeaderMap, Duration),
 }
 
 type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 #[derive(Default)]
-struct Seen {
+struct State {
     arrived: Vec<ReceivedRequest>,
     connections: usize,
     closed: usize,
 }
 
-/// A running endpoint on loopback; it ends when dropped.
+/// A running endpoint on loopback; it stops when dropped.
 pub struct ScriptedEndpoint {
     address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
 }
 
 impl ScriptedEndpoint {
-    /// Binds a free loopback port and answers as `script` says.
+    /// Binds a free loopback port and responds to each request as `script` returns.
     pub async fn spawn(
         script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
     ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let (script, shared): (Arc<Script>, _) = (Arc::new(script), seen.clone());
+        let state: Arc<Mutex<State>> = Arc::default();
+        let (script, shared): (Arc<Script>, _) = (Arc::new(script), state.clone());
         let task = tokio::spawn(async move {
             let crash = Arc::new(Notify::new());
-            // Connections that are open when this ends are closed with it.
+            // Dropping the set closes all open connections.
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
@@ -92,32 +93,32 @@
                 }
             }
         });
-        ScriptedEndpoint { address, seen, task }
+        ScriptedEndpoint { address, state, task }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every request that arrived, in order.
+    /// All requests received so far, in order.
     pub fn arrived(&self) -> Vec<ReceivedRequest> {
-        self.seen.lock().arrived.clone()
+        self.state.lock().arrived.clone()
     }
 
-    /// Whether it has crashed.
+    /// Whether the endpoint has crashed.
     pub fn has_crashed(&self) -> bool {
         self.task.is_finished()
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
-        self.seen.lock().connections
+        self.state.lock().connections
     }
 
-    /// Connections that the other side closed.
+    /// Number of connections that have ended.
     pub fn closed(&self) -> usize {
-        self.seen.lock().closed
+        self.state.lock().closed
     }
 }
 
@@ -130,29 +131,29 @@
 async fn serve(
     mut stream: TcpStream,
     script: Arc<Script>,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     crash: Arc<Notify>,
 ) {
     let _ = stream.set_nodelay(true);
     let connection = {
-        let mut seen = seen.lock();
-        seen.connections += 1;
-        seen.connections
+        let mut state = state.lock();
+        state.connections += 1;
+        state.connections
     };
     let mut buffer = Vec::new();
     while let Some(arrived) = read(&mut stream, &mut buffer, connection).await {
         let reply = script(&arrived);
-        seen.lock().arrived.push(arrived);
+        state.lock().arrived.push(arrived);
         let crashes = matches!(reply, Reply::Crash(..) | Reply::CrashUnframed(..));
-        let goes_on = answer(&mut stream, reply).await;
+        let stays_open = send_reply(&mut stream, reply).await;
         if crashes {
             crash.notify_one();
         }
-        if !goes_on {
+        if !stays_open {
             break;
         }
     }
-    seen.lock().closed += 1;
+    state.lock().closed += 1;
 }
 
 async fn read(
@@ -164,7 +165,7 @@
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
             Some(at) => break at + 4,
-            None if buffer.len() > MOST_HEAD => return None,
+            None if buffer.len() > MAX_HEAD_BYTES => return None,
             None if stream.read_buf(buffer).await.ok()? == 0 => return None,
             None => {}
         }
@@ -197,7 +198,7 @@
     text + "\r\n"
 }
 
-fn whole(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
+fn complete(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
     head(status, headers, &format!("content-length: {}\r\n", body.len())) + body
 }
 
@@ -205,15 +206,15 @@
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// Sends a reply; whether the connection goes on.
-async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
+/// Sends a reply; returns whether the connection stays open.
+async fn send_reply(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
         Reply::Complete(status, headers, body) => {
-            stream.write_all(whole(status, &headers, &body).as_bytes()).await.is_ok()
+            stream.write_all(complete(status, &headers, &body).as_bytes()).await.is_ok()
         }
         Reply::TrailingData(status, headers, body, extra) => {
-            let bytes = whole(status, &headers, &body) + &extra;
+            let bytes = complete(status, &headers, &body) + &extra;
             stream.write_all(bytes.as_bytes()).await.is_ok()
         }
         Reply::Unframed(headers, body) => {
--- a/crates/trial/src/audit.rs
+++ b/crates/trial/src/audit.rs
@@ -1,4 +1,4 @@
-//! Truth from the stand-ins against what was told and billed.
+//! Comparison of what the stand-ins executed with responses, bills and ledgers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,41 +8,41 @@
 
 use crate::{Fleet, Outcome, Response};
 
-/// Figures that every experiment prints under these names.
+/// Results of an audit; experiments print them under these names.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Requests sent, retries included.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Truthful refusals.
+    /// Refusals with the outcome `not-run`.
     pub refused_not_run: u64,
-    /// "Unknown", or no answer at all.
+    /// Responses with the outcome `unknown`, incomplete or missing responses.
     pub unknown: u64,
     /// Tokens served beyond what was paid.
     pub overspend_tokens: u64,
-    /// Requests that ran and are on no bill.
+    /// Requests that ran without a bill.
     pub unbilled: u64,
-    /// Requests on more than one bill.
+    /// Requests with more than one bill.
     pub double_billed: u64,
     /// Unrepeatable requests that ran more than once.
     pub ran_twice: u64,
-    /// Answers that were another request's.
+    /// Responses that belong to another request.
     pub crossed: u64,
-    /// Requests that ran although every attempt was told "not run".
+    /// Requests that ran although every attempt was refused as `not-run`.
     pub lied_not_run: u64,
     /// Tokens that nobody can spend until an operator declares a box destroyed.
     pub stranded_tokens: u64,
-    /// Statements whose totals differ from the sum of their bills, or that break their ledger.
+    /// Ledgers that are inconsistent in themselves or with their statement.
     pub unsound_ledgers: u64,
-    /// Tokens served, as the endpoints counted.
+    /// Tokens served, as counted at the endpoints.
     pub served_tokens: u64,
     /// Tokens billed.
     pub billed_tokens: u64,
 }
 
 impl Figures {
-    /// Whether everything that must always hold held.
+    /// Whether no guarantee was violated.
     pub fn is_sound(&self) -> bool {
         let must_be_zero = [
             self.overspend_tokens,
@@ -57,11 +57,11 @@
     }
 }
 
-/// Everything needed to judge a fleet.
+/// Responses, executions and books of a fleet.
 pub struct Audit {
     responses: Vec<Response>,
-    /// Runs by `customer.key`: how often, on which budget, how many tokens.
-    ran: BTreeMap<String, Vec<(String, u64)>>,
+    /// Runs by `customer.key`, each with its budget and its tokens.
+    executions: BTreeMap<String, Vec<(String, u64)>>,
     unrepeatable: BTreeSet<String>,
     bills: BTreeMap<String, Vec<Bill>>,
     ledgers: BTreeMap<String, Ledger>,
@@ -69,11 +69,11 @@
 }
 
 impl Audit {
-    /// Reads truth and books of a fleet that has settled.
+    /// Reads the state of a fleet; all its runs should be billed by now.
     pub async fn of(fleet: &Fleet) -> Audit {
         let mut audit = Audit {
             responses: fleet.caller.responses(),
-            ran: BTreeMap::new(),
+            executions: BTreeMap::new(),
             unrepeatable: BTreeSet::new(),
             bills: BTreeMap::new(),
             ledgers: BTreeMap::new(),
@@ -87,15 +87,15 @@
     async fn read_truth(&mut self, fleet: &Fleet) {
         for run in fleet.engines.iter().flat_map(|engine| engine.truth().runs) {
             let entry = (run.budget, run.prompt + run.output);
-            self.ran.entry(run.key).or_default().push(entry);
+            self.executions.entry(run.key).or_default().push(entry);
         }
         let cost = fleet.spec("pool", "bookings").await["serves"]["service"]["cost"].as_u64();
         for run in fleet.services.iter().flat_map(|service| service.executions()) {
-            let runs = self.ran.entry(run.key.clone()).or_default();
+            let runs = self.executions.entry(run.key.clone()).or_default();
             runs.push((run.budget, cost.unwrap_or(0)));
         }
-        let unrepeatable = self.responses.iter().filter(|got| got.route == "cancel");
-        self.unrepeatable = unrepeatable.map(id).collect();
+        let unrepeatable = self.responses.iter().filter(|response| response.route == "cancel");
+        self.unrepeatable = unrepeatable.map(request_id).collect();
     }
 
     async fn read_books(&mut self, fleet: &Fleet) {
@@ -122,78 +122,86 @@
         }
     }
 
-    /// Tokens served by budget, as the endpoints counted.
+    /// Tokens served by budget, as counted at the endpoints.
     pub fn served(&self) -> BTreeMap<&str, u64> {
         let mut served = BTreeMap::new();
-        for (budget, tokens) in self.ran.values().flatten() {
+        for (budget, tokens) in self.executions.values().flatten() {
             *served.entry(budget.as_str()).or_default() += tokens;
         }
         served
     }
 
-    /// The figures.
+    /// Compares what was read.
     pub fn figures(&self) -> Figures {
         let count = |outcome: &[Outcome]| {
-            self.responses.iter().filter(|got| outcome.contains(&got.outcome)).count() as u64
+            self.responses.iter().filter(|response| outcome.contains(&response.outcome)).count()
+                as u64
         };
         let served = self.served();
         let over = |(budget, tokens): (&&str, &u64)| {
             tokens.saturating_sub(self.paid.get(*budget).copied().unwrap_or(0))
         };
-        let twice = |key: &&String| self.ran.get(*key).is_some_and(|runs| runs.len() > 1);
+        let twice = |key: &&String| self.executions.get(*key).is_some_and(|runs| runs.len() > 1);
         Figures {
             requests: self.responses.len() as u64,
             answered: count(&[Outcome::Answered]),
             refused_not_run: count(&[Outcome::NotRun]),
             unknown: count(&[Outcome::Unknown, Outcome::NoResponse]),
             overspend_tokens: served.iter().map(over).sum(),
-            unbilled: self.ran.keys().filter(|key| !self.bills.contains_key(*key)).count() as u64,
+            unbilled: self.executions.keys().filter(|key| !self.bills.contains_key(*key)).count()
+                as u64,
             double_billed: self.bills.values().filter(|bills| bills.len() > 1).count() as u64,
             ran_twice: self.unrepeatable.iter().filter(twice).count() as u64,
-            crossed: self.responses.iter().filter(|got| got.crossed).count() as u64,
-            lied_not_run: self.lied(),
+            crossed: self.responses.iter().filter(|response| response.crossed).count() as u64,
+            lied_not_run: self.ran_despite_refusal(),
             stranded_tokens: self.ledgers.values().flat_map(|l| l.stranded().into_values()).sum(),
-            unsound_ledgers: self.ledgers.iter().filter(|(name, l)| !self.adds_up(name, l)).count()
-                as u64,
+            unsound_ledgers: self
+                .ledgers
+                .iter()
+                .filter(|(name, l)| !self.is_consistent(name, l))
+                .count() as u64,
             served_tokens: served.values().sum(),
             billed_tokens: self.bills.values().flatten().map(|bill| bill.tokens).sum(),
         }
     }
 
-    /// What breaks a promise, in words, for whoever looks into it.
+    /// Descriptions of missing bills, double bills and inconsistent ledgers.
     pub fn faults(&self) -> Vec<String> {
-        let unbilled = self.ran.iter().filter(|(key, _)| !self.bills.contains_key(*key));
+        let unbilled = self.executions.iter().filter(|(key, _)| !self.bills.contains_key(*key));
         let mut faults: Vec<String> =
             unbilled.map(|(key, runs)| format!("`{key}` ran {runs:?} and is on no bill")).collect();
         let twice = self.bills.iter().filter(|(_, bills)| bills.len() > 1);
         faults.extend(twice.map(|(key, bills)| format!("`{key}` is billed by {bills:?}")));
-        let unsound = self.ledgers.iter().filter(|(name, ledger)| !self.adds_up(name, ledger));
+        let unsound =
+            self.ledgers.iter().filter(|(name, ledger)| !self.is_consistent(name, ledger));
         faults.extend(unsound.map(|(name, ledger)| format!("ledger `{name}`: {ledger:?}")));
         faults
     }
 
-    fn lied(&self) -> u64 {
+    fn ran_despite_refusal(&self) -> u64 {
         let mut only_refused: BTreeMap<String, bool> = BTreeMap::new();
-        for got in &self.responses {
-            let refused = got.outcome == Outcome::NotRun && got.reason != "key_reused";
-            let all = only_refused.entry(id(got)).or_insert(true);
+        for response in &self.responses {
+            let refused = response.outcome == Outcome::NotRun && response.reason != "key_reused";
+            let all = only_refused.entry(request_id(response)).or_insert(true);
             *all &= refused;
         }
-        let lied = |(key, refused): &(&String, &bool)| **refused && self.ran.contains_key(*key);
-        only_refused.iter().filter(lied).count() as u64
+        let ran_despite_refusal =
+            |(key, refused): &(&String, &bool)| **refused && self.executions.contains_key(*key);
+        only_refused.iter().filter(ran_despite_refusal).count() as u64
     }
 
-    fn adds_up(&self, name: &str, ledger: &Ledger) -> bool {
-        // Bills know their customer, not their budget, so totals are compared where they can be.
+    fn is_consistent(&self, name: &str, ledger: &Ledger) -> bool {
+        // Bills name their customer, not their budget: the sum can be compared only while all bills
+        // of the budget are still in its statement.
         let statement = &ledger.statement;
         let recent: u64 = statement.recent.iter().map(|bill| bill.tokens).sum();
-        let whole = statement.pages > 0 || recent == statement.tokens;
+        let sum_matches = statement.pages > 0 || recent == statement.tokens;
         let spent = ledger.spent == statement.tokens + ledger.absorbed;
         let paid = self.paid.get(name).is_none_or(|paid| ledger.spent <= *paid.max(&ledger.paid));
-        ledger.is_sound() && whole && spent && paid
+        ledger.is_sound() && sum_matches && spent && paid
     }
 }
 
-fn id(got: &Response) -> String {
-    format!("{}.{}", got.customer, got.key)
+fn request_id(response: &Response) -> String {
+    format!("{}.{}", response.customer, response.key)
 }
