--- a/crates/flintstall/src/output.rs
+++ b/crates/flintstall/src/output.rs
@@ -1,24 +1,24 @@
-//! The two forms of output.
+//! Output formats.
 
 use std::str::FromStr;
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// Tables for people.
+pub enum Format {
+    /// Aligned text for people.
     Table,
     /// JSON for programs.
     Json,
 }
 
-impl FromStr for Form {
+impl FromStr for Format {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Form, String> {
+    fn from_str(text: &str) -> Result<Format, String> {
         match text {
-            "table" => Ok(Form::Table),
-            "json" => Ok(Form::Json),
-            _ => Err(format!("`{text}` is not a form of output; use `table` or `json`")),
+            "table" => Ok(Format::Table),
+            "json" => Ok(Format::Json),
+            _ => Err(format!("`{text}` is not an output format; use `table` or `json`")),
         }
     }
 }
