--- a/crates/flintbench/src/baseline.rs
+++ b/crates/flintbench/src/baseline.rs
@@ -1,7 +1,7 @@
-//! Other ways of keeping a budget, replayed over the same arrivals and faults.
+//! Simpler budget algorithms, replayed over the same arrivals and faults for comparison.
 //!
-//! These are models of the decision alone: a request is granted or refused, tokens are spent or
-//! stranded. They have no latency, so they look better than they would be.
+//! Only the decision to grant or refuse a request is modeled, without latency, so the results are
+//! better than those of a real implementation.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 
 use crate::load::Arrival;
 
-/// Time that a timed lease runs, in milliseconds.
+/// Duration of a timed lease, in milliseconds.
 const LEASE_MS: u64 = 3_000;
-/// Share of a budget that one timed lease takes, in thousandths.
+/// Share of a budget in one timed lease, in thousandths.
 const LEASE_SHARE: u64 = 20;
 
-/// Something that happens to a box in a baseline's world. Times in milliseconds.
+/// A fault of a box. Times are in milliseconds since the start of the load.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// The box does not reach the platform.
+    /// The platform is unreachable from the box.
     Cut { index: usize, from: u64, to: u64 },
-    /// The box is frozen; what came meanwhile is dispatched when it wakes.
+    /// The box is suspended; requests that arrive meanwhile are dispatched when it resumes.
     Frozen { index: usize, from: u64, to: u64 },
-    /// The box dies and comes back empty.
+    /// The box dies and restarts without state.
     Crash { index: usize, at: u64 },
 }
 
-/// A world for baselines.
+/// A load with faults, on which the baselines are run.
 pub struct World<'a> {
-    /// Requests.
+    /// Requests in order of arrival.
     pub arrivals: &'a [Arrival],
-    /// Faults.
+    /// Faults in effect during the load.
     pub faults: &'a [Fault],
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Tokens paid.
+    /// Tokens paid, of all budgets.
     pub paid: u64,
-    /// How long, in milliseconds.
+    /// Duration of the load, in milliseconds.
     pub lasting: u64,
 }
 
@@ -55,7 +55,7 @@
         })
     }
 
-    /// When a request that comes now is dispatched.
+    /// Returns when a request that arrives now is dispatched.
     fn wakes(&self, index: usize, now: u64) -> u64 {
         let frozen = self.faults.iter().find_map(|fault| match fault {
             Fault::Frozen { index: frozen, from, to }
@@ -75,7 +75,7 @@
         })
     }
 
-    /// All baselines, by name.
+    /// Runs all baselines and returns their figures by name.
     pub fn run(&self) -> Map<String, Value> {
         let all = [
             ("static_split", self.static_split()),
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Each box gets an equal part once and for all; a part dies with its box.
+    /// Each box gets an equal part at the start, which is lost when the box dies.
     fn static_split(&self) -> Tally {
         let part = self.paid / self.boxes as u64;
         let mut left = vec![part; self.boxes];
@@ -120,8 +120,9 @@
         tally
     }
 
-    /// Boxes lease a part for a time; at its end the rest is given to others, whether or not the
-    /// box was heard. A box that wakes up late dispatches what it had accepted before.
+    /// Boxes lease parts for a fixed time. When a lease expires, its remaining tokens are available
+    /// to others, even if the box is unreachable. A box that was suspended dispatches the requests
+    /// that it had accepted, also after its lease has expired.
     fn timed_lease(&self) -> Tally {
         let share = self.paid * LEASE_SHARE / 1_000;
         let mut central = self.paid;
@@ -148,7 +149,8 @@
             }
             match leases.get_mut(&index) {
                 Some((until, rest)) if *rest >= arrival.worst => {
-                    // Frozen past its lease, its tokens went back and are spent again.
+                    // If the box resumes after the lease has expired, the tokens have been returned
+                    // and are spent twice.
                     if self.wakes(index, now) < *until {
                         *rest -= arrival.used;
                     }
@@ -160,7 +162,7 @@
         tally
     }
 
-    /// Every request asks the platform; without it nothing is served.
+    /// Every request is reserved at the platform, and refused while the platform is unreachable.
     fn central_counter(&self) -> Tally {
         let mut left = self.paid;
         let mut tally = Tally::default();
--- a/crates/flintbench/src/capacity.rs
+++ b/crates/flintbench/src/capacity.rs
@@ -1,39 +1,41 @@
-//! The letter's size, worked out from measured slopes.
+//! Computes the resource usage of a large deployment from measured slopes.
 //!
-//! The slopes are those that `flintbench slopes` printed when `docs/CAPACITY.md` was written; a
-//! test keeps the page and this table in step.
+//! The slopes are the output of `flintbench slopes` that `docs/CAPACITY.md` is based on. A test
+//! checks that the page contains this table.
 
 use serde_json::Value;
 
 use crate::report::Report;
 
-/// Measured slopes, with the name of the series that gave each.
+/// Measured slopes, each with the series of `flintbench slopes` that it is taken from.
 mod slope {
-    /// `router_us_by_output_tokens`, base: microseconds by request.
+    /// `router_us_by_output_tokens`, base: microseconds per request.
     pub const REQUEST_US: f64 = 584.0;
-    /// `router_us_by_output_tokens`: microseconds by token.
+    /// `router_us_by_output_tokens`: microseconds per token.
     pub const TOKEN_US: f64 = 21.7;
-    /// `journal_bytes`: bytes by record.
+    /// `journal_bytes`: bytes per record.
     pub const RECORD_BYTES: f64 = 177.0;
-    /// `journal_write_us`: microseconds by record in each write.
+    /// `journal_write_us`: microseconds per record in each write.
     pub const RECORD_WRITE_US: f64 = 0.32;
-    /// `ledger_bytes_by_holder`: bytes by holder, and base.
+    /// `ledger_bytes_by_holder`: bytes per holder.
     pub const HOLDER_BYTES: f64 = 106.0;
+    /// `ledger_bytes_by_holder`, base: bytes per ledger.
     pub const LEDGER_BYTES: f64 = 139.0;
-    /// `config_bytes`: bytes by budget declared.
+    /// `config_bytes`: bytes per declared budget.
     pub const CONFIG_BYTES: f64 = 296.0;
-    /// `account_bytes`: bytes by budget held, its ledger of 8 holders included.
+    /// `account_bytes`: bytes per budget held, including its ledger of 8 holders.
     pub const ACCOUNT_BYTES: f64 = 1_437.0;
-    /// `exchange_bytes`: bytes by busy endpoint, and base.
+    /// `exchange_bytes`: bytes per busy endpoint.
     pub const BUSY_BYTES: f64 = 23.0;
+    /// `exchange_bytes`, base: bytes per message.
     pub const TELL_BYTES: f64 = 96.0;
-    /// `idle_cpu_percent_by_boxes`, the largest point: percent of a core.
+    /// `idle_cpu_percent_by_boxes`, largest point: percent of a core.
     pub const IDLE_PERCENT: f64 = 1.0;
-    /// `choose_us` at 1,500 endpoints.
+    /// `choose_us` at 1,500 endpoints: microseconds per selection.
     pub const CHOOSE_US: f64 = 23.0;
 }
 
-/// Sizes of letter 1.
+/// Size of the deployment. Rates are per second unless named otherwise.
 mod size {
     pub const NODES: f64 = 390.0;
     pub const REQUESTS: f64 = 4_100.0;
@@ -44,27 +46,29 @@
     pub const FAILURES_A_DAY: f64 = 16.0;
 }
 
-/// Assumed, where nothing is measured yet.
+/// Assumptions about quantities that are not measured.
 mod assumed {
-    /// Seconds that a request is under way.
+    /// Mean duration of a request, in seconds.
     pub const UNDER_WAY_S: f64 = 5.0;
-    /// Seconds between journal writes of one box, as in the experiments with `spacing_ms` 40.
+    /// Interval of one box's journal writes, in seconds, as with `spacing_ms` 40.
     pub const SPACING_S: f64 = 0.04;
-    /// Seconds between folds.
+    /// Interval of folds, in seconds.
     pub const FOLD_S: f64 = 2.0;
-    /// Budgets that one box serves within a fold, each by its own.
+    /// Distinct budgets that one box serves between two folds.
     pub const SERVED_BY_FOLD: f64 = 21.0;
-    /// Exchanges a second that a box starts in a large fleet: 2 each 2.4 s.
+    /// Exchanges per second that a box starts in a large fleet: 2 every 2.4 s.
     pub const EXCHANGES: f64 = 0.83;
-    /// Seconds between two writes of one journal carrier, and carriers in a zone.
+    /// Interval of one journal carrier's writes, in seconds.
     pub const CARRIER_S: f64 = 0.06;
+    /// Journal carriers per zone.
     pub const CARRIERS: f64 = 2.0;
-    /// Ledger shards, and seconds between two writes of a shard's home in one region.
+    /// Number of ledger shards.
     pub const SHARDS: f64 = 512.0;
+    /// Interval of writes by a shard's home in one region, in seconds.
     pub const SHARD_S: f64 = 20.0;
 }
 
-/// One line of the table.
+/// A row of the table.
 pub struct Line {
     name: &'static str,
     value: f64,
@@ -73,7 +77,7 @@
     how: &'static str,
 }
 
-/// All lines, computed.
+/// Computes all rows.
 pub fn lines() -> Vec<Line> {
     use assumed as a;
     use size as z;
@@ -234,7 +238,7 @@
     ]
 }
 
-/// The table as Markdown, the way it stands on the page.
+/// Returns the table as Markdown, as it appears in `docs/CAPACITY.md`.
 pub fn table() -> String {
     let mut text = String::from("| what | at the size | limit | from |\n|---|---|---|---|\n");
     for line in lines() {
@@ -251,7 +255,7 @@
     text
 }
 
-/// The table as a report.
+/// Returns the table as a report.
 pub fn run() -> Report {
     let mut report = Report { sound: true, ..Report::default() };
     for line in lines() {
@@ -266,6 +270,10 @@
     #[test]
     fn the_page_holds_this_table() {
         let page = include_str!("../../../docs/CAPACITY.md");
-        assert!(page.contains(&super::table()), "docs/CAPACITY.md lacks:\n{}", super::table());
+        assert!(
+            page.contains(&super::table()),
+            "docs/CAPACITY.md does not contain this table:\n{}",
+            super::table()
+        );
     }
 }
--- a/crates/flintbench/src/cli.rs
+++ b/crates/flintbench/src/cli.rs
@@ -1,44 +1,43 @@
-//! All flags of the experiment tool.
+//! Command line of the experiment tool.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Runs load and experiments against real router code and small stand-ins on loopback.
+/// Runs load and fault experiments on routers and simulated endpoints over loopback.
 ///
-/// `flintbench list` names the experiments. The process exits with 1 if something that must
-/// always hold was broken.
+/// `flintbench list` lists the experiments. The process exits with 1 if an invariant was violated.
 #[derive(Debug, Clone, FromArgs)]
 pub struct Options {
     /// experiment to run, or `list`
     #[argh(positional)]
     pub experiment: Option<String>,
 
-    /// seed of everything random; 1 is the default
+    /// seed of the random number generators; 1 is the default
     #[argh(option, default = "1")]
     pub seed: u64,
 
-    /// number of routers; each experiment has its own default
+    /// number of routers; the default depends on the experiment
     #[argh(option)]
     pub boxes: Option<usize>,
 
-    /// number of requests; each experiment has its own default
+    /// number of requests; the default depends on the experiment
     #[argh(option)]
     pub requests: Option<u64>,
 
-    /// seconds that the load lasts; each experiment has its own default
+    /// duration of the load in seconds; the default depends on the experiment
     #[argh(option)]
     pub seconds: Option<u64>,
 
-    /// print one JSON object with the figures as the last line
+    /// print the figures as a JSON object on the last line
     #[argh(switch)]
     pub json: bool,
 
-    /// take the figures from a JSON object in this file, and run nothing
+    /// read the figures from a JSON object in this file instead of running an experiment
     #[argh(option)]
     pub figures: Option<PathBuf>,
 
-    /// draw the figures into an SVG file
+    /// draw the figures as a bar chart into this SVG file
     #[argh(option)]
     pub plot: Option<PathBuf>,
 
--- a/crates/flintbench/src/exit.rs
+++ b/crates/flintbench/src/exit.rs
@@ -2,14 +2,14 @@
 
 use std::process::ExitCode;
 
-/// How an experiment ended.
+/// Result of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// Everything that must always hold held.
+    /// All invariants held.
     Success = 0,
-    /// Something that must always hold was broken.
+    /// An invariant was violated.
     Broken = 1,
-    /// The command line is wrong.
+    /// The command line or an input file is invalid.
     Usage = 2,
 }
 
--- a/crates/flintbench/src/experiment.rs
+++ b/crates/flintbench/src/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiments by name.
+//! Selects and runs experiments by name.
 
 use crate::{
     capacity,
@@ -12,39 +12,39 @@
 /// One experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Experiment {
-    /// Added latency and requests per core.
+    /// Latency added by a router, and requests per core.
     Path,
-    /// A zone loses everyone else and the platform.
+    /// An availability zone is cut off from the other boxes and the platform.
     Partition,
-    /// Boxes die with requests under way.
+    /// Boxes die with requests in flight.
     Crash,
-    /// A box freezes, is sealed, and wakes up.
+    /// A box is suspended, is sealed, and resumes.
     Pause,
-    /// The platform is down.
+    /// The platform is down for all boxes.
     Outage,
-    /// Writes land, but their answers are lost.
+    /// The platform applies writes, but its responses are lost.
     LostAnswers,
-    /// Callers send each request many times at once.
+    /// Callers send each request to several boxes concurrently.
     RetryStorm,
-    /// Budgets run out and are topped up and lowered meanwhile.
+    /// Budgets are exhausted, topped up and lowered under load.
     TopUp,
-    /// All of it together.
+    /// All faults combined.
     AllAtOnce,
-    /// See its line in `flintbench list`.
+    /// Short requests alone, then together with long prompts.
     MixedLoad,
-    /// See its line in `flintbench list`.
+    /// An endpoint leaves under load.
     DrainEndpoint,
-    /// See its line in `flintbench list`.
+    /// Routers are stopped and restarted one after the other under load.
     RollingRestart,
-    /// See its line in `flintbench list`.
+    /// One resource changes repeatedly while a box is cut off.
     ConfigRace,
-    /// See its line in `flintbench list`.
+    /// Platform writes and latency at several intervals of journal writes.
     Steady,
-    /// See its line in `flintbench list`.
+    /// Boxes select endpoints from outdated load reports.
     Herd,
-    /// What each mechanism costs as it grows.
+    /// Cost of each mechanism as a function of size.
     Slopes,
-    /// The letter's size from measured slopes.
+    /// Costs of a large deployment, computed from measured slopes.
     Capacity,
 }
 
@@ -94,23 +94,23 @@
 
     fn about(self) -> &'static str {
         match self {
-            Experiment::Path => "what a router adds to the first byte, and requests per core",
-            Experiment::Partition => "a zone loses all other boxes and the platform",
-            Experiment::Crash => "boxes die with requests under way and start again",
-            Experiment::Pause => "a box freezes, is sealed, and wakes up",
-            Experiment::Outage => "the platform is down for everyone",
-            Experiment::LostAnswers => "writes land, but their answers are lost",
-            Experiment::RetryStorm => "each request is sent ten times at once to all boxes",
-            Experiment::TopUp => "a budget runs out, is topped up and lowered meanwhile",
-            Experiment::AllAtOnce => "cuts, crashes, freezes, outages and lost answers together",
-            Experiment::MixedLoad => "pings and chats alone, then beside long prompts",
+            Experiment::Path => "latency added to the first byte, and requests per core",
+            Experiment::Partition => "a zone is cut off from all other boxes and the platform",
+            Experiment::Crash => "boxes die with requests in flight and restart",
+            Experiment::Pause => "a box is suspended, is sealed, and resumes",
+            Experiment::Outage => "the platform is down for all boxes",
+            Experiment::LostAnswers => "the platform applies writes, but its responses are lost",
+            Experiment::RetryStorm => "each request is sent ten times concurrently to all boxes",
+            Experiment::TopUp => "budgets are exhausted, topped up and lowered under load",
+            Experiment::AllAtOnce => "all faults combined",
+            Experiment::MixedLoad => "pings and chats alone, then together with long prompts",
             Experiment::DrainEndpoint => "an endpoint leaves under load",
-            Experiment::RollingRestart => "every router is stopped by plan and started again",
-            Experiment::ConfigRace => "one resource changes again and again, a box cut off",
-            Experiment::Steady => "platform writes against latency at several spacings",
-            Experiment::Herd => "eight boxes choose from reports two seconds late",
-            Experiment::Slopes => "what each mechanism costs as it grows",
-            Experiment::Capacity => "the size to design for, from measured slopes",
+            Experiment::RollingRestart => "routers are restarted one after the other under load",
+            Experiment::ConfigRace => "one resource changes repeatedly, a box is cut off",
+            Experiment::Steady => "platform writes and latency by interval of journal writes",
+            Experiment::Herd => "boxes select endpoints from outdated load reports",
+            Experiment::Slopes => "cost of each mechanism as a function of size",
+            Experiment::Capacity => "costs of a large deployment, from measured slopes",
         }
     }
 
@@ -137,7 +137,7 @@
     }
 }
 
-/// Runs the experiment of the options.
+/// Runs the experiment that the options name.
 pub fn run(options: &Options) -> Result<Code, String> {
     if options.version {
         println!("flintbench {}", env!("CARGO_PKG_VERSION"));
@@ -155,7 +155,7 @@
     }
     let found = Experiment::ALL.into_iter().find(|experiment| experiment.name() == name);
     let experiment =
-        found.ok_or_else(|| format!("no experiment `{name}`; `flintbench list` names them"))?;
+        found.ok_or_else(|| format!("unknown experiment `{name}`; see `flintbench list`"))?;
     if experiment == Experiment::Capacity && !options.json {
         print!("{}", capacity::table());
         return Ok(Code::Success);
--- a/crates/flintbench/src/herd.rs
+++ b/crates/flintbench/src/herd.rs
@@ -1,7 +1,8 @@
-//! Eight boxes choose among the same endpoints from reports that are two seconds old.
+//! Simulates boxes that select among the same endpoints from outdated load reports, where a herd of
+//! requests may follow each report.
 //!
-//! The choices are the router's own (`balance::Pool`); endpoints are queues in model time, so that
-//! three policies meet the same arrivals.
+//! Selection is the router's own (`balance::Pool`). Endpoints are queues in simulated time, and all
+//! policies see the same arrivals.
 
 use std::{collections::BinaryHeap, sync::Arc, time::Duration};
 
@@ -13,24 +14,27 @@
 use crate::{cli::Options, report::Report, stats::Times};
 
 const ENDPOINTS: usize = 12;
+/// Requests that an endpoint runs concurrently.
 const SLOTS: usize = 8;
-/// Age of load reports, and time between two of them, in milliseconds.
+/// Age at which load reports reach the boxes, in milliseconds.
 const LATE_MS: u64 = 2_000;
+/// Interval between load reports of an endpoint, in milliseconds.
 const REPORT_MS: u64 = 500;
-/// Time between two exchanges of boxes, in milliseconds.
+/// Interval at which boxes send their loads to each other, in milliseconds.
 const TELL_MS: u64 = 300;
-/// Mean time that a request takes once it runs, in milliseconds.
+/// Mean service time of a request, in milliseconds.
 const WORK_MS: f64 = 400.0;
-/// Share of the endpoints' capacity that arrives.
+/// Arriving work as a share of the endpoints' capacity.
 const UTILIZATION: f64 = 0.8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// The router's: late reports corrected by own and peers' dispatches.
+    /// The router's policy: delayed reports, corrected by the requests that this box and its peers
+    /// sent since.
     Estimated,
-    /// One endpoint after the other.
+    /// Each box cycles through the endpoints.
     RoundRobin,
-    /// The lowest load in the newest report.
+    /// The endpoint with the lowest load in the newest report.
     LeastReported,
 }
 
@@ -107,7 +111,7 @@
             Policy::Estimated => {
                 let pool = &self.pools[at];
                 let choice = pool.choose(&Prefix::default(), &[], now, &mut self.random);
-                let name = choice.expect("no endpoint is leaving").name;
+                let name = choice.expect("all endpoints are available").name;
                 self.names.iter().position(|known| *known == name).unwrap_or(0)
             }
             Policy::RoundRobin => {
@@ -149,7 +153,8 @@
         }
     }
 
-    /// Every endpoint counts now; boxes get what was counted two seconds ago.
+    /// Records the load of each endpoint, and passes the newest record of age [`LATE_MS`] to the
+    /// boxes.
     fn report(&mut self, now: u64) {
         for (index, server) in self.servers.iter_mut().enumerate() {
             let (running, waiting) = (server.running as u32, server.queue.len() as u32);
@@ -174,7 +179,7 @@
     }
 }
 
-/// Waiting times under three policies and the same arrivals.
+/// Measures queueing times under each policy with the same arrivals.
 pub fn run(options: &Options) -> Report {
     let boxes = options.boxes.unwrap_or(8);
     let lasting = options.seconds.unwrap_or(60) * 1_000;
--- a/crates/flintbench/src/load.rs
+++ b/crates/flintbench/src/load.rs
@@ -1,4 +1,4 @@
-//! Requests as callers send them: through a balancer, at random moments, with retries.
+//! Generates requests as callers do: through a balancer, at random times, with retries.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,26 +8,26 @@
 use tokio::{task::JoinSet, time::Instant};
 use trial::{Caller, Fleet, Outcome, Request};
 
-/// Times that a caller without a whole answer asks again with the same key.
+/// Retries of a request without a complete response; they use the same key.
 const RETRIES: usize = 2;
-/// Wait before a retry.
+/// Delay before a retry.
 const AGAIN: Duration = Duration::from_millis(150);
 
-/// Boxes that the platform's balancer sends callers to.
+/// Simulates the platform's balancer, which sends each request to one of the ready boxes.
 #[derive(Debug, Clone, Default)]
 pub struct Balancer(Arc<Mutex<Vec<Option<SocketAddr>>>>);
 
-/// Tickets of each box, by its address.
+/// Tickets that calls to the `cancel` service use up, by address of the box that issued them.
 type Tickets = HashMap<SocketAddr, Vec<String>>;
 
 impl Balancer {
-    /// All boxes of a fleet.
+    /// Creates a balancer over all boxes of a fleet.
     pub fn of(fleet: &Fleet) -> Balancer {
         let boxes = fleet.nodes.iter().map(|node| Some(node.callers())).collect();
         Balancer(Arc::new(Mutex::new(boxes)))
     }
 
-    /// Sends callers to a box at this address, or no longer.
+    /// Sets the address of a box; with `None` it gets no more requests.
     pub fn set(&self, index: usize, address: Option<SocketAddr>) {
         self.0.lock()[index] = address;
     }
@@ -48,37 +48,38 @@
     }
 }
 
-/// One request of a load, for baselines to replay.
+/// A request that was sent, for baselines to replay.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// When it came, in milliseconds from the start.
+    /// Arrival time, in milliseconds since the start.
     pub at: u64,
-    /// Box that got it.
+    /// Index of the box that received it.
     pub index: usize,
-    /// Worst case, in tokens.
+    /// Most tokens that it may use.
     pub worst: u64,
-    /// Tokens that it uses.
+    /// Tokens that it actually uses.
     pub used: u64,
 }
 
-/// What kind of requests to send.
+/// Composition of a load.
 #[derive(Debug, Clone)]
 pub struct Mix {
-    /// Customer and budgets to draw from.
+    /// Pairs of customer and budget, of which each request uses a random one.
     pub budgets: Vec<(String, String)>,
-    /// Requests a second.
+    /// Mean requests per second.
     pub rate: f64,
-    /// How long.
+    /// Duration of the load.
     pub lasting: Duration,
-    /// Share of plain service calls that may be repeated.
+    /// Share of requests that are repeatable service calls.
     pub lookups: f64,
-    /// Share of unrepeatable service calls.
+    /// Share of requests that are unrepeatable service calls.
     pub cancels: f64,
-    /// Most output tokens.
+    /// Maximum output tokens of a chat.
     pub output: u64,
 }
 
-/// Sends a load and waits for all its answers; returns what came when.
+/// Sends a load with exponentially distributed gaps, waits for all responses and returns the
+/// requests.
 pub async fn send(caller: &Caller, balancer: &Balancer, mix: &Mix, seed: u64) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut tickets = take_tickets(caller, balancer, mix).await;
@@ -114,9 +115,9 @@
     arrivals
 }
 
-/// A desk takes tickets of every box while all is well.
+/// Obtains tickets from every box before faults begin.
 async fn take_tickets(caller: &Caller, balancer: &Balancer, mix: &Mix) -> Tickets {
-    let (customer, budget) = mix.budgets.first().expect("a mix has budgets");
+    let (customer, budget) = mix.budgets.first().expect("a mix has at least one budget");
     let boxes: Vec<SocketAddr> = balancer.0.lock().iter().flatten().copied().collect();
     let mut tickets = Tickets::new();
     for to in boxes {
@@ -126,7 +127,7 @@
 }
 
 fn draw(mix: &Mix, number: u64, seed: u64, random: &mut ChaCha8Rng) -> Request {
-    let (customer, budget) = mix.budgets.choose(random).expect("a mix has budgets");
+    let (customer, budget) = mix.budgets.choose(random).expect("a mix has at least one budget");
     let key = format!("s{seed}-r{number}");
     let kind: f64 = random.random();
     if kind < mix.cancels {
@@ -141,7 +142,8 @@
     Request { output, max_tokens, stream, ..Request::chat(customer, budget, &key) }
 }
 
-/// Asks until there is an answer or a truthful refusal, as a careful caller does.
+/// Sends a request and retries it at other boxes until it is answered or refused without having
+/// run.
 async fn insist(
     caller: &Caller,
     balancer: &Balancer,
--- a/crates/flintbench/src/main.rs
+++ b/crates/flintbench/src/main.rs
@@ -1,4 +1,5 @@
-//! Load and experiments against real router code and the stand-ins, in one process on loopback.
+//! Runs load and fault experiments on routers, simulated endpoints and a simulated platform, in one
+//! process over loopback.
 
 mod baseline;
 mod capacity;
--- a/crates/flintbench/src/money.rs
+++ b/crates/flintbench/src/money.rs
@@ -1,4 +1,4 @@
-//! Experiments on money and truth, each with its baselines over the same arrivals.
+//! Experiments on token accounting under faults, each with baselines over the same arrivals.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     stats::Times,
 };
 
-/// Longest wait for the books to settle after the load.
+/// Timeout for all requests to be settled after the load.
 const SETTLE: Duration = Duration::from_secs(60);
-/// Tokens paid for each budget where they should suffice.
+/// Tokens paid for each budget in experiments that must not exhaust it.
 const AMPLE: u64 = 2_000_000;
-/// Faults printed in full.
+/// Maximum number of violations of the audit that are printed.
 const FAULTS_SHOWN: usize = 5;
-/// Time until the balancer notices that a box is gone.
+/// Delay until the balancer notices that a box has died.
 const NOTICED: Duration = Duration::from_millis(300);
 
 struct Scene {
@@ -34,12 +34,12 @@
     calls_before: u64,
 }
 
-/// What came of a load.
+/// A load that was sent, for the report.
 struct Sent {
     arrivals: Vec<Arrival>,
     faults: Vec<Fault>,
     lasting: u64,
-    /// Journals sealed and tokens that came back a few seconds after a crash, if measured.
+    /// Additional figures for the report.
     extra: Vec<(&'static str, serde_json::Value)>,
 }
 
@@ -76,7 +76,7 @@
             cancels: 0.1,
             output: 16,
         };
-        // Boxes draw their first parts before anything goes wrong.
+        // Boxes draw their first tokens before faults begin.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         let usage = fleet.platform.memory().usage();
         Scene {
@@ -105,7 +105,7 @@
         self.part(share).as_millis() as u64
     }
 
-    /// Ends a load: settles, audits, and replays the baselines.
+    /// Waits until all requests are settled, audits them and runs the baselines.
     async fn close(self, sent: Sent) -> Report {
         let usage = self.fleet.platform.memory().usage();
         let seconds = sent.lasting as f64 / 1_000.0;
@@ -141,13 +141,13 @@
     }
 }
 
-/// Refusals although budget and capacity existed: all of them, where tokens suffice.
+/// Counts refused requests. All are false where budgets are not exhausted.
 fn false_refusals(fleet: &Fleet) -> u64 {
     let responses = fleet.caller.responses();
     responses.iter().filter(|got| got.outcome == Outcome::NotRun).count() as u64
 }
 
-/// A zone loses all other boxes and the platform.
+/// Cuts a zone off from all other boxes and the platform.
 pub async fn partition(options: &Options) -> Report {
     let scene = Scene::open(options, AMPLE, |_| {}).await;
     let zone: Vec<usize> = (0..scene.boxes).filter(|index| index % 3 == 0).collect();
@@ -163,7 +163,7 @@
     scene.close(Sent { arrivals, faults, lasting, extra: Vec::new() }).await
 }
 
-/// Boxes die with requests under way and start again.
+/// Kills boxes with requests in flight and restarts them.
 pub async fn crash(options: &Options) -> Report {
     let mut scene = Scene::open(options, AMPLE, |_| {}).await;
     let load = scene.load();
@@ -190,7 +190,7 @@
     report
 }
 
-/// Online tokens that sealed holders still have once the load is over.
+/// Returns the online tokens that sealed holders still have after the load.
 async fn online_of_dead(fleet: &Fleet) -> serde_json::Value {
     let mut online = 0;
     for (_, budgets) in &fleet.plan.customers {
@@ -203,7 +203,7 @@
     json!(online)
 }
 
-/// A box freezes, is sealed, and wakes up.
+/// Suspends a box for long enough to be sealed, then resumes it.
 pub async fn pause(options: &Options) -> Report {
     let mut scene = Scene::open(options, AMPLE, |_| {}).await;
     let load = scene.load();
@@ -217,7 +217,7 @@
     scene.close(Sent { arrivals, faults, lasting, extra: Vec::new() }).await
 }
 
-/// The platform is down for everyone.
+/// Takes the platform down for all boxes.
 pub async fn outage(options: &Options) -> Report {
     let scene = Scene::open(options, AMPLE, |_| {}).await;
     let load = scene.load();
@@ -256,7 +256,7 @@
     scene.close(Sent { arrivals, faults: Vec::new(), lasting, extra: Vec::new() }).await
 }
 
-/// Each request is sent ten times at once to all boxes.
+/// Sends each request ten times concurrently, distributed over all boxes.
 pub async fn retry_storm(options: &Options) -> Report {
     let scene = Scene::open(options, AMPLE, |_| {}).await;
     let count = options.requests.unwrap_or(100);
@@ -282,14 +282,14 @@
     scene.close(Sent { arrivals: Vec::new(), faults: Vec::new(), lasting, extra }).await
 }
 
-/// A budget runs out, is topped up and lowered meanwhile.
+/// Exhausts budgets, and tops them up and lowers them under load.
 pub async fn top_up(options: &Options) -> Report {
     let paid = 2_500;
     let scene = Scene::open(options, paid, |plan| plan.offline_share = Some(100)).await;
     let load = scene.load();
     let topped = paid * 3;
     let steps = [(0.4, topped), (0.2, topped / 2), (0.2, topped * 2)];
-    // Two budgets end with twice `topped` each.
+    // Each of the two budgets ends with twice `topped`.
     for (share, paid) in steps {
         tokio::time::sleep(scene.part(share)).await;
         for budget in ["bornova", "buca"] {
@@ -304,7 +304,7 @@
     let exhausted = responses.iter().filter(|got| got.reason == "budget_exhausted").count();
     let extra = vec![("refused_exhausted", json!(exhausted))];
     let mut report = scene.close(Sent { arrivals, faults: Vec::new(), lasting, extra }).await;
-    // What was refused for want of tokens is judged by what was left unserved, not counted here.
+    // Refusals of exhausted budgets are assessed by `paid_and_not_served` instead.
     let refused = report.figures["refused_not_run"].as_u64().unwrap_or(0);
     report.add("false_refusals", refused - exhausted as u64);
     let served = report.figures["served_tokens"].as_u64().unwrap_or(0);
@@ -312,7 +312,7 @@
     report
 }
 
-/// Cuts, crashes, freezes, outages and lost answers together.
+/// Combines partitions, crashes, suspensions, outages and lost responses.
 pub async fn all_at_once(options: &Options) -> Report {
     let mut scene = Scene::open(options, AMPLE, |_| {}).await;
     let load = scene.load();
@@ -344,7 +344,7 @@
     scene.close(Sent { arrivals, faults, lasting, extra: Vec::new() }).await
 }
 
-/// Steady load at several spacings of journal writes: platform writes against latency.
+/// Measures platform writes and latency under steady load, at several intervals of journal writes.
 pub async fn steady(options: &Options) -> Report {
     let mut last = Report::default();
     let mut rows = Vec::new();
--- a/crates/flintbench/src/path.rs
+++ b/crates/flintbench/src/path.rs
@@ -1,4 +1,4 @@
-//! What a router adds to the first byte, and how many requests a core carries.
+//! Latency that a router adds to the first byte, and requests per core.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,12 +9,12 @@
 
 use crate::{cli::Options, report::Report, stats::Times};
 
-/// Requests at once in the throughput part.
+/// Concurrent requests in the throughput measurement.
 const AT_ONCE: usize = 64;
-/// Platform delay of the second part.
+/// Platform delay of the second latency measurement.
 const SLOW: Duration = Duration::from_millis(3);
 
-/// Measures added latency at 0 ms and 3 ms platforms, then requests per core.
+/// Measures the added latency with platform delays of 0 ms and 3 ms, then requests per core.
 pub async fn run(options: &Options) -> Report {
     let requests = options.requests.unwrap_or(1_000);
     let mut report = Report { sound: true, ..Report::default() };
@@ -63,7 +63,7 @@
     fleet
 }
 
-/// First-byte times straight to the endpoint and through the router, in turns.
+/// Measures times to first byte, alternately directly at the endpoint and through the router.
 async fn latencies(fleet: &Fleet, requests: u64) -> (Times, Times) {
     let caller = Caller::new(Duration::from_secs(10));
     let (mut direct, mut routed) = (Times::default(), Times::default());
@@ -73,7 +73,7 @@
         let ask = Request { output: 1, max_tokens: 1, ..chat };
         let straight = caller.send(engine, &ask).await;
         let through = caller.send(fleet.callers_address(0), &ask).await;
-        // The first requests open connections.
+        // Warm-up: the first requests open connections.
         if number >= 20 {
             direct.add(straight.time_to_first_byte);
             routed.add(through.time_to_first_byte);
@@ -113,11 +113,11 @@
     answered
 }
 
-/// Processor seconds of all threads of this process with a name.
+/// Returns the CPU seconds used by all threads of this process with this name.
 ///
-/// Each router of a fleet has one thread, named after its box.
+/// Each router of a fleet runs on one thread, named after its box.
 pub fn thread_cpu(name: &str) -> f64 {
-    /// Clock ticks a second in `/proc`, fixed by the kernel's interface.
+    /// Clock ticks per second in `/proc`, fixed by the kernel's user-space interface.
     const TICKS: f64 = 100.0;
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return 0.0 };
     let mut ticks = 0.0;
--- a/crates/flintbench/src/plot.rs
+++ b/crates/flintbench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Bars of an experiment's figures as SVG.
+//! Bar charts of an experiment's figures as SVG.
 
 use std::path::Path;
 
@@ -8,9 +8,10 @@
 /// Size of the picture, in pixels.
 const SIZE: (u32, u32) = (960, 540);
 
-/// Draws the figures of a file into another one, under the name of the first.
+/// Draws the figures in the JSON file `figures` into `picture`, titled with the name of the JSON
+/// file.
 pub fn draw_file(figures: &Path, picture: Option<&Path>) -> Result<(), String> {
-    let picture = picture.ok_or("`--figures` needs `--plot`, where to draw them")?;
+    let picture = picture.ok_or("`--figures` requires `--plot`")?;
     let unread =
         |error: &dyn std::fmt::Display| format!("cannot read {}: {error}", figures.display());
     let text = std::fs::read_to_string(figures).map_err(|error| unread(&error))?;
@@ -19,7 +20,8 @@
     draw(picture, &title, &object)
 }
 
-/// Draws all plain numbers of a report, with those of its baselines beside them.
+/// Draws a bar for each number in a report; numbers in nested objects are prefixed with the
+/// object's name.
 pub fn draw(path: &Path, title: &str, figures: &Map<String, Value>) -> Result<(), String> {
     let bars = bars(figures);
     let most = bars.iter().map(|(_, value)| *value).fold(0.0, f64::max);
--- a/crates/flintbench/src/report.rs
+++ b/crates/flintbench/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment reports, and printing it.
+//! Results of an experiment and their output.
 
 use serde_json::{Map, Value};
 
@@ -9,12 +9,12 @@
 pub struct Report {
     /// Figures by name.
     pub figures: Map<String, Value>,
-    /// Whether everything that must always hold held.
+    /// Whether all invariants held.
     pub sound: bool,
 }
 
 impl Report {
-    /// A report that starts with the figures of an audit.
+    /// Creates a report from the figures of an audit.
     pub fn of(figures: &trial::Figures) -> Report {
         let Ok(Value::Object(map)) = serde_json::to_value(figures) else {
             return Report { figures: Map::new(), sound: figures.is_sound() };
@@ -27,13 +27,13 @@
         self.figures.insert(name.to_owned(), value.into());
     }
 
-    /// Adds a figure rounded to two digits.
+    /// Adds a figure rounded to two decimal places.
     pub fn add_rounded(&mut self, name: &str, value: f64) {
         self.add(name, (value * 100.0).round() / 100.0);
     }
 }
 
-/// Prints a report in the form asked for.
+/// Prints and plots a report as the options request.
 pub fn print(name: &str, report: &Report, options: &Options) -> Result<Code, String> {
     if !options.json {
         println!("{name}");
--- a/crates/flintbench/src/serve.rs
+++ b/crates/flintbench/src/serve.rs
@@ -1,4 +1,4 @@
-//! Experiments on load and change.
+//! Experiments with load during changes: mixed prompts, draining, restarts and configuration.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,9 +14,9 @@
     stats::Times,
 };
 
-/// Longest wait for the books to settle.
+/// Timeout for all requests to be settled after the load.
 const SETTLE: Duration = Duration::from_secs(30);
-/// Tokens paid, more than any of these spends.
+/// Tokens paid; more than any of these experiments uses.
 const AMPLE: u64 = 100_000_000;
 
 async fn open(options: &Options, boxes: usize, change: impl FnOnce(&mut Plan)) -> Fleet {
@@ -42,7 +42,8 @@
     report
 }
 
-/// Sends pings and chats, with or without long prompts beside them.
+/// Sends pings and chats, with or without concurrent long prompts. Returns times to first byte and
+/// gaps between events, by kind of request.
 async fn short_work(fleet: &Fleet, options: &Options, long: bool) -> BTreeMap<String, Times> {
     let seconds = options.seconds.unwrap_or(6);
     let end = Instant::now() + Duration::from_secs(seconds);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Pings and chats alone, then beside long prompts.
+/// Measures pings and chats alone, then together with long prompts.
 pub async fn mixed_load(options: &Options) -> Report {
     let engine = standin::Settings {
         speed: Speed { slots: 16, ..Speed::default() },
@@ -126,7 +127,8 @@
     }
 }
 
-/// An endpoint is marked as leaving in its pool, under load.
+/// Marks an endpoint as leaving in its pool under load. Afterwards no request may be cut off, and
+/// none sent to it more than 3 s later.
 pub async fn drain_endpoint(options: &Options) -> Report {
     let fleet = open(options, 4, |_| {}).await;
     let (caller, balancer) = (fleet.caller.clone(), Balancer::of(&fleet));
@@ -154,7 +156,8 @@
     report
 }
 
-/// Every router is stopped by plan and started again, one after the other, under load.
+/// Stops and restarts the routers one after the other under load. No request may be cut off and no
+/// tokens stranded.
 pub async fn rolling_restart(options: &Options) -> Report {
     let mut fleet = open(options, 4, |_| {}).await;
     let (caller, balancer) = (fleet.caller.clone(), Balancer::of(&fleet));
@@ -163,7 +166,7 @@
     let to = balancer.clone();
     let load = tokio::spawn(async move { send(&caller, &to, &mix, seed).await });
     for index in 0..fleet.nodes.len() {
-        // The balancer sees the box unready before it stops taking connections.
+        // The balancer sees the box as unready before the box stops accepting connections.
         balancer.set(index, None);
         fleet.nodes[index].stop().await;
         fleet.restart(index).await;
@@ -179,7 +182,8 @@
     report
 }
 
-/// Operators change one resource again and again, while a box is cut off from the platform.
+/// Changes one resource repeatedly while a box is cut off from the platform. Every box must receive
+/// each version, and none may return to an earlier one.
 pub async fn config_race(options: &Options) -> Report {
     let fleet = open(options, 8, |_| {}).await;
     fleet.links[1].set_cut(true);
--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! What each mechanism costs as it grows, measured at three or more sizes.
+//! Measures the cost of each mechanism at three or more sizes and fits a line to it.
 
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Duration};
 
@@ -27,8 +27,8 @@
         Series { unit, points }
     }
 
-    /// Least squares: cost per unit of size, cost at size 0, and the share of the spread that the
-    /// line explains.
+    /// Fits a line by least squares. Returns the slope, the cost at size 0 and the coefficient of
+    /// determination (R²).
     fn fit(&self) -> (f64, f64, f64) {
         let count = self.points.len() as f64;
         let mean = |part: fn(&(f64, f64)) -> f64| self.points.iter().map(part).sum::<f64>() / count;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Measures all slopes.
+/// Runs all measurements.
 pub async fn run(options: &Options) -> Report {
     let mut report = Report { sound: true, ..Report::default() };
     let mut add = |name: &str, series: Series| report.add(name, series.value());
@@ -89,7 +89,7 @@
 fn journal(records: u64) -> Journal {
     let mut journal = Journal::new(Incarnation::new("box-17", 17));
     for n in 1..=records {
-        journal.intend(record(n)).expect("an open journal takes intents");
+        journal.intend(record(n)).expect("an open journal accepts intents");
     }
     journal
 }
@@ -99,7 +99,7 @@
     Series::of("bytes by record", [10, 100, 1_000].map(point).to_vec())
 }
 
-/// Microseconds of one call, the fastest of five series.
+/// Returns the microseconds per call, from the fastest of five rounds of `times` calls.
 fn micros(times: u32, mut work: impl FnMut()) -> f64 {
     let once = |work: &mut dyn FnMut()| {
         let start = std::time::Instant::now();
@@ -114,7 +114,7 @@
         let base = journal(n);
         let cost = micros(40, || {
             let mut next = base.clone();
-            next.intend(record(n + 1)).expect("an open journal takes intents");
+            next.intend(record(n + 1)).expect("an open journal accepts intents");
             black_box(next.to_json());
         });
         (n as f64, cost)
@@ -128,7 +128,7 @@
     for holder in 0..holders {
         let draw = Draw { online: 10_000, offline: 2_000, ..Draw::default() };
         let name = Incarnation::new(&format!("box-{holder}"), holder);
-        ledger.draw(&name, draw, 1).expect("enough is paid");
+        ledger.draw(&name, draw, 1).expect("enough tokens are paid");
     }
     ledger
 }
@@ -153,7 +153,7 @@
         let mut base = Ledger::default();
         base.apply_paid(1 << 40, 1);
         let draw = Draw { online: n * 10, ..Draw::default() };
-        base.draw(&whole.incarnation, draw, 1).expect("enough is paid");
+        base.draw(&whole.incarnation, draw, 1).expect("enough tokens are paid");
         let cost = micros(10, || {
             let mut ledger = base.clone();
             black_box(ledger.fold("budget-00017", &whole));
@@ -197,16 +197,17 @@
     Series::of("bytes by busy endpoint", [0, 50, 500].map(point).to_vec())
 }
 
-/// Resident bytes of this process.
+/// Returns the resident memory of this process, in bytes.
 fn resident() -> f64 {
-    /// Page size on the machines this runs on.
+    /// Assumed page size, in bytes.
     const PAGE: f64 = 4_096.0;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|text| text.parse::<f64>().ok());
     pages.unwrap_or(0.0) * PAGE
 }
 
-/// Memory that things take. They are never freed, or the next measurement would reuse it.
+/// Returns by how much resident memory grows when a value is created. The value is leaked, since
+/// the next measurement would reuse its memory otherwise.
 fn grown<T>(make: impl FnOnce() -> T) -> f64 {
     let before = resident();
     let kept = make();
@@ -232,7 +233,7 @@
         });
         (n as f64, cost)
     };
-    // The largest first: the allocator keeps what it got, so a smaller one shows nothing after.
+    // A point is too low by the freed memory of earlier points that it reuses.
     let mut points = vec![point(10_000), point(30_000), point(91_000)];
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
     Series::of("bytes by budget declared", points)
@@ -298,7 +299,7 @@
     Series::of("us by output token", points)
 }
 
-/// Processor share, platform writes and reads of boxes without load.
+/// Measures the CPU usage of one box, and the platform writes and reads of all, without load.
 async fn idle(options: &Options) -> (Series, Series, Series) {
     const LASTING: Duration = Duration::from_secs(5);
     let (mut cpu, mut writes, mut reads) = (Vec::new(), Vec::new(), Vec::new());
