--- a/crates/flintbench/src/baseline.rs
+++ b/crates/flintbench/src/baseline.rs
@@ -12,21 +12,21 @@
 /// Duration of a timed lease, in milliseconds.
 const LEASE_MS: u64 = 3_000;
 /// Share of a budget in one timed lease, in thousandths.
-const LEASE_SHARE: u64 = 20;
+const LEASE_SHARE_PERMILLE: u64 = 20;
 
 /// A fault of a box. Times are in milliseconds since the start of the load.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// The platform is unreachable from the box.
-    Cut { index: usize, from: u64, to: u64 },
+    PlatformUnreachable { index: usize, from: u64, to: u64 },
     /// The box is suspended; requests that arrive meanwhile are dispatched when it resumes.
-    Frozen { index: usize, from: u64, to: u64 },
+    Suspended { index: usize, from: u64, to: u64 },
     /// The box dies and restarts without state.
     Crash { index: usize, at: u64 },
 }
 
 /// A load with faults, on which the baselines are run.
-pub struct World<'a> {
+pub struct Scenario<'a> {
     /// Requests in order of arrival.
     pub arrivals: &'a [Arrival],
     /// Faults in effect during the load.
@@ -36,7 +36,7 @@
     /// Tokens paid, of all budgets.
     pub paid: u64,
     /// Duration of the load, in milliseconds.
-    pub lasting: u64,
+    pub duration_ms: u64,
 }
 
 #[derive(Debug, Default)]
@@ -47,31 +47,33 @@
     writes: u64,
 }
 
-impl World<'_> {
-    fn is_cut(&self, index: usize, now: u64) -> bool {
+impl Scenario<'_> {
+    fn is_platform_unreachable(&self, index: usize, now: u64) -> bool {
         self.faults.iter().any(|fault| match fault {
-            Fault::Cut { index: cut, from, to } => *cut == index && (*from..*to).contains(&now),
-            Fault::Frozen { .. } | Fault::Crash { .. } => false,
+            Fault::PlatformUnreachable { index: affected, from, to } => {
+                *affected == index && (*from..*to).contains(&now)
+            }
+            Fault::Suspended { .. } | Fault::Crash { .. } => false,
         })
     }
 
     /// Returns when a request that arrives now is dispatched.
-    fn wakes(&self, index: usize, now: u64) -> u64 {
-        let frozen = self.faults.iter().find_map(|fault| match fault {
-            Fault::Frozen { index: frozen, from, to }
-                if *frozen == index && (*from..*to).contains(&now) =>
+    fn dispatched_at(&self, index: usize, now: u64) -> u64 {
+        let resumed_at = self.faults.iter().find_map(|fault| match fault {
+            Fault::Suspended { index: suspended, from, to }
+                if *suspended == index && (*from..*to).contains(&now) =>
             {
                 Some(*to)
             }
             _ => None,
         });
-        frozen.unwrap_or(now)
+        resumed_at.unwrap_or(now)
     }
 
-    fn crashes(&self, index: usize, from: u64, to: u64) -> bool {
+    fn has_crashed(&self, index: usize, from: u64, to: u64) -> bool {
         self.faults.iter().any(|fault| match fault {
-            Fault::Crash { index: dead, at } => *dead == index && *at > from && *at <= to,
-            Fault::Cut { .. } | Fault::Frozen { .. } => false,
+            Fault::Crash { index: crashed, at } => *crashed == index && *at > from && *at <= to,
+            Fault::PlatformUnreachable { .. } | Fault::Suspended { .. } => false,
         })
     }
 
@@ -86,7 +88,7 @@
     }
 
     fn figures(&self, tally: &Tally) -> Value {
-        let seconds = self.lasting as f64 / 1_000.0;
+        let seconds = self.duration_ms as f64 / 1_000.0;
         json!({
             "requests": self.arrivals.len(),
             "answered": self.arrivals.len() as u64 - tally.refused,
@@ -100,19 +102,19 @@
     /// Each box gets an equal part at the start, which is lost when the box dies.
     fn static_split(&self) -> Tally {
         let part = self.paid / self.boxes as u64;
-        let mut left = vec![part; self.boxes];
+        let mut remaining = vec![part; self.boxes];
         let mut tally = Tally { writes: self.boxes as u64, ..Tally::default() };
-        let mut last = vec![0; self.boxes];
+        let mut last_arrival = vec![0; self.boxes];
         for arrival in self.arrivals {
             let index = arrival.index;
-            if self.crashes(index, last[index], arrival.at) {
-                tally.stranded += std::mem::take(&mut left[index]);
+            if self.has_crashed(index, last_arrival[index], arrival.at_ms) {
+                tally.stranded += std::mem::take(&mut remaining[index]);
             }
-            last[index] = arrival.at;
-            match left[index] >= arrival.worst {
+            last_arrival[index] = arrival.at_ms;
+            match remaining[index] >= arrival.max_tokens {
                 true => {
-                    left[index] -= arrival.used;
-                    tally.served += arrival.used;
+                    remaining[index] -= arrival.used_tokens;
+                    tally.served += arrival.used_tokens;
                 }
                 false => tally.refused += 1,
             }
@@ -124,37 +126,39 @@
     /// to others, even if the box is unreachable. A box that was suspended dispatches the requests
     /// that it had accepted, also after its lease has expired.
     fn timed_lease(&self) -> Tally {
-        let share = self.paid * LEASE_SHARE / 1_000;
+        let share = self.paid * LEASE_SHARE_PERMILLE / 1_000;
         let mut central = self.paid;
         let mut leases: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
         let mut tally = Tally::default();
         for arrival in self.arrivals {
-            let (index, now) = (arrival.index, arrival.at);
+            let (index, now) = (arrival.index, arrival.at_ms);
             let expired: Vec<usize> = leases
                 .iter()
                 .filter(|(_, (until, _))| *until <= now)
                 .map(|(index, _)| *index)
                 .collect();
             for index in expired {
-                let (_, rest) = leases.remove(&index).unwrap_or_default();
-                central += rest;
+                let (_, remaining) = leases.remove(&index).unwrap_or_default();
+                central += remaining;
             }
-            let cut = self.is_cut(index, now);
-            if !cut && leases.get(&index).is_none_or(|(_, rest)| *rest < arrival.worst) {
-                let rest = leases.remove(&index).map_or(0, |(_, rest)| rest);
-                let taken = share.min(central + rest);
-                central = central + rest - taken;
-                leases.insert(index, (now + LEASE_MS, taken));
+            let is_unreachable = self.is_platform_unreachable(index, now);
+            if !is_unreachable
+                && leases.get(&index).is_none_or(|(_, remaining)| *remaining < arrival.max_tokens)
+            {
+                let remaining = leases.remove(&index).map_or(0, |(_, remaining)| remaining);
+                let leased = share.min(central + remaining);
+                central = central + remaining - leased;
+                leases.insert(index, (now + LEASE_MS, leased));
                 tally.writes += 1;
             }
             match leases.get_mut(&index) {
-                Some((until, rest)) if *rest >= arrival.worst => {
+                Some((until, remaining)) if *remaining >= arrival.max_tokens => {
                     // If the box resumes after the lease has expired, the tokens have been returned
                     // and are spent twice.
-                    if self.wakes(index, now) < *until {
-                        *rest -= arrival.used;
+                    if self.dispatched_at(index, now) < *until {
+                        *remaining -= arrival.used_tokens;
                     }
-                    tally.served += arrival.used;
+                    tally.served += arrival.used_tokens;
                 }
                 _ => tally.refused += 1,
             }
@@ -164,16 +168,16 @@
 
     /// Every request is reserved at the platform, and refused while the platform is unreachable.
     fn central_counter(&self) -> Tally {
-        let mut left = self.paid;
+        let mut remaining = self.paid;
         let mut tally = Tally::default();
         for arrival in self.arrivals {
-            let cut = self.is_cut(arrival.index, arrival.at);
-            if cut || left < arrival.worst {
+            let is_unreachable = self.is_platform_unreachable(arrival.index, arrival.at_ms);
+            if is_unreachable || remaining < arrival.max_tokens {
                 tally.refused += 1;
                 continue;
             }
-            left -= arrival.used;
-            tally.served += arrival.used;
+            remaining -= arrival.used_tokens;
+            tally.served += arrival.used_tokens;
             // One write to reserve, one to settle.
             tally.writes += 2;
         }
--- a/crates/flintbench/src/exit.rs
+++ b/crates/flintbench/src/exit.rs
@@ -8,7 +8,7 @@
     /// All invariants held.
     Success = 0,
     /// An invariant was violated.
-    Broken = 1,
+    InvariantViolated = 1,
     /// The command line or an input file is invalid.
     Usage = 2,
 }
--- a/crates/flintbench/src/experiment.rs
+++ b/crates/flintbench/src/experiment.rs
@@ -1,12 +1,12 @@
 //! Selects and runs experiments by name.
 
 use crate::{
-    capacity,
+    accounting, capacity, changes,
     cli::Options,
     exit::Code,
-    herd, money, path, plot,
+    herd, latency, plot,
     report::{self, Report},
-    serve, slopes,
+    slopes,
 };
 
 /// One experiment.
@@ -116,20 +116,20 @@
 
     async fn run(self, options: &Options) -> Report {
         match self {
-            Experiment::Path => path::run(options).await,
-            Experiment::Partition => money::partition(options).await,
-            Experiment::Crash => money::crash(options).await,
-            Experiment::Pause => money::pause(options).await,
-            Experiment::Outage => money::outage(options).await,
-            Experiment::LostAnswers => money::lost_answers(options).await,
-            Experiment::RetryStorm => money::retry_storm(options).await,
-            Experiment::TopUp => money::top_up(options).await,
-            Experiment::AllAtOnce => money::all_at_once(options).await,
-            Experiment::MixedLoad => serve::mixed_load(options).await,
-            Experiment::DrainEndpoint => serve::drain_endpoint(options).await,
-            Experiment::RollingRestart => serve::rolling_restart(options).await,
-            Experiment::ConfigRace => serve::config_race(options).await,
-            Experiment::Steady => money::steady(options).await,
+            Experiment::Path => latency::run(options).await,
+            Experiment::Partition => accounting::partition(options).await,
+            Experiment::Crash => accounting::crash(options).await,
+            Experiment::Pause => accounting::pause(options).await,
+            Experiment::Outage => accounting::outage(options).await,
+            Experiment::LostAnswers => accounting::lost_answers(options).await,
+            Experiment::RetryStorm => accounting::retry_storm(options).await,
+            Experiment::TopUp => accounting::top_up(options).await,
+            Experiment::AllAtOnce => accounting::all_at_once(options).await,
+            Experiment::MixedLoad => changes::mixed_load(options).await,
+            Experiment::DrainEndpoint => changes::drain_endpoint(options).await,
+            Experiment::RollingRestart => changes::rolling_restart(options).await,
+            Experiment::ConfigRace => changes::config_race(options).await,
+            Experiment::Steady => accounting::steady(options).await,
             Experiment::Herd => herd::run(options),
             Experiment::Slopes => slopes::run(options).await,
             Experiment::Capacity => capacity::run(),
--- a/crates/flintbench/src/path.rs
+++ b/crates/flintbench/src/latency.rs
@@ -7,22 +7,22 @@
 use tokio::time::Instant;
 use trial::{Caller, Fleet, Outcome, Plan, Request};
 
-use crate::{cli::Options, report::Report, stats::Times};
+use crate::{cli::Options, report::Report, stats::Durations};
 
 /// Concurrent requests in the throughput measurement.
-const AT_ONCE: usize = 64;
+const CONCURRENCY: usize = 64;
 /// Platform delay of the second latency measurement.
-const SLOW: Duration = Duration::from_millis(3);
+const PLATFORM_DELAY: Duration = Duration::from_millis(3);
 
 /// Measures the added latency with platform delays of 0 ms and 3 ms, then requests per core.
 pub async fn run(options: &Options) -> Report {
     let requests = options.requests.unwrap_or(1_000);
-    let mut report = Report { sound: true, ..Report::default() };
-    for (name, delay) in [("platform_0ms", Duration::ZERO), ("platform_3ms", SLOW)] {
-        let fleet = open(options, delay).await;
+    let mut report = Report { is_sound: true, ..Report::default() };
+    for (name, delay) in [("platform_0ms", Duration::ZERO), ("platform_3ms", PLATFORM_DELAY)] {
+        let fleet = start_fleet(options, delay).await;
         let (direct, routed) = latencies(&fleet, requests).await;
         let added = |quantile: f64| {
-            let added = routed.ms(quantile) - direct.ms(quantile);
+            let added = routed.quantile_ms(quantile) - direct.quantile_ms(quantile);
             (added * 1_000.0).round() / 1_000.0
         };
         let figures = json!({
@@ -31,7 +31,7 @@
         });
         report.add(name, figures);
     }
-    let fleet = open(options, Duration::ZERO).await;
+    let fleet = start_fleet(options, Duration::ZERO).await;
     let (per_second, per_core, cpu_us) = throughput(&fleet, requests * 4).await;
     report.add_rounded("requests_per_s", per_second);
     report.add_rounded("requests_per_s_per_core", per_core);
@@ -39,7 +39,7 @@
     report
 }
 
-async fn open(options: &Options, delay: Duration) -> Fleet {
+async fn start_fleet(options: &Options, delay: Duration) -> Fleet {
     let speed = Speed {
         step: Duration::ZERO,
         step_per_request: Duration::ZERO,
@@ -64,51 +64,51 @@
 }
 
 /// Measures times to first byte, alternately directly at the endpoint and through the router.
-async fn latencies(fleet: &Fleet, requests: u64) -> (Times, Times) {
+async fn latencies(fleet: &Fleet, requests: u64) -> (Durations, Durations) {
     let caller = Caller::new(Duration::from_secs(10));
-    let (mut direct, mut routed) = (Times::default(), Times::default());
+    let (mut direct, mut routed) = (Durations::default(), Durations::default());
     let engine = fleet.engines[0].address();
     for number in 0..requests {
         let chat = Request::chat("dental", "bornova", &format!("lat-{number}"));
-        let ask = Request { output: 1, max_tokens: 1, ..chat };
-        let straight = caller.send(engine, &ask).await;
-        let through = caller.send(fleet.callers_address(0), &ask).await;
+        let request = Request { output: 1, max_tokens: 1, ..chat };
+        let direct_response = caller.send(engine, &request).await;
+        let routed_response = caller.send(fleet.callers_address(0), &request).await;
         // Warm-up: the first requests open connections.
         if number >= 20 {
-            direct.add(straight.time_to_first_byte);
-            routed.add(through.time_to_first_byte);
+            direct.add(direct_response.time_to_first_byte);
+            routed.add(routed_response.time_to_first_byte);
         }
     }
     (direct, routed)
 }
 
 async fn throughput(fleet: &Fleet, requests: u64) -> (f64, f64, f64) {
-    let to = fleet.callers_address(0);
-    let cpu_before = thread_cpu("box-0");
+    let address = fleet.callers_address(0);
+    let cpu_before = thread_cpu_seconds("box-0");
     let start = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
-    for lane in 0..AT_ONCE as u64 {
-        let per_lane = requests / AT_ONCE as u64;
-        tasks.spawn(lane_of(to, lane, per_lane));
+    for lane in 0..CONCURRENCY as u64 {
+        let per_lane = requests / CONCURRENCY as u64;
+        tasks.spawn(send_sequentially(address, lane, per_lane));
     }
     let mut answered = 0;
     while let Some(done) = tasks.join_next().await {
         answered += done.unwrap_or(0);
     }
     let wall = start.elapsed().as_secs_f64();
-    let cpu = thread_cpu("box-0") - cpu_before;
+    let cpu = thread_cpu_seconds("box-0") - cpu_before;
     let answered = answered as f64;
     (answered / wall, answered / cpu.max(0.001), cpu * 1e6 / answered.max(1.0))
 }
 
-async fn lane_of(to: SocketAddr, lane: u64, count: u64) -> u64 {
+async fn send_sequentially(address: SocketAddr, lane: u64, count: u64) -> u64 {
     let caller = Caller::new(Duration::from_secs(20));
     let mut answered = 0;
     for number in 0..count {
         let chat = Request::chat("dental", "bornova", &format!("lane-{lane}-{number}"));
-        let ask = Request { output: 1, max_tokens: 1, ..chat };
-        let got = caller.send(to, &ask).await;
-        answered += u64::from(got.outcome == Outcome::Answered);
+        let request = Request { output: 1, max_tokens: 1, ..chat };
+        let response = caller.send(address, &request).await;
+        answered += u64::from(response.outcome == Outcome::Answered);
     }
     answered
 }
@@ -116,7 +116,7 @@
 /// Returns the CPU seconds used by all threads of this process with this name.
 ///
 /// Each router of a fleet runs on one thread, named after its box.
-pub fn thread_cpu(name: &str) -> f64 {
+pub fn thread_cpu_seconds(name: &str) -> f64 {
     /// Clock ticks per second in `/proc`, fixed by the kernel's user-space interface.
     const TICKS: f64 = 100.0;
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return 0.0 };
--- a/crates/flintbench/src/main.rs
+++ b/crates/flintbench/src/main.rs
@@ -1,18 +1,18 @@
 //! Runs load and fault experiments on routers, simulated endpoints and a simulated platform, in one
 //! process over loopback.
 
+mod accounting;
 mod baseline;
 mod capacity;
+mod changes;
 mod cli;
 mod exit;
 mod experiment;
 mod herd;
+mod latency;
 mod load;
-mod money;
-mod path;
 mod plot;
 mod report;
-mod serve;
 mod slopes;
 mod stats;
 
--- a/crates/flintbench/src/report.rs
+++ b/crates/flintbench/src/report.rs
@@ -10,16 +10,16 @@
     /// Figures by name.
     pub figures: Map<String, Value>,
     /// Whether all invariants held.
-    pub sound: bool,
+    pub is_sound: bool,
 }
 
 impl Report {
     /// Creates a report from the figures of an audit.
     pub fn of(figures: &trial::Figures) -> Report {
         let Ok(Value::Object(map)) = serde_json::to_value(figures) else {
-            return Report { figures: Map::new(), sound: figures.is_sound() };
+            return Report { figures: Map::new(), is_sound: figures.is_sound() };
         };
-        Report { figures: map, sound: figures.is_sound() }
+        Report { figures: map, is_sound: figures.is_sound() }
     }
 
     /// Adds a figure.
@@ -45,7 +45,7 @@
     if options.json {
         println!("{}", Value::Object(report.figures.clone()));
     }
-    Ok(if report.sound { Code::Success } else { Code::Broken })
+    Ok(if report.is_sound { Code::Success } else { Code::InvariantViolated })
 }
 
 fn print_values(indent: &str, values: &Map<String, Value>) {
--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 use trial::{Caller, Fleet, Plan, Request};
 
-use crate::{cli::Options, path::thread_cpu, report::Report};
+use crate::{cli::Options, latency::thread_cpu_seconds, report::Report};
 
 /// Measured sizes and costs of one mechanism.
 struct Series {
@@ -33,40 +33,41 @@
         let count = self.points.len() as f64;
         let mean = |part: fn(&(f64, f64)) -> f64| self.points.iter().map(part).sum::<f64>() / count;
         let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-        let covered: f64 = self.points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-        let spread: f64 = self.points.iter().map(|p| (p.0 - x).powi(2)).sum();
-        let slope = if spread > 0.0 { covered / spread } else { 0.0 };
+        let sum_xy: f64 = self.points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+        let sum_xx: f64 = self.points.iter().map(|p| (p.0 - x).powi(2)).sum();
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let base = y - slope * x;
-        let left: f64 = self.points.iter().map(|p| (p.1 - base - slope * p.0).powi(2)).sum();
+        let residual_sum: f64 =
+            self.points.iter().map(|p| (p.1 - base - slope * p.0).powi(2)).sum();
         let total: f64 = self.points.iter().map(|p| (p.1 - y).powi(2)).sum();
-        (slope, base, if total > 0.0 { 1.0 - left / total } else { 1.0 })
+        (slope, base, if total > 0.0 { 1.0 - residual_sum / total } else { 1.0 })
     }
 
     fn value(&self) -> Value {
-        let (slope, base, explained) = self.fit();
+        let (slope, base, r_squared) = self.fit();
         let round = |value: f64| (value * 1_000.0).round() / 1_000.0;
         let points: Vec<Value> = self.points.iter().map(|p| json!([p.0, round(p.1)])).collect();
         json!({
             "unit": self.unit, "per_unit": round(slope), "base": round(base),
-            "r2": round(explained), "points": points,
+            "r2": round(r_squared), "points": points,
         })
     }
 }
 
 /// Runs all measurements.
 pub async fn run(options: &Options) -> Report {
-    let mut report = Report { sound: true, ..Report::default() };
+    let mut report = Report { is_sound: true, ..Report::default() };
     let mut add = |name: &str, series: Series| report.add(name, series.value());
     add("journal_bytes", journal_bytes());
-    add("journal_write_us", journal_cpu());
+    add("journal_write_us", journal_write_micros());
     add("ledger_bytes_by_holder", ledger_bytes());
-    add("fold_us", fold_cpu());
-    add("choose_us", choose_cpu());
+    add("fold_us", fold_micros());
+    add("choose_us", choose_micros());
     add("exchange_bytes", exchange_bytes());
     add("account_bytes", account_bytes());
     add("config_bytes", config_bytes());
-    add("router_us_by_output_tokens", request_cpu(options).await);
-    let (cpu, writes, reads) = idle(options).await;
+    add("router_us_by_output_tokens", request_micros(options).await);
+    let (cpu, writes, reads) = idle_usage(options).await;
     add("idle_cpu_percent_by_boxes", cpu);
     add("idle_platform_writes_per_s_by_boxes", writes);
     add("idle_platform_reads_per_s_by_boxes", reads);
@@ -100,7 +101,7 @@
 }
 
 /// Returns the microseconds per call, from the fastest of five rounds of `times` calls.
-fn micros(times: u32, mut work: impl FnMut()) -> f64 {
+fn micros_per_call(times: u32, mut work: impl FnMut()) -> f64 {
     let once = |work: &mut dyn FnMut()| {
         let start = std::time::Instant::now();
         (0..times).for_each(|_| work());
@@ -109,10 +110,10 @@
     (0..5).map(|_| once(&mut work)).fold(f64::INFINITY, f64::min)
 }
 
-fn journal_cpu() -> Series {
+fn journal_write_micros() -> Series {
     let point = |n: u64| {
         let base = journal(n);
-        let cost = micros(40, || {
+        let cost = micros_per_call(40, || {
             let mut next = base.clone();
             next.intend(record(n + 1)).expect("an open journal accepts intents");
             black_box(next.to_json());
@@ -138,9 +139,9 @@
     Series::of("bytes by holder", [1, 8, 100, 390].map(point).to_vec())
 }
 
-fn fold_cpu() -> Series {
+fn fold_micros() -> Series {
     let point = |n: u64| {
-        let mut whole = Journal::new(Incarnation::new("box-0", 0));
+        let mut journal_of_bills = Journal::new(Incarnation::new("box-0", 0));
         for number in 1..=n {
             let outcome = Outcome {
                 position: number,
@@ -148,22 +149,22 @@
                 ended: Ended::Answered,
                 evidence: Evidence::Recorded,
             };
-            whole.records.push(Record { outcome: Some(outcome), ..record(number) });
+            journal_of_bills.records.push(Record { outcome: Some(outcome), ..record(number) });
         }
         let mut base = Ledger::default();
         base.apply_paid(1 << 40, 1);
         let draw = Draw { online: n * 10, ..Draw::default() };
-        base.draw(&whole.incarnation, draw, 1).expect("enough tokens are paid");
-        let cost = micros(10, || {
+        base.draw(&journal_of_bills.incarnation, draw, 1).expect("enough tokens are paid");
+        let cost = micros_per_call(10, || {
             let mut ledger = base.clone();
-            black_box(ledger.fold("budget-00017", &whole));
+            black_box(ledger.fold("budget-00017", &journal_of_bills));
         });
         (n as f64, cost)
     };
     Series::of("us by bill", [100, 1_000, 4_000].map(point).to_vec())
 }
 
-fn choose_cpu() -> Series {
+fn choose_micros() -> Series {
     let point = |n: usize| {
         let mut pool = Pool::new("zone-0".into(), Weights::default());
         let name = |i: usize| (Arc::from(format!("e{i}")), Arc::from(format!("zone-{}", i % 8)));
@@ -172,7 +173,8 @@
         let prefix = Prefix::of([text.as_str()]);
         pool.start(&"e1".into(), &prefix, 1);
         let mut random = ChaCha8Rng::seed_from_u64(1);
-        let cost = micros(200, || drop(black_box(pool.choose(&prefix, &[], 10, &mut random))));
+        let cost =
+            micros_per_call(200, || drop(black_box(pool.choose(&prefix, &[], 10, &mut random))));
         (n as f64, cost)
     };
     Series::of("us by endpoint", [12, 150, 1_500].map(point).to_vec())
@@ -182,14 +184,14 @@
     let point = |n: usize| {
         let busy =
             |i: usize| balance::Snapshot { name: format!("engine-{i:04}").into(), in_flight: 3 };
-        let told = wire::Status {
+        let status = wire::Status {
             in_flight: vec![("models".into(), (0..n).map(busy).collect())],
             newest: 1,
             versions: 1,
             platform: true,
         };
         let from = Incarnation::new("box-17", 17);
-        let frame = wire::Frame::Status(told);
+        let frame = wire::Frame::Status(status);
         let message = wire::Message { from, stamp: Timestamp::default(), frame };
         let bytes = wire::encode(&message, wire::NEWEST_FORMAT).map_or(0, |bytes| bytes.len());
         (n as f64, bytes as f64)
@@ -198,27 +200,27 @@
 }
 
 /// Returns the resident memory of this process, in bytes.
-fn resident() -> f64 {
+fn resident_bytes() -> f64 {
     /// Assumed page size, in bytes.
-    const PAGE: f64 = 4_096.0;
+    const PAGE_BYTES: f64 = 4_096.0;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|text| text.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
 /// Returns by how much resident memory grows when a value is created. The value is leaked, since
 /// the next measurement would reuse its memory otherwise.
-fn grown<T>(make: impl FnOnce() -> T) -> f64 {
-    let before = resident();
-    let kept = make();
-    let after = resident();
-    std::mem::forget(black_box(kept));
+fn resident_growth<T>(create: impl FnOnce() -> T) -> f64 {
+    let before = resident_bytes();
+    let value = create();
+    let after = resident_bytes();
+    std::mem::forget(black_box(value));
     (after - before).max(0.0)
 }
 
 fn config_bytes() -> Series {
     let point = |n: u64| {
-        let cost = grown(|| {
+        let cost = resident_growth(|| {
             let mut snapshot = Snapshot::default();
             for number in 0..n {
                 let spec =
@@ -241,7 +243,7 @@
 
 fn account_bytes() -> Series {
     let point = |n: u64| {
-        let cost = grown(|| {
+        let cost = resident_growth(|| {
             let entry = |number: u64| {
                 let name: Arc<str> = format!("budget-{number:05}").into();
                 (name, (ledger::Account::default(), ledger(8)))
@@ -253,7 +255,7 @@
     Series::of("bytes by budget held", vec![point(10_000), point(20_000), point(60_000)])
 }
 
-async fn request_cpu(options: &Options) -> Series {
+async fn request_micros(options: &Options) -> Series {
     let speed = Speed {
         step: Duration::from_micros(500),
         step_per_request: Duration::ZERO,
@@ -275,33 +277,33 @@
         plan.money.fold_ms = 1_000;
         let fleet = Fleet::spawn(plan).await;
         tokio::time::sleep(Duration::from_millis(800)).await;
-        let before = thread_cpu("box-0");
+        let before = thread_cpu_seconds("box-0");
         let requests = 800;
         let mut tasks = tokio::task::JoinSet::new();
         for lane in 0..16 {
-            let to = fleet.callers_address(0);
+            let address = fleet.callers_address(0);
             tasks.spawn(async move {
                 let caller = Caller::new(Duration::from_secs(30));
                 for number in 0..requests / 16 {
-                    let ask = Request {
+                    let request = Request {
                         output,
                         max_tokens: output,
                         ..Request::chat("dental", "bornova", &format!("l{lane}-{number}"))
                     };
-                    caller.send(to, &ask).await;
+                    caller.send(address, &request).await;
                 }
             });
         }
         while tasks.join_next().await.is_some() {}
-        let cpu = thread_cpu("box-0") - before;
+        let cpu = thread_cpu_seconds("box-0") - before;
         points.push((output as f64, cpu * 1e6 / f64::from(requests)));
     }
     Series::of("us by output token", points)
 }
 
 /// Measures the CPU usage of one box, and the platform writes and reads of all, without load.
-async fn idle(options: &Options) -> (Series, Series, Series) {
-    const LASTING: Duration = Duration::from_secs(5);
+async fn idle_usage(options: &Options) -> (Series, Series, Series) {
+    const IDLE_DURATION: Duration = Duration::from_secs(5);
     let (mut cpu, mut writes, mut reads) = (Vec::new(), Vec::new(), Vec::new());
     for boxes in [2, 8, 24] {
         let mut plan = Plan { seed: options.seed, boxes, ..Plan::default() };
@@ -309,11 +311,11 @@
         let fleet = Fleet::spawn(plan).await;
         tokio::time::sleep(Duration::from_secs(4)).await;
         let (usage, start) = (fleet.platform.memory().usage(), Instant::now());
-        let before = thread_cpu("box-0");
-        tokio::time::sleep(LASTING).await;
+        let before = thread_cpu_seconds("box-0");
+        tokio::time::sleep(IDLE_DURATION).await;
         let seconds = start.elapsed().as_secs_f64();
         let after = fleet.platform.memory().usage();
-        cpu.push((boxes as f64, (thread_cpu("box-0") - before) * 100.0 / seconds));
+        cpu.push((boxes as f64, (thread_cpu_seconds("box-0") - before) * 100.0 / seconds));
         writes.push((boxes as f64, (after.writes - usage.writes) as f64 / seconds));
         reads.push((boxes as f64, (after.reads - usage.reads) as f64 / seconds));
     }
--- a/crates/flintbench/src/stats.rs
+++ b/crates/flintbench/src/stats.rs
@@ -7,15 +7,15 @@
 
 /// A histogram of durations, with microsecond resolution.
 #[derive(Debug, Clone)]
-pub struct Times(Histogram<u64>);
+pub struct Durations(Histogram<u64>);
 
-impl Default for Times {
-    fn default() -> Times {
-        Times(Histogram::new(3).expect("three significant digits are supported"))
+impl Default for Durations {
+    fn default() -> Durations {
+        Durations(Histogram::new(3).expect("three significant digits are supported"))
     }
 }
 
-impl Times {
+impl Durations {
     /// Adds a duration.
     pub fn add(&mut self, time: Duration) {
         // `record` grows the histogram as needed; `saturating_record` would not.
@@ -23,12 +23,12 @@
     }
 
     /// Returns the duration at a quantile, in milliseconds.
-    pub fn ms(&self, quantile: f64) -> f64 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
     /// Adds all durations of another histogram.
-    pub fn merge(&mut self, other: &Times) {
+    pub fn merge(&mut self, other: &Durations) {
         let _ = self.0.add(&other.0);
     }
 
@@ -39,7 +39,7 @@
 
     /// Returns the count, and p50, p95 and p99 in milliseconds.
     pub fn summary(&self) -> Value {
-        let rounded = |quantile: f64| (self.ms(quantile) * 1_000.0).round() / 1_000.0;
+        let rounded = |quantile: f64| (self.quantile_ms(quantile) * 1_000.0).round() / 1_000.0;
         json!({
             "count": self.len(), "p50_ms": rounded(0.5), "p95_ms": rounded(0.95),
             "p99_ms": rounded(0.99),
@@ -47,7 +47,7 @@
     }
 }
 
-impl Extend<Duration> for Times {
+impl Extend<Duration> for Durations {
     fn extend<T: IntoIterator<Item = Duration>>(&mut self, times: T) {
         times.into_iter().for_each(|time| self.add(time));
     }
