--- a/crates/config/tests/forwards.rs
+++ b/crates/config/tests/monotonic.rs
@@ -1,6 +1,6 @@
-//! Accepted configuration moves forwards only, in whatever order versions arrive.
+//! The newest version wins, in whatever order versions arrive.
 
-use config::{Snapshot, Verdict, gate};
+use config::{Snapshot, Verdict, validate};
 use proptest::prelude::*;
 use resource::Kind;
 
@@ -9,22 +9,23 @@
 }
 
 #[test]
-fn an_invalid_source_is_not_accepted_and_says_why() {
-    let verdict = gate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
+fn an_invalid_source_is_refused_with_a_reason() {
+    let verdict =
+        validate(Kind::Budget, "b", 4, Some(r#"{"customer": "dis", "paid": -3}"#), Some(3));
     let Verdict::Invalid { reason } = verdict else { panic!("{verdict:?}") };
     assert!(reason.contains("paid"), "{reason}");
 }
 
 proptest! {
     #[test]
-    fn the_newest_version_seen_is_in_force(versions in prop::collection::vec(1u64..40, 1..30)) {
+    fn the_newest_version_is_applied(versions in prop::collection::vec(1u64..40, 1..30)) {
         let mut snapshot = Snapshot::default();
         let mut newest = 0;
         for version in versions {
             let deleted = version % 7 == 0;
             let text = source(version);
             let value = (!deleted).then_some(text.as_str());
-            match gate(Kind::Budget, "b", version, value, None) {
+            match validate(Kind::Budget, "b", version, value, None) {
                 Verdict::Accept(accepted) => {
                     prop_assert_eq!(snapshot.apply(&accepted).unwrap(), version > newest);
                 }
@@ -33,8 +34,8 @@
             newest = newest.max(version);
             let paid = snapshot.budgets.get("b").map(|budget| budget.paid);
             prop_assert_eq!(paid, (newest % 7 != 0).then_some(newest));
-            let again = gate(Kind::Budget, "b", newest, None, Some(newest));
-            prop_assert!(matches!(again, Verdict::Keep));
+            let again = validate(Kind::Budget, "b", newest, None, Some(newest));
+            prop_assert!(matches!(again, Verdict::UpToDate));
         }
     }
 }
--- a/crates/flintbench/src/baseline.rs
+++ b/crates/flintbench/src/baseline.rs
@@ -1,7 +1,7 @@
-//! Other ways of keeping a budget, replayed over the same arrivals and faults.
+//! Simpler budget algorithms, replayed over the same arrivals and faults for comparison.
 //!
-//! These are models of the decision alone: a request is granted or refused, tokens are spent or
-//! stranded. They have no latency, so they look better than they would be.
+//! Only the decision to grant or refuse a request is modeled, without latency, so the results are
+//! better than those of a real implementation.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 
 use crate::load::Arrival;
 
-/// Time that a timed lease runs, in milliseconds.
+/// Duration of a timed lease, in milliseconds.
 const LEASE_MS: u64 = 3_000;
-/// Share of a budget that one timed lease takes, in thousandths.
-const LEASE_SHARE: u64 = 20;
+/// Share of a budget in one timed lease, in thousandths.
+const LEASE_SHARE_PERMILLE: u64 = 20;
 
-/// Something that happens to a box in a baseline's world. Times in milliseconds.
+/// A fault of a box. Times are in milliseconds since the start of the load.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// The box does not reach the platform.
-    Cut { index: usize, from: u64, to: u64 },
-    /// The box is frozen; what came meanwhile is dispatched when it wakes.
-    Frozen { index: usize, from: u64, to: u64 },
-    /// The box dies and comes back empty.
+    /// The platform is unreachable from the box.
+    PlatformUnreachable { index: usize, from: u64, to: u64 },
+    /// The box is suspended; requests that arrive meanwhile are dispatched when it resumes.
+    Suspended { index: usize, from: u64, to: u64 },
+    /// The box dies and restarts without state.
     Crash { index: usize, at: u64 },
 }
 
-/// A world for baselines.
-pub struct World<'a> {
-    /// Requests.
+/// A load with faults, on which the baselines are run.
+pub struct Scenario<'a> {
+    /// Requests in order of arrival.
     pub arrivals: &'a [Arrival],
-    /// Faults.
+    /// Faults in effect during the load.
     pub faults: &'a [Fault],
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Tokens paid.
+    /// Tokens paid, of all budgets.
     pub paid: u64,
-    /// How long, in milliseconds.
-    pub lasting: u64,
+    /// Duration of the load, in milliseconds.
+    pub duration_ms: u64,
 }
 
 #[derive(Debug, Default)]
@@ -47,35 +47,37 @@
     writes: u64,
 }
 
-impl World<'_> {
-    fn is_cut(&self, index: usize, now: u64) -> bool {
+impl Scenario<'_> {
+    fn is_platform_unreachable(&self, index: usize, now: u64) -> bool {
         self.faults.iter().any(|fault| match fault {
-            Fault::Cut { index: cut, from, to } => *cut == index && (*from..*to).contains(&now),
-            Fault::Frozen { .. } | Fault::Crash { .. } => false,
+            Fault::PlatformUnreachable { index: affected, from, to } => {
+                *affected == index && (*from..*to).contains(&now)
+            }
+            Fault::Suspended { .. } | Fault::Crash { .. } => false,
         })
     }
 
-    /// When a request that comes now is dispatched.
-    fn wakes(&self, index: usize, now: u64) -> u64 {
-        let frozen = self.faults.iter().find_map(|fault| match fault {
-            Fault::Frozen { index: frozen, from, to }
-                if *frozen == index && (*from..*to).contains(&now) =>
+    /// Returns when a request that arrives now is dispatched.
+    fn dispatched_at(&self, index: usize, now: u64) -> u64 {
+        let resumed_at = self.faults.iter().find_map(|fault| match fault {
+            Fault::Suspended { index: suspended, from, to }
+                if *suspended == index && (*from..*to).contains(&now) =>
             {
                 Some(*to)
             }
             _ => None,
         });
-        frozen.unwrap_or(now)
+        resumed_at.unwrap_or(now)
     }
 
-    fn crashes(&self, index: usize, from: u64, to: u64) -> bool {
+    fn has_crashed(&self, index: usize, from: u64, to: u64) -> bool {
         self.faults.iter().any(|fault| match fault {
-            Fault::Crash { index: dead, at } => *dead == index && *at > from && *at <= to,
-            Fault::Cut { .. } | Fault::Frozen { .. } => false,
+            Fault::Crash { index: crashed, at } => *crashed == index && *at > from && *at <= to,
+            Fault::PlatformUnreachable { .. } | Fault::Suspended { .. } => false,
         })
     }
 
-    /// All baselines, by name.
+    /// Runs all baselines and returns their figures by name.
     pub fn run(&self) -> Map<String, Value> {
         let all = [
             ("static_split", self.static_split()),
@@ -86,7 +88,7 @@
     }
 
     fn figures(&self, tally: &Tally) -> Value {
-        let seconds = self.lasting as f64 / 1_000.0;
+        let seconds = self.duration_ms as f64 / 1_000.0;
         json!({
             "requests": self.arrivals.len(),
             "answered": self.arrivals.len() as u64 - tally.refused,
@@ -97,22 +99,22 @@
         })
     }
 
-    /// Each box gets an equal part once and for all; a part dies with its box.
+    /// Each box gets an equal part at the start, which is lost when the box dies.
     fn static_split(&self) -> Tally {
         let part = self.paid / self.boxes as u64;
-        let mut left = vec![part; self.boxes];
+        let mut remaining = vec![part; self.boxes];
         let mut tally = Tally { writes: self.boxes as u64, ..Tally::default() };
-        let mut last = vec![0; self.boxes];
+        let mut last_arrival = vec![0; self.boxes];
         for arrival in self.arrivals {
             let index = arrival.index;
-            if self.crashes(index, last[index], arrival.at) {
-                tally.stranded += std::mem::take(&mut left[index]);
+            if self.has_crashed(index, last_arrival[index], arrival.at_ms) {
+                tally.stranded += std::mem::take(&mut remaining[index]);
             }
-            last[index] = arrival.at;
-            match left[index] >= arrival.worst {
+            last_arrival[index] = arrival.at_ms;
+            match remaining[index] >= arrival.max_tokens {
                 true => {
-                    left[index] -= arrival.used;
-                    tally.served += arrival.used;
+                    remaining[index] -= arrival.used_tokens;
+                    tally.served += arrival.used_tokens;
                 }
                 false => tally.refused += 1,
             }
@@ -120,39 +122,43 @@
         tally
     }
 
-    /// Boxes lease a part for a time; at its end the rest is given to others, whether or not the
-    /// box was heard. A box that wakes up late dispatches what it had accepted before.
+    /// Boxes lease parts for a fixed time. When a lease expires, its remaining tokens are available
+    /// to others, even if the box is unreachable. A box that was suspended dispatches the requests
+    /// that it had accepted, also after its lease has expired.
     fn timed_lease(&self) -> Tally {
-        let share = self.paid * LEASE_SHARE / 1_000;
+        let share = self.paid * LEASE_SHARE_PERMILLE / 1_000;
         let mut central = self.paid;
         let mut leases: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
         let mut tally = Tally::default();
         for arrival in self.arrivals {
-            let (index, now) = (arrival.index, arrival.at);
+            let (index, now) = (arrival.index, arrival.at_ms);
             let expired: Vec<usize> = leases
                 .iter()
                 .filter(|(_, (until, _))| *until <= now)
                 .map(|(index, _)| *index)
                 .collect();
             for index in expired {
-                let (_, rest) = leases.remove(&index).unwrap_or_default();
-                central += rest;
+                let (_, remaining) = leases.remove(&index).unwrap_or_default();
+                central += remaining;
             }
-            let cut = self.is_cut(index, now);
-            if !cut && leases.get(&index).is_none_or(|(_, rest)| *rest < arrival.worst) {
-                let rest = leases.remove(&index).map_or(0, |(_, rest)| rest);
-                let taken = share.min(central + rest);
-                central = central + rest - taken;
-                leases.insert(index, (now + LEASE_MS, taken));
+            let is_unreachable = self.is_platform_unreachable(index, now);
+            if !is_unreachable
+                && leases.get(&index).is_none_or(|(_, remaining)| *remaining < arrival.max_tokens)
+            {
+                let remaining = leases.remove(&index).map_or(0, |(_, remaining)| remaining);
+                let leased = share.min(central + remaining);
+                central = central + remaining - leased;
+                leases.insert(index, (now + LEASE_MS, leased));
                 tally.writes += 1;
             }
             match leases.get_mut(&index) {
-                Some((until, rest)) if *rest >= arrival.worst => {
-                    // Frozen past its lease, its tokens went back and are spent again.
-                    if self.wakes(index, now) < *until {
-                        *rest -= arrival.used;
+                Some((until, remaining)) if *remaining >= arrival.max_tokens => {
+                    // If the box resumes after the lease has expired, the tokens have been returned
+                    // and are spent twice.
+                    if self.dispatched_at(index, now) < *until {
+                        *remaining -= arrival.used_tokens;
                     }
-                    tally.served += arrival.used;
+                    tally.served += arrival.used_tokens;
                 }
                 _ => tally.refused += 1,
             }
@@ -160,18 +166,18 @@
         tally
     }
 
-    /// Every request asks the platform; without it nothing is served.
+    /// Every request is reserved at the platform, and refused while the platform is unreachable.
     fn central_counter(&self) -> Tally {
-        let mut left = self.paid;
+        let mut remaining = self.paid;
         let mut tally = Tally::default();
         for arrival in self.arrivals {
-            let cut = self.is_cut(arrival.index, arrival.at);
-            if cut || left < arrival.worst {
+            let is_unreachable = self.is_platform_unreachable(arrival.index, arrival.at_ms);
+            if is_unreachable || remaining < arrival.max_tokens {
                 tally.refused += 1;
                 continue;
             }
-            left -= arrival.used;
-            tally.served += arrival.used;
+            remaining -= arrival.used_tokens;
+            tally.served += arrival.used_tokens;
             // One write to reserve, one to settle.
             tally.writes += 2;
         }
--- a/crates/flintstall/src/try_out.rs
+++ b/crates/flintstall/src/try_out.rs
@@ -1,8 +1,8 @@
-//! A whole fleet in one process, with a story that must add up.
+//! Runs a fleet in one process and verifies a scripted series of requests and its bills.
 
 use std::time::Duration;
 
-use trial::{Ask, Figures, Fleet, Got, Outcome, Plan, api_key};
+use trial::{Figures, Fleet, Outcome, Plan, Request, Response, api_key};
 
 use crate::{
     cli::Try,
@@ -11,103 +11,107 @@
     statement,
 };
 
-/// Tokens paid for the sample budget.
-const PAID: u64 = 600;
-/// Longest wait for the books to settle.
-const SETTLE: Duration = Duration::from_secs(20);
+/// Prepaid tokens of the sample budget.
+const PAID_TOKENS: u64 = 600;
+/// How long to wait until all requests are billed.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A request of the script, with the router that it is sent to and the expected outcome.
 struct Step {
-    said: &'static str,
-    to: usize,
-    ask: Ask,
-    want: Outcome,
+    description: &'static str,
+    router: usize,
+    request: Request,
+    expected: Outcome,
 }
 
-/// Runs the story; succeeds only if it all adds up.
-pub async fn try_out(choice: &Try) -> Code {
-    let customers = vec![("dental".to_owned(), vec![("bornova".to_owned(), PAID)])];
+/// Runs the script; succeeds only if all answers and the audit are as expected.
+pub async fn try_out(args: &Try) -> Code {
+    let customers = vec![("dental".to_owned(), vec![("bornova".to_owned(), PAID_TOKENS)])];
     let fleet = Fleet::spawn(Plan { customers, offline_share: Some(30), ..Plan::default() }).await;
     println!("A stand-in platform, 2 model endpoints, 1 plain service and 3 routers are running.");
-    println!("Budget `bornova` has {PAID} prepaid tokens.\n");
-    let mut as_told = true;
-    for step in story() {
-        let got = fleet.caller.ask(fleet.to(step.to), &step.ask).await;
-        as_told &= got.outcome == step.want;
-        report(&step, &got);
+    println!("Budget `bornova` has {PAID_TOKENS} prepaid tokens.\n");
+    let mut as_expected = true;
+    for step in script() {
+        let response = fleet.caller.send(fleet.callers_address(step.router), &step.request).await;
+        as_expected &= response.outcome == step.expected;
+        print_step(&step, &response);
     }
-    let settled = fleet.settle(SETTLE).await;
+    let settled = fleet.settle(SETTLE_TIMEOUT).await;
     let figures = fleet.audit().await;
     println!();
     let ledger = fleet.ledger("bornova").await;
     let bills: Vec<_> = ledger.statement.recent.iter().rev().cloned().collect();
     statement::print("bornova", &ledger, &bills);
-    let sound = settled && as_told && figures.is_sound();
-    verdict(sound, &figures);
-    if choice.json {
+    let passed = settled && as_expected && figures.is_sound();
+    print_verdict(passed, &figures);
+    if args.json {
         println!("{}", serde_json::to_string(&figures).unwrap_or_default());
     }
-    if choice.serve {
+    if args.serve {
         serve(&fleet).await;
     }
-    if sound { Code::Success } else { Code::Failure }
+    if passed { Code::Success } else { Code::Failure }
 }
 
-fn story() -> Vec<Step> {
-    let chat =
-        |key: &str| Ask { output: 12, max_tokens: 20, ..Ask::chat("dental", "bornova", key) };
-    let cancel = || Ask::service("dental", "bornova", "cancel", "cancel-chair-7");
+fn script() -> Vec<Step> {
+    let chat = |key: &str| Request {
+        output: 12,
+        max_tokens: 20,
+        ..Request::chat("dental", "bornova", key)
+    };
+    let cancel = || Request::service("dental", "bornova", "cancel", "cancel-chair-7");
     vec![
         Step {
-            said: "a streamed answer",
-            to: 0,
-            ask: chat("recall-note"),
-            want: Outcome::Answered,
+            description: "a streamed answer",
+            router: 0,
+            request: chat("recall-note"),
+            expected: Outcome::Answered,
         },
         Step {
-            said: "a plain answer, through another router",
-            to: 1,
-            ask: Ask { stream: false, ..chat("patient-message") },
-            want: Outcome::Answered,
+            description: "a plain answer, through another router",
+            router: 1,
+            request: Request { stream: false, ..chat("patient-message") },
+            expected: Outcome::Answered,
         },
         Step {
-            said: "an unrepeatable cancellation",
-            to: 2,
-            ask: cancel(),
-            want: Outcome::Answered,
+            description: "an unrepeatable cancellation",
+            router: 2,
+            request: cancel(),
+            expected: Outcome::Answered,
         },
         Step {
-            said: "its retry, which must not run again",
-            to: 2,
-            ask: cancel(),
-            want: Outcome::Answered,
+            description: "its retry, which must not run again",
+            router: 2,
+            request: cancel(),
+            expected: Outcome::Answered,
         },
         Step {
-            said: "a week's calendar, past the budget",
-            to: 0,
-            ask: Ask {
+            description: "a week's calendar, past the budget",
+            router: 0,
+            request: Request {
                 route: "calendar".into(),
                 max_tokens: 512,
                 prompt: "Draft the week. ".repeat(40),
                 ..chat("calendar")
             },
-            want: Outcome::NotRun,
+            expected: Outcome::NotRun,
         },
     ]
 }
 
-fn report(step: &Step, got: &Got) {
-    let told = match got.outcome {
-        Outcome::Answered if got.tokens > 0 => format!("answered, {} tokens", got.tokens),
-        Outcome::Answered => format!("answered: {}", got.body),
-        Outcome::NotRun => format!("refused, not run: {}", got.reason),
-        Outcome::Unknown => format!("unknown: {}", got.reason),
-        Outcome::Nothing => "no answer".to_owned(),
+fn print_step(step: &Step, response: &Response) {
+    let text = match response.outcome {
+        Outcome::Answered if response.tokens > 0 => format!("answered, {} tokens", response.tokens),
+        Outcome::Answered => format!("answered: {}", response.body),
+        Outcome::NotRun => format!("refused, not run: {}", response.reason),
+        Outcome::Unknown => format!("unknown: {}", response.reason),
+        Outcome::NoResponse => "no answer".to_owned(),
     };
-    let tone = if got.outcome == step.want { Tone::Good } else { Tone::Bad };
-    println!("  {:<40} {}", step.said, paint(tone, &told));
+    let tone = if response.outcome == step.expected { Tone::Good } else { Tone::Bad };
+    println!("  {:<40} {}", step.description, paint(tone, &text));
 }
 
-fn verdict(sound: bool, figures: &Figures) {
+fn print_verdict(passed: bool, figures: &Figures) {
     let line = format!(
         "{} requests: {} answered, {} refused and not run, {} unknown; \
          overspent {}, unbilled {}, billed twice {}, run twice {}",
@@ -121,7 +125,7 @@
         figures.ran_twice,
     );
     println!("\n{line}");
-    match sound {
+    match passed {
         true => println!("{}", paint(Tone::Good, "It all adds up.")),
         false => println!("{}", paint(Tone::Bad, "It does not add up.")),
     }
@@ -132,7 +136,7 @@
     println!("\nThe fleet stays up until interrupted. Try:\n");
     println!(
         "  curl -N http://{}/v1/chat/completions -H 'Authorization: Bearer {key}' \\",
-        fleet.to(0)
+        fleet.callers_address(0)
     );
     println!(
         "    -d '{{\"model\": \"assistant\", \"stream\": true, \"max_tokens\": 20, \
@@ -140,7 +144,7 @@
     );
     println!(
         "  curl http://{}/services/cancel/chairs/7 -X POST -H 'Authorization: Bearer {key}' \\",
-        fleet.to(1)
+        fleet.callers_address(1)
     );
     println!("    -H 'Idempotency-Key: cancel-7'");
     println!("  curl http://{}/metrics", fleet.nodes[0].operators());
--- a/crates/flintstalld/src/run.rs
+++ b/crates/flintstalld/src/run.rs
@@ -1,4 +1,4 @@
-//! From options to a running router and its planned stop.
+//! Runs a router or a gateway until a signal stops it.
 
 use std::path::{Path, PathBuf};
 
@@ -8,18 +8,18 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing_appender::non_blocking::ErrorCounter;
 
-use crate::{cli::Options, exit::Code, logs};
+use crate::{cli::Options, exit::Code, logging};
 
-/// Why the daemon ended.
+/// Why the daemon failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The flag is missing.
-    #[snafu(display("`--settings FILE` is needed; `--help` says more"))]
+    /// `--settings` is missing.
+    #[snafu(display("`--settings FILE` is required; see `--help`"))]
     NoSettings,
     /// The settings file cannot be read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     Read { path: PathBuf, source: std::io::Error },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Settings { path: PathBuf, source: jsonc::Error },
     /// The router did not start.
@@ -28,9 +28,9 @@
     /// The gateway did not start.
     #[snafu(display("{source}"))]
     Gateway { source: gateway::Error },
-    /// The operating system refused something.
-    #[snafu(display("{what}: {source}"))]
-    System { what: &'static str, source: std::io::Error },
+    /// A call to the operating system failed.
+    #[snafu(display("{action}: {source}"))]
+    System { action: &'static str, source: std::io::Error },
 }
 
 impl Error {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until SIGTERM or SIGINT.
 pub fn run(options: &Options) -> Result<(), Error> {
     if options.version {
         println!("flintstalld {}", env!("CARGO_PKG_VERSION"));
@@ -59,9 +59,9 @@
         println!("{}: the settings of box `{}` are valid", path.display(), settings.box_name);
         return Ok(());
     }
-    logs::open(&settings.log);
-    let runtime =
-        tokio::runtime::Runtime::new().context(SystemSnafu { what: "cannot start the runtime" })?;
+    logging::init(&settings.log);
+    let runtime = tokio::runtime::Runtime::new()
+        .context(SystemSnafu { action: "cannot start the runtime" })?;
     runtime.block_on(serve(settings))
 }
 
@@ -71,39 +71,39 @@
         println!("{}: the settings of box `{}` are valid", path.display(), settings.box_name);
         return Ok(());
     }
-    let (_flushed, dropped) = logs::open_bounded(&settings.log.level);
-    // One thread: a box has a fraction of one processor, and every wake-up counts.
+    let (_flush_guard, dropped_lines) = logging::init_non_blocking(&settings.log.level);
+    // A box has a fraction of one processor; a single thread avoids wake-ups between threads.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context(SystemSnafu { what: "cannot start the runtime" })?;
-    runtime.block_on(serve_gateway(path, settings, dropped))
+        .context(SystemSnafu { action: "cannot start the runtime" })?;
+    runtime.block_on(serve_gateway(path, settings, dropped_lines))
 }
 
 async fn serve_gateway(
     path: &Path,
     settings: gateway::Settings,
-    dropped: ErrorCounter,
+    dropped_lines: ErrorCounter,
 ) -> Result<(), Error> {
-    let failed = SystemSnafu { what: "cannot listen for signals" };
-    let mut terminate = signal(SignalKind::terminate()).context(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).context(failed)?;
-    let mut reload = signal(SignalKind::hangup()).context(failed)?;
+    let signal_context = SystemSnafu { action: "cannot listen for signals" };
+    let mut terminate = signal(SignalKind::terminate()).context(signal_context)?;
+    let mut interrupt = signal(SignalKind::interrupt()).context(signal_context)?;
+    let mut reload = signal(SignalKind::hangup()).context(signal_context)?;
     let gateway = Gateway::spawn(settings, rand::random()).await.context(GatewaySnafu)?;
-    gateway.count_dropped_lines(move || dropped.dropped_lines());
+    gateway.count_dropped_lines(move || dropped_lines.dropped_lines());
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = reload.recv() => reread(path, &gateway),
+            _ = reload.recv() => reload_settings(path, &gateway),
         }
     }
     gateway.stop().await;
     Ok(())
 }
 
-/// Reads the settings again. A file that is wrong leaves those in force as they are.
-fn reread(path: &Path, gateway: &Gateway) {
+/// Reloads the settings. If the file is unreadable or invalid, the current ones stay in force.
+fn reload_settings(path: &Path, gateway: &Gateway) {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
@@ -122,14 +122,14 @@
 async fn serve(settings: Settings) -> Result<(), Error> {
     let router = Router::spawn(settings, rand::random()).await.context(StartSnafu)?;
     tracing::info!(callers = %router.callers(), operators = %router.operators(), "listening");
-    let failed = SystemSnafu { what: "cannot listen for signals" };
-    let mut terminate = signal(SignalKind::terminate()).context(failed)?;
-    let mut interrupt = signal(SignalKind::interrupt()).context(failed)?;
+    let signal_context = SystemSnafu { action: "cannot listen for signals" };
+    let mut terminate = signal(SignalKind::terminate()).context(signal_context)?;
+    let mut interrupt = signal(SignalKind::interrupt()).context(signal_context)?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    tracing::info!("stopping by plan");
+    tracing::info!("shutting down gracefully");
     router.stop().await;
     tracing::info!("stopped");
     Ok(())
--- a/crates/flintstalld/tests/soak.rs
+++ b/crates/flintstalld/tests/soak.rs
@@ -1,114 +1,132 @@
-//! A short soak with fixed seeds, and every seed that ever failed.
+//! Short soak runs: fixed seeds, and all seeds that failed before.
 
 use std::{path::PathBuf, time::Duration};
 
-/// A seed that once failed, the load with which it did, and the cause.
+/// A soak run, with the cause of its failure if it failed before.
 struct Case {
     seed: u64,
     seconds: u64,
-    /// Whether endpoints name limits.
+    /// Whether endpoints announce rate limits.
     limits: bool,
-    /// Whether endpoints say that they leave, and ask for rest.
-    words: bool,
+    /// Whether endpoints announce that they leave and ask for back-off.
+    announcements: bool,
     cause: &'static str,
 }
 
 const CASES: [Case; 6] = [
-    Case { seed: 1, seconds: 12, limits: false, words: false, cause: "never failed" },
+    Case { seed: 1, seconds: 12, limits: false, announcements: false, cause: "never failed" },
     Case {
         seed: 2,
         seconds: 12,
         limits: false,
-        words: false,
-        cause: "bills lost with a planned stop while the store was away",
+        announcements: false,
+        cause: "bills lost in a graceful shutdown while the store was unreachable",
     },
     Case {
         seed: 3,
         seconds: 12,
         limits: false,
-        words: false,
-        cause: "the same, with all boxes killed before",
+        announcements: false,
+        cause: "bills lost in a graceful shutdown, after all boxes had been killed",
     },
     Case {
         seed: 5,
         seconds: 13,
         limits: false,
-        words: false,
-        cause: "bills lost that came after the lost answer to a page",
+        announcements: false,
+        cause: "bills lost that were added after the answer to a page's write was lost",
     },
-    Case { seed: 101, seconds: 12, limits: true, words: false, cause: "never failed" },
-    Case { seed: 401, seconds: 12, limits: true, words: true, cause: "never failed" },
+    Case { seed: 101, seconds: 12, limits: true, announcements: false, cause: "never failed" },
+    Case { seed: 401, seconds: 12, limits: true, announcements: true, cause: "never failed" },
 ];
 
-/// Seeds with bills of boxes that stopped by plan without the store.
-const HANDED_OVER: [Case; 2] = [
+/// Boxes shut down while the store is unreachable and hand their bills to other boxes.
+const BILLS_HANDED_OVER: [Case; 2] = [
     Case {
         seed: 35,
         seconds: 15,
         limits: false,
-        words: false,
-        cause: "the one box that took them was killed",
+        announcements: false,
+        cause: "the only box that received the bills was killed",
     },
     Case {
         seed: 36,
         seconds: 15,
         limits: false,
-        words: false,
-        cause: "the others did not know the box yet",
+        announcements: false,
+        cause: "the other boxes did not know the box yet",
     },
 ];
 
-/// A box that registers first is cut off from the store before it reads of another one, and stops by plan. It had nowhere to leave
-/// its bills; those that register after it greet it since.
-const ALONE: [Case; 1] = [Case {
+/// The first box to register loses the store before it learns of other boxes, and shuts down. It
+/// can hand over its bills only because boxes that register later contact it.
+const NO_KNOWN_PEERS: [Case; 1] = [Case {
     seed: 34,
     seconds: 13,
     limits: false,
-    words: false,
+    announcements: false,
     cause: "the box knew no other box",
 }];
 
-/// A box stops by plan while the store is away, and all boxes are killed at the end. The run waited for the box
-/// before it let the store come back, for which the box waited: the store was away until the box had given up.
-const HELD_UP: [Case; 3] = [
-    Case { seed: 222, seconds: 15, limits: true, words: true, cause: "one box held the run up" },
-    Case { seed: 248, seconds: 15, limits: true, words: true, cause: "the same" },
-    Case { seed: 432, seconds: 15, limits: true, words: true, cause: "the same, with two boxes" },
+/// A box shuts down while the store is unreachable, and all boxes are killed at the end. The store
+/// must return before the run waits for the box, because the box waits for the store.
+const WAITING_FOR_STORE: [Case; 3] = [
+    Case {
+        seed: 222,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "one box delayed the run",
+    },
+    Case {
+        seed: 248,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "one box delayed the run",
+    },
+    Case {
+        seed: 432,
+        seconds: 15,
+        limits: true,
+        announcements: true,
+        cause: "two boxes delayed the run",
+    },
 ];
 
 #[tokio::test]
-async fn no_promise_is_broken_under_random_faults() {
-    play(&CASES).await;
+async fn guarantees_hold_under_random_faults() {
+    run_cases(&CASES).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_without_the_store() {
-    play(&HANDED_OVER).await;
+async fn bills_survive_a_shutdown_without_the_store() {
+    run_cases(&BILLS_HANDED_OVER).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_before_it_knows_another() {
-    play(&ALONE).await;
+async fn bills_survive_a_shutdown_without_known_peers() {
+    run_cases(&NO_KNOWN_PEERS).await;
 }
 
 #[tokio::test]
-async fn no_bill_is_lost_with_a_box_that_stops_before_the_store_is_back() {
-    play(&HELD_UP).await;
+async fn bills_survive_a_shutdown_until_the_store_returns() {
+    run_cases(&WAITING_FOR_STORE).await;
 }
 
-async fn play(cases: &[Case]) {
+async fn run_cases(cases: &[Case]) {
     let daemon = PathBuf::from(env!("CARGO_BIN_EXE_flintstalld"));
-    for Case { seed, seconds, limits, words, cause } in cases {
+    for Case { seed, seconds, limits, announcements, cause } in cases {
         let options = soak::Options {
             folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak"),
             daemon: daemon.clone(),
             boxes: 5,
             length: Duration::from_secs(*seconds),
             limits: *limits,
-            words: *words,
+            announcements: *announcements,
         };
-        let report = soak::run(*seed, &options).await.expect("it can be played");
-        assert!(report.calls.1 > 100, "seed {seed} served little: {report:?}");
+        let report = soak::run(*seed, &options).await.expect("the soak run completes");
+        assert!(report.calls.1 > 100, "seed {seed}: too few requests were served: {report:?}");
         assert!(report.breaches.is_empty(), "seed {seed} ({cause}): {:#?}", report.breaches);
     }
 }
--- a/crates/jsonc/src/error.rs
+++ b/crates/jsonc/src/error.rs
@@ -1,38 +1,40 @@
-//! What can be wrong with a file.
+//! Errors in a file.
 
 use snafu::Snafu;
 
-/// Why a file was refused. Lines count from 1.
+/// Why a file was rejected. Lines count from 1.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Larger than any file of ours.
-    #[snafu(display("the file has {bytes} bytes, more than the {} allowed", crate::MAX_BYTES))]
+    /// The file exceeds [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES).
+    #[snafu(display(
+        "the file has {bytes} bytes, more than the {} allowed",
+        crate::MAX_FILE_BYTES
+    ))]
     TooLarge { bytes: usize },
-    /// Not JSON with comments.
+    /// The text is not JSON with comments.
     #[snafu(display("line {line}: {reason}"))]
     Syntax { line: usize, reason: String },
-    /// An unknown key, a missing one, or a value of the wrong type.
+    /// An unknown or missing key, a value of the wrong type or out of range.
     #[snafu(display("line {line}: `{path}`: {reason}"))]
     Key { path: String, line: usize, reason: String },
 }
 
-/// A value out of its range.
+/// A value that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// Path of the key.
     pub path: String,
-    /// What is allowed, as the end of "must be …".
+    /// What is allowed, worded to follow "must be".
     pub allowed: String,
 }
 
 impl Violation {
-    /// A violation at `path`.
     pub fn new(path: impl Into<String>, allowed: impl Into<String>) -> Violation {
         Violation { path: path.into(), allowed: allowed.into() }
     }
 
-    /// The error that names the line.
-    pub fn error(&self, lines: &crate::Lines) -> Error {
+    /// Converts it to an error with the line of the key.
+    pub fn to_error(&self, lines: &crate::LineIndex) -> Error {
         Error::Key {
             line: lines.line(&self.path),
             path: self.path.clone(),
--- a/crates/jsonc/tests/read.rs
+++ b/crates/jsonc/tests/read.rs
@@ -1,4 +1,4 @@
-//! Errors name the key and its line, and no text makes the reader panic.
+//! Errors name the key and its line; no input makes the parser panic.
 
 use proptest::prelude::*;
 use serde::Deserialize;
@@ -37,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in "[\\[\\]{}\",:a-z0-9/*\\n -]{0,80}") {
+    fn any_text_is_read_or_rejected(text in "[\\[\\]{}\",:a-z0-9/*\\n -]{0,80}") {
         let _ = jsonc::read::<Sample>(&text);
     }
 }
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of endpoints.
+//! Endpoint pools.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -9,27 +9,27 @@
 /// What the endpoints of a pool serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Serves {
-    /// A model engine that batches continuously.
+pub enum Workload {
+    /// A model engine with continuous batching.
     Model(Engine),
-    /// A plain service; each call costs a fixed number of tokens.
+    /// A plain HTTP service; each call costs a fixed number of tokens.
     Service {
-        /// Tokens charged for a call that ran.
+        /// Tokens charged for each call that ran.
         cost: u64,
     },
 }
 
-/// What the router must know of a model engine.
+/// Properties of a model engine that routing and billing depend on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Fewest bytes of text that one token of its tokenizer stands for; 1 is always safe.
-    #[serde(default = "one")]
+    /// Lower bound of the bytes of text for each token; 1 holds for any tokenizer.
+    #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: u64,
-    /// Requests one endpoint batches at once.
-    #[serde(default = "slots")]
+    /// Requests that one endpoint batches at once.
+    #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether its endpoints refuse orders with an older fence.
+    /// Whether its endpoints reject orders with an outdated fencing token.
     #[serde(default)]
     pub checks_orders: bool,
 }
@@ -38,72 +38,71 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Name, unique over all pools.
+    /// Name, unique across all pools.
     pub name: Arc<str>,
     /// Address with port, such as `10.0.3.7:8000`.
     pub address: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Gets no new work.
+    /// Whether it gets no new requests.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
 
-/// Endpoints that serve the same thing.
+/// Endpoints that serve the same model or service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// What they serve.
-    pub serves: Serves,
-    /// The endpoints.
+    pub serves: Workload,
     pub endpoints: Vec<Endpoint>,
 }
 
-fn one() -> u64 {
+fn default_bytes_per_token() -> u64 {
     1
 }
 
-fn slots() -> u32 {
+fn default_slots() -> u32 {
     32
 }
 
 impl Pool {
-    /// Values out of range.
+    /// Returns the values that are out of range.
     pub fn check(&self) -> Vec<Violation> {
-        let mut found = Vec::new();
-        let mut need = |fits: bool, path: String, allowed: &str| {
-            if !fits {
-                found.push(Violation::new(path, allowed));
+        let mut violations = Vec::new();
+        let mut require = |is_valid: bool, path: String, allowed: &str| {
+            if !is_valid {
+                violations.push(Violation::new(path, allowed));
             }
         };
         match &self.serves {
-            Serves::Model(engine) => {
+            Workload::Model(engine) => {
                 let bytes = (1..=16).contains(&engine.bytes_per_token);
-                need(bytes, "serves.model.bytes_per_token".into(), "between 1 and 16");
+                require(bytes, "serves.model.bytes_per_token".into(), "between 1 and 16");
                 let slots = (1..=4_096).contains(&engine.slots);
-                need(slots, "serves.model.slots".into(), "between 1 and 4096");
+                require(slots, "serves.model.slots".into(), "between 1 and 4096");
             }
-            Serves::Service { cost } => {
-                need(*cost <= 1 << 30, "serves.service.cost".into(), "at most 1073741824");
+            Workload::Service { cost } => {
+                require(*cost <= 1 << 30, "serves.service.cost".into(), "at most 1073741824");
             }
         }
         let mut names = BTreeSet::new();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let at = |key: &str| format!("endpoints[{index}].{key}");
-            need(is_name(&endpoint.name), at("name"), "a name");
-            need(names.insert(&endpoint.name), at("name"), "unique in the pool");
-            need(is_name(&endpoint.zone), at("zone"), "the name of an availability zone");
+            let key_path = |key: &str| format!("endpoints[{index}].{key}");
+            require(is_name(&endpoint.name), key_path("name"), "a name");
+            require(names.insert(&endpoint.name), key_path("name"), "unique in the pool");
+            require(is_name(&endpoint.zone), key_path("zone"), "the name of an availability zone");
             let address = endpoint.address.parse::<std::net::SocketAddr>().is_ok();
-            need(address, at("address"), "an IP number with a port");
+            require(address, key_path("address"), "an IP number with a port");
         }
-        found
+        violations
     }
 
-    /// Cost of the prompt of a request with `bytes` of text, never too little.
-    pub fn prompt_bound(&self, bytes: u64) -> u64 {
+    /// Upper bound of the prompt tokens in `bytes` of text.
+    pub fn max_prompt_tokens(&self, bytes: u64) -> u64 {
         match &self.serves {
-            Serves::Model(engine) => bytes.div_ceil(engine.bytes_per_token),
-            Serves::Service { .. } => 0,
+            Workload::Model(engine) => bytes.div_ceil(engine.bytes_per_token),
+            Workload::Service { .. } => 0,
         }
     }
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -11,27 +11,27 @@
 
 /// Labels of a finished request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Finished {
+pub struct RequestLabels {
     /// Class of the route.
     pub class: &'static str,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Reason, where there is one.
+    /// Reason, empty if answered.
     pub reason: &'static str,
 }
 
-/// Labels of platform calls.
+/// Labels of a platform call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Purpose {
+pub struct CallLabels {
     /// Operation.
     pub operation: String,
     /// Kind of object.
     pub kind: String,
 }
 
-/// Labels of a time measured.
+/// Labels of a latency histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Stage {
+pub struct ClassLabel {
     /// Class of the route.
     pub class: &'static str,
 }
@@ -40,24 +40,24 @@
 #[derive(Clone)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
-    /// Requests by how they ended.
-    pub requests: Family<Finished, Counter>,
+    /// Finished requests by outcome.
+    pub requests: Family<RequestLabels, Counter>,
     /// Tokens charged.
     pub tokens: Counter,
-    /// Requests under way.
-    pub under_way: Gauge,
-    /// Platform calls by purpose.
-    pub platform: Family<Purpose, Gauge>,
-    /// Whether the platform answers.
+    /// Requests in flight.
+    pub in_flight: Gauge,
+    /// Platform calls by operation and kind of object.
+    pub platform: Family<CallLabels, Gauge>,
+    /// 1 if the platform is reachable, else 0.
     pub platform_up: Gauge,
     /// Requests paid from the offline part.
     pub offline: Counter,
     /// Journals that this box sealed.
     pub sealed: Counter,
-    /// Times that this box found its own journal sealed.
+    /// Sessions renewed because another box had sealed this box's journal.
     pub renewed: Counter,
-    /// Seconds to the first byte.
-    pub first_byte: Family<Stage, Histogram>,
+    /// Seconds from the request to the first byte of its answer.
+    pub first_byte: Family<ClassLabel, Histogram>,
 }
 
 fn histogram() -> Histogram {
@@ -71,7 +71,7 @@
             registry: Arc::new(Mutex::new(Registry::with_prefix("flintstall"))),
             requests: Family::default(),
             tokens: Counter::default(),
-            under_way: Gauge::default(),
+            in_flight: Gauge::default(),
             platform: Family::default(),
             platform_up: Gauge::default(),
             offline: Counter::default(),
@@ -82,7 +82,7 @@
         let mut registry = metrics.registry.lock();
         registry.register("requests", "Requests by outcome", metrics.requests.clone());
         registry.register("tokens", "Tokens charged", metrics.tokens.clone());
-        registry.register("requests_under_way", "Requests now", metrics.under_way.clone());
+        registry.register("requests_under_way", "Requests now", metrics.in_flight.clone());
         registry.register("platform_calls", "Platform calls so far", metrics.platform.clone());
         registry.register("platform_up", "Platform reachable", metrics.platform_up.clone());
         registry.register("offline_requests", "Paid offline", metrics.offline.clone());
@@ -93,7 +93,7 @@
         metrics
     }
 
-    /// The text that a scraper reads.
+    /// All metrics as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let written = encode(&mut text, &self.registry.lock());
--- a/crates/router/src/lanes.rs
+++ b/crates/router/src/queues.rs
@@ -1,4 +1,4 @@
-//! Who waits before which pool: limits, classes, fairness.
+//! One fair queue of waiting requests per pool, and the limits of customers and routes.
 
 use std::{
     collections::HashMap,
@@ -21,25 +21,25 @@
     limits: Limits,
 }
 
-/// The lanes of one box.
+/// The queues of one box.
 #[derive(Default)]
-pub struct Lanes {
+pub struct Queues {
     state: Mutex<State>,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
-impl Lanes {
-    /// Starts whatever may start now.
+impl Queues {
+    /// Admits waiting requests of a pool as far as its capacity allows.
     pub fn advance(&self, endpoints: &Endpoints, pool: &Arc<str>, now: u64) {
-        let mut ahead = 0.0;
+        let mut admitted = 0.0;
         let mut state = self.state.lock();
         loop {
             let mut capacity = endpoints.capacity(pool, now);
-            // What was started here a moment ago is not dispatched yet.
-            capacity.load += ahead;
+            // Requests admitted by this loop are not part of the measured load yet.
+            capacity.load += admitted;
             let next = state.queues.get_mut(pool).and_then(|queue| queue.next(capacity, now));
             let Some(id) = next else { return };
-            ahead += 1.0;
+            admitted += 1.0;
             if let Some(waiter) = state.waiters.remove(&id) {
                 let _ = waiter.send(());
             }
@@ -55,25 +55,26 @@
             .enter((customer, call.caller.max_in_flight), (route, call.route.max_in_flight))
     }
 
-    /// A call that was counted ended.
+    /// Ends a call counted by [`Queues::count`].
     pub fn leave(&self, customer: &Arc<str>, route: &Arc<str>) {
         self.state.lock().limits.leave(customer, route);
     }
 
-    /// Offers a call to the pool's gate; its number there, and what tells that its turn came.
+    /// Offers a call to the pool's queue. Returns its id there, the verdict, and a channel that is
+    /// notified once a waiting call is admitted.
     pub fn offer(
         &self,
         endpoints: &Endpoints,
         call: &Call,
         now: u64,
     ) -> (u64, Verdict, oneshot::Receiver<()>) {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let request = Request {
             id,
             class: call.class(),
             customer: call.caller.customer.clone(),
             weight: call.caller.weight,
-            deadline: now + call.left().as_millis() as u64,
+            deadline: now + call.time_left().as_millis() as u64,
         };
         let capacity = endpoints.capacity(&call.route.pool, now);
         let (sender, receiver) = oneshot::channel();
@@ -86,8 +87,8 @@
         (id, verdict, receiver)
     }
 
-    /// A call waits no more.
-    pub fn give_up(&self, pool: &Arc<str>, id: u64) {
+    /// Removes a call from the queue.
+    pub fn cancel(&self, pool: &Arc<str>, id: u64) {
         let mut state = self.state.lock();
         state.waiters.remove(&id);
         if let Some(queue) = state.queues.get_mut(pool) {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a router.
+//! Starts and stops a router.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,26 +6,28 @@
 use platform::store::Client;
 use salvo::{Server, conn::tcp::TcpAcceptor, fuse::FuseConfig, server::ServerHandle};
 use snafu::{ResultExt, Snafu};
-use timeline::{Log, What};
+use timeline::{EventKind, Log};
 use tokio::{net::TcpSocket, task::JoinHandle};
 
 use crate::{
-    answers::{self, PeerService},
     api::{Callers, Operators},
-    follow, keeper, reports, sealer,
+    background,
+    peer_service::{self, PeerService},
+    reports, sealer,
     settings::Settings,
     shared::Shared,
+    sync,
 };
 
-/// Time for the balancer to notice that the box is not ready any more.
-const NOTICE: Duration = Duration::from_millis(500);
-/// Time between probes of the direct way to the platform.
-const PROBE_DIRECT: Duration = Duration::from_millis(1_000);
+/// Time for the load balancer to notice that the box is no longer ready.
+const READINESS_DELAY: Duration = Duration::from_millis(500);
+/// Interval between probes of the direct connection to the platform.
+const DIRECT_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a router did not start.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address could not be bound.
+    /// The address for callers or operators could not be bound.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Bind { address: SocketAddr, source: std::io::Error },
     /// The address for other boxes could not be bound.
@@ -41,21 +43,21 @@
     peers: Option<wire::Server>,
     handle: ServerHandle,
     servers: Vec<JoinHandle<()>>,
-    loops: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
 impl Router {
-    /// Starts a router that speaks to the platform named in its settings.
+    /// Starts a router on the platform named in its settings.
     ///
-    /// `seed` feeds its random choices, the incarnation's name among them: it must be fresh.
+    /// `seed` must never be reused: the incarnation's name is derived from it.
     pub async fn spawn(settings: Settings, seed: u64) -> Result<Router, Error> {
         let client = Client::open(settings.platform_options());
         let calls = client.calls();
-        Router::spawn_on(settings, Arc::new(client), calls, seed).await
+        Router::spawn_with_store(settings, Arc::new(client), calls, seed).await
     }
 
-    /// Starts a router on a given store.
-    pub async fn spawn_on(
+    /// Starts a router on the given store.
+    pub async fn spawn_with_store(
         settings: Settings,
         store: Arc<dyn Store>,
         calls: Calls,
@@ -79,28 +81,28 @@
             tokio::spawn(async move { server.serve(calls).await }),
             tokio::spawn(async move { Server::new(operators).serve(watch).await }),
         ];
-        shared.log.add(What::Started);
-        let loops = spawn_loops(&shared);
+        shared.log.add(EventKind::Started);
+        let tasks = spawn_tasks(&shared);
         let (callers, operators) = addresses;
-        Ok(Router { shared, callers, operators, peers, handle, servers, loops })
+        Ok(Router { shared, callers, operators, peers, handle, servers, tasks })
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where metrics and health are read.
+    /// Address for metrics and health checks.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Where other boxes connect, if it takes peers.
+    /// Address for other boxes, if this one accepts peers.
     pub fn peers(&self) -> Option<SocketAddr> {
         self.peers.as_ref().map(wire::Server::address)
     }
 
-    /// The events of this router.
+    /// The event log of this router.
     pub fn log(&self) -> Log {
         self.shared.log.clone()
     }
@@ -115,42 +117,42 @@
         self.shared.me()
     }
 
-    /// Waits until configuration up to a platform version is in force here.
-    pub async fn wait_watched(&self, version: u64) {
+    /// Waits until all configuration up to a platform version is applied.
+    pub async fn wait_for_version(&self, version: u64) {
         let _ = self.shared.watched.subscribe().wait_for(|at| *at >= version).await;
     }
 
-    /// Version of a resource in force here.
+    /// Applied version of a resource, 0 if there is none.
     pub fn version(&self, kind: resource::Kind, name: &str) -> u64 {
         self.shared.config.borrow().version(kind, name)
     }
 
-    /// The planned stop: unready first, then every request to its end, then all money returned.
+    /// Shuts down gracefully: reports not ready, finishes all requests, then returns unused tokens.
     pub async fn stop(mut self) {
         let shared = self.shared.clone();
-        shared.log.add(What::Stopping);
+        shared.log.add(EventKind::Stopping);
         shared.stopping.send_replace(true);
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(READINESS_DELAY).await;
         let limit = Duration::from_millis(shared.settings.limits.stop_ms);
         self.handle.stop_graceful(limit);
         let callers = self.servers.remove(0);
         let _ = callers.await;
         shared.tasks.close();
         let _ = tokio::time::timeout(limit, async {
-            while shared.requests.under_way() > 0 || !shared.sessions.is_idle() {
+            while shared.requests.in_flight() > 0 || !shared.sessions.is_idle() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         })
         .await;
-        for task in self.loops.drain(..) {
+        for task in self.tasks.drain(..) {
             task.abort();
         }
-        let _ = tokio::time::timeout(limit, keeper::leave(&shared)).await;
+        let _ = tokio::time::timeout(limit, background::close_sessions(&shared)).await;
         shared.ended.cancel();
-        shared.log.add(What::Stopped);
+        shared.log.add(EventKind::Stopped);
     }
 
-    /// Ends at once, as a crash would: nothing is handed in or returned.
+    /// Ends at once, like a crash: no outcome is written and no token returned.
     pub fn kill(self) {
         drop(self);
     }
@@ -160,31 +162,31 @@
     fn drop(&mut self) {
         self.shared.ended.cancel();
         self.handle.stop_forceful();
-        for task in self.servers.iter().chain(&self.loops) {
+        for task in self.servers.iter().chain(&self.tasks) {
             task.abort();
         }
     }
 }
 
-fn spawn_loops(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
+fn spawn_tasks(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
     vec![
-        tokio::spawn(follow::follow(shared.clone())),
-        tokio::spawn(follow::follow_members(shared.clone())),
-        tokio::spawn(keeper::beat(shared.clone())),
-        tokio::spawn(keeper::probe(shared.clone())),
-        tokio::spawn(keeper::fold(shared.clone())),
-        tokio::spawn(keeper::renew(shared.clone())),
-        tokio::spawn(sealer::wind_up(shared.clone())),
+        tokio::spawn(sync::watch_config(shared.clone())),
+        tokio::spawn(sync::poll_members(shared.clone())),
+        tokio::spawn(background::send_heartbeats(shared.clone())),
+        tokio::spawn(background::probe_platform(shared.clone())),
+        tokio::spawn(background::fold_outcomes(shared.clone())),
+        tokio::spawn(background::renew_sessions(shared.clone())),
+        tokio::spawn(sealer::recover_silent(shared.clone())),
         tokio::spawn(reports::poll_reports(shared.clone())),
         tokio::spawn(reports::poll_hosts(shared.clone())),
-        tokio::spawn(answers::exchange(shared.clone())),
-        tokio::spawn(answers::hand_in(shared.clone())),
+        tokio::spawn(peer_service::gossip(shared.clone())),
+        tokio::spawn(peer_service::write_replicas(shared.clone())),
         tokio::spawn(probe_direct(shared.clone())),
     ]
 }
 
 async fn probe_direct(shared: Arc<Shared>) {
-    shared.relayed.probe(PROBE_DIRECT).await;
+    shared.fallback.probe(DIRECT_PROBE_INTERVAL).await;
 }
 
 async fn bind_peers(shared: &Arc<Shared>) -> Result<Option<wire::Server>, Error> {
@@ -197,15 +199,15 @@
     Ok(Some(server))
 }
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections not accepted yet.
 const BACKLOG: u32 = 1_024;
 
 async fn bind(address: SocketAddr) -> Result<TcpAcceptor, Error> {
     listen(address).context(BindSnafu { address })
 }
 
-/// Listens without Nagle's algorithm: accepted connections inherit that, and the first token of
-/// an answer does not wait for the caller to acknowledge the headers.
+/// Listens with TCP_NODELAY, which accepted connections inherit: the first token of an answer must
+/// not wait for the caller to acknowledge the headers.
 fn listen(address: SocketAddr) -> std::io::Result<TcpAcceptor> {
     let socket = match address.is_ipv4() {
         true => TcpSocket::new_v4()?,
--- a/crates/router/src/transcript.rs
+++ b/crates/router/src/transcript.rs
@@ -1,4 +1,4 @@
-//! The answer of one request as it grows, read by its caller and by retries of the same key.
+//! The streamed answer of one request, read by its caller and by retries with the same key.
 
 use std::sync::{
     Arc,
@@ -12,27 +12,27 @@
 
 use crate::outcome::Unknown;
 
-/// Bytes that the writer may be ahead of the fastest reader before it pauses.
-const AHEAD: usize = 256 << 10;
+/// Bytes that the writer may be ahead of the fastest reader before it has to wait.
+const MAX_LEAD_BYTES: usize = 256 << 10;
 
 /// How an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Whole.
-    Whole,
-    /// Broken off.
-    Broken(Unknown),
+    /// Complete.
+    Complete,
+    /// Incomplete.
+    Incomplete(Unknown),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    parts: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     bytes: usize,
     read: usize,
     end: Option<End>,
 }
 
-/// An answer's bytes, growing until it has an end.
+/// Bytes of an answer, appended until it has an end.
 #[derive(Debug, Default)]
 pub struct Transcript {
     state: Mutex<State>,
@@ -42,43 +42,43 @@
 }
 
 impl Transcript {
-    /// Adds bytes.
-    pub fn push(&self, part: Bytes) {
+    /// Appends bytes.
+    pub fn push(&self, chunk: Bytes) {
         let mut state = self.state.lock();
-        state.bytes += part.len();
-        state.parts.push(part);
+        state.bytes += chunk.len();
+        state.chunks.push(chunk);
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Ends the answer.
+    /// Ends the answer; only the first end counts.
     pub fn end(&self, end: End) {
         self.state.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Whether it ended whole.
-    pub fn is_whole(&self) -> bool {
-        self.state.lock().end == Some(End::Whole)
+    /// Whether the answer is complete.
+    pub fn is_complete(&self) -> bool {
+        self.state.lock().end == Some(End::Complete)
     }
 
-    /// Bytes so far.
+    /// Length so far, in bytes.
     pub fn bytes(&self) -> usize {
         self.state.lock().bytes
     }
 
-    /// Number of callers reading it.
+    /// Number of readers.
     pub fn readers(&self) -> usize {
         self.readers.load(Ordering::Relaxed)
     }
 
-    /// Waits while the fastest reader is far behind, so that the engine feels a slow caller.
+    /// Waits while the fastest reader is far behind: applies backpressure to the engine.
     pub async fn wait_drained(&self) {
         loop {
             let drained = self.drained.notified();
             {
                 let state = self.state.lock();
-                if state.bytes.saturating_sub(state.read) <= AHEAD || self.readers() == 0 {
+                if state.bytes.saturating_sub(state.read) <= MAX_LEAD_BYTES || self.readers() == 0 {
                     return;
                 }
             }
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Reads from the start; a broken answer ends with an error event, never a clean end.
+    /// Reads from the start. An incomplete answer ends with an error event.
     pub fn stream(self: &Arc<Self>) -> impl Stream<Item = Result<Bytes, std::io::Error>> + use<> {
         let reader = Reader::open(self.clone());
         stream::unfold(reader, |mut reader| async move {
-            let part = reader.next().await?;
-            Some((Ok(part), reader))
+            let chunk = reader.next().await?;
+            Some((Ok(chunk), reader))
         })
     }
 }
@@ -118,23 +118,23 @@
             let changed = transcript.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (part, end) = {
+            let (chunk, end) = {
                 let mut state = transcript.state.lock();
-                let part = state.parts.get(self.at).cloned();
-                if let Some(part) = &part {
-                    self.bytes += part.len();
+                let chunk = state.chunks.get(self.at).cloned();
+                if let Some(chunk) = &chunk {
+                    self.bytes += chunk.len();
                     state.read = state.read.max(self.bytes);
                 }
-                (part, state.end)
+                (chunk, state.end)
             };
-            match (part, end) {
-                (Some(part), _) => {
+            match (chunk, end) {
+                (Some(chunk), _) => {
                     self.at += 1;
                     transcript.drained.notify_waiters();
-                    return Some(part);
+                    return Some(chunk);
                 }
-                (None, Some(End::Whole)) => return None,
-                (None, Some(End::Broken(unknown))) => {
+                (None, Some(End::Complete)) => return None,
+                (None, Some(End::Incomplete(unknown))) => {
                     self.ended = true;
                     return Some(crate::render::error_event(unknown));
                 }
--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -1,44 +1,53 @@
-//! One box's handle on one budget.
+//! State of one budget in a session.
 
 use std::sync::Arc;
 
 use ledger::{Account, Deficit, Draw, Ledger, Part, Reservation};
 use parking_lot::Mutex;
-use tokio::{sync::Mutex as Turn, time::Instant};
+use tokio::{sync::Mutex as AsyncMutex, time::Instant};
 
 use crate::usage::Usage;
 
-/// A ledger write whose answer was lost.
+/// A ledger write whose outcome is unknown.
 #[derive(Debug, Clone)]
 pub struct Pending {
+    /// Version of the ledger that the write expected.
     pub expected: u64,
     pub next: Ledger,
     pub draw: Draw,
+    /// Number of the write, as stored in the grant.
     pub write: u64,
 }
 
-/// What is known of the ledger object.
+/// Last known state of the ledger object.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct CachedLedger {
     pub version: u64,
     pub ledger: Option<Ledger>,
     pub pending: Option<Pending>,
+    /// Number of writes so far.
     pub writes: u64,
+    /// Whether the journal lists the budget.
     pub listed: bool,
     pub read_at: Option<Instant>,
 }
 
-/// Account, usage and ledger of one budget; one ledger write at a time.
+/// Account, usage and ledger of one budget. The lock on `cached` allows one ledger write at a time.
 pub struct Entry {
     pub budget: Arc<str>,
     pub account: Mutex<Account>,
     pub usage: Mutex<Usage>,
-    pub book: Turn<Book>,
+    pub cached: AsyncMutex<CachedLedger>,
 }
 
 impl Entry {
     pub fn new(budget: Arc<str>) -> Entry {
-        Entry { budget, account: Mutex::default(), usage: Mutex::default(), book: Turn::default() }
+        Entry {
+            budget,
+            account: Mutex::default(),
+            usage: Mutex::default(),
+            cached: AsyncMutex::default(),
+        }
     }
 
     pub fn reserve(&self, part: Part, tokens: u64) -> Result<Reservation, Deficit> {
--- a/crates/session/src/draw.rs
+++ b/crates/session/src/draw.rs
@@ -1,8 +1,8 @@
-//! What a box draws from and returns to a ledger in its next write.
+//! How much a box draws from and returns to a ledger in its next write.
 
 use ledger::{Draw, Ledger, Target};
 
-/// What a box has free, and what it needs at once.
+/// Free tokens of a box, and tokens that it needs at once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Free {
     /// Free online tokens.
@@ -13,11 +13,11 @@
     pub need: u64,
 }
 
-/// What to draw, given what the ledger has left.
+/// Tokens to draw to reach the target, limited by what the ledger has left.
 ///
-/// A need comes first; then the online part is filled, then the offline part. A box that cannot
-/// meet its need says what it lacks, so that others return their surplus.
-pub fn wish(ledger: &Ledger, target: Target, free: Free) -> Draw {
+/// The need comes first, then the online part is filled, then the offline part. If the need cannot be
+/// met, the draw asks for the missing tokens instead, so that other boxes return their surplus.
+pub fn top_up(ledger: &Ledger, target: Target, free: Free) -> Draw {
     let left = ledger.left();
     let missing = free.need.saturating_sub(free.online);
     if missing > left {
@@ -25,16 +25,17 @@
     }
     let online = target.online.saturating_sub(free.online).max(missing).min(left);
     let offline = target.offline.saturating_sub(free.offline).min(left - online);
-    // Small top-ups wait until they are worth a write.
-    let worth = |wish: u64, target: u64| if wish * 2 >= target { wish } else { 0 };
+    // A top-up waits until it is at least half of the target, to save writes.
+    let large_enough = |tokens: u64, target: u64| if tokens * 2 >= target { tokens } else { 0 };
     Draw {
-        online: if missing > 0 { online } else { worth(online, target.online) },
-        offline: worth(offline, target.offline),
+        online: if missing > 0 { online } else { large_enough(online, target.online) },
+        offline: large_enough(offline, target.offline),
         ..Draw::default()
     }
 }
 
-/// What a box holds beyond twice its target, or beyond its target while others lack tokens.
+/// Tokens to return: those above the target, if the box holds more than twice the target or if others
+/// lack tokens.
 pub fn surplus(target: Target, free: Free, wanted_by_others: u64) -> Draw {
     let over = |free: u64, target: u64| match wanted_by_others > 0 {
         true => free.saturating_sub(target),
@@ -53,7 +54,7 @@
     use super::*;
 
     #[test]
-    fn needs_come_first_and_shortage_is_told() {
+    fn need_comes_first_and_shortage_is_requested() {
         let ledger = Ledger { paid: 100, ..Ledger::default() };
         let target = Target { online: 50, offline: 20 };
         let cases = [
@@ -69,17 +70,17 @@
             (Free { online: 40, offline: 15, need: 0 }, Draw::default()),
         ];
         for (free, want) in cases {
-            assert_eq!(wish(&ledger, target, free), want, "{free:?}");
+            assert_eq!(top_up(&ledger, target, free), want, "{free:?}");
         }
     }
 
     #[test]
-    fn surplus_returns_sooner_when_others_lack() {
+    fn surplus_is_larger_while_others_lack_tokens() {
         let target = Target { online: 50, offline: 20 };
         let free = Free { online: 90, offline: 50, need: 0 };
-        let calm = surplus(target, free, 0);
-        assert_eq!((calm.return_online, calm.return_offline), (0, 30));
-        let wanted = surplus(target, free, 1);
-        assert_eq!((wanted.return_online, wanted.return_offline), (40, 30));
+        let without_demand = surplus(target, free, 0);
+        assert_eq!((without_demand.return_online, without_demand.return_offline), (0, 30));
+        let with_demand = surplus(target, free, 1);
+        assert_eq!((with_demand.return_online, with_demand.return_offline), (40, 30));
     }
 }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -1,4 +1,4 @@
-//! Drawing from, returning to and folding into the ledgers.
+//! Tokens of a session: drawing from the ledgers, returning to them, and folding outcomes into them.
 
 use std::{
     collections::BTreeMap,
@@ -18,47 +18,47 @@
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
-    Health, Recorder, Work,
-    account::{Book, Entry, Pending},
-    draw::{Free, surplus, wish},
+    Health, Operation, Recorder,
+    account::{CachedLedger, Entry, Pending},
+    draw::{Free, surplus, top_up},
 };
 
-/// Conflicts after which a ledger write gives up for now.
-const TRIES: u32 = 12;
-/// Longest wait for the journal before a ledger write.
-const FLUSH: Duration = Duration::from_secs(2);
-/// Age up to which a ledger that lacks tokens is believed without reading it again.
-const SHORT_MEMORY: Duration = Duration::from_millis(200);
+/// Attempts of a ledger write before it is given up for now.
+const MAX_ATTEMPTS: u32 = 12;
+/// Longest wait for journal writes before a ledger write.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Age from which a cached ledger is read again if it shows a shortage or cannot take the whole journal.
+const CACHED_LEDGER_TTL: Duration = Duration::from_millis(200);
 
-/// How a box sizes what it holds.
+/// How the tokens that a box holds are sized.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Seconds of use the online part covers.
+    /// Seconds of usage that the online part covers.
     pub online_horizon: u64,
-    /// Seconds of use the offline part covers at most.
+    /// Seconds of usage that the offline part covers at most.
     pub offline_horizon: u64,
-    /// Boxes that may hold a part, as this box believes.
+    /// Number of boxes that may hold tokens, as known to this box.
     pub boxes: u64,
 }
 
 /// Why tokens could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Denial {
-    /// The budget has not enough left.
+pub enum ReserveError {
+    /// Not enough tokens are left in the budget.
     #[snafu(display("the budget has not enough tokens left"))]
     Exhausted,
     /// The ledger did not answer in time.
     #[snafu(display("the ledger did not answer in time"))]
     Unreachable,
-    /// No such budget is accepted.
+    /// There is no accepted budget of this name.
     #[snafu(display("the budget does not exist"))]
     Missing,
-    /// Another incarnation sealed the journal.
+    /// The journal was sealed by another incarnation.
     #[snafu(display("this incarnation's journal is sealed"))]
     Sealed,
 }
 
-/// Everything a session holds of all budgets.
+/// The tokens that a session holds of all budgets.
 pub struct Funds {
     recorder: Recorder,
     store: Arc<dyn Store>,
@@ -70,7 +70,7 @@
     log: timeline::Log,
 }
 
-/// While it lives, its session takes tokens from a peer and is not idle.
+/// Guard of a transfer from a peer; its session is not idle until this is dropped.
 pub struct Borrowing<'a>(&'a AtomicUsize);
 
 impl Drop for Borrowing<'_> {
@@ -80,16 +80,16 @@
 }
 
 enum Purpose {
-    /// A request waits for this many tokens.
+    /// Draw this many tokens for a waiting request.
     Need(u64),
-    /// The regular fold, top-up and return.
-    Keep,
-    /// Others lack tokens now: return all but what one request here needs.
-    Spare,
+    /// Regular maintenance: fold outcomes, top up and return surplus.
+    Maintain,
+    /// Others lack tokens: return all but what one request here needs.
+    ReturnSurplus,
 }
 
 impl Funds {
-    /// Funds of the recorder's incarnation.
+    /// Creates the funds of the recorder's incarnation.
     pub fn new(
         recorder: Recorder,
         store: Arc<dyn Store>,
@@ -112,78 +112,78 @@
         }
     }
 
-    fn me(&self) -> &Incarnation {
+    fn incarnation(&self) -> &Incarnation {
         self.recorder.incarnation()
     }
 
     pub(crate) fn entry(&self, budget: &Arc<str>) -> Arc<Entry> {
         let mut entries = self.entries.lock();
-        let fresh = || Arc::new(Entry::new(budget.clone()));
-        entries.entry(budget.clone()).or_insert_with(fresh).clone()
+        let new_entry = || Arc::new(Entry::new(budget.clone()));
+        entries.entry(budget.clone()).or_insert_with(new_entry).clone()
     }
 
-    /// Budgets that this session has touched.
+    /// Budgets that this session has used.
     pub fn budgets(&self) -> Vec<Arc<str>> {
         self.entries.lock().keys().cloned().collect()
     }
 
-    /// Tokens given, charged and reserved of one part of one budget.
+    /// Tokens given, charged and reserved in one part of a budget.
     pub fn tokens(&self, budget: &Arc<str>, part: Part) -> ledger::Tokens {
         self.entry(budget).account.lock().tokens(part)
     }
 
-    /// The number of boxes that may hold a part.
+    /// Sets the number of boxes that may hold tokens.
     pub fn set_boxes(&self, boxes: u64) {
         self.options.lock().boxes = boxes;
     }
 
-    /// Says that tokens of a peer are on their way to this session.
+    /// Marks the start of a transfer from a peer to this session.
     pub fn borrow(&self) -> Borrowing<'_> {
         self.borrowing.fetch_add(1, Ordering::AcqRel);
         Borrowing(&self.borrowing)
     }
 
-    /// Whether nothing is reserved in any budget, and nothing on its way here.
+    /// Whether no tokens are reserved in any budget, and none are being transferred here.
     pub fn is_idle(&self) -> bool {
         self.borrowing.load(Ordering::Acquire) == 0
             && self.entries.lock().values().all(|entry| entry.account.lock().is_idle())
     }
 
-    /// Gets ready for requests of a budget that has not been used here yet.
-    pub fn expect(&self, budget: &Arc<str>, largest: u64) {
+    /// Prepares for requests of up to `largest` tokens in a budget that has not been used here yet.
+    pub fn prepare(&self, budget: &Arc<str>, largest: u64) {
         self.entry(budget).usage.lock().expect(largest);
     }
 
-    /// Takes offline tokens out for a peer: what it asks for, or a quarter of what is free if that
-    /// is more. `None` if it cannot have what it asks for.
-    pub fn take_offline(&self, budget: &Arc<str>, tokens: u64) -> Option<u64> {
+    /// Debits offline tokens for a peer: the requested number, or a quarter of the free ones if that
+    /// is more. `None` if fewer are free than requested.
+    pub fn debit_offline(&self, budget: &Arc<str>, tokens: u64) -> Option<u64> {
         let entry = self.entry(budget);
         let mut account = entry.account.lock();
         let free = account.tokens(Part::Offline).free();
-        let wished = tokens.max(free / 4);
-        (free >= tokens && tokens > 0).then(|| account.take(Part::Offline, wished))
+        let amount = tokens.max(free / 4);
+        (free >= tokens && tokens > 0).then(|| account.remove(Part::Offline, amount))
     }
 
-    /// Adds offline tokens that a peer passed on.
-    pub fn give_offline(&self, budget: &Arc<str>, tokens: u64) {
+    /// Credits offline tokens that a peer passed on.
+    pub fn credit_offline(&self, budget: &Arc<str>, tokens: u64) {
         self.entry(budget).account.lock().add(Part::Offline, tokens);
     }
 
-    /// Returns what this box can spare of a budget that others lack; true if anything returned.
-    pub async fn spare(&self, budget: &Arc<str>) -> bool {
+    /// Returns surplus tokens of a budget that other boxes lack; true if any were returned.
+    pub async fn return_surplus(&self, budget: &Arc<str>) -> bool {
         let entry = self.entry(budget);
         let before = entry.free(Part::Online) + entry.free(Part::Offline);
-        let written = self.update(&entry, Purpose::Spare).await;
+        let written = self.update(&entry, Purpose::ReturnSurplus).await;
         let after = entry.free(Part::Online) + entry.free(Part::Offline);
         written.is_ok() && after < before
     }
 
-    /// Takes all free tokens out of the accounts: nothing more is reserved from them.
-    pub fn drain(&self) {
+    /// Debits all free tokens, so that no more can be reserved.
+    pub fn debit_all(&self) {
         for entry in self.entries.lock().values() {
             let mut account = entry.account.lock();
-            account.take(Part::Online, u64::MAX);
-            account.take(Part::Offline, u64::MAX);
+            account.remove(Part::Online, u64::MAX);
+            account.remove(Part::Offline, u64::MAX);
         }
     }
 
@@ -192,207 +192,217 @@
         self.entry(budget).reserve(Part::Offline, tokens).ok()
     }
 
-    /// Reserves tokens of the online part, drawing if it must.
+    /// Reserves tokens of the online part, drawing from the ledger if needed.
     pub async fn reserve_online(
         self: &Arc<Self>,
         budget: &Arc<str>,
         tokens: u64,
-        within: Duration,
-    ) -> Result<Reservation, Denial> {
+        timeout: Duration,
+    ) -> Result<Reservation, ReserveError> {
         let entry = self.entry(budget);
-        let end = Instant::now() + within;
-        for _ in 0..TRIES {
+        let end = Instant::now() + timeout;
+        for _ in 0..MAX_ATTEMPTS {
             if let Ok(reservation) = entry.reserve(Part::Online, tokens) {
                 return Ok(reservation);
             }
-            // The draw goes on when its waiter gives up: its answer must not be lost.
+            // Spawned, so that the result of the draw is processed even if the caller stops waiting.
             let (funds, drawn) = (self.clone(), entry.clone());
             let draw =
                 tokio::spawn(async move { funds.update(&drawn, Purpose::Need(tokens)).await });
             match tokio::time::timeout_at(end, draw).await {
                 Ok(Ok(result)) => result?,
-                Ok(Err(_)) | Err(_) => return Err(Denial::Unreachable),
+                Ok(Err(_)) | Err(_) => return Err(ReserveError::Unreachable),
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 
-    /// Folds, tops up and returns surplus of one budget.
-    pub async fn keep(&self, budget: &Arc<str>) -> Result<(), Denial> {
-        self.update(&self.entry(budget), Purpose::Keep).await
+    /// Maintains one budget: folds outcomes, tops up and returns surplus.
+    pub async fn maintain(&self, budget: &Arc<str>) -> Result<(), ReserveError> {
+        self.update(&self.entry(budget), Purpose::Maintain).await
     }
 
-    async fn update(&self, entry: &Arc<Entry>, purpose: Purpose) -> Result<(), Denial> {
-        let mut book = entry.book.lock().await;
+    /// Folds outcomes into the ledger of a budget, and draws or returns tokens as `purpose` requires.
+    async fn update(&self, entry: &Arc<Entry>, purpose: Purpose) -> Result<(), ReserveError> {
+        let mut cached = entry.cached.lock().await;
         if let Purpose::Need(tokens) = purpose
             && entry.free(Part::Online) >= tokens
         {
             return Ok(());
         }
-        self.settle_pending(entry, &mut book).await?;
-        self.forget_shortage(&mut book, &purpose);
-        self.list_drawn(entry, &mut book).await?;
-        for attempt in 0..TRIES {
-            if book.ledger.is_none() || self.is_stuck(entry, &book) {
-                self.read(entry, &mut book).await?;
+        self.resolve_pending(entry, &mut cached).await?;
+        self.drop_old_shortage(&mut cached, &purpose);
+        self.list_in_journal(entry, &mut cached).await?;
+        for attempt in 0..MAX_ATTEMPTS {
+            if cached.ledger.is_none() || self.is_too_old(entry, &cached) {
+                self.read(entry, &mut cached).await?;
             }
-            let planned = self.plan(entry, &book, &purpose).await;
+            let planned = self.plan(entry, &cached, &purpose).await;
             if planned.is_err() {
-                // What was believed of the ledger may be too old to fit this box's journal.
-                book.ledger = None;
+                // The cached ledger may be too old for this box's journal.
+                cached.ledger = None;
             }
             let Some((next, draw)) = planned? else { return Ok(()) };
-            match self.write(entry, &mut book, next, draw).await? {
-                true if matches!(purpose, Purpose::Keep) && self.has_more(entry, &book) => {}
-                true => return self.verdict(entry, &purpose),
+            match self.write(entry, &mut cached, next, draw).await? {
+                true if matches!(purpose, Purpose::Maintain) && self.has_more(entry, &cached) => {}
+                true => return self.check_need(entry, &purpose),
                 false => tokio::time::sleep(Duration::from_millis(u64::from(attempt) * 3)).await,
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 
-    fn verdict(&self, entry: &Entry, purpose: &Purpose) -> Result<(), Denial> {
+    fn check_need(&self, entry: &Entry, purpose: &Purpose) -> Result<(), ReserveError> {
         match purpose {
-            Purpose::Need(tokens) if entry.free(Part::Online) < *tokens => Err(Denial::Exhausted),
+            Purpose::Need(tokens) if entry.free(Part::Online) < *tokens => {
+                Err(ReserveError::Exhausted)
+            }
             _ => Ok(()),
         }
     }
 
-    /// Whether the ledger as it is believed is too old for all of the journal to be folded.
-    fn is_stuck(&self, entry: &Entry, book: &Book) -> bool {
-        let old = book.read_at.is_none_or(|at| at.elapsed() > SHORT_MEMORY);
-        let believed = book.ledger.clone().filter(|_| old);
+    /// Whether the cached ledger is too old to fold the whole journal into it.
+    fn is_too_old(&self, entry: &Entry, cached: &CachedLedger) -> bool {
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > CACHED_LEDGER_TTL);
+        let stale = cached.ledger.clone().filter(|_| old);
         let journal = self.recorder.journal();
-        believed.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
+        stale.is_some_and(|mut ledger| !ledger.fold(&entry.budget, &journal).whole)
     }
 
-    /// A shortage may be over: it is believed only for a moment.
-    fn forget_shortage(&self, book: &mut Book, purpose: &Purpose) {
+    /// Drops a cached ledger that shows a shortage, if it is old: the shortage may be over.
+    fn drop_old_shortage(&self, cached: &mut CachedLedger, purpose: &Purpose) {
         let Purpose::Need(tokens) = purpose else { return };
-        let short = book.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
-        let old = book.read_at.is_none_or(|at| at.elapsed() > SHORT_MEMORY);
+        let short = cached.ledger.as_ref().is_some_and(|ledger| ledger.left() < *tokens);
+        let old = cached.read_at.is_none_or(|at| at.elapsed() > CACHED_LEDGER_TTL);
         if short && old {
-            book.ledger = None;
+            cached.ledger = None;
         }
     }
 
-    /// The journal names a budget before the ledger grants from it, so that whoever seals the
-    /// journal knows where grants may be.
-    async fn list_drawn(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
-        if !book.listed {
-            self.recorder.add(Work::Draw(entry.budget.clone()));
-            if !self.recorder.flush_within(FLUSH).await {
-                return Err(Denial::Unreachable);
+    /// Lists a budget in the journal before drawing from its ledger, so that whoever seals the journal
+    /// knows which ledgers may have grants.
+    async fn list_in_journal(
+        &self,
+        entry: &Entry,
+        cached: &mut CachedLedger,
+    ) -> Result<(), ReserveError> {
+        if !cached.listed {
+            self.recorder.add(Operation::Draw(entry.budget.clone()));
+            if !self.recorder.flush_within(FLUSH_TIMEOUT).await {
+                return Err(ReserveError::Unreachable);
             }
-            book.listed = true;
+            cached.listed = true;
         }
         match self.recorder.is_sealed() {
-            true => Err(Denial::Sealed),
+            true => Err(ReserveError::Sealed),
             false => Ok(()),
         }
     }
 
-    async fn read(&self, entry: &Entry, book: &mut Book) -> Result<(), Denial> {
+    async fn read(&self, entry: &Entry, cached: &mut CachedLedger) -> Result<(), ReserveError> {
         let read = self.store.get("ledger", &entry.budget).await;
         let found = read.map_err(|_| {
-            self.health.failed();
-            Denial::Unreachable
+            self.health.record_failure();
+            ReserveError::Unreachable
         })?;
-        self.health.answered();
-        book.read_at = Some(Instant::now());
-        (book.version, book.ledger) = match found {
+        self.health.record_success();
+        cached.read_at = Some(Instant::now());
+        (cached.version, cached.ledger) = match found {
             None => (0, Some(Ledger::default())),
             Some(object) => {
                 let ledger = serde_json::from_str(&object.value);
-                (object.version, Some(ledger.map_err(|_| Denial::Unreachable)?))
+                (object.version, Some(ledger.map_err(|_| ReserveError::Unreachable)?))
             }
         };
         Ok(())
     }
 
-    /// The ledger after this write, or `None` if there is nothing to write.
+    /// Computes the ledger to write and its draw; `None` if there is nothing to write.
     async fn plan(
         &self,
         entry: &Arc<Entry>,
-        book: &Book,
+        cached: &CachedLedger,
         purpose: &Purpose,
-    ) -> Result<Option<(Ledger, Draw)>, Denial> {
+    ) -> Result<Option<(Ledger, Draw)>, ReserveError> {
         let snapshot = self.config.borrow().clone();
-        let ledger = book.ledger.as_ref().expect("read before planning");
+        let ledger = cached.ledger.as_ref().expect("read before planning");
         let mut next = ledger.clone();
         let spec = snapshot.budgets.get(&entry.budget);
         if let Some(spec) = spec {
             next.apply_paid(spec.paid, snapshot.version(Kind::Budget, &entry.budget));
         }
-        if spec.is_none() && book.version == 0 {
-            return Err(Denial::Missing);
+        if spec.is_none() && cached.version == 0 {
+            return Err(ReserveError::Missing);
         }
         let journal = self.recorder.journal();
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
-        let share = spec.map_or(0, |spec| spec.share());
+        let share = spec.map_or(0, |spec| spec.effective_offline_share());
         let draw = self.draw(entry, &next, share, purpose).await;
-        let known_short = next.grants.get(self.me()).is_some_and(|g| g.wanted == draw.wanted);
-        if draw.wanted > 0 && known_short && next == *ledger {
-            return Err(Denial::Exhausted);
+        let is_requested =
+            next.grants.get(self.incarnation()).is_some_and(|g| g.wanted == draw.wanted);
+        if draw.wanted > 0 && is_requested && next == *ledger {
+            return Err(ReserveError::Exhausted);
         }
         if draw == Draw::default() && next == *ledger {
-            return self.verdict(entry, purpose).map(|()| None);
+            return self.check_need(entry, purpose).map(|()| None);
         }
-        match next.draw(self.me(), draw, book.writes + 1) {
+        match next.draw(self.incarnation(), draw, cached.writes + 1) {
             Ok(()) => Ok(Some((next, draw))),
             Err(error) => {
-                self.undo(entry, draw);
+                self.credit_returns(entry, draw);
                 Err(match error {
-                    ledger::Error::Sealed => Denial::Sealed,
+                    ledger::Error::Sealed => ReserveError::Sealed,
                     ledger::Error::Exhausted { .. } | ledger::Error::Misfit { .. } => {
-                        Denial::Unreachable
+                        ReserveError::Unreachable
                     }
                 })
             }
         }
     }
 
+    /// Tokens to draw or return in the next write; returned tokens are debited already.
     async fn draw(&self, entry: &Entry, next: &Ledger, share: u64, purpose: &Purpose) -> Draw {
         let target = self.target(entry, next, share);
         let mut free =
             Free { online: entry.free(Part::Online), offline: entry.free(Part::Offline), need: 0 };
-        let back = match purpose {
+        let returns = match purpose {
             Purpose::Need(tokens) => {
                 free.need = *tokens;
                 Draw::default()
             }
-            Purpose::Keep => surplus(target, free, next.wanted_by_others(self.me())),
-            Purpose::Spare => {
+            Purpose::Maintain => surplus(target, free, next.wanted_by_others(self.incarnation())),
+            Purpose::ReturnSurplus => {
                 let (rate, largest, _) = entry.usage.lock().read();
                 let own = if rate > 0 { largest } else { 0 };
                 let target = ledger::Target { online: own, offline: target.offline / 4 };
                 surplus(target, free, 1)
             }
         };
-        if back != Draw::default() {
-            return self.take_back(entry, back).await;
+        if returns != Draw::default() {
+            return self.debit_returns(entry, returns).await;
         }
         match purpose {
-            Purpose::Spare => Draw::default(),
-            Purpose::Need(_) | Purpose::Keep => wish(next, target, free),
+            Purpose::ReturnSurplus => Draw::default(),
+            Purpose::Need(_) | Purpose::Maintain => top_up(next, target, free),
         }
     }
 
-    /// Debits what is returned, then waits until the journal no longer holds it.
-    async fn take_back(&self, entry: &Entry, back: Draw) -> Draw {
+    /// Debits tokens to be returned, then waits until the queued journal writes are done. If they take too
+    /// long, nothing is returned.
+    async fn debit_returns(&self, entry: &Entry, returns: Draw) -> Draw {
         let taken = {
             let mut account = entry.account.lock();
             Draw {
-                return_online: account.take(Part::Online, back.return_online),
-                return_offline: account.take(Part::Offline, back.return_offline),
+                return_online: account.remove(Part::Online, returns.return_online),
+                return_offline: account.remove(Part::Offline, returns.return_offline),
                 ..Draw::default()
             }
         };
-        if self.recorder.flush_within(FLUSH).await {
+        if self.recorder.flush_within(FLUSH_TIMEOUT).await {
             return taken;
         }
-        self.undo(entry, taken);
+        self.credit_returns(entry, taken);
         Draw::default()
     }
 
@@ -412,10 +422,10 @@
 
     /// Moves full pages of bills out of the ledger.
     ///
-    /// Only bills that have landed go on a page: their order is settled, so whoever writes the
-    /// page writes the same one.
-    async fn write_pages(&self, entry: &Entry, landed: &Ledger, next: &mut Ledger) {
-        for (number, page) in landed.full_pages() {
+    /// Only bills of a ledger version that is stored go on a page: their order is final, so all
+    /// writers of a page write the same bills.
+    async fn write_pages(&self, entry: &Entry, stored: &Ledger, next: &mut Ledger) {
+        for (number, page) in stored.full_pages() {
             let name = ledger::page_name(&entry.budget, number);
             let text = serde_json::to_string(&page).expect("pages always serialize");
             match self.store.put("bills", &name, text, Expect::Absent).await {
@@ -425,69 +435,73 @@
         }
     }
 
-    /// Whether another write would fold or page more.
-    fn has_more(&self, entry: &Entry, book: &Book) -> bool {
-        let Some(mut ledger) = book.ledger.clone() else { return false };
+    /// Whether another write would fold more outcomes or write another page.
+    fn has_more(&self, entry: &Entry, cached: &CachedLedger) -> bool {
+        let Some(mut ledger) = cached.ledger.clone() else { return false };
         let paged = ledger.statement.recent.len() >= ledger::BILLS_PER_PAGE;
         paged || ledger.fold(&entry.budget, &self.recorder.journal()).outcomes > 0
     }
 
-    /// Writes the ledger; true if it landed, false if another write came first.
+    /// Writes the ledger; true if the write took effect, false if another one came first.
     async fn write(
         &self,
         entry: &Arc<Entry>,
-        book: &mut Book,
+        cached: &mut CachedLedger,
         next: Ledger,
         draw: Draw,
-    ) -> Result<bool, Denial> {
-        let expect = if book.version == 0 { Expect::Absent } else { Expect::Version(book.version) };
-        book.writes += 1;
+    ) -> Result<bool, ReserveError> {
+        let expect =
+            if cached.version == 0 { Expect::Absent } else { Expect::Version(cached.version) };
+        cached.writes += 1;
         let write = self.store.put("ledger", &entry.budget, next.to_json(), expect).await;
         match write {
             Write::Landed(version) => {
-                self.health.answered();
-                self.landed(entry, book, next, draw, version);
+                self.health.record_success();
+                self.commit(entry, cached, next, draw, version);
                 Ok(true)
             }
             Write::Refused => {
-                self.health.answered();
-                self.undo(entry, draw);
-                book.ledger = None;
+                self.health.record_success();
+                self.credit_returns(entry, draw);
+                cached.ledger = None;
                 Ok(false)
             }
             Write::Failed => {
-                self.health.failed();
-                self.undo(entry, draw);
-                Err(Denial::Unreachable)
+                self.health.record_failure();
+                self.credit_returns(entry, draw);
+                Err(ReserveError::Unreachable)
             }
             Write::Unknown => {
-                self.health.failed();
-                let expected = book.version;
-                book.pending = Some(Pending { expected, next, draw, write: book.writes });
-                self.settle_pending(entry, book).await?;
+                self.health.record_failure();
+                let expected = cached.version;
+                cached.pending = Some(Pending { expected, next, draw, write: cached.writes });
+                self.resolve_pending(entry, cached).await?;
                 Ok(false)
             }
         }
     }
 
-    /// Finds out whether a write whose answer was lost has landed, sending it again if it still
-    /// could.
-    async fn settle_pending(&self, entry: &Arc<Entry>, book: &mut Book) -> Result<(), Denial> {
-        for _ in 0..TRIES {
-            let Some(pending) = book.pending.clone() else { return Ok(()) };
-            self.read(entry, book).await?;
-            let ledger = book.ledger.as_ref().expect("just read");
-            let mine = ledger.grants.get(self.me());
-            let marked = mine.is_some_and(|grant| grant.write >= pending.write);
-            match resolve(pending.expected, book.version, marked) {
+    /// Determines whether a write with unknown outcome took effect, repeating it while it still may.
+    async fn resolve_pending(
+        &self,
+        entry: &Arc<Entry>,
+        cached: &mut CachedLedger,
+    ) -> Result<(), ReserveError> {
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(pending) = cached.pending.clone() else { return Ok(()) };
+            self.read(entry, cached).await?;
+            let ledger = cached.ledger.as_ref().expect("just read");
+            let own_grant = ledger.grants.get(self.incarnation());
+            let took_effect = own_grant.is_some_and(|grant| grant.write >= pending.write);
+            match resolve(pending.expected, cached.version, took_effect) {
                 Resolution::Landed => {
-                    book.pending = None;
-                    let (version, ledger) = (book.version, ledger.clone());
-                    self.landed(entry, book, ledger, pending.draw, version);
+                    cached.pending = None;
+                    let (version, ledger) = (cached.version, ledger.clone());
+                    self.commit(entry, cached, ledger, pending.draw, version);
                 }
                 Resolution::Lost => {
-                    book.pending = None;
-                    self.undo(entry, pending.draw);
+                    cached.pending = None;
+                    self.credit_returns(entry, pending.draw);
                 }
                 Resolution::Open => {
                     let expect = match pending.expected {
@@ -498,75 +512,83 @@
                     if let Write::Failed =
                         self.store.put("ledger", &entry.budget, text, expect).await
                     {
-                        return Err(Denial::Unreachable);
+                        return Err(ReserveError::Unreachable);
                     }
                 }
             }
         }
-        match book.pending {
+        match cached.pending {
             None => Ok(()),
-            Some(_) => Err(Denial::Unreachable),
+            Some(_) => Err(ReserveError::Unreachable),
         }
     }
 
-    fn landed(&self, entry: &Arc<Entry>, book: &mut Book, next: Ledger, draw: Draw, version: u64) {
+    /// Applies a ledger write that took effect to the account, the recorder and the cached ledger.
+    fn commit(
+        &self,
+        entry: &Arc<Entry>,
+        cached: &mut CachedLedger,
+        next: Ledger,
+        draw: Draw,
+        version: u64,
+    ) {
         {
             let mut account = entry.account.lock();
             account.add(Part::Online, draw.online);
             account.add(Part::Offline, draw.offline);
         }
-        if let Some(grant) = next.grants.get(self.me()) {
-            self.recorder.folded(&entry.budget, grant.folded);
+        if let Some(grant) = next.grants.get(self.incarnation()) {
+            self.recorder.mark_folded(&entry.budget, grant.folded);
         }
         let returned = draw.return_online + draw.return_offline;
         let (online, offline) = (draw.online, draw.offline);
         if online + offline + returned > 0 {
-            let what = timeline::What::Drawn { online, offline, returned };
-            self.log.budget(&entry.budget, what);
+            let what = timeline::EventKind::Drawn { online, offline, returned };
+            self.log.add_for_budget(&entry.budget, what);
         }
-        (book.version, book.ledger) = (version, Some(next));
+        (cached.version, cached.ledger) = (version, Some(next));
     }
 
-    /// Tokens taken for a return that did not land are free again.
-    fn undo(&self, entry: &Entry, draw: Draw) {
+    /// Credits the tokens again that were debited for a return which did not take effect.
+    fn credit_returns(&self, entry: &Entry, draw: Draw) {
         let mut account = entry.account.lock();
         account.add(Part::Online, draw.return_online);
         account.add(Part::Offline, draw.return_offline);
     }
 
-    /// Ends this session's grant of one budget by its own word: folds what is left, then returns
-    /// the rest. Only correct once the journal is sealed or closed, nothing is reserved and the
-    /// recorder is flushed.
-    pub async fn surrender(&self, budget: &Arc<str>) -> Result<(), Denial> {
+    /// Ends this session's own grant of one budget: folds the remaining outcomes, then returns the
+    /// remaining tokens. Only correct once the journal is sealed or closed, nothing is reserved and
+    /// the recorder is flushed.
+    pub async fn end_grant(&self, budget: &Arc<str>) -> Result<(), ReserveError> {
         let entry = self.entry(budget);
-        let mut book = entry.book.lock().await;
-        self.settle_pending(&entry, &mut book).await?;
-        for _ in 0..TRIES {
-            self.read(&entry, &mut book).await?;
-            let ledger = book.ledger.as_ref().expect("just read");
+        let mut cached = entry.cached.lock().await;
+        self.resolve_pending(&entry, &mut cached).await?;
+        for _ in 0..MAX_ATTEMPTS {
+            self.read(&entry, &mut cached).await?;
+            let ledger = cached.ledger.as_ref().expect("just read");
             let mut next = ledger.clone();
             let journal = self.recorder.journal();
             if !next.fold(budget, &journal).whole {
-                // It waits for a transfer that another journal holds.
-                return Err(Denial::Unreachable);
+                // A transfer that another journal records has to be folded first.
+                return Err(ReserveError::Unreachable);
             }
-            if !next.grants.contains_key(self.me()) {
+            if !next.grants.contains_key(self.incarnation()) {
                 return Ok(());
             }
-            let position = next.grants.get(self.me()).map_or(0, |grant| grant.folded);
+            let position = next.grants.get(self.incarnation()).map_or(0, |grant| grant.folded);
             let last = self.recorder.backlog() == 0;
             if last {
-                next.end(self.me());
+                next.end(self.incarnation());
             }
             if !last && next == *ledger {
-                return Err(Denial::Unreachable);
+                return Err(ReserveError::Unreachable);
             }
-            if self.write(&entry, &mut book, next, Draw::default()).await? {
-                self.recorder.folded(budget, position);
-                // Folding made room for hand-ins that still wait.
-                return if last { Ok(()) } else { Err(Denial::Unreachable) };
+            if self.write(&entry, &mut cached, next, Draw::default()).await? {
+                self.recorder.mark_folded(budget, position);
+                // Folding made room in the journal for hand-ins that are still queued.
+                return if last { Ok(()) } else { Err(ReserveError::Unreachable) };
             }
         }
-        Err(Denial::Unreachable)
+        Err(ReserveError::Unreachable)
     }
 }
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -1,8 +1,8 @@
 //! Group commit of a journal.
 //!
-//! Requests that come while a write is in flight share the next one. Everything queued is applied
-//! to the newest journal read; since every application is idempotent by record number, a write
-//! whose answer was lost is simply read back and applied again where it did not land.
+//! Operations that arrive while a write is in flight share the next write. All queued operations are
+//! applied to the latest known journal. They are idempotent by record number: after a write with unknown
+//! outcome, the journal is read back and the operations are applied again.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -18,55 +18,56 @@
 
 use crate::Health;
 
-/// First wait after a failed write; doubles up to [`BACKOFF_MOST`].
-const BACKOFF: Duration = Duration::from_millis(50);
-/// Outcomes alone wait this long for an intent to share a write with.
-const LAZY: Duration = Duration::from_millis(250);
-/// Records that a journal holds at the most before hand-ins wait: a value holds 1 MB.
-const MOST_RECORDS: usize = 3_000;
-/// Records above that which intents may still add.
-const ROOM_FOR_INTENTS: usize = 500;
-/// Longest wait after a failed write.
-const BACKOFF_MOST: Duration = Duration::from_secs(2);
-
-/// Why an intent did not land.
+/// Delay after the first failed write; doubled with each further one, up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Time for which a write without intents is delayed, so that it can be shared with an intent.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Number of records in a journal from which hand-ins have to wait, since an object is limited to 1 MB.
+const MAX_RECORDS: usize = 3_000;
+/// Number of records above that limit that intents may add.
+const EXTRA_INTENTS: usize = 500;
+/// Longest delay after a failed write.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Why an intent was not recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Failure {
-    /// The journal is sealed: this incarnation dispatches nothing more from it.
+pub enum IntentError {
+    /// The journal is sealed: the request must not be dispatched.
     #[snafu(display("the journal is sealed"))]
     Sealed,
-    /// Not known in time.
-    #[snafu(display("the intent is in doubt"))]
+    /// The outcome of the write was not known in time.
+    #[snafu(display("it is not known whether the intent was recorded"))]
     InDoubt,
 }
 
-/// Something to write into the journal.
+/// An operation on the journal.
 #[derive(Debug, Clone)]
-pub enum Work {
-    /// An intent.
+pub enum Operation {
+    /// Records the intent to dispatch a request.
     Intend(Record),
-    /// An outcome of a recorded intent.
+    /// Records the outcome of an intent.
     Finish { n: u64, charged: u64, ended: Ended, evidence: Evidence },
-    /// Offline work that ended.
+    /// Hands in the record of an offline request that ended.
     HandIn(Record, Evidence),
-    /// A budget that will be drawn from.
+    /// Lists a budget that will be drawn from.
     Draw(Arc<str>),
-    /// An offline transfer given or received.
+    /// Records an offline transfer, sent or received.
     Transfer(Arc<str>, Transfer),
 }
 
-type Waiter = oneshot::Sender<Result<(), Failure>>;
+type Waiter = oneshot::Sender<Result<(), IntentError>>;
 
 struct Queue {
-    work: VecDeque<(u64, Work)>,
+    operations: VecDeque<(u64, Operation)>,
     waiters: BTreeMap<u64, (u64, Waiter)>,
     folded: BTreeMap<Arc<str>, u64>,
-    next: u64,
-    number: u64,
-    /// Somebody waits for what is queued.
+    next_sequence: u64,
+    next_number: u64,
+    /// Whether a caller waits for queued operations.
     urgent: bool,
 }
 
+/// The latest stored journal, to which queued operations are applied.
 #[derive(Debug, Clone)]
 struct Base {
     journal: Arc<Journal>,
@@ -80,33 +81,33 @@
     queue: Mutex<Queue>,
     base: Mutex<Base>,
     wake: Notify,
-    landed: watch::Sender<u64>,
+    commits: watch::Sender<u64>,
     sealed: watch::Sender<bool>,
-    spacing: Duration,
+    min_write_interval: Duration,
 }
 
-/// Handle on the recorder of one journal.
+/// Handle to the recorder of one journal.
 #[derive(Clone)]
 pub struct Recorder(Arc<Shared>);
 
 impl Recorder {
     /// Creates the journal of a new incarnation and starts its writer.
     ///
-    /// The journal need not have landed yet: its creation is the recorder's first write.
-    /// `spacing` is the least time between two writes.
+    /// The journal is stored by the recorder's first write, after this returns. Writes are at least
+    /// `min_write_interval` apart.
     pub fn spawn(
         incarnation: Incarnation,
         store: Arc<dyn Store>,
         health: Health,
-        spacing: Duration,
+        min_write_interval: Duration,
     ) -> Recorder {
         let journal = Arc::new(Journal::new(incarnation.clone()));
         let queue = Queue {
-            work: VecDeque::new(),
+            operations: VecDeque::new(),
             waiters: BTreeMap::new(),
             folded: BTreeMap::new(),
-            next: 1,
-            number: 1,
+            next_sequence: 1,
+            next_number: 1,
             urgent: true,
         };
         let shared = Arc::new(Shared {
@@ -116,24 +117,24 @@
             queue: Mutex::new(queue),
             base: Mutex::new(Base { journal, version: 0 }),
             wake: Notify::new(),
-            landed: watch::channel(0).0,
+            commits: watch::channel(0).0,
             sealed: watch::channel(false).0,
-            spacing,
+            min_write_interval,
         });
-        tokio::spawn(write_all(Arc::downgrade(&shared), shared.landed.subscribe()));
+        tokio::spawn(run_writer(Arc::downgrade(&shared), shared.commits.subscribe()));
         Recorder(shared)
     }
 
-    /// Whose journal this is.
+    /// The incarnation whose journal this is.
     pub fn incarnation(&self) -> &Incarnation {
         &self.0.incarnation
     }
 
-    /// A record number never given before.
+    /// Returns an unused record number.
     pub fn number(&self) -> u64 {
         let mut queue = self.0.queue.lock();
-        queue.number += 1;
-        queue.number - 1
+        queue.next_number += 1;
+        queue.next_number - 1
     }
 
     /// Whether the journal is known to be sealed.
@@ -146,48 +147,48 @@
         let _ = self.0.sealed.subscribe().wait_for(|sealed| *sealed).await;
     }
 
-    /// The newest journal known to have landed.
+    /// The latest version of the journal that is known to be stored.
     pub fn journal(&self) -> Arc<Journal> {
         self.0.base.lock().journal.clone()
     }
 
-    /// Records an intent and waits until it landed. After an error nothing may be dispatched.
-    pub async fn intend(&self, record: Record, within: Duration) -> Result<(), Failure> {
+    /// Records an intent and waits until it is stored. After an error the request must not be dispatched.
+    pub async fn intend(&self, record: Record, timeout: Duration) -> Result<(), IntentError> {
         let n = record.n;
         let (sender, receiver) = oneshot::channel();
         {
             let mut queue = self.0.queue.lock();
             if self.is_sealed() {
-                return Err(Failure::Sealed);
+                return Err(IntentError::Sealed);
             }
             queue.urgent = true;
-            let at = queue.push(Work::Intend(record));
-            queue.waiters.insert(n, (at, sender));
+            let sequence = queue.push(Operation::Intend(record));
+            queue.waiters.insert(n, (sequence, sender));
         }
         self.0.wake.notify_one();
         let guard = Withdrawal { recorder: self, n: Some(n) };
-        match tokio::time::timeout(within, receiver).await {
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(result)) => {
                 guard.disarm();
                 result
             }
-            Ok(Err(_)) => Err(Failure::Sealed),
-            Err(_) => Err(Failure::InDoubt),
+            Ok(Err(_)) => Err(IntentError::Sealed),
+            Err(_) => Err(IntentError::InDoubt),
         }
     }
 
-    /// Own word that an intent in doubt is never dispatched.
+    /// Records that a request whose intent may have been stored was not dispatched.
     fn withdraw(&self, n: u64) {
         self.0.queue.lock().waiters.remove(&n);
         let evidence = Evidence::Recorded;
-        self.add(Work::Finish { n, charged: 0, ended: Ended::NotRun, evidence });
+        self.add(Operation::Finish { n, charged: 0, ended: Ended::NotRun, evidence });
     }
 
-    /// Queues something that nobody waits for.
-    pub fn add(&self, work: Work) {
+    /// Queues an operation without waiting for it.
+    pub fn add(&self, operation: Operation) {
         let mut queue = self.0.queue.lock();
-        let first = queue.work.is_empty();
-        queue.push(work);
+        let first = queue.operations.is_empty();
+        queue.push(operation);
         drop(queue);
         if first {
             self.0.wake.notify_one();
@@ -196,42 +197,42 @@
 
     /// Records an outcome.
     pub fn finish(&self, n: u64, charged: u64, ended: Ended) {
-        self.add(Work::Finish { n, charged, ended, evidence: Evidence::Recorded });
+        self.add(Operation::Finish { n, charged, ended, evidence: Evidence::Recorded });
     }
 
-    /// Outcomes up to `position` are folded into the ledger of `budget` and may be dropped.
-    pub fn folded(&self, budget: &Arc<str>, position: u64) {
+    /// Marks outcomes up to `position` as folded into the ledger of `budget`; the journal may drop them.
+    pub fn mark_folded(&self, budget: &Arc<str>, position: u64) {
         self.0.queue.lock().folded.insert(budget.clone(), position);
     }
 
-    /// Waits until everything queued so far has landed, except hand-ins: those only spend what
-    /// the ledger holds for them anyway, and may have to wait for folds.
+    /// Waits until everything queued so far is stored, except hand-ins: they only spend tokens that the
+    /// ledger holds for them anyway, and may have to wait for folds.
     pub async fn flush(&self) {
-        let upto = {
+        let end = {
             let mut queue = self.0.queue.lock();
             queue.urgent = true;
-            queue.next
+            queue.next_sequence
         };
         self.0.wake.notify_one();
-        let mut landed = self.0.landed.subscribe();
-        while self.0.queue.lock().holds_before(upto) {
-            if landed.changed().await.is_err() {
+        let mut commits = self.0.commits.subscribe();
+        while self.0.queue.lock().has_pending_before(end) {
+            if commits.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Like [`Recorder::flush`], but gives up; false if something may not have landed.
-    pub async fn flush_within(&self, within: Duration) -> bool {
-        tokio::time::timeout(within, self.flush()).await.is_ok()
+    /// Like [`Recorder::flush`], with a timeout; false if something may not be stored.
+    pub async fn flush_within(&self, timeout: Duration) -> bool {
+        tokio::time::timeout(timeout, self.flush()).await.is_ok()
     }
 
-    /// Number of queued pieces of work that have not landed.
+    /// Number of queued operations that are not stored yet.
     pub fn backlog(&self) -> usize {
-        self.0.queue.lock().work.len()
+        self.0.queue.lock().operations.len()
     }
 
-    /// Closes the journal after its last outcome; false if something is open or it is sealed.
+    /// Closes the journal; false if a record is open, the journal is sealed, or the write fails.
     pub async fn close(&self) -> bool {
         self.flush().await;
         let base = self.0.base.lock().clone();
@@ -246,7 +247,7 @@
     }
 }
 
-/// Withdraws an intent unless it was disarmed, also when its waiter is dropped.
+/// Withdraws an intent on drop unless disarmed, also if the waiting future is cancelled.
 struct Withdrawal<'a> {
     recorder: &'a Recorder,
     n: Option<u64>,
@@ -267,16 +268,16 @@
 }
 
 impl Queue {
-    fn holds_before(&self, upto: u64) -> bool {
-        let mut before = self.work.iter().take_while(|(at, _)| *at < upto);
-        before.any(|(_, work)| !matches!(work, Work::HandIn(..)))
+    fn has_pending_before(&self, end: u64) -> bool {
+        let mut before = self.operations.iter().take_while(|(sequence, _)| *sequence < end);
+        before.any(|(_, operation)| !matches!(operation, Operation::HandIn(..)))
     }
 
-    fn push(&mut self, work: Work) -> u64 {
-        let at = self.next;
-        self.next += 1;
-        self.work.push_back((at, work));
-        at
+    fn push(&mut self, operation: Operation) -> u64 {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.operations.push_back((sequence, operation));
+        sequence
     }
 }
 
@@ -284,13 +285,13 @@
     if version == 0 { Expect::Absent } else { Expect::Version(version) }
 }
 
-async fn write_all(shared: std::sync::Weak<Shared>, _landed: watch::Receiver<u64>) {
-    let mut backoff = BACKOFF;
+async fn run_writer(shared: std::sync::Weak<Shared>, _commits: watch::Receiver<u64>) {
+    let mut backoff = MIN_BACKOFF;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let (idle, urgent) = {
             let queue = shared.queue.lock();
-            (queue.work.is_empty(), queue.urgent)
+            (queue.operations.is_empty(), queue.urgent)
         };
         if idle {
             let wait = tokio::time::timeout(Duration::from_millis(500), shared.wake.notified());
@@ -298,166 +299,169 @@
             continue;
         }
         if !urgent {
-            let _ = tokio::time::timeout(LAZY, shared.wake.notified()).await;
+            let _ = tokio::time::timeout(BATCH_DELAY, shared.wake.notified()).await;
         }
         match shared.write_once().await {
-            Step::Landed => backoff = BACKOFF,
-            Step::Again => {}
-            Step::Failed => {
+            WriteResult::Landed => backoff = MIN_BACKOFF,
+            WriteResult::Retry => {}
+            WriteResult::Failed => {
                 tokio::time::sleep(backoff).await;
-                backoff = (backoff * 2).min(BACKOFF_MOST);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
                 continue;
             }
         }
-        tokio::time::sleep(shared.spacing).await;
+        tokio::time::sleep(shared.min_write_interval).await;
     }
 }
 
-enum Step {
+enum WriteResult {
     Landed,
-    Again,
+    Retry,
     Failed,
 }
 
 impl Shared {
-    async fn write_once(&self) -> Step {
+    async fn write_once(&self) -> WriteResult {
         let base = self.base.lock().clone();
         let (journal, applied) = self.candidate(&base.journal);
         if base.version != 0 && journal == *base.journal {
-            self.landed(&applied, None);
-            return Step::Again;
+            self.commit(&applied, None);
+            return WriteResult::Retry;
         }
         let name = self.incarnation.as_str();
         let write = self.store.put("journal", name, journal.to_json(), expect(base.version)).await;
         match write {
             Write::Landed(version) => {
-                self.health.answered();
-                self.landed(&applied, Some(Base { journal: Arc::new(journal), version }));
-                Step::Landed
+                self.health.record_success();
+                self.commit(&applied, Some(Base { journal: Arc::new(journal), version }));
+                WriteResult::Landed
             }
             Write::Refused => {
-                self.health.answered();
+                self.health.record_success();
                 self.read_back().await
             }
             Write::Failed => {
-                self.health.failed();
-                Step::Failed
+                self.health.record_failure();
+                WriteResult::Failed
             }
             Write::Unknown => {
-                self.health.failed();
+                self.health.record_failure();
                 self.read_back().await
             }
         }
     }
 
-    /// The journal with everything queued that it has room for, and which pieces those are.
+    /// The journal with all queued operations that it has room for, and their numbers.
     fn candidate(&self, base: &Journal) -> (Journal, BTreeSet<u64>) {
         let mut queue = self.queue.lock();
         queue.urgent = false;
         let mut journal = base.clone();
         journal.compact(&queue.folded);
         let mut applied = BTreeSet::new();
-        for (at, work) in &queue.work {
-            let room = match work {
-                Work::HandIn(..) => MOST_RECORDS,
-                Work::Intend(_) => MOST_RECORDS + ROOM_FOR_INTENTS,
-                Work::Finish { .. } | Work::Draw(_) | Work::Transfer(..) => usize::MAX,
+        for (sequence, operation) in &queue.operations {
+            let room = match operation {
+                Operation::HandIn(..) => MAX_RECORDS,
+                Operation::Intend(_) => MAX_RECORDS + EXTRA_INTENTS,
+                Operation::Finish { .. } | Operation::Draw(_) | Operation::Transfer(..) => {
+                    usize::MAX
+                }
             };
             if journal.records.len() < room {
-                apply(&mut journal, work);
-                applied.insert(*at);
+                apply(&mut journal, operation);
+                applied.insert(*sequence);
             }
         }
         (journal, applied)
     }
 
-    fn landed(&self, applied: &BTreeSet<u64>, base: Option<Base>) {
+    /// Removes the applied operations from the queue and answers their waiters.
+    fn commit(&self, applied: &BTreeSet<u64>, base: Option<Base>) {
         if let Some(base) = base {
             *self.base.lock() = base;
         }
         let base = self.base.lock().clone();
         let open = base.journal.is_open();
         let mut queue = self.queue.lock();
-        queue.work.retain(|(at, _)| !applied.contains(at));
+        queue.operations.retain(|(sequence, _)| !applied.contains(sequence));
         let waiters = std::mem::take(&mut queue.waiters);
-        for (n, (at, waiter)) in waiters {
-            match (applied.contains(&at), open) {
-                (_, false) => drop(waiter.send(Err(Failure::Sealed))),
+        for (n, (sequence, waiter)) in waiters {
+            match (applied.contains(&sequence), open) {
+                (_, false) => drop(waiter.send(Err(IntentError::Sealed))),
                 (true, true) => drop(waiter.send(Ok(()))),
-                (false, true) => drop(queue.waiters.insert(n, (at, waiter))),
+                (false, true) => drop(queue.waiters.insert(n, (sequence, waiter))),
             }
         }
         drop(queue);
-        self.landed.send_modify(|landings| *landings += 1);
+        self.commits.send_modify(|count| *count += 1);
     }
 
-    async fn read_back(&self) -> Step {
+    async fn read_back(&self) -> WriteResult {
         let read = self.store.get("journal", self.incarnation.as_str()).await;
         let base = match read {
             Err(_) => {
-                self.health.failed();
-                return Step::Failed;
+                self.health.record_failure();
+                return WriteResult::Failed;
             }
-            Ok(None) if self.base.lock().version == 0 => return Step::Again,
-            Ok(None) => self.gone(),
+            Ok(None) if self.base.lock().version == 0 => return WriteResult::Retry,
+            Ok(None) => self.mark_removed(),
             Ok(Some(object)) => match serde_json::from_str::<Journal>(&object.value) {
                 Ok(journal) => Base { journal: Arc::new(journal), version: object.version },
-                Err(_) => self.gone(),
+                Err(_) => self.mark_removed(),
             },
         };
-        self.health.answered();
+        self.health.record_success();
         let open = base.journal.is_open();
         *self.base.lock() = base;
         if !open {
-            self.seal();
+            self.mark_sealed();
         }
-        Step::Again
+        WriteResult::Retry
     }
 
-    /// A journal that was removed had nothing left to take: it counts as sealed and complete.
-    fn gone(&self) -> Base {
+    /// Handles a journal that was removed: it counts as sealed, with nothing left to record.
+    fn mark_removed(&self) -> Base {
         let mut base = self.base.lock().clone();
         let mut journal = (*base.journal).clone();
         journal.seal(&self.incarnation);
         journal.records.clear();
         base.journal = Arc::new(journal);
         let mut queue = self.queue.lock();
-        queue.work.clear();
+        queue.operations.clear();
         drop(queue);
-        self.landed.send_modify(|landings| *landings += 1);
+        self.commits.send_modify(|count| *count += 1);
         base
     }
 
-    /// Fails every waiting intent; each withdraws itself by its own word, which is handed in.
-    fn seal(&self) {
+    /// Fails all waiting intents, and records that their requests were not dispatched.
+    fn mark_sealed(&self) {
         let waiters = {
             let mut queue = self.queue.lock();
-            queue.work.retain(|(_, work)| !matches!(work, Work::Intend(_)));
+            queue.operations.retain(|(_, operation)| !matches!(operation, Operation::Intend(_)));
             std::mem::take(&mut queue.waiters)
         };
         self.sealed.send_replace(true);
         for (n, (_, waiter)) in waiters {
-            let _ = waiter.send(Err(Failure::Sealed));
+            let _ = waiter.send(Err(IntentError::Sealed));
             let evidence = Evidence::Recorded;
-            let own_word = Work::Finish { n, charged: 0, ended: Ended::NotRun, evidence };
-            self.queue.lock().push(own_word);
+            let not_run = Operation::Finish { n, charged: 0, ended: Ended::NotRun, evidence };
+            self.queue.lock().push(not_run);
         }
     }
 }
 
-fn apply(journal: &mut Journal, work: &Work) {
-    // A refusal means that the piece can never land: its intent did not, or was folded before.
-    let _: Result<(), Refusal> = match work.clone() {
-        Work::Intend(record) => journal.intend(record),
-        Work::Finish { n, charged, ended, evidence } => {
+fn apply(journal: &mut Journal, operation: &Operation) {
+    // The journal refuses an operation if its intent was never stored or has been folded already.
+    let _: Result<(), Refusal> = match operation.clone() {
+        Operation::Intend(record) => journal.intend(record),
+        Operation::Finish { n, charged, ended, evidence } => {
             journal.finish(n, charged, ended, evidence).map(drop)
         }
-        Work::HandIn(record, evidence) => journal.hand_in(record, evidence).map(drop),
-        Work::Draw(budget) => {
+        Operation::HandIn(record, evidence) => journal.hand_in(record, evidence).map(drop),
+        Operation::Draw(budget) => {
             journal.drawn.insert(budget);
             Ok(())
         }
-        Work::Transfer(budget, transfer) => {
+        Operation::Transfer(budget, transfer) => {
             let entry = (budget, transfer);
             if !journal.transfers.contains(&entry) {
                 journal.transfers.push(entry);
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -1,24 +1,24 @@
-//! One incarnation of a box: its journal and what it holds of each budget.
+//! One incarnation of a box: its journal and the tokens that it holds of each budget.
 
 use std::{sync::Arc, time::Duration};
 
 use ledger::{Ended, Entry, Evidence, Incarnation, Part, Record, Reservation, Transfer};
 use parking_lot::Mutex;
 
-use crate::{Denial, Failure, Funds, Peers, Recorder, Setup, Work, account};
+use crate::{Funds, IntentError, Operation, Peers, Recorder, ReserveError, Setup, account};
 
-/// Longest wait for carriers before offline work is dispatched.
-const CARRY: Duration = Duration::from_millis(50);
+/// Longest wait for replicas before an offline request is dispatched.
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Budget and transfer of tokens that a peer lent.
+/// A transfer from a peer, and its budget.
 type Borrowed = (Arc<str>, Transfer);
 
-/// Handle on one session.
+/// Handle to one session.
 #[derive(Clone)]
 pub struct Session {
-    /// Its journal.
+    /// Writer of its journal.
     pub recorder: Recorder,
-    /// What it holds of each budget.
+    /// Tokens that it holds of each budget.
     pub funds: Arc<Funds>,
     peers: Option<Arc<dyn Peers>>,
     borrowed: Arc<Mutex<Vec<Borrowed>>>,
@@ -27,35 +27,37 @@
 impl Session {
     /// Opens a session for a new incarnation.
     pub fn open(incarnation: Incarnation, setup: &Setup) -> Session {
-        let Setup { store, health, config, options, spacing, log, peers, .. } = setup.clone();
-        let recorder = Recorder::spawn(incarnation, store.clone(), health.clone(), spacing);
+        let Setup { store, health, config, options, min_write_interval, log, peers, .. } =
+            setup.clone();
+        let recorder =
+            Recorder::spawn(incarnation, store.clone(), health.clone(), min_write_interval);
         let funds = Funds::new(recorder.clone(), store, health, config, options, log);
         Session { recorder, funds: Arc::new(funds), peers, borrowed: Arc::default() }
     }
 
-    /// Whose session this is.
+    /// The incarnation of this session.
     pub fn incarnation(&self) -> &Incarnation {
         self.recorder.incarnation()
     }
 
-    /// Reserves the worst case online and records the intent; after this it may be dispatched.
+    /// Reserves the maximum cost of a request online and records the intent; then it may be dispatched.
     pub async fn hold_online(
         &self,
         mut record: Record,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Hold, HoldError> {
         let (budget, tokens) = (record.budget.clone(), record.reserved);
-        let reserved = self.funds.reserve_online(&budget, tokens, within).await;
-        let reservation = reserved.map_err(HoldError::Denied)?;
+        let reserved = self.funds.reserve_online(&budget, tokens, timeout).await;
+        let reservation = reserved.map_err(HoldError::Reserve)?;
         record.n = self.recorder.number();
         record.part = Part::Online;
         let entry = self.funds.entry(&budget);
         let guard = Guard { entry: entry.clone(), reservation: Some(reservation) };
-        self.recorder.intend(record.clone(), within).await.map_err(HoldError::Failed)?;
-        Ok(Hold::new(self.clone(), entry, guard.keep(), record))
+        self.recorder.intend(record.clone(), timeout).await.map_err(HoldError::Intent)?;
+        Ok(Hold::new(self.clone(), entry, guard.into_reservation(), record))
     }
 
-    /// Reserves the worst case of the offline part; nothing is recorded before it ends.
+    /// Reserves the maximum cost of a request in the offline part. Nothing is recorded before it ends.
     pub fn hold_offline(&self, mut record: Record) -> Option<Hold> {
         let budget = record.budget.clone();
         let reservation = self.funds.reserve_offline(&budget, record.reserved)?;
@@ -64,86 +66,87 @@
         Some(Hold::new(self.clone(), self.funds.entry(&budget), reservation, record))
     }
 
-    /// A transfer is carried before its tokens are spent, as offline work is before it runs.
-    async fn carry_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
+    /// Replicates a transfer; done before its tokens are used.
+    async fn replicate_transfer(&self, budget: &Arc<str>, transfer: &Transfer) {
         if let Some(peers) = &self.peers {
             let entry = Entry::Transfer(budget.clone(), transfer.clone());
-            let carrying = peers.carry(self.incarnation(), &entry);
-            let _ = tokio::time::timeout(CARRY, carrying).await;
+            let replication = peers.replicate(self.incarnation(), &entry);
+            let _ = tokio::time::timeout(REPLICATION_TIMEOUT, replication).await;
         }
     }
 
-    /// A record with the transfers that may have paid for it: whoever carries one carries all.
-    fn entries(&self, record: &Record) -> Vec<Entry> {
+    /// A record with the transfers that may have paid for it. They are replicated together, since a record
+    /// cannot be folded without its transfers.
+    fn with_transfers(&self, record: &Record) -> Vec<Entry> {
         let borrowed = self.borrowed.lock();
-        let paid = borrowed.iter().filter(|(budget, _)| *budget == record.budget);
-        let transfers = paid.map(|(budget, t)| Entry::Transfer(budget.clone(), t.clone()));
+        let of_budget = borrowed.iter().filter(|(budget, _)| *budget == record.budget);
+        let transfers = of_budget.map(|(budget, t)| Entry::Transfer(budget.clone(), t.clone()));
         transfers.chain([Entry::Record(record.clone())]).collect()
     }
 
-    fn carry_later(&self, record: &Record) {
+    fn spawn_replication(&self, record: &Record) {
         if let Some(peers) = self.peers.clone() {
-            let (by, entries) = (self.incarnation().clone(), self.entries(record));
+            let (owner, entries) = (self.incarnation().clone(), self.with_transfers(record));
             tokio::spawn(async move {
                 for entry in entries {
-                    peers.carry(&by, &entry).await;
+                    peers.replicate(&owner, &entry).await;
                 }
             });
         }
     }
 
-    /// Passes offline tokens on to another incarnation: debited here first, recorded, then sent.
-    /// A message that is lost strands them; it never doubles them.
+    /// Passes offline tokens on to another incarnation: debits them, then queues the transfer for the
+    /// journal. If the message is lost, nobody can use the tokens, but they are never used twice.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
-        let taken = self.funds.take_offline(budget, tokens)?;
+        let taken = self.funds.debit_offline(budget, tokens)?;
         let n = self.recorder.number();
         let from = self.incarnation().clone();
         let transfer = Transfer { from, n, to: to.clone(), tokens: taken };
-        self.recorder.add(Work::Transfer(budget.clone(), transfer.clone()));
+        self.recorder.add(Operation::Transfer(budget.clone(), transfer.clone()));
         Some(transfer)
     }
 
-    /// Takes over offline tokens that another incarnation passed on to this one.
+    /// Accepts offline tokens that another incarnation passed on to this one.
     pub async fn receive(&self, budget: &Arc<str>, transfer: Transfer) {
         if transfer.to != *self.incarnation() {
             return;
         }
         let tokens = transfer.tokens;
-        self.recorder.add(Work::Transfer(budget.clone(), transfer.clone()));
+        self.recorder.add(Operation::Transfer(budget.clone(), transfer.clone()));
         self.borrowed.lock().push((budget.clone(), transfer.clone()));
-        self.carry_transfer(budget, &transfer).await;
-        self.funds.give_offline(budget, tokens);
+        self.replicate_transfer(budget, &transfer).await;
+        self.funds.credit_offline(budget, tokens);
     }
 
-    /// Ends a sealed session by its own word, once none of its requests is under way.
-    pub async fn surrender(&self) -> Result<(), Denial> {
+    /// Ends the grants of a sealed or closed session that has no requests in progress.
+    pub async fn end_grants(&self) -> Result<(), ReserveError> {
         self.recorder.flush().await;
-        let mut last = Ok(());
+        let mut result = Ok(());
         for budget in self.funds.budgets() {
-            last = last.and(self.funds.surrender(&budget).await);
+            result = result.and(self.funds.end_grant(&budget).await);
         }
-        last
+        result
     }
 }
 
-/// Why tokens could not be held online.
+/// Why a request could not be admitted online.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldError {
-    /// No reservation.
-    Denied(Denial),
-    /// No intent.
-    Failed(Failure),
+    /// The tokens could not be reserved.
+    Reserve(ReserveError),
+    /// The intent was not recorded.
+    Intent(IntentError),
 }
 
-/// Frees a reservation whose intent did not land, also when its waiter is dropped.
+/// Releases a reservation whose intent was not recorded, also if the waiting future is cancelled.
 struct Guard {
     entry: Arc<account::Entry>,
     reservation: Option<Reservation>,
 }
 
 impl Guard {
-    fn keep(mut self) -> Reservation {
-        self.reservation.take().expect("kept once")
+    fn into_reservation(mut self) -> Reservation {
+        self.reservation.take().expect("taken once")
     }
 }
 
@@ -157,7 +160,7 @@
 
 /// Tokens held for one request that may be dispatched.
 ///
-/// Dropped without an outcome it says "not run", so whoever dispatches must finish it.
+/// If it is dropped, the request counts as not run, so [`Hold::finish`] must be called after a dispatch.
 pub struct Hold {
     session: Session,
     entry: Arc<account::Entry>,
@@ -180,37 +183,37 @@
         &self.record
     }
 
-    /// Unique id of this attempt, sent to the endpoint.
-    pub fn dispatch(&self) -> String {
+    /// Unique id of this attempt, which is sent to the endpoint.
+    pub fn attempt_id(&self) -> String {
         format!("{}-{}", self.session.incarnation(), self.record.n)
     }
 
-    /// Whether the tokens are of the offline part.
+    /// Whether the tokens belong to the offline part.
     pub fn is_offline(&self) -> bool {
         self.record.part == Part::Offline
     }
 
-    /// Gives the record of offline work to carriers in reach, before it is dispatched. With none
-    /// in reach the box alone remembers it.
-    pub(crate) async fn carry(&self) {
+    /// Replicates the record of an offline request to reachable peers, before it is dispatched. If there
+    /// are none, only this box knows of it.
+    pub(crate) async fn replicate(&self) {
         if let Some(peers) = &self.session.peers {
-            let entries = self.session.entries(&self.record);
-            let by = self.session.incarnation();
-            let carrying = async {
+            let entries = self.session.with_transfers(&self.record);
+            let owner = self.session.incarnation();
+            let replication = async {
                 for entry in &entries {
-                    peers.carry(by, entry).await;
+                    peers.replicate(owner, entry).await;
                 }
             };
-            let _ = tokio::time::timeout(CARRY, carrying).await;
+            let _ = tokio::time::timeout(REPLICATION_TIMEOUT, replication).await;
         }
     }
 
-    /// Whether the journal is known to be sealed: then nothing more is dispatched from it.
+    /// Whether the journal is known to be sealed, so that the request must not be dispatched.
     pub fn is_sealed(&self) -> bool {
         !self.is_offline() && self.session.recorder.is_sealed()
     }
 
-    /// Ends the request; returns the tokens charged, at most those held.
+    /// Ends the request; returns the charged tokens, which are at most those held.
     pub fn finish(mut self, charged: u64, ended: Ended) -> u64 {
         self.end(charged, ended)
     }
@@ -225,8 +228,8 @@
                 let outcome =
                     ledger::Outcome { position: 0, charged, ended, evidence: Evidence::Recorded };
                 let record = Record { outcome: Some(outcome), ..self.record.clone() };
-                self.session.carry_later(&record);
-                recorder.add(Work::HandIn(record, Evidence::Recorded));
+                self.session.spawn_replication(&record);
+                recorder.add(Operation::HandIn(record, Evidence::Recorded));
             }
         }
         charged
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -1,4 +1,4 @@
-//! All sessions of one box: the current one, and former ones that still owe something.
+//! All sessions of one box: the current one, and former ones that have not returned all tokens yet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,51 +9,51 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use snafu::Snafu;
-use timeline::{Log, What};
+use timeline::{EventKind, Log};
 use tokio::sync::watch;
 
-use crate::{Denial, Failure, Health, Hold, HoldError, Options, Peers, Session};
+use crate::{Health, Hold, HoldError, IntentError, Options, Peers, ReserveError, Session};
 
-/// Sessions tried for one request when the box finds its journal sealed.
-const TRIES: u32 = 4;
-/// Longest wait for a peer's tokens.
-const BORROW: Duration = Duration::from_millis(300);
+/// Attempts for one request, each with a new session if the journal of the previous one is sealed.
+const MAX_ATTEMPTS: u32 = 4;
+/// Longest wait for tokens of a peer.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What all sessions of a box have in common.
+/// What all sessions of a box share.
 #[derive(Clone)]
 pub struct Setup {
     /// Name of the box.
     pub box_name: Arc<str>,
-    /// The platform.
+    /// Store of the platform.
     pub store: Arc<dyn Store>,
-    /// Whether the platform answers.
+    /// Whether the platform is reachable.
     pub health: Health,
     /// Configuration in force.
     pub config: watch::Receiver<Arc<Snapshot>>,
-    /// How parts are sized.
+    /// How the tokens that it holds are sized.
     pub options: Options,
-    /// Least time between two journal writes.
-    pub spacing: Duration,
-    /// The time line.
+    /// Minimum time between two journal writes.
+    pub min_write_interval: Duration,
+    /// Log of events.
     pub log: Log,
-    /// Other boxes in reach, if it takes peers.
+    /// Other boxes; `None` if the box works without them.
     pub peers: Option<Arc<dyn Peers>>,
 }
 
-/// Why a request gets no tokens. It did not run.
+/// Why a request gets no tokens. The request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-pub enum Denied {
-    /// The budget has not enough left.
-    #[snafu(display("the budget has not enough tokens left for the worst case"))]
+pub enum Rejection {
+    /// Not enough tokens are left in the budget.
+    #[snafu(display("the budget has not enough tokens left for the maximum cost of the request"))]
     Exhausted,
-    /// No such budget is accepted.
-    #[snafu(display("the budget of this key does not exist"))]
+    /// There is no accepted budget of this name.
+    #[snafu(display("the budget of this API key does not exist"))]
     Missing,
-    /// The platform is out of reach and the offline part is used up.
-    #[snafu(display("the platform is out of reach and this box's offline part is used up"))]
+    /// The platform is unreachable and the offline part is exhausted.
+    #[snafu(display("the platform is unreachable and this box's offline tokens are exhausted"))]
     OfflineExhausted,
-    /// The box was taken for gone again and again.
-    #[snafu(display("this box was taken for gone and is starting anew"))]
+    /// Other boxes sealed the journals of this box repeatedly.
+    #[snafu(display("this box was considered dead by others and is starting a new session"))]
     Replaced,
 }
 
@@ -66,11 +66,12 @@
 }
 
 impl Sessions {
-    /// Opens the first session; `seed` must be fresh, since it names the incarnations.
+    /// Opens the first session. `seed` must be different at each start, since the names of incarnations
+    /// derive from it.
     pub fn open(setup: Setup, seed: u64) -> Sessions {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let incarnation = Incarnation::new(&setup.box_name, random.random());
-        setup.log.rename(incarnation.as_str());
+        setup.log.set_incarnation(incarnation.as_str());
         let current = RwLock::new(Session::open(incarnation, &setup));
         Sessions { setup, current, former: Mutex::default(), random: Mutex::new(random) }
     }
@@ -85,139 +86,145 @@
         self.current.read().incarnation().clone()
     }
 
-    /// Sessions whose journals were sealed and that still owe something.
+    /// Sessions whose journals were sealed and that have not returned all tokens yet.
     pub fn former(&self) -> Vec<Session> {
         self.former.lock().clone()
     }
 
-    /// Goes on as a new incarnation if `sealed` is still the current one.
+    /// Opens a session for a new incarnation if `sealed` is still the current one.
     pub fn renew(&self, sealed: &Incarnation) -> bool {
         let mut current = self.current.write();
         if current.incarnation() != sealed {
             return false;
         }
-        let fresh = Incarnation::new(&self.setup.box_name, self.random.lock().random());
-        let old = std::mem::replace(&mut *current, Session::open(fresh.clone(), &self.setup));
+        let incarnation = Incarnation::new(&self.setup.box_name, self.random.lock().random());
+        let old = std::mem::replace(&mut *current, Session::open(incarnation.clone(), &self.setup));
         self.former.lock().push(old);
-        self.setup.log.rename(fresh.as_str());
-        self.setup.log.add(What::Renewed { incarnation: fresh.as_str().into() });
+        self.setup.log.set_incarnation(incarnation.as_str());
+        self.setup.log.add(EventKind::Renewed { incarnation: incarnation.as_str().into() });
         true
     }
 
-    /// Holds the worst case of a request: online if the platform answers within `patience`,
-    /// otherwise from the offline part.
-    pub async fn hold(&self, record: Record, patience: Duration) -> Result<Hold, Denied> {
-        let mut asked = false;
-        for _ in 0..TRIES {
+    /// Holds tokens for the maximum cost of a request: online if the platform answers within
+    /// `timeout`, otherwise from the offline part.
+    pub async fn hold(&self, record: Record, timeout: Duration) -> Result<Hold, Rejection> {
+        let mut asked_peers = false;
+        for _ in 0..MAX_ATTEMPTS {
             let session = self.current();
             if !self.setup.health.is_up() {
                 return self.hold_offline(record).await;
             }
-            match session.hold_online(record.clone(), patience).await {
+            match session.hold_online(record.clone(), timeout).await {
                 Ok(hold) => return Ok(hold),
-                Err(HoldError::Denied(Denial::Exhausted)) if !asked => {
-                    asked = true;
-                    if !self.spare(&record, patience).await {
-                        return Err(Denied::Exhausted);
+                Err(HoldError::Reserve(ReserveError::Exhausted)) if !asked_peers => {
+                    asked_peers = true;
+                    if !self.return_surplus(&record, timeout).await {
+                        return Err(Rejection::Exhausted);
                     }
                 }
-                Err(HoldError::Denied(Denial::Exhausted)) => return Err(Denied::Exhausted),
-                Err(HoldError::Denied(Denial::Missing)) => return Err(Denied::Missing),
-                Err(HoldError::Denied(Denial::Sealed) | HoldError::Failed(Failure::Sealed)) => {
+                Err(HoldError::Reserve(ReserveError::Exhausted)) => {
+                    return Err(Rejection::Exhausted);
+                }
+                Err(HoldError::Reserve(ReserveError::Missing)) => return Err(Rejection::Missing),
+                Err(
+                    HoldError::Reserve(ReserveError::Sealed)
+                    | HoldError::Intent(IntentError::Sealed),
+                ) => {
                     self.renew(session.incarnation());
                 }
                 Err(
-                    HoldError::Denied(Denial::Unreachable) | HoldError::Failed(Failure::InDoubt),
+                    HoldError::Reserve(ReserveError::Unreachable)
+                    | HoldError::Intent(IntentError::InDoubt),
                 ) => return self.hold_offline(record).await,
             }
         }
-        Err(Denied::Replaced)
+        Err(Rejection::Replaced)
     }
 
-    /// Peers return what they can spare, before a budget counts as exhausted.
-    async fn spare(&self, record: &Record, patience: Duration) -> bool {
+    /// Asks peers to return surplus tokens, before a budget counts as exhausted.
+    async fn return_surplus(&self, record: &Record, timeout: Duration) -> bool {
         let Some(peers) = &self.setup.peers else { return false };
-        let asking = peers.spare(&record.budget, record.reserved);
-        tokio::time::timeout(patience, asking).await.unwrap_or(false)
+        let request = peers.return_surplus(&record.budget, record.reserved);
+        tokio::time::timeout(timeout, request).await.unwrap_or(false)
     }
 
-    /// Former sessions come first: what they hold is of no other use.
-    async fn hold_offline(&self, record: Record) -> Result<Hold, Denied> {
+    /// Tries former sessions first, since their tokens have no other use.
+    async fn hold_offline(&self, record: Record) -> Result<Hold, Rejection> {
         for session in self.former().into_iter().chain([self.current()]) {
             if let Some(hold) = session.hold_offline(record.clone()) {
-                hold.carry().await;
+                hold.replicate().await;
                 return Ok(hold);
             }
         }
         self.borrow(record).await
     }
 
-    /// Offline tokens of a peer in reach.
-    async fn borrow(&self, record: Record) -> Result<Hold, Denied> {
+    /// Borrows offline tokens from a reachable peer.
+    async fn borrow(&self, record: Record) -> Result<Hold, Rejection> {
         let session = self.current();
-        let Some(peers) = &self.setup.peers else { return Err(Denied::OfflineExhausted) };
+        let Some(peers) = &self.setup.peers else { return Err(Rejection::OfflineExhausted) };
         let _borrowing = session.funds.borrow();
         if session.recorder.is_sealed() {
-            return Err(Denied::OfflineExhausted);
+            return Err(Rejection::OfflineExhausted);
         }
-        let asking = peers.lend(&record.budget, record.reserved, session.incarnation());
-        let Ok(Some(transfer)) = tokio::time::timeout(BORROW, asking).await else {
-            return Err(Denied::OfflineExhausted);
+        let request = peers.lend(&record.budget, record.reserved, session.incarnation());
+        let Ok(Some(transfer)) = tokio::time::timeout(BORROW_TIMEOUT, request).await else {
+            return Err(Rejection::OfflineExhausted);
         };
         session.receive(&record.budget, transfer).await;
-        let hold = session.hold_offline(record).ok_or(Denied::OfflineExhausted)?;
-        hold.carry().await;
+        let hold = session.hold_offline(record).ok_or(Rejection::OfflineExhausted)?;
+        hold.replicate().await;
         Ok(hold)
     }
 
-    /// Passes offline tokens on to another incarnation, if this box can spare them.
+    /// Passes offline tokens on to another incarnation, if enough are free here.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
         self.current().lend(budget, tokens, to)
     }
 
-    /// Folds, tops up and returns for every budget; returns former incarnations that owe nothing
-    /// any more.
-    pub async fn keep(&self) -> Vec<Incarnation> {
+    /// Maintains all budgets: folds outcomes, tops up and returns surplus. Returns the former
+    /// incarnations that have returned everything.
+    pub async fn maintain(&self) -> Vec<Incarnation> {
         let session = self.current();
         if session.recorder.is_sealed() {
             self.renew(session.incarnation());
         }
         let session = self.current();
         for budget in session.funds.budgets() {
-            // What fails now is tried again at the next turn.
-            let _ = session.funds.keep(&budget).await;
+            // Failures are retried in the next round.
+            let _ = session.funds.maintain(&budget).await;
         }
-        self.settle_former().await
+        self.end_former().await
     }
 
-    /// Hands in and returns what sealed sessions still owe, once nothing of theirs is under way.
-    async fn settle_former(&self) -> Vec<Incarnation> {
-        let mut settled = Vec::new();
+    /// Hands in the outcomes and returns the tokens of former sessions that have no requests in progress.
+    async fn end_former(&self) -> Vec<Incarnation> {
+        let mut ended = Vec::new();
         for former in self.former() {
             // Debited first, so that no request gets tokens that are being returned.
-            former.funds.drain();
-            if former.funds.is_idle() && former.surrender().await.is_ok() {
-                settled.push(former.incarnation().clone());
+            former.funds.debit_all();
+            if former.funds.is_idle() && former.end_grants().await.is_ok() {
+                ended.push(former.incarnation().clone());
             }
         }
-        self.former.lock().retain(|session| !settled.contains(session.incarnation()));
-        settled
+        self.former.lock().retain(|session| !ended.contains(session.incarnation()));
+        ended
     }
 
-    /// The end of a planned stop: folds, returns all tokens and closes the journal. Returns the
-    /// incarnations that owe nothing any more.
+    /// Ends all sessions at a planned stop: folds outcomes, returns all tokens and closes the journal.
+    /// Returns the incarnations that have returned everything.
     pub async fn leave(&self) -> Vec<Incarnation> {
         let session = self.current();
-        session.funds.drain();
+        session.funds.debit_all();
         session.recorder.flush().await;
-        let mut settled = self.settle_former().await;
-        if session.recorder.close().await && session.surrender().await.is_ok() {
-            settled.push(session.incarnation().clone());
+        let mut ended = self.end_former().await;
+        if session.recorder.close().await && session.end_grants().await.is_ok() {
+            ended.push(session.incarnation().clone());
         }
-        settled
+        ended
     }
 
-    /// Whether no session holds tokens for work under way.
+    /// Whether no session holds tokens for requests in progress.
     pub fn is_idle(&self) -> bool {
         let idle = |session: &Session| session.funds.is_idle();
         idle(&self.current()) && self.former().iter().all(idle)
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -1,11 +1,11 @@
-//! An hour's offline work is more than one journal object holds: it is handed in by parts.
+//! Records of a long outage exceed the size of a journal object, so they are handed in in batches.
 
 use std::{sync::Arc, time::Duration};
 
 use config::Snapshot;
 use ledger::{Draw, Ended, Evidence, Incarnation, Journal, Ledger, Outcome, Part, Record};
 use objects::{Expect, Store, Write};
-use session::{Health, Options, Sessions, Setup, Work};
+use session::{Health, Operation, Options, Sessions, Setup};
 use standin::Memory;
 use timeline::Log;
 use tokio::sync::watch;
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_long_outage_is_handed_in_by_parts_and_billed_once() {
+async fn records_of_long_outage_are_handed_in_in_batches_and_billed_once() {
     let memory = Memory::default();
     let log = Log::open("box");
     let (_config, receiver) = watch::channel(Arc::new(Snapshot::default()));
@@ -38,7 +38,7 @@
         health: Health::open(log.clone()),
         config: receiver,
         options: Options { online_horizon: 5, offline_horizon: 60, boxes: 1 },
-        spacing: Duration::ZERO,
+        min_write_interval: Duration::ZERO,
         log,
         peers: None,
     };
@@ -50,15 +50,15 @@
     let put = memory.put("ledger", "bornova", ledger.to_json(), Expect::Absent).await;
     assert!(matches!(put, Write::Landed(_)));
     let session = sessions.current();
-    session.funds.expect(&"bornova".into(), 1);
+    session.funds.prepare(&"bornova".into(), 1);
     for _ in 0..RECORDS {
         let n = session.recorder.number();
-        session.recorder.add(Work::HandIn(record(n), Evidence::Recorded));
+        session.recorder.add(Operation::HandIn(record(n), Evidence::Recorded));
     }
     let mut largest = 0;
     for _ in 0..30 {
         tokio::time::sleep(Duration::from_secs(2)).await;
-        sessions.keep().await;
+        sessions.maintain().await;
         let object = memory.get("journal", me.as_str()).await.unwrap().unwrap();
         let journal: Journal = serde_json::from_str(&object.value).unwrap();
         largest = largest.max(journal.records.len());
--- a/crates/soak/src/call.rs
+++ b/crates/soak/src/call.rs
@@ -1,31 +1,31 @@
-//! Callers, and what they got.
+//! Calls of the load and their outcomes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use http::{StatusCode, header};
-use platform::{played::Asked, request::Tokens};
+use platform::{fixtures::CallerHead, request::Tokens};
 use tokio::time::Instant;
 
-use crate::endpoint::{EVENT_TOKENS, Id};
+use crate::endpoint::{Id, TOKENS_PER_EVENT};
 
-/// How long a caller waits.
+/// Longest wait of a caller for the head of a response, and for each part of its body.
 pub const DEADLINE: Duration = Duration::from_secs(5);
 
-/// What is asked for.
+/// Route of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Route {
-    /// A streamed answer that costs tokens; may run once.
+    /// A streamed response that costs tokens; runs at most once.
     Stream,
     /// A plain call that may be repeated.
     Cancel,
-    /// A plain call that may run once.
+    /// A plain call that runs at most once.
     Confirm,
-    /// A plain call on a route that is added while the soak runs.
+    /// Like `Confirm`, on a route that is added during the run.
     Late,
 }
 
 impl Route {
-    /// Name in the configuration, which is its path too.
+    /// Name in the configuration, also the first segment of the path.
     pub fn name(self) -> &'static str {
         match self {
             Route::Stream => "stream",
@@ -41,32 +41,30 @@
     }
 }
 
-/// One life of a box.
+/// One start of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Life {
+pub struct Incarnation {
     /// Number of the box.
-    pub at: usize,
-    /// Number of its life.
+    pub box_index: usize,
+    /// Number of the start, from 1.
     pub number: usize,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
-    /// A success, and whether it is the whole answer to this call.
+pub enum Outcome {
+    /// A response with a status of success.
     Answered {
-        /// All of it, and nothing else.
-        own: bool,
-        /// What came, where it is not.
+        /// Whether the body is the complete response to this call and nothing else.
+        is_correct: bool,
         body: String,
     },
-    /// An answer of the box's own.
+    /// A response with another status.
     Refused(StatusCode),
-    /// No answer, or one that broke off; with the events that came.
+    /// No response, or an incomplete one.
     Failed {
-        /// Why.
         reason: String,
-        /// Events received.
+        /// Complete events received.
         events: u64,
     },
 }
@@ -75,37 +73,39 @@
 #[derive(Debug, Clone)]
 pub struct Call {
     pub id: Id,
-    /// Customer's key.
+    /// API key of the customer.
     pub key: &'static str,
     pub route: Route,
-    /// Who took it.
-    pub life: Life,
+    /// The box that the call was sent to.
+    pub incarnation: Incarnation,
     pub sent: Instant,
     pub ended: Instant,
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 impl Call {
-    /// Tokens that the caller certainly got.
+    /// Lower bound of the tokens that the endpoint served for this call.
     pub fn served(&self) -> u64 {
-        match &self.end {
-            End::Answered { .. } => self.id.tokens(),
-            End::Failed { events, .. } if *events > 0 => self.id.prompt + events * EVENT_TOKENS,
-            End::Failed { .. } | End::Refused(_) => 0,
+        match &self.outcome {
+            Outcome::Answered { .. } => self.id.tokens(),
+            Outcome::Failed { events, .. } if *events > 0 => {
+                self.id.prompt + events * TOKENS_PER_EVENT
+            }
+            Outcome::Failed { .. } | Outcome::Refused(_) => 0,
         }
     }
 }
 
-/// Sends one call and reads its answer.
+/// Sends one call and reads its response.
 pub async fn send(
     client: &reqwest::Client,
     address: SocketAddr,
     route: Route,
     key: &'static str,
     id: Id,
-) -> End {
-    let tokens = Tokens { prompt: id.prompt, most_output: id.events * EVENT_TOKENS };
-    let asked = Asked {
+) -> Outcome {
+    let tokens = Tokens { prompt: id.prompt, max_output: id.events * TOKENS_PER_EVENT };
+    let head = CallerHead {
         id: id.text(),
         key: Some(key.to_owned()),
         deadline: Some(DEADLINE),
@@ -114,9 +114,9 @@
     };
     let url = format!("http://{address}/{}/x", route.name());
     let request = client.post(url).header(header::HOST, "desk.example").body("a body");
-    let headers = asked.headers();
+    let headers = head.headers();
     let request = headers.into_iter().fold(request, |r, (name, value)| r.header(name, value));
-    let failed = |reason: String, events| End::Failed { reason, events };
+    let failed = |reason: String, events| Outcome::Failed { reason, events };
     let mut answer = match tokio::time::timeout(DEADLINE, request.send()).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return failed(format!("{error:?}"), 0),
@@ -126,30 +126,30 @@
     let mut body = Vec::new();
     loop {
         match tokio::time::timeout(DEADLINE, answer.chunk()).await {
-            Ok(Ok(Some(piece))) => body.extend_from_slice(&piece),
+            Ok(Ok(Some(part))) => body.extend_from_slice(&part),
             Ok(Ok(None)) => break,
-            Ok(Err(error)) => return failed(format!("{error:?}"), events_of(&id, &body)),
-            Err(_) => return failed("the deadline passed".into(), events_of(&id, &body)),
+            Ok(Err(error)) => return failed(format!("{error:?}"), count_events(&id, &body)),
+            Err(_) => return failed("the deadline passed".into(), count_events(&id, &body)),
         }
     }
     if !status.is_success() {
-        return End::Refused(status);
+        return Outcome::Refused(status);
     }
     let body = String::from_utf8_lossy(&body).into_owned();
-    let whole: String = match route {
+    let expected: String = match route {
         Route::Stream => (0..id.events).map(|number| id.event(number)).collect(),
         Route::Cancel | Route::Confirm | Route::Late => id.answer(),
     };
-    // An engine that says more sends the plain answer.
-    End::Answered { own: body == whole || body == id.answer(), body }
+    // `Behavior::TrailingResponse` sends the plain response on every route.
+    Outcome::Answered { is_correct: body == expected || body == id.answer(), body }
 }
 
-fn events_of(id: &Id, body: &[u8]) -> u64 {
+fn count_events(id: &Id, body: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(body);
     (0..id.events).take_while(|number| text.contains(&id.event(*number))).count() as u64
 }
 
-/// A client that keeps its connections.
+/// An HTTP client that keeps its connections.
 pub fn client() -> Arc<reqwest::Client> {
     let client = reqwest::Client::builder().no_proxy().pool_max_idle_per_host(4).build();
     Arc::new(client.expect("a client without TLS settings always builds"))
--- a/crates/standin/src/api.rs
+++ b/crates/standin/src/api.rs
@@ -1,10 +1,10 @@
-//! The platform's object API over HTTP, with faults.
+//! The platform's object API over HTTP, with faults on demand.
 
 use std::{collections::HashSet, net::IpAddr, sync::Arc, time::Duration};
 
 use objects::{Expect, Host, Write};
 use parking_lot::Mutex;
-use platform::served::{self, Answer, Call};
+use platform::store_server::{self, Answer, Call};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, http::StatusCode, http::header};
@@ -12,22 +12,22 @@
 
 use crate::{Memory, Server};
 
-/// Fault switches of the platform.
+/// Faults of the platform.
 #[derive(Debug, Clone, Default)]
-pub struct Faults {
-    /// Answers nothing at all.
+pub struct PlatformFaults {
+    /// Never responds to any call.
     pub down: bool,
     /// Delay of every call but a watch.
     pub delay: Duration,
-    /// Share of writes that land but whose answer is lost, from 0 to 1.
-    pub lose_answers: f64,
-    /// Time after which a write whose answer is lost is done; zero means before the loss.
-    pub late: Duration,
-    /// Addresses of callers that are turned away while others are served.
-    pub turns_away: HashSet<IpAddr>,
-    /// Writes a second; 0 means no limit.
+    /// Probability, from 0 to 1, that a write is applied but answered with 504.
+    pub drop_responses: f64,
+    /// Delay of a write that is answered with 504; zero means that it is applied before that.
+    pub dropped_write_delay: Duration,
+    /// Sources whose calls are rejected with 503, also while `down` is set.
+    pub rejected_sources: HashSet<IpAddr>,
+    /// Limit of writes a second; 0 means no limit.
     pub writes_per_s: u32,
-    /// Reads a second, waiting watches included; 0 means no limit.
+    /// Limit of reads a second, watches included; 0 means no limit.
     pub reads_per_s: u32,
 }
 
@@ -55,13 +55,13 @@
 
 struct Shared {
     memory: Memory,
-    faults: Mutex<Faults>,
+    faults: Mutex<PlatformFaults>,
     random: Mutex<ChaCha8Rng>,
     writes: Mutex<Bucket>,
     reads: Mutex<Bucket>,
 }
 
-/// A platform that serves its object API on loopback.
+/// A platform on loopback.
 #[derive(Clone)]
 pub struct Platform {
     shared: Arc<Shared>,
@@ -69,7 +69,7 @@
 }
 
 impl Platform {
-    /// Starts an empty platform; `seed` decides which answers are lost.
+    /// Starts a platform without objects; `seed` determines which responses are dropped.
     pub async fn spawn(seed: u64) -> Platform {
         let bucket = || Mutex::new(Bucket { tokens: 1.0, at: Instant::now() });
         let shared = Arc::new(Shared {
@@ -84,18 +84,18 @@
         Platform { shared, server: Arc::new(server) }
     }
 
-    /// Base address of the API.
+    /// Base URL of the API.
     pub fn address(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Where it listens, for a link in front of it.
+    /// Address that it listens on.
     pub fn socket(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// Changes the fault switches.
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
+    /// Changes the faults.
+    pub fn set(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.shared.faults.lock());
     }
 
@@ -132,11 +132,11 @@
     async fn serve(&self, request: &mut Request) -> Answer {
         let faults = self.0.faults.lock().clone();
         let from = request.remote_addr().as_ipv4().map(|address| (*address.ip()).into());
-        let refuses = from.is_some_and(|from: IpAddr| faults.turns_away.contains(&from));
-        if faults.down && !refuses {
+        let rejects = from.is_some_and(|from: IpAddr| faults.rejected_sources.contains(&from));
+        if faults.down && !rejects {
             std::future::pending::<()>().await;
         }
-        if refuses {
+        if rejects {
             return (StatusCode::SERVICE_UNAVAILABLE, "busy".into());
         }
         let body = request.payload_with_max_size(2 << 20).await.map(|body| body.to_vec());
@@ -154,12 +154,12 @@
             Call::Watch { kind, from, wait } => self.watch(&kind, from, wait).await,
             Call::Get { kind, name } => {
                 pause(faults.delay).await;
-                served::found(self.0.memory.read(&kind, &name).as_ref())
+                store_server::object_response(self.0.memory.read(&kind, &name).as_ref())
             }
             Call::List { kind, after } => {
                 pause(faults.delay).await;
                 let (objects, version) = self.0.memory.read_all(&kind, "");
-                served::page(&objects, after.as_deref(), version)
+                store_server::list_response(&objects, after.as_deref(), version)
             }
             Call::Put { kind, name, value, expect } => {
                 self.write(&kind, &name, Some(value), expect, &faults).await
@@ -170,7 +170,7 @@
         }
     }
 
-    fn admit(&self, write: bool, faults: &Faults) -> bool {
+    fn admit(&self, write: bool, faults: &PlatformFaults) -> bool {
         match write {
             true => self.0.writes.lock().take(faults.writes_per_s),
             false => self.0.reads.lock().take(faults.reads_per_s),
@@ -182,7 +182,7 @@
         if self.0.faults.lock().down {
             std::future::pending::<()>().await;
         }
-        served::events(&watch.changes, watch.next, watch.gap)
+        store_server::watch_response(&watch.changes, watch.next, watch.gap)
     }
 
     async fn write(
@@ -191,35 +191,40 @@
         name: &str,
         value: Option<Arc<str>>,
         expect: Expect,
-        faults: &Faults,
+        faults: &PlatformFaults,
     ) -> Answer {
-        let lost = faults.lose_answers > 0.0
-            && self.0.random.lock().random_bool(faults.lose_answers.min(1.0));
-        let delay = if lost { faults.late.max(faults.delay) } else { faults.delay };
+        let dropped = faults.drop_responses > 0.0
+            && self.0.random.lock().random_bool(faults.drop_responses.min(1.0));
+        let delay =
+            if dropped { faults.dropped_write_delay.max(faults.delay) } else { faults.delay };
         let applied = self.apply_later(kind, name, value, expect, delay);
-        if lost {
-            // The caller hears nothing; whether the write is done by then is the fault's choice.
-            if faults.late.is_zero() {
+        if dropped {
+            // With a delay, the write is applied after this response.
+            if faults.dropped_write_delay.is_zero() {
                 applied.await;
             }
             return (StatusCode::GATEWAY_TIMEOUT, "no answer".into());
         }
         match applied.await {
             Write::Landed(version) => match self.0.memory.read(kind, name) {
-                Some(object) if object.version == version => served::found(Some(&object)),
-                _ => served::found(Some(&objects::Object {
+                Some(object) if object.version == version => {
+                    store_server::object_response(Some(&object))
+                }
+                _ => store_server::object_response(Some(&objects::Object {
                     kind: kind.into(),
                     name: name.into(),
                     version,
                     value: "null".into(),
                 })),
             },
-            Write::Refused => served::refused(self.0.memory.read(kind, name).as_ref()),
+            Write::Refused => {
+                store_server::conflict_response(self.0.memory.read(kind, name).as_ref())
+            }
             _ => (StatusCode::PAYLOAD_TOO_LARGE, "too large".into()),
         }
     }
 
-    /// Applies the write in a task of its own, so that it lands even if the caller gave up.
+    /// Applies a write in a task of its own, so that it is applied even if the caller disconnects.
     fn apply_later(
         &self,
         kind: &str,
@@ -238,7 +243,7 @@
     }
 }
 
-/// Sleeping for no time still waits for the timer's next tick.
+/// Sleeps, but not for a zero delay, for which `sleep` would wait for the next tick of the timer.
 async fn pause(delay: Duration) {
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,10 +1,11 @@
-//! An endpoint that answers each request as a script says, also in ways that break the protocol.
+//! An endpoint that responds to each request as a script decides, even in violation of the
+//! protocol.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use http::{HeaderMap, StatusCode};
 use parking_lot::Mutex;
-use platform::played::Told;
+use platform::fixtures::ForwardedHead;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
@@ -12,73 +13,75 @@
     task::{JoinHandle, JoinSet},
 };
 
-/// Largest head that is read, in bytes.
-const MOST_HEAD: usize = 64 << 10;
+/// Largest head of a request, in bytes; a larger one ends the connection.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A request as it arrived.
+/// A request as the endpoint received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
-    /// Method and path.
+pub struct ReceivedRequest {
+    /// Request line.
     pub line: String,
-    /// What the router said about it.
-    pub told: Told,
+    /// Headers that the router sets.
+    pub head: ForwardedHead,
     /// Body.
     pub body: Vec<u8>,
-    /// Number of the connection that it came on.
+    /// Number of the connection that it arrived on, from 1.
     pub connection: usize,
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint responds to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Answers whole, with a length.
-    Whole(StatusCode, HeaderMap, String),
-    /// Answers whole, and sends this after it.
-    Extra(StatusCode, HeaderMap, String, String),
-    /// Answers without a length and closes.
+    /// Sends a complete response with a length.
+    Complete(StatusCode, HeaderMap, String),
+    /// Sends a complete response with a length, followed by further bytes.
+    TrailingData(StatusCode, HeaderMap, String, String),
+    /// Sends a response without a length and closes the connection.
     Unframed(HeaderMap, String),
-    /// Answers without a length and resets the connection.
+    /// Sends a response without a length and resets the connection.
     UnframedReset(HeaderMap, String),
-    /// Sends events with pauses between them, in chunks.
+    /// Sends a complete chunked response, one event in each chunk, with a pause after each.
     Events(HeaderMap, Vec<String>, Duration),
-    /// Sends some events and closes without the end.
-    Torn(HeaderMap, Vec<String>),
-    /// Closes without an answer.
+    /// Sends events in chunks and closes the connection without the last chunk.
+    Truncated(HeaderMap, Vec<String>),
+    /// Closes the connection without a response.
     Close,
-    /// Reads on and never answers.
+    /// Never responds, but goes on reading.
     Silent,
-    /// Begins an answer, and a little later the endpoint ends: its port and all its connections are gone.
+    /// Begins a chunked response, and after the duration closes its port and all its connections.
     Crash(HeaderMap, Duration),
-    /// The same, with an answer that ends with its connection.
+    /// The same, with a response without a length.
     CrashUnframed(HeaderMap, Duration),
 }
 
-type Script = dyn Fn(&Arrived) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedRequest) -> Reply + Send + Sync;
 
 #[derive(Default)]
-struct Seen {
-    arrived: Vec<Arrived>,
+struct State {
+    arrived: Vec<ReceivedRequest>,
     connections: usize,
     closed: usize,
 }
 
-/// A running endpoint on loopback; it ends when dropped.
-pub struct Scripted {
+/// A running endpoint on loopback; it stops when dropped.
+pub struct ScriptedEndpoint {
     address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     task: JoinHandle<()>,
 }
 
-impl Scripted {
-    /// Binds a free loopback port and answers as `script` says.
-    pub async fn spawn(script: impl Fn(&Arrived) -> Reply + Send + Sync + 'static) -> Scripted {
+impl ScriptedEndpoint {
+    /// Binds a free loopback port and responds to each request as `script` returns.
+    pub async fn spawn(
+        script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+    ) -> ScriptedEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let (script, shared): (Arc<Script>, _) = (Arc::new(script), seen.clone());
+        let state: Arc<Mutex<State>> = Arc::default();
+        let (script, shared): (Arc<Script>, _) = (Arc::new(script), state.clone());
         let task = tokio::spawn(async move {
             let crash = Arc::new(Notify::new());
-            // Connections that are open when this ends are closed with it.
+            // Dropping the set closes all open connections.
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
@@ -90,36 +93,36 @@
                 }
             }
         });
-        Scripted { address, seen, task }
+        ScriptedEndpoint { address, state, task }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Every request that arrived, in order.
-    pub fn arrived(&self) -> Vec<Arrived> {
-        self.seen.lock().arrived.clone()
+    /// All requests received so far, in order.
+    pub fn arrived(&self) -> Vec<ReceivedRequest> {
+        self.state.lock().arrived.clone()
     }
 
-    /// Whether it has crashed.
+    /// Whether the endpoint has crashed.
     pub fn has_crashed(&self) -> bool {
         self.task.is_finished()
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
-        self.seen.lock().connections
+        self.state.lock().connections
     }
 
-    /// Connections that the other side closed.
+    /// Number of connections that have ended.
     pub fn closed(&self) -> usize {
-        self.seen.lock().closed
+        self.state.lock().closed
     }
 }
 
-impl Drop for Scripted {
+impl Drop for ScriptedEndpoint {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -128,37 +131,41 @@
 async fn serve(
     mut stream: TcpStream,
     script: Arc<Script>,
-    seen: Arc<Mutex<Seen>>,
+    state: Arc<Mutex<State>>,
     crash: Arc<Notify>,
 ) {
     let _ = stream.set_nodelay(true);
     let connection = {
-        let mut seen = seen.lock();
-        seen.connections += 1;
-        seen.connections
+        let mut state = state.lock();
+        state.connections += 1;
+        state.connections
     };
     let mut buffer = Vec::new();
     while let Some(arrived) = read(&mut stream, &mut buffer, connection).await {
         let reply = script(&arrived);
-        seen.lock().arrived.push(arrived);
+        state.lock().arrived.push(arrived);
         let crashes = matches!(reply, Reply::Crash(..) | Reply::CrashUnframed(..));
-        let goes_on = answer(&mut stream, reply).await;
+        let stays_open = send_reply(&mut stream, reply).await;
         if crashes {
             crash.notify_one();
         }
-        if !goes_on {
+        if !stays_open {
             break;
         }
     }
-    seen.lock().closed += 1;
+    state.lock().closed += 1;
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>, connection: usize) -> Option<Arrived> {
+async fn read(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    connection: usize,
+) -> Option<ReceivedRequest> {
     let end = loop {
         let found = buffer.windows(4).position(|window| window == b"\r\n\r\n");
         match found {
             Some(at) => break at + 4,
-            None if buffer.len() > MOST_HEAD => return None,
+            None if buffer.len() > MAX_HEAD_BYTES => return None,
             None if stream.read_buf(buffer).await.ok()? == 0 => return None,
             None => {}
         }
@@ -180,7 +187,7 @@
     }
     let body = buffer[end..end + length].to_vec();
     buffer.drain(..end + length);
-    Some(Arrived { line, told: Told::read(&headers), body, connection })
+    Some(ReceivedRequest { line, head: ForwardedHead::read(&headers), body, connection })
 }
 
 fn head(status: StatusCode, headers: &HeaderMap, framing: &str) -> String {
@@ -191,7 +198,7 @@
     text + "\r\n"
 }
 
-fn whole(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
+fn complete(status: StatusCode, headers: &HeaderMap, body: &str) -> String {
     head(status, headers, &format!("content-length: {}\r\n", body.len())) + body
 }
 
@@ -199,15 +206,15 @@
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// Sends a reply; whether the connection goes on.
-async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
+/// Sends a reply; returns whether the connection stays open.
+async fn send_reply(stream: &mut TcpStream, reply: Reply) -> bool {
     const CHUNKED: &str = "transfer-encoding: chunked\r\n";
     match reply {
-        Reply::Whole(status, headers, body) => {
-            stream.write_all(whole(status, &headers, &body).as_bytes()).await.is_ok()
+        Reply::Complete(status, headers, body) => {
+            stream.write_all(complete(status, &headers, &body).as_bytes()).await.is_ok()
         }
-        Reply::Extra(status, headers, body, extra) => {
-            let bytes = whole(status, &headers, &body) + &extra;
+        Reply::TrailingData(status, headers, body, extra) => {
+            let bytes = complete(status, &headers, &body) + &extra;
             stream.write_all(bytes.as_bytes()).await.is_ok()
         }
         Reply::Unframed(headers, body) => {
@@ -234,7 +241,7 @@
             }
             stream.write_all(b"0\r\n\r\n").await.is_ok()
         }
-        Reply::Torn(headers, events) => {
+        Reply::Truncated(headers, events) => {
             let chunks: String = events.iter().map(|event| chunk(event)).collect();
             let bytes = head(StatusCode::OK, &headers, CHUNKED) + &chunks;
             let _ = stream.write_all(bytes.as_bytes()).await;
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller as the product's users would write it.
+//! A client of the fleet that records the responses to its requests.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,33 +9,32 @@
 
 use crate::api_key;
 
-/// What a caller asks for.
+/// A request of a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Customer that asks.
+pub struct Request {
     pub customer: String,
     /// Budget that pays.
     pub budget: String,
-    /// Route: a model's name or a service's.
+    /// Name of the route: of a model or of a service.
     pub route: String,
     /// Request key.
     pub key: String,
     /// Whether the route is a plain service.
     pub service: bool,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is to be streamed.
     pub stream: bool,
-    /// Text before the marks of the prompt.
+    /// Text of the prompt, before its `tokens=` and `mark=`.
     pub prompt: String,
-    /// Output tokens that the engine will produce.
+    /// Output tokens that the prompt asks the engine for.
     pub output: u64,
-    /// Output limit asked for.
+    /// Limit of output tokens.
     pub max_tokens: u64,
 }
 
-impl Ask {
+impl Request {
     /// A short streamed completion.
-    pub fn chat(customer: &str, budget: &str, key: &str) -> Ask {
-        Ask {
+    pub fn chat(customer: &str, budget: &str, key: &str) -> Request {
+        Request {
             customer: customer.into(),
             budget: budget.into(),
             route: "assistant".into(),
@@ -49,12 +48,12 @@
     }
 
     /// A call of a plain service.
-    pub fn service(customer: &str, budget: &str, route: &str, key: &str) -> Ask {
-        Ask {
+    pub fn service(customer: &str, budget: &str, route: &str, key: &str) -> Request {
+        Request {
             route: route.into(),
             service: true,
             stream: false,
-            ..Ask::chat(customer, budget, key)
+            ..Request::chat(customer, budget, key)
         }
     }
 
@@ -66,106 +65,104 @@
         self.key.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').collect()
     }
 
-    /// Worst case of the request, in tokens.
+    /// Largest number of tokens that the request can cost.
     pub fn worst(&self) -> u64 {
         (self.content().len() as u64).div_ceil(4) + self.max_tokens
     }
 }
 
-/// What a caller was told.
+/// Outcome of a request, as the caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer.
+    /// A complete response.
     Answered,
-    /// A truthful refusal.
+    /// Refused without having run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Nothing: the connection failed.
-    Nothing,
+    /// No response, or an incomplete one.
+    NoResponse,
 }
 
-/// What a caller got.
+/// What a caller received for a request.
 #[derive(Debug, Clone)]
-pub struct Got {
+pub struct Response {
     /// Key of the request.
     pub key: String,
-    /// Customer that asked.
     pub customer: String,
-    /// What it was told.
     pub outcome: Outcome,
-    /// Reason, if it was refused or unknown.
+    /// Error code, if there is one.
     pub reason: String,
-    /// HTTP status, 0 without an answer.
+    /// HTTP status, 0 without a response.
     pub status: u16,
     /// Tokens of text received.
     pub tokens: u64,
-    /// Whether the answer was another request's.
+    /// Whether the response belongs to another request.
     pub crossed: bool,
-    /// Body of a plain answer.
+    /// Complete body.
     pub body: String,
-    /// Time to the first byte of the answer.
-    pub first: Duration,
-    /// Longest time between two parts of the answer.
+    /// Time to the first byte of the body.
+    pub time_to_first_byte: Duration,
+    /// Times between successive parts of the body.
     pub gaps: Vec<Duration>,
     /// Time to the end.
     pub total: Duration,
-    /// Route that was asked.
+    /// Route of the request.
     pub route: String,
 }
 
-/// Sends requests and remembers what it was told.
+/// A client that records all responses.
 #[derive(Clone)]
 pub struct Caller {
     http: reqwest::Client,
-    told: Arc<Mutex<Vec<Got>>>,
-    patience: Duration,
+    responses: Arc<Mutex<Vec<Response>>>,
+    request_timeout: Duration,
 }
 
 impl Caller {
-    /// A caller that waits for `patience` at most.
-    pub fn new(patience: Duration) -> Caller {
+    /// A caller that waits for each response for `request_timeout` at most.
+    pub fn new(request_timeout: Duration) -> Caller {
         let http = reqwest::Client::builder()
             .no_proxy()
             .tcp_nodelay(true)
             .build()
             .expect("a client without TLS settings always builds");
-        Caller { http, told: Arc::default(), patience }
+        Caller { http, responses: Arc::default(), request_timeout }
     }
 
-    /// Everything it was told so far.
-    pub fn told(&self) -> Vec<Got> {
-        self.told.lock().clone()
+    /// All responses so far.
+    pub fn responses(&self) -> Vec<Response> {
+        self.responses.lock().clone()
     }
 
     /// Sends a request to a box.
-    pub async fn ask(&self, to: SocketAddr, ask: &Ask) -> Got {
+    pub async fn send(&self, to: SocketAddr, request: &Request) -> Response {
         let start = Instant::now();
-        let mut got = Got {
-            key: ask.key.clone(),
-            customer: ask.customer.clone(),
-            outcome: Outcome::Nothing,
+        let mut response = Response {
+            key: request.key.clone(),
+            customer: request.customer.clone(),
+            outcome: Outcome::NoResponse,
             reason: String::new(),
             status: 0,
             tokens: 0,
             crossed: false,
             body: String::new(),
-            first: Duration::ZERO,
+            time_to_first_byte: Duration::ZERO,
             gaps: Vec::new(),
             total: Duration::ZERO,
-            route: ask.route.clone(),
+            route: request.route.clone(),
         };
-        let receive = self.receive(to, ask, start, &mut got);
-        if tokio::time::timeout(self.patience, receive).await.is_err() {
-            got.outcome = Outcome::Nothing;
-            got.reason = "caller_gave_up".into();
+        let receive = self.receive(to, request, start, &mut response);
+        if tokio::time::timeout(self.request_timeout, receive).await.is_err() {
+            response.outcome = Outcome::NoResponse;
+            response.reason = "caller_gave_up".into();
         }
-        got.total = start.elapsed();
-        self.told.lock().push(got.clone());
-        got
+        response.total = start.elapsed();
+        self.responses.lock().push(response.clone());
+        response
     }
 
-    /// Takes tickets of a box for unrepeatable calls.
+    /// Requests tickets for unrepeatable calls from a box.
     pub async fn tickets(
         &self,
         to: SocketAddr,
@@ -173,96 +170,102 @@
         budget: &str,
         count: u64,
     ) -> Vec<String> {
-        let request = self.http.post(format!("http://{to}/v1/tickets"));
-        let request = request.bearer_auth(api_key(customer, budget)).json(&json!({"count": count}));
-        let Ok(answer) = request.send().await else { return Vec::new() };
+        let builder = self.http.post(format!("http://{to}/v1/tickets"));
+        let builder = builder.bearer_auth(api_key(customer, budget)).json(&json!({"count": count}));
+        let Ok(answer) = builder.send().await else { return Vec::new() };
         let body: Value = answer.json().await.unwrap_or_default();
         let tickets = body["tickets"].as_array().into_iter().flatten();
         tickets.filter_map(|ticket| ticket.as_str().map(str::to_owned)).collect()
     }
 
-    fn request(&self, to: SocketAddr, ask: &Ask) -> reqwest::RequestBuilder {
-        let request = match ask.service {
+    fn build(&self, to: SocketAddr, request: &Request) -> reqwest::RequestBuilder {
+        let builder = match request.service {
             true => {
-                let url = format!("http://{to}/services/{}/chairs/7", ask.route);
-                self.http.post(url).body(ask.content())
+                let url = format!("http://{to}/services/{}/chairs/7", request.route);
+                self.http.post(url).body(request.content())
             }
             false => self.http.post(format!("http://{to}/v1/chat/completions")).json(&json!({
-                "model": ask.route, "stream": ask.stream, "max_tokens": ask.max_tokens,
-                "messages": [{"role": "user", "content": ask.content()}],
+                "model": request.route, "stream": request.stream, "max_tokens": request.max_tokens,
+                "messages": [{"role": "user", "content": request.content()}],
             })),
         };
-        let key = api_key(&ask.customer, &ask.budget);
-        request.bearer_auth(key).header("idempotency-key", &ask.key)
+        let key = api_key(&request.customer, &request.budget);
+        builder.bearer_auth(key).header("idempotency-key", &request.key)
     }
 
-    async fn receive(&self, to: SocketAddr, ask: &Ask, start: Instant, got: &mut Got) {
-        let Ok(answer) = self.request(to, ask).send().await else { return };
-        got.status = answer.status().as_u16();
+    async fn receive(
+        &self,
+        to: SocketAddr,
+        request: &Request,
+        start: Instant,
+        response: &mut Response,
+    ) {
+        let Ok(answer) = self.build(to, request).send().await else { return };
+        response.status = answer.status().as_u16();
         let header = answer.headers().get("flintstall-outcome");
-        let told = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
-        let outcome = match told {
+        let value = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let outcome = match value {
             "answered" => Outcome::Answered,
             "not-run" => Outcome::NotRun,
             "unknown" => Outcome::Unknown,
-            _ => Outcome::Nothing,
+            _ => Outcome::NoResponse,
         };
         let mut parts = answer.bytes_stream();
         let mut body = Vec::new();
-        let mut last = None;
+        let mut previous = None;
         while let Some(part) = parts.next().await {
             let Ok(part) = part else { return };
             let now = Instant::now();
-            match last.replace(now) {
-                None => got.first = now - start,
-                Some(before) => got.gaps.push(now - before),
+            match previous.replace(now) {
+                None => response.time_to_first_byte = now - start,
+                Some(since) => response.gaps.push(now - since),
             }
             body.extend_from_slice(&part);
         }
-        got.outcome = outcome;
-        got.body = String::from_utf8_lossy(&body).into_owned();
-        judge(ask, got);
+        response.outcome = outcome;
+        response.body = String::from_utf8_lossy(&body).into_owned();
+        evaluate(request, response);
     }
 }
 
-fn judge(ask: &Ask, got: &mut Got) {
-    if got.outcome != Outcome::Answered {
-        let error: Value = serde_json::from_str(&got.body).unwrap_or_default();
-        got.reason = error["error"]["code"].as_str().unwrap_or_default().to_owned();
+fn evaluate(request: &Request, response: &mut Response) {
+    if response.outcome != Outcome::Answered {
+        let error: Value = serde_json::from_str(&response.body).unwrap_or_default();
+        response.reason = error["error"]["code"].as_str().unwrap_or_default().to_owned();
         return;
     }
-    if ask.service {
+    if request.service {
         return;
     }
-    let text = if ask.stream { streamed_text(got) } else { plain_text(got) };
+    let text = if request.stream { streamed_text(response) } else { plain_text(response) };
     let words: Vec<&str> = text.split_whitespace().collect();
-    got.tokens = words.len() as u64;
-    let mark = ask.mark();
-    let own = |(index, word): (usize, &&str)| **word == format!("{mark}.{index}");
-    got.crossed = !words.iter().enumerate().all(own);
+    response.tokens = words.len() as u64;
+    let mark = request.mark();
+    let has_mark = |(index, word): (usize, &&str)| **word == format!("{mark}.{index}");
+    response.crossed = !words.iter().enumerate().all(has_mark);
 }
 
-fn streamed_text(got: &mut Got) -> String {
+fn streamed_text(response: &mut Response) -> String {
     let mut text = String::new();
-    let mut whole = false;
-    for line in got.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
+    let mut is_complete = false;
+    for line in response.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            whole = true;
+            is_complete = true;
             break;
         }
         let event: Value = serde_json::from_str(line).unwrap_or_default();
         text.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
         if let Some(code) = event["error"]["code"].as_str() {
-            got.reason = code.to_owned();
+            response.reason = code.to_owned();
         }
     }
-    if !whole {
-        got.outcome = Outcome::Unknown;
+    if !is_complete {
+        response.outcome = Outcome::Unknown;
     }
     text
 }
 
-fn plain_text(got: &Got) -> String {
-    let body: Value = serde_json::from_str(&got.body).unwrap_or_default();
+fn plain_text(response: &Response) -> String {
+    let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
     body["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
 }
