--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Platform, endpoints and routers, started together.
+//! A fleet: platform, endpoints, routers and the links between them.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -14,37 +14,37 @@
 
 use crate::{Audit, Caller, Figures, Node, Sample, resources};
 
-/// What to start.
+/// Parameters of a fleet.
 #[derive(Clone)]
 pub struct Plan {
-    /// Seed of everything random.
+    /// Seed of all random generators.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub boxes: usize,
-    /// Zones that boxes and endpoints are spread over.
+    /// Number of zones, over which boxes and endpoints are spread.
     pub zones: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// How engines behave.
+    /// Settings of the engines.
     pub engine: standin::Settings,
-    /// How long a service call takes.
+    /// Duration of a service call.
     pub service_time: Duration,
     /// Delay of each platform call.
     pub platform_delay: Duration,
-    /// Money settings of the routers.
+    /// Token settings of the routers.
     pub money: Money,
-    /// Bound on platform calls, in milliseconds.
+    /// Timeout of platform calls, in milliseconds.
     pub timeout_ms: u64,
-    /// Customers with budgets and what was paid.
+    /// Customers, each with its budgets and the tokens paid for each.
     pub customers: Vec<(String, Vec<(String, u64)>)>,
     /// Offline share in thousandths, if not the default.
     pub offline_share: Option<u64>,
-    /// Most output tokens of one answer.
+    /// Largest number of output tokens in a response.
     pub max_output: u64,
-    /// How long callers wait.
-    pub patience: Duration,
+    /// Longest wait of a caller for a complete response.
+    pub request_timeout: Duration,
 }
 
 impl Default for Plan {
@@ -71,21 +71,20 @@
             customers: vec![("dis".into(), vec![("bornova".into(), 100_000)])],
             offline_share: None,
             max_output: 512,
-            patience: Duration::from_secs(20),
+            request_timeout: Duration::from_secs(20),
         }
     }
 }
 
-/// The own IP number of a box towards its peers, so that links can tell boxes apart.
+/// Loopback address of a box towards its peers; links tell boxes apart by it.
 fn peer_ip(index: usize) -> IpAddr {
     [127, 0, 1 + (index / 200) as u8, 10 + (index % 200) as u8].into()
 }
 
 /// A fleet on loopback.
 pub struct Fleet {
-    /// The plan it was started by.
+    /// Parameters that the fleet was started with.
     pub plan: Plan,
-    /// The platform.
     pub platform: Platform,
     /// Model engines.
     pub engines: Vec<Engine>,
@@ -93,17 +92,16 @@
     pub services: Vec<Service>,
     /// Routers.
     pub nodes: Vec<Node>,
-    /// The link of each router to the platform.
+    /// The link from each router to the platform.
     pub links: Vec<Link>,
-    /// The link of all other routers to each router.
+    /// The link to each router from all others.
     pub peer_links: Vec<Link>,
-    /// The caller.
     pub caller: Caller,
-    starts: u64,
+    start_count: u64,
 }
 
 impl Fleet {
-    /// Starts everything and waits until the sample resources are in force on all routers.
+    /// Starts a fleet and waits until all routers have applied the sample resources.
     pub async fn spawn(plan: Plan) -> Fleet {
         let platform = Platform::spawn(plan.seed).await;
         platform.set(|faults| faults.delay = plan.platform_delay);
@@ -115,7 +113,7 @@
         for _ in 0..plan.services {
             services.push(Service::spawn(plan.service_time).await);
         }
-        let caller = Caller::new(plan.patience);
+        let caller = Caller::new(plan.request_timeout);
         let mut fleet = Fleet {
             plan,
             platform,
@@ -125,7 +123,7 @@
             links: Vec::new(),
             peer_links: Vec::new(),
             caller,
-            starts: 0,
+            start_count: 0,
         };
         fleet.declare_samples().await;
         for index in 0..fleet.plan.boxes {
@@ -138,18 +136,18 @@
             let node = fleet.start(index).await;
             fleet.nodes.push(node);
         }
-        fleet.wait_in_force().await;
+        fleet.wait_until_applied().await;
         fleet
     }
 
-    /// The zone of the box or endpoint number `index`.
+    /// Zone of the box or endpoint with this index.
     pub fn zone(&self, index: usize) -> String {
         format!("zone-{}", index % self.plan.zones.max(1))
     }
 
     async fn start(&mut self, index: usize) -> Node {
-        self.starts += 1;
-        let seed = self.plan.seed.wrapping_mul(1_000_003) + self.starts;
+        self.start_count += 1;
+        let seed = self.plan.seed.wrapping_mul(1_000_003) + self.start_count;
         let node = Node::spawn(self.settings(index), seed).await;
         if let Some(address) = node.peers() {
             self.peer_links[index].set_target(address);
@@ -181,13 +179,13 @@
         }
     }
 
-    /// Cuts boxes `a` and `b` off from each other, or joins them again.
+    /// Disconnects two boxes from each other, or reconnects them.
     pub fn set_cut(&self, a: usize, b: usize, cut: bool) {
         self.peer_links[a].set_blocked(peer_ip(b), cut);
         self.peer_links[b].set_blocked(peer_ip(a), cut);
     }
 
-    /// Cuts a group of boxes off from all others and from the platform, or joins them again.
+    /// Disconnects a group of boxes from all others and from the platform, or reconnects them.
     pub fn set_partition(&self, group: &[usize], cut: bool) {
         for index in group {
             self.links[*index].set_cut(cut);
@@ -197,11 +195,11 @@
         }
     }
 
-    /// Starts the router of a box again, as a new incarnation.
+    /// Starts the router of a box again; it gets a new incarnation.
     pub async fn restart(&mut self, index: usize) {
         let node = self.start(index).await;
         self.nodes[index] = node;
-        self.wait_in_force().await;
+        self.wait_until_applied().await;
     }
 
     async fn declare_samples(&self) {
@@ -229,7 +227,7 @@
         }
     }
 
-    /// Writes an operator's resource, whatever version it has; returns the version written.
+    /// Writes a resource, whatever its current version; returns the new version.
     pub async fn declare(&self, kind: &str, name: &str, spec: &Value) -> u64 {
         let memory = self.platform.memory();
         loop {
@@ -241,15 +239,15 @@
         }
     }
 
-    /// The spec of an operator's resource.
+    /// The spec of a resource.
     pub async fn spec(&self, kind: &str, name: &str) -> Value {
         let found = self.platform.memory().get(kind, name).await;
         let object = found.expect("memory always answers").expect("the resource exists");
         serde_json::from_str(&object.value).expect("specs are JSON")
     }
 
-    /// Waits until every resource is accepted and in force on every router that runs.
-    pub async fn wait_in_force(&self) {
+    /// Waits until every resource is accepted and applied by every router that runs.
+    pub async fn wait_until_applied(&self) {
         let memory = self.platform.memory();
         let mut sources = 0;
         for kind in resource::Kind::ALL {
@@ -260,7 +258,7 @@
             if accepted.len() >= sources {
                 let newest = accepted.iter().map(|object| object.version).max().unwrap_or(0);
                 for node in self.nodes.iter().filter(|node| !node.is_down()) {
-                    node.wait_watched(newest).await;
+                    node.wait_for_version(newest).await;
                 }
                 return;
             }
@@ -268,8 +266,8 @@
         }
     }
 
-    /// The address of a router for callers.
-    pub fn to(&self, index: usize) -> SocketAddr {
+    /// Address of a router for callers.
+    pub fn callers_address(&self, index: usize) -> SocketAddr {
         self.nodes[index].callers()
     }
 
@@ -280,10 +278,10 @@
         object.and_then(|object| serde_json::from_str(&object.value).ok()).unwrap_or_default()
     }
 
-    /// Waits until every run is billed and no journal holds anything unfolded, or until `most` has
-    /// passed.
-    pub async fn settle(&self, most: Duration) -> bool {
-        let end = tokio::time::Instant::now() + most;
+    /// Waits until every run is billed and every journal is folded into the ledgers; returns `false`
+    /// after `timeout`.
+    pub async fn settle(&self, timeout: Duration) -> bool {
+        let end = tokio::time::Instant::now() + timeout;
         while tokio::time::Instant::now() < end {
             if self.is_settled().await && self.audit().await.unbilled == 0 {
                 return true;
@@ -312,18 +310,18 @@
         true
     }
 
-    /// Compares truth, what callers were told, and what was billed.
+    /// Compares executions, responses and bills.
     pub async fn audit(&self) -> Figures {
         Audit::of(self).await.figures()
     }
 
-    /// Everything that all routers logged, merged.
+    /// The events of all routers, merged.
     pub fn events(&self) -> Vec<timeline::Event> {
         let all = self.nodes.iter().flat_map(Node::events);
         timeline::merge(all, &timeline::Filter::default())
     }
 
-    /// Handles to the platform as an operator has it.
+    /// The platform's objects, without faults.
     pub fn store(&self) -> Arc<dyn Store> {
         Arc::new(self.platform.memory().clone())
     }
