--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -50,7 +50,7 @@
         for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
             metrics.free.get_or_create(&budget).set(balance.free as i64);
-            metrics.promised.get_or_create(&budget).set(balance.kept as i64);
+            metrics.promised.get_or_create(&budget).set(balance.promised as i64);
             metrics.unspent.get_or_create(&budget).set(balance.unspent as i64);
         }
         for ((topic, is_same_zone), size) in context.peers.traffic.snapshot() {
--- a/crates/gateway/src/tokens/funds/mod.rs
+++ b/crates/gateway/src/tokens/funds/mod.rs
@@ -33,7 +33,7 @@
         /// Free tokens of this box.
         free: u64,
         /// Part of the free tokens that is promised to the witness.
-        kept: u64,
+        promised: u64,
         /// Tokens of the budget that no box held at the last settlement.
         left: u64,
         /// Time since the last settlement; `None` before the first one.
@@ -45,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Shortage::Exhausted => f.write_str("the budget is used up"),
-            Shortage::Local { free, kept, left, age: Some(age) } => {
+            Shortage::Local { free, promised: kept, left, age: Some(age) } => {
                 let ago = age.as_millis();
                 write!(f, "{free} free here, {kept} of them kept, {left} left {ago} ms ago")
             }
@@ -65,7 +65,7 @@
     /// Tokens passed on to other boxes, and not reported as used or returned.
     pub passed: u64,
     /// Part of `free` that is promised to the witness.
-    pub kept: u64,
+    pub promised: u64,
     /// Tokens paid and not known to be spent, whoever holds them.
     pub unspent: u64,
 }
@@ -242,11 +242,11 @@
             Some(wallet) if wallet.is_exhausted(worst) => Shortage::Exhausted,
             Some(wallet) => Shortage::Local {
                 free: wallet.free(),
-                kept: wallet.kept(),
+                promised: wallet.promised(),
                 left: wallet.granted.left,
                 age: state.last_landed.map(|at| at.elapsed()),
             },
-            None => Shortage::Local { free: 0, kept: 0, left: 0, age: None },
+            None => Shortage::Local { free: 0, promised: 0, left: 0, age: None },
         }
     }
 
@@ -269,7 +269,7 @@
             customer: customer.clone(),
             free: wallet.free(),
             passed: wallet.outstanding(),
-            kept: wallet.kept(),
+            promised: wallet.promised(),
             unspent: wallet.granted.unspent,
         };
         wallets.map(balance).collect()
--- a/crates/gateway/src/tokens/funds/promises.rs
+++ b/crates/gateway/src/tokens/funds/promises.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the next promise, if it differs enough from the current one. Until the witness
-    /// accepts it, both are kept.
+    /// accepts it, both hold.
     pub fn promise(&self) -> Option<BTreeMap<Arc<str>, u64>> {
         let now = Instant::now();
         let mut state = self.0.state.lock();
@@ -71,7 +71,7 @@
             return;
         }
         for (customer, wallet) in &mut state.wallets {
-            wallet.keep(tokens.get(customer).copied().unwrap_or_default());
+            wallet.set_promised(tokens.get(customer).copied().unwrap_or_default());
         }
         drop(state);
         self.0.promise_accepted.send_modify(|count| *count += 1);
--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -78,8 +78,8 @@
         return;
     }
     let of = |(customer, breakdown): &(Arc<str>, Breakdown)| {
-        let Breakdown { kept, open, of_keepers, reserved, unsettled, passed } = breakdown;
-        format!("{customer} {kept} {open} {of_keepers} {reserved} {unsettled} {passed}")
+        let Breakdown { promised, open, of_keepers, reserved, unsettled, passed } = breakdown;
+        format!("{customer} {promised} {open} {of_keepers} {reserved} {unsettled} {passed}")
     };
     let held: Vec<String> = breakdown.iter().map(of).collect();
     tracing::info!(
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -4,7 +4,7 @@
 //! a box's own tokens, those granted by the book, are promised, lent, passed on or returned to the
 //! book.
 //!
-//! The `kept` part of the free tokens is promised to the witness, which can then confirm after this
+//! The `promised` part of the free tokens is promised to the witness, which can then confirm after this
 //! box's death that they were not used. Only a later promise makes them available to requests.
 
 mod promises;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Breakdown {
     /// Free, granted by the book and promised to the witness.
-    pub kept: u64,
+    pub promised: u64,
     /// Free, granted by the book and not promised.
     pub open: u64,
     /// Free, passed on by keepers.
@@ -47,7 +47,7 @@
 impl Breakdown {
     /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
-        let free = self.kept + self.open + self.of_keepers;
+        let free = self.promised + self.open + self.of_keepers;
         free + self.reserved + self.unsettled + self.passed
     }
 }
@@ -77,7 +77,7 @@
     /// Number of the last transfer to another box.
     last_transfer: u64,
     /// Promised free tokens: the highest amount that the witness may have on record.
-    kept: u64,
+    promised: u64,
     /// Promised tokens that requests need.
     needed_promised: u64,
     /// The paid amount has changed since the last settlement.
@@ -121,7 +121,7 @@
 
     /// Own tokens that may be returned to the book.
     fn disposable(&self) -> u64 {
-        self.own().saturating_sub(self.borrowed + self.kept)
+        self.own().saturating_sub(self.borrowed + self.promised)
     }
 
     /// Whether this box has something to report to the book or holds tokens granted by it.
@@ -134,10 +134,10 @@
     /// Returns the tokens by what they are used for.
     pub fn breakdown(&self) -> Breakdown {
         let own = self.own();
-        let kept = self.kept.min(own);
+        let promised = self.promised.min(own);
         Breakdown {
-            kept,
-            open: own - kept,
+            promised,
+            open: own - promised,
             of_keepers: self.free() - own,
             reserved: self.account.tokens(Part::Offline).reserved,
             unsettled: self.charged + self.keeper_shares.unreported(),
@@ -147,12 +147,12 @@
 
     /// Free tokens that are not promised.
     pub fn open(&self) -> u64 {
-        self.free().saturating_sub(self.kept)
+        self.free().saturating_sub(self.promised)
     }
 
     /// Whether a promise keeps tokens from a request of this size.
     pub fn is_promise_blocking(&self, worst: u64) -> bool {
-        self.kept > 0 && self.open() < worst
+        self.promised > 0 && self.open() < worst
     }
 
     /// Reserves the worst case of a request.
--- a/crates/gateway/src/tokens/wallet/promises.rs
+++ b/crates/gateway/src/tokens/wallet/promises.rs
@@ -22,9 +22,9 @@
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
         let open = self.open();
         let needed = self.needed_promised > 0 || open < self.rate.used_in(MIN_UNPROMISED_S, now);
-        let keepable = self.keepable(now);
-        match self.kept.cmp(&keepable) {
-            Ordering::Less => keepable > self.kept + self.rate.used_in(UNPROMISED_S, now),
+        let promisable = self.promisable(now);
+        match self.promised.cmp(&promisable) {
+            Ordering::Less => promisable > self.promised + self.rate.used_in(UNPROMISED_S, now),
             Ordering::Equal => false,
             Ordering::Greater => needed || self.has_spare() || self.retiring,
         }
@@ -33,37 +33,37 @@
     /// Returns the tokens to promise. Until the witness accepts the promise, the previous one holds
     /// as well.
     pub fn promise(&mut self, now: Instant) -> u64 {
-        let keeps = self.keepable(now);
+        let promised = self.promisable(now);
         self.needed_promised = 0;
-        self.kept = self.kept.max(keeps);
-        keeps
+        self.promised = self.promised.max(promised);
+        promised
     }
 
     /// Returns the tokens of the last promise before a planned stop: all that are free.
     pub fn promise_all(&mut self) -> u64 {
-        self.kept = self.own().saturating_sub(self.borrowed);
-        self.kept
+        self.promised = self.own().saturating_sub(self.borrowed);
+        self.promised
     }
 
-    fn keepable(&mut self, now: Instant) -> u64 {
+    fn promisable(&mut self, now: Instant) -> u64 {
         let open = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
         if self.retiring {
             return 0;
         }
-        let keepable = self.own().saturating_sub(self.borrowed + open);
+        let promisable = self.own().saturating_sub(self.borrowed + open);
         match self.has_spare() {
             // The surplus is to be returned to the book.
-            true => keepable.min(self.granted.target),
-            false => keepable,
+            true => promisable.min(self.granted.target),
+            false => promisable,
         }
     }
 
     /// Sets the promised tokens, after the witness accepted them or the promise was dropped.
-    pub fn keep(&mut self, tokens: u64) {
-        self.kept = tokens;
+    pub fn set_promised(&mut self, tokens: u64) {
+        self.promised = tokens;
     }
 
-    pub fn kept(&self) -> u64 {
-        self.kept
+    pub fn promised(&self) -> u64 {
+        self.promised
     }
 }
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -27,7 +27,7 @@
         now: Instant,
     ) -> Option<Transfer> {
         let reserve = self.rate.used_in(RESERVE_S, now);
-        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.kept));
+        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.promised));
         let tokens = self.account.remove(Part::Offline, wanted.min(spare));
         if tokens == 0 {
             return None;
@@ -132,7 +132,7 @@
         let least = demand.least.saturating_sub(in_transit);
         // Borrowed tokens may be passed on as well: the book counts them with the lender until one
         // side reports the transfer, and never with the box that gets them here.
-        let spare = self.own().saturating_sub(self.kept);
+        let spare = self.own().saturating_sub(self.promised);
         if spare < least || self.box_shares.is_closed(to) || self.abandoned {
             return false;
         }
--- a/crates/gateway/tests/loopback/box_crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -37,12 +37,12 @@
 }
 
 /// Waits until a box holds many tokens and has promised its witness to keep most of them.
-async fn wait_until_most_is_kept(harness: &Harness, gateway: &Gateway) {
+async fn wait_until_most_is_promised(harness: &Harness, gateway: &Gateway) {
     wait_until("the box holds many tokens and keeps most of them", async || {
         call(gateway.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = gateway.balance("bornova");
-        balance.free > 3 * MAX_LOST / 2 && balance.free - balance.kept < MAX_LOST / 2
+        balance.free > 3 * MAX_LOST / 2 && balance.free - balance.promised < MAX_LOST / 2
     })
     .await;
 }
@@ -60,7 +60,7 @@
 #[tokio::test]
 async fn witness_limits_the_loss_of_a_crash() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    wait_until_most_is_kept(&harness, &one).await;
+    wait_until_most_is_promised(&harness, &one).await;
     let first = one.incarnation().clone();
     drop(one);
     let restarted = harness.gateway("box-1").await;
@@ -73,11 +73,11 @@
 }
 
 /// After a crash, a box may read the book before it knows its peers. It must still collect from its witness what it
-/// had kept.
+/// had promised.
 #[tokio::test]
 async fn witness_limits_the_loss_when_the_restarted_box_knows_no_peers() {
     let Fleet { harness, one, two, _endpoints } = Fleet::start().await;
-    wait_until_most_is_kept(&harness, &one).await;
+    wait_until_most_is_promised(&harness, &one).await;
     let first = one.incarnation().clone();
     harness.remove_box_entry("box-2").await;
     drop(one);
@@ -97,7 +97,7 @@
         call(one.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let balance = one.balance("bornova");
-        balance.free > MAX_LOST && balance.kept > 0
+        balance.free > MAX_LOST && balance.promised > 0
     })
     .await;
     let charged_tokens = charged_tokens(&one);
@@ -127,10 +127,10 @@
     wait_until("box 1 keeps tokens", async || {
         call(one.callers(), "/stream/x", &harness.new_request("key-b", 2_000, 10)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        one.balance("bornova").kept > MAX_LOST
+        one.balance("bornova").promised > MAX_LOST
     })
     .await;
-    let held = one.balance("bornova").kept;
+    let held = one.balance("bornova").promised;
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
     let restarted = [harness.gateway("box-1").await, harness.gateway("box-2").await];
