--- a/crates/gateway/src/tokens/claims.rs
+++ b/crates/gateway/src/tokens/claims.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeMap;
 
 use futures_util::future::join_all;
-use ledger::{Claim, Incarnation, Untouched};
+use ledger::{Claim, Incarnation, Unused};
 
 use crate::fleet::peers::{Peers, WitnessReply};
 
 /// Returns the answers of the witnesses. Claims whose witness did not answer are left out.
-pub async fn ask(peers: &Peers, open: Vec<(Incarnation, Claim)>) -> Vec<Untouched> {
+pub async fn ask(peers: &Peers, open: Vec<(Incarnation, Claim)>) -> Vec<Unused> {
     let requests = open.iter().map(|(holder, claim)| peers.seal(holder, claim));
     let replies = join_all(requests).await;
     let answered = open.into_iter().zip(replies);
-    answered.filter_map(|((holder, claim), reply)| untouched(holder, claim, reply)).collect()
+    answered.filter_map(|((holder, claim), reply)| unused(holder, claim, reply)).collect()
 }
 
-fn untouched(holder: Incarnation, claim: Claim, reply: WitnessReply) -> Option<Untouched> {
+fn unused(holder: Incarnation, claim: Claim, reply: WitnessReply) -> Option<Unused> {
     let witness = claim.witness;
     tracing::info!(
         event = "witness_asked",
@@ -29,5 +29,5 @@
         WitnessReply::Nothing => BTreeMap::new(),
         WitnessReply::NoAnswer => return None,
     };
-    Some(Untouched { holder, witness, tokens })
+    Some(Unused { holder, witness, tokens })
 }
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{BOOK, Book, Claim, Granted, Incarnation, Policy, Settlement, Untouched, Writer};
+use ledger::{BOOK, Book, Claim, Granted, Incarnation, Policy, Settlement, Unused, Writer};
 use objects::{Expect, Store};
 use platform::store::{Client, Put};
 use snafu::Snafu;
@@ -93,7 +93,7 @@
     /// Whether this box is listed as a writer in the book.
     is_listed: bool,
     /// Tokens that dead incarnations left unused, for the next settlement.
-    collected: Vec<Untouched>,
+    collected: Vec<Unused>,
     last_asked: Option<Instant>,
 }
 
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -13,7 +13,7 @@
 use gateway::{Acceptance, Funds, Hold, Participation, Promises, Table};
 use ledger::{
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
-    Untouched, Witness, Writer,
+    Unused, Witness, Writer,
 };
 use platform::{config::Config, fixtures};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -114,7 +114,7 @@
     /// Promises that other boxes made to this one.
     received_promises: Promises,
     /// Untouched tokens of earlier incarnations, to be reported with the next settlement.
-    earlier: Vec<Untouched>,
+    earlier: Vec<Unused>,
 }
 
 impl Node {
@@ -264,7 +264,7 @@
             // The witness has died.
             None => Default::default(),
         };
-        self.nodes[at].earlier.push(Untouched { holder, witness: claim.witness, tokens });
+        self.nodes[at].earlier.push(Unused { holder, witness: claim.witness, tokens });
     }
 
     /// Opens a claim on a living box, as if it had ended.
@@ -338,7 +338,7 @@
     }
 
     /// Untouched tokens of a dead box, as its witness reports them.
-    fn untouched(&self, holder: &Incarnation) -> Option<Untouched> {
+    fn untouched(&self, holder: &Incarnation) -> Option<Unused> {
         let witness = self.book.writers.get(holder)?.witness.clone()?;
         let by = self.nodes.iter().find(|node| node.name == witness.by)?;
         let newest = self.terms.get(&(holder.clone(), witness.by.clone())).copied();
@@ -347,7 +347,7 @@
             _ => witness.term,
         };
         let tokens = by.received_promises.seal(holder, term)?;
-        Some(Untouched { holder: holder.clone(), witness, tokens })
+        Some(Unused { holder: holder.clone(), witness, tokens })
     }
 
     fn write(&mut self, at: usize, answered: bool) {
@@ -360,7 +360,7 @@
             false => self.book.settle(&settlement, POLICY),
         };
         if fault == Fault::CollectTwice && !landed {
-            let free = |untouched: &Untouched| untouched.tokens.values().sum::<u64>();
+            let free = |untouched: &Unused| untouched.tokens.values().sum::<u64>();
             let again: u64 = settlement.unused_by_earlier.iter().map(free).sum();
             self.book.ledgers.values_mut().for_each(|l| l.spent = l.spent.saturating_sub(again));
         }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -18,7 +18,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Draw, Incarnation, Ledger, Observed, Policy, Transfer, Untouched, Witness};
+use crate::{Draw, Incarnation, Ledger, Observed, Policy, Transfer, Unused, Witness};
 
 /// Part of what all boxes may hold that is split evenly, in thousandths. Thus a box that is the
 /// first to get a customer's requests has some tokens.
@@ -146,7 +146,7 @@
     pub writer: Writer,
     pub items: Vec<Item>,
     /// Tokens that dead incarnations left unused, as reported by their witnesses.
-    pub unused_by_earlier: Vec<Untouched>,
+    pub unused_by_earlier: Vec<Unused>,
     /// The box draws no more, and returns what it can. Once it has nothing to report and holds
     /// nothing, it is removed, so that the book only lists boxes that draw.
     pub retires: bool,
@@ -226,7 +226,7 @@
             false => self.idle.remove(holder),
         };
         self.landed += 1;
-        settlement.unused_by_earlier.iter().for_each(|untouched| self.close_claim(untouched));
+        settlement.unused_by_earlier.iter().for_each(|unused| self.close_claim(unused));
         let policy = Policy { boxes: self.boxes(), ..policy };
         let mut granted = Vec::with_capacity(settlement.items.len());
         for item in &settlement.items {
@@ -314,19 +314,19 @@
 
     /// Closes a claim by the answer of its witness: unused tokens are free again, the rest counts
     /// as spent. Ignored if the claim is closed already or names another witness.
-    fn close_claim(&mut self, untouched: &Untouched) {
-        let claim = self.claims.get(&untouched.holder);
-        if claim.is_some_and(|claim| claim.witness == untouched.witness) {
-            self.claims.remove(&untouched.holder);
-            self.write_off(&untouched.holder, &untouched.tokens);
+    fn close_claim(&mut self, unused: &Unused) {
+        let claim = self.claims.get(&unused.holder);
+        if claim.is_some_and(|claim| claim.witness == unused.witness) {
+            self.claims.remove(&unused.holder);
+            self.write_off(&unused.holder, &unused.tokens);
         }
     }
 
-    fn write_off(&mut self, name: &Incarnation, untouched: &BTreeMap<Arc<str>, u64>) {
+    fn write_off(&mut self, name: &Incarnation, unused: &BTreeMap<Arc<str>, u64>) {
         for (customer, ledger) in &mut self.ledgers {
-            let tokens = untouched.get(customer).copied().unwrap_or_default();
+            let tokens = unused.get(customer).copied().unwrap_or_default();
             let lost = ledger.write_off(name, tokens);
-            if untouched.is_empty() {
+            if unused.is_empty() {
                 ledger.unwitnessed += lost;
             }
         }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -326,11 +326,11 @@
         Ok(())
     }
 
-    /// Counts the grant of a dead holder as spent, except for `untouched` tokens that it certainly
+    /// Counts the grant of a dead holder as spent, except for `unused` tokens that it certainly
     /// did not use. Returns the tokens lost.
-    pub fn write_off(&mut self, holder: &Incarnation, untouched: u64) -> u64 {
+    pub fn write_off(&mut self, holder: &Incarnation, unused: u64) -> u64 {
         let held = self.grants.remove(holder).map_or(0, |grant| grant.total());
-        let lost = held.saturating_sub(untouched);
+        let lost = held.saturating_sub(unused);
         self.spent += lost;
         self.lost += lost;
         self.lower_paid();
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -38,4 +38,4 @@
 pub use record::{Ended, Entry, Outcome, Record};
 pub use share::{Delta, Demand, Share, Supply};
 pub use sizing::{Observed, Policy, Prefer, Target, target};
-pub use witness::{Promise, Untouched, Witness};
+pub use witness::{Promise, Unused, Witness};
--- a/crates/ledger/src/witness.rs
+++ b/crates/ledger/src/witness.rs
@@ -36,7 +36,7 @@
 
 /// Tokens that an earlier incarnation of a box certainly left unused, as confirmed by its witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Untouched {
+pub struct Unused {
     /// The earlier incarnation.
     pub holder: Incarnation,
     /// The witness that confirms it; it must be the one that the book names.
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/book.rs
@@ -1,7 +1,7 @@
 //! How much of a budget boxes hold, and what becomes of it when they stop or die.
 
 use ledger::{
-    Book, Granted, Incarnation, Item, Observed, Policy, Settlement, Untouched, Witness, Writer,
+    Book, Granted, Incarnation, Item, Observed, Policy, Settlement, Unused, Witness, Writer,
 };
 
 const PAID: u64 = 100_000_000;
@@ -202,7 +202,7 @@
 }
 
 /// Settles twice for incarnation `number` of a box, with the `earlier` answers of witnesses.
-fn settle_incarnation(book: &mut Book, number: u64, earlier: Vec<Untouched>) -> Incarnation {
+fn settle_incarnation(book: &mut Book, number: u64, earlier: Vec<Unused>) -> Incarnation {
     let holder = Incarnation::new("box-0", number);
     let by = Incarnation::new("box-1", 1);
     let item = Item {
@@ -245,7 +245,7 @@
     let audited = ledger::audit(&book, &[]).claims;
     assert_eq!(audited.iter().map(|claim| claim.tokens).collect::<Vec<_>>(), [held]);
     let tokens = std::collections::BTreeMap::from([("bornova".into(), held / 2)]);
-    let answer = |term| Untouched {
+    let answer = |term| Unused {
         holder: first.clone(),
         witness: Witness { by: Incarnation::new("box-1", 1), term },
         tokens: tokens.clone(),
@@ -271,8 +271,8 @@
         let held = book.ledgers["bornova"].granted();
         let tokens = divisor.map(|divisor| ("bornova".into(), held / divisor));
         let witness = Witness { by: Incarnation::new("box-1", 1), term: 1 };
-        let untouched = Untouched { holder: first, witness, tokens: tokens.into_iter().collect() };
-        settle_incarnation(&mut book, 2, vec![untouched]);
+        let unused = Unused { holder: first, witness, tokens: tokens.into_iter().collect() };
+        settle_incarnation(&mut book, 2, vec![unused]);
         let ledger = &book.ledgers["bornova"];
         assert!(ledger.lost > 0);
         assert_eq!(ledger.unwitnessed, ledger.lost * unwitnessed, "{divisor:?}");
