--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -372,7 +372,7 @@
             }
         }
         if fault == Fault::ForgetTransfers {
-            self.book.ledgers.values_mut().for_each(|ledger| ledger.passed.clear());
+            self.book.ledgers.values_mut().for_each(|ledger| ledger.counted_transfers.clear());
         }
         match answered {
             true => {
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -230,12 +230,12 @@
         let policy = Policy { boxes: self.boxes(), ..policy };
         let mut granted = Vec::with_capacity(settlement.items.len());
         for item in &settlement.items {
-            let gone: Vec<bool> =
+            let receivers_died: Vec<bool> =
                 item.transfers.iter().map(|transfer| self.is_replaced(&transfer.to)).collect();
             let ledger = self.ledgers.entry(item.customer.clone()).or_default();
-            let passed = item.transfers.iter().zip(gone);
-            let passed = passed.map(|(transfer, gone)| ledger.pass_on(transfer, gone));
-            let misfits = passed.filter(Result::is_err).count();
+            let counted = item.transfers.iter().zip(receivers_died);
+            let counted = counted.map(|(transfer, died)| ledger.count_transfer(transfer, died));
+            let misfits = counted.filter(Result::is_err).count();
             let settled = settle_item(ledger, settlement, item, policy, first);
             granted.push(Granted { misfits, ..settled });
         }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -95,9 +95,9 @@
     pub ended: Vec<Incarnation>,
     /// Numbers of the counted transfers between boxes, by giver. Kept after the giver is gone, as
     /// the receiver may report a transfer later.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub passed: BTreeMap<Incarnation, RangeSet>,
-    /// Transfers applied, while the giver or the receiver still has a grant.
+    #[serde(rename = "passed", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub counted_transfers: BTreeMap<Incarnation, RangeSet>,
+    /// Transfers applied from journals, while the giver or the receiver still has a grant.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub transfers: BTreeSet<Transfer>,
 }
@@ -215,7 +215,8 @@
         Ok(())
     }
 
-    /// Moves offline tokens from giver to receiver, once. Returns whether it did.
+    /// Moves the offline tokens of a transfer in a journal from giver to receiver, once. Returns
+    /// whether it did.
     pub fn apply_transfer(&mut self, transfer: &Transfer) -> Result<bool, Error> {
         if self.transfers.contains(transfer) {
             return Ok(false);
@@ -295,10 +296,18 @@
 
     /// Counts offline tokens that one box lent to another, once, whichever of them reports it.
     ///
-    /// `gone` says that the receiver died, and the tokens are lost with it.
-    pub fn pass_on(&mut self, transfer: &Transfer, gone: bool) -> Result<(), Error> {
+    /// If `receiver_died`, the tokens are lost with it.
+    pub fn count_transfer(
+        &mut self,
+        transfer: &Transfer,
+        receiver_died: bool,
+    ) -> Result<(), Error> {
         let misfit = Error::Misfit { tokens: transfer.tokens };
-        if self.passed.get(&transfer.from).is_some_and(|numbers| numbers.contains(transfer.n)) {
+        if self
+            .counted_transfers
+            .get(&transfer.from)
+            .is_some_and(|numbers| numbers.contains(transfer.n))
+        {
             return Ok(());
         }
         match self.grants.get_mut(&transfer.from) {
@@ -311,8 +320,8 @@
                 self.spent -= transfer.tokens;
             }
         }
-        self.passed.entry(transfer.from.clone()).or_default().insert(transfer.n);
-        match gone {
+        self.counted_transfers.entry(transfer.from.clone()).or_default().insert(transfer.n);
+        match receiver_died {
             true => {
                 self.spent += transfer.tokens;
                 self.lost += transfer.tokens;
