--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -141,7 +141,7 @@
                 return Outcome::Unanswered;
             };
             let supply = drawn.items.iter().find(|supply| supply.customer == *customer);
-            if supply.is_some_and(|supply| supply.dry) {
+            if supply.is_some_and(|supply| supply.exhausted) {
                 self.funds.note_others_exhausted(customer, worst);
             }
             match self.funds.try_hold(customer, worst) {
--- a/crates/gateway/src/tokens/shares.rs
+++ b/crates/gateway/src/tokens/shares.rs
@@ -43,8 +43,8 @@
     }
 
     /// Applies the total that a keeper reports; returns the tokens that are new.
-    pub fn receive(&mut self, keeper: &Incarnation, given: u64) -> u64 {
-        self.entry_mut(keeper).share.receive(given)
+    pub fn receive(&mut self, keeper: &Incarnation, passed_on: u64) -> u64 {
+        self.entry_mut(keeper).share.receive(passed_on)
     }
 
     /// Counts up to `tokens` of a keeper as returned; returns how many were.
@@ -117,12 +117,12 @@
     pub fn pass_on(&mut self, to: &Incarnation, tokens: u64) {
         let entry = self.entries.entry(to.clone()).or_default();
         debug_assert!(!entry.closed);
-        entry.share.given += tokens;
+        entry.share.passed_on += tokens;
     }
 
     /// Total of the tokens passed on to a box.
     pub fn total(&self, to: &Incarnation) -> u64 {
-        self.entries.get(to).map_or(0, |entry| entry.share.given)
+        self.entries.get(to).map_or(0, |entry| entry.share.passed_on)
     }
 
     /// Whether a box counts as dead.
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -98,7 +98,7 @@
 
     /// Applies a keeper's answer to a demand with the `reported` totals.
     pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
-        let new = self.keeper_shares.receive(keeper, supply.given);
+        let new = self.keeper_shares.receive(keeper, supply.passed_on);
         self.account.add(Part::Offline, new);
         self.keeper_shares.acknowledge(keeper, reported);
         self.reported_used = self.reported_used.max(Some(supply.used));
@@ -128,7 +128,7 @@
     /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
     /// waiting requests and some for later ones. Returns whether it did.
     pub fn pass_on(&mut self, to: &Incarnation, demand: &Demand, now: Instant) -> bool {
-        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.given);
+        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.passed_on);
         let least = demand.least.saturating_sub(in_transit);
         // Borrowed tokens may be passed on as well: the book counts them with the lender until one
         // side reports the transfer, and never with the box that gets them here.
@@ -166,9 +166,9 @@
         need: u64,
         now: Instant,
     ) -> Supply {
-        let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
+        let exhausted = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
-        Supply { customer: customer.clone(), given: self.box_shares.total(to), used, dry }
+        Supply { customer: customer.clone(), passed_on: self.box_shares.total(to), used, exhausted }
     }
 
     /// Tokens passed on as a keeper, and not reported as used or returned.
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -445,10 +445,12 @@
         funds.receive_report(&request.from, &request.items);
         for demand in &request.items {
             if demand.need > 0 && funds.try_pass_on(&request.from, demand) {
-                let tokens = funds.supplies(&request.from, std::slice::from_ref(demand))[0].given;
+                let tokens =
+                    funds.supplies(&request.from, std::slice::from_ref(demand))[0].passed_on;
                 if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
-                    let share = ledger::Share { given: tokens, returned: tokens, ..demand.share };
+                    let share =
+                        ledger::Share { passed_on: tokens, returned: tokens, ..demand.share };
                     let back = Demand { share, need: 0, least: 0, ..demand.clone() };
                     funds.receive_report(&request.from, &[back]);
                 }
@@ -500,8 +502,8 @@
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].given;
-            let share = ledger::Share { given, returned: given, ..Default::default() };
+            let passed_on = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].passed_on;
+            let share = ledger::Share { passed_on, returned: passed_on, ..Default::default() };
             node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
     }
--- a/crates/ledger/src/share.rs
+++ b/crates/ledger/src/share.rs
@@ -19,7 +19,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// Passed on by the keeper.
-    pub given: u64,
+    #[serde(rename = "given")]
+    pub passed_on: u64,
     /// Used by the box.
     pub used: u64,
     /// Returned by the box.
@@ -42,7 +43,7 @@
 impl Share {
     /// Tokens that are neither used nor returned.
     pub fn outstanding(&self) -> u64 {
-        self.given.saturating_sub(self.used + self.returned)
+        self.passed_on.saturating_sub(self.used + self.returned)
     }
 
     /// Counts up to `tokens` as used; returns how many were.
@@ -57,7 +58,7 @@
     /// Totals that exceed what was passed on can't belong to this pair, and change nothing.
     pub fn receive_report(&mut self, report: Share) -> Option<Delta> {
         let (used, returned) = (report.used.max(self.used), report.returned.max(self.returned));
-        if used.checked_add(returned)? > self.given {
+        if used.checked_add(returned)? > self.passed_on {
             return None;
         }
         let requests = report.requests.max(self.requests);
@@ -71,9 +72,9 @@
     }
 
     /// On the box: applies the total that the keeper reports; returns the tokens that are new.
-    pub fn receive(&mut self, given: u64) -> u64 {
-        let new = given.saturating_sub(self.given);
-        self.given += new;
+    pub fn receive(&mut self, passed_on: u64) -> u64 {
+        let new = passed_on.saturating_sub(self.passed_on);
+        self.passed_on += new;
         new
     }
 }
@@ -97,9 +98,11 @@
 pub struct Supply {
     pub customer: Arc<str>,
     /// Total of the tokens passed on.
-    pub given: u64,
+    #[serde(rename = "given")]
+    pub passed_on: u64,
     /// Tokens that the customer has certainly used, as known to the keeper.
     pub used: u64,
     /// Neither the keeper nor any box that it reaches has the tokens needed.
-    pub dry: bool,
+    #[serde(rename = "dry")]
+    pub exhausted: bool,
 }
--- a/crates/ledger/tests/share.rs
+++ b/crates/ledger/tests/share.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     /// The keeper passes tokens on.
-    Give(u64),
+    PassOn(u64),
     /// The box uses tokens.
     Spend(u64),
     /// The box returns tokens.
@@ -20,7 +20,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (1u64..100).prop_map(Step::Give),
+        (1u64..100).prop_map(Step::PassOn),
         (1u64..100).prop_map(Step::Spend),
         (1u64..100).prop_map(Step::Return),
         (0usize..64).prop_map(Step::ToBox),
@@ -37,9 +37,9 @@
         let (mut returned_to_keeper, mut free, mut used) = (0, 0, 0);
         for step in steps {
             match step {
-                Step::Give(tokens) => {
-                    keeper.given += tokens;
-                    to_box.push(keeper.given);
+                Step::PassOn(tokens) => {
+                    keeper.passed_on += tokens;
+                    to_box.push(keeper.passed_on);
                 }
                 Step::Spend(tokens) => {
                     let spent = holder.spend(tokens);
@@ -59,7 +59,7 @@
                 }
             }
             prop_assert_eq!(free, holder.outstanding());
-            prop_assert!(used + free + returned_to_keeper <= keeper.given);
+            prop_assert!(used + free + returned_to_keeper <= keeper.passed_on);
             prop_assert!(used + free <= keeper.used + keeper.outstanding());
         }
     }
@@ -67,7 +67,7 @@
 
 #[test]
 fn excessive_totals_are_ignored() {
-    let mut keeper = Share { given: 100, used: 40, ..Share::default() };
+    let mut keeper = Share { passed_on: 100, used: 40, ..Share::default() };
     let before = keeper;
     for report in [
         Share { used: 101, ..Share::default() },
