--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -296,7 +296,7 @@
             Some(known) => known,
             None => self.read().await?,
         };
-        if book.has(&settlement.holder, settlement.writer.write) {
+        if book.has_landed(&settlement.holder, settlement.writer.write) {
             self.known = Some((book, version));
             return Ok(Some(self.last_granted.take().unwrap_or_default()));
         }
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -354,7 +354,7 @@
         let fault = self.fault;
         let node = &mut self.nodes[at];
         let Some(settlement) = node.pending.take() else { return };
-        let landed = self.book.has(&settlement.holder, settlement.writer.write);
+        let landed = self.book.has_landed(&settlement.holder, settlement.writer.write);
         let granted = match landed {
             true => node.unconfirmed_grants.take().expect("a write that landed had a result"),
             false => self.book.settle(&settlement, POLICY),
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -210,7 +210,7 @@
     }
 
     /// Whether write number `write` of `holder` has landed.
-    pub fn has(&self, holder: &Incarnation, write: u64) -> bool {
+    pub fn has_landed(&self, holder: &Incarnation, write: u64) -> bool {
         self.writers.get(holder).is_some_and(|writer| writer.write >= write)
     }
 
