--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -40,9 +40,13 @@
 /// Logs each budget that a settlement changed.
 pub fn settled(settlement: &Settlement, granted: &[Granted]) {
     for (item, granted) in settlement.items.iter().zip(granted) {
-        if granted.misfits > 0 {
+        if granted.uncovered_transfers > 0 {
             let customer = &*item.customer;
-            tracing::error!(event = "transfers_misfit", customer, count = granted.misfits);
+            tracing::error!(
+                event = "transfers_misfit",
+                customer,
+                count = granted.uncovered_transfers
+            );
         }
         let changed = item.charged > 0
             || granted.tokens > 0
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -183,7 +183,7 @@
     pub lost: u64,
     /// Number of transfers that were not counted because the giver never had the tokens: a violated
     /// invariant.
-    pub misfits: usize,
+    pub uncovered_transfers: usize,
 }
 
 impl Book {
@@ -235,9 +235,9 @@
             let ledger = self.ledgers.entry(item.customer.clone()).or_default();
             let counted = item.transfers.iter().zip(receivers_died);
             let counted = counted.map(|(transfer, died)| ledger.count_transfer(transfer, died));
-            let misfits = counted.filter(Result::is_err).count();
+            let uncovered_transfers = counted.filter(Result::is_err).count();
             let settled = settle_item(ledger, settlement, item, policy, first);
-            granted.push(Granted { misfits, ..settled });
+            granted.push(Granted { uncovered_transfers, ..settled });
         }
         if settlement.leaves {
             self.writers.remove(holder);
@@ -398,7 +398,7 @@
         left: ledger.left().min(unspent),
         used: ledger.spent - ledger.lost,
         lost: ledger.lost,
-        misfits: 0,
+        uncovered_transfers: 0,
     }
 }
 
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -31,7 +31,7 @@
     Sealed,
     /// More tokens than the grant holds: the caller violated an invariant.
     #[snafu(display("{tokens} tokens exceed what the grant holds"))]
-    Misfit { tokens: u64 },
+    ExceedsGrant { tokens: u64 },
 }
 
 /// Tokens requested or returned in one write.
@@ -156,7 +156,7 @@
             return Err(Error::Sealed);
         }
         if draw.return_online > grant.online || draw.return_offline > grant.offline {
-            return Err(Error::Misfit { tokens: returned });
+            return Err(Error::ExceedsGrant { tokens: returned });
         }
         let wanted = draw.online + draw.offline;
         let left = self.left() + returned;
@@ -201,7 +201,7 @@
         let charged = record.outcome.as_ref().map_or(0, |outcome| outcome.charged);
         let grant = self.grants.entry(by.clone()).or_default();
         let part = grant.part_mut(record.part);
-        *part = part.checked_sub(charged).ok_or(Error::Misfit { tokens: charged })?;
+        *part = part.checked_sub(charged).ok_or(Error::ExceedsGrant { tokens: charged })?;
         grant.folded = position;
         self.spent += charged;
         match Bill::of(by, record) {
@@ -223,7 +223,7 @@
         }
         let giver = self.grants.entry(transfer.from.clone()).or_default();
         let rest = giver.offline.checked_sub(transfer.tokens);
-        giver.offline = rest.ok_or(Error::Misfit { tokens: transfer.tokens })?;
+        giver.offline = rest.ok_or(Error::ExceedsGrant { tokens: transfer.tokens })?;
         // Tokens for a holder that has ended go back to the budget.
         if !self.ended.contains(&transfer.to) {
             self.grants.entry(transfer.to.clone()).or_default().offline += transfer.tokens;
@@ -302,7 +302,7 @@
         transfer: &Transfer,
         receiver_died: bool,
     ) -> Result<(), Error> {
-        let misfit = Error::Misfit { tokens: transfer.tokens };
+        let exceeds_grant = Error::ExceedsGrant { tokens: transfer.tokens };
         if self
             .counted_transfers
             .get(&transfer.from)
@@ -312,11 +312,11 @@
         }
         match self.grants.get_mut(&transfer.from) {
             Some(giver) => {
-                giver.offline = giver.offline.checked_sub(transfer.tokens).ok_or(misfit)?
+                giver.offline = giver.offline.checked_sub(transfer.tokens).ok_or(exceeds_grant)?
             }
             // The giver died, and these tokens were written off with its grant.
             None => {
-                self.lost = self.lost.checked_sub(transfer.tokens).ok_or(misfit)?;
+                self.lost = self.lost.checked_sub(transfer.tokens).ok_or(exceeds_grant)?;
                 self.spent -= transfer.tokens;
             }
         }
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -353,7 +353,7 @@
                 self.credit_returns(entry, draw);
                 Err(match error {
                     ledger::Error::Sealed => ReserveError::Sealed,
-                    ledger::Error::Exhausted { .. } | ledger::Error::Misfit { .. } => {
+                    ledger::Error::Exhausted { .. } | ledger::Error::ExceedsGrant { .. } => {
                         ReserveError::Unreachable
                     }
                 })
