--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -61,7 +61,7 @@
     /// Answer that it is unknown whether the request ran.
     Unknown,
     /// Take the claim over by a conditional update.
-    Take,
+    TakeOver,
     /// Refuse the request without running it, as its key was used for another one.
     Mismatch,
 }
@@ -74,12 +74,12 @@
             State::Done(answer) => Decision::Replay(answer.clone()),
             State::Open if (&self.by, self.attempt) == (&mine.by, mine.attempt) => Decision::Own,
             State::Open => Decision::Unknown,
-            State::NotRun => Decision::Take,
+            State::NotRun => Decision::TakeOver,
         }
     }
 
     /// Returns the same claim in another state.
-    pub fn with(&self, state: State) -> Claim {
+    pub fn with_state(&self, state: State) -> Claim {
         Claim { state, ..self.clone() }
     }
 
@@ -112,7 +112,7 @@
             (claim("b.1", 1, State::Open), Decision::Own),
             (claim("b.1", 2, State::Open), Decision::Unknown),
             (claim("a.1", 1, State::Open), Decision::Unknown),
-            (claim("a.1", 1, State::NotRun), Decision::Take),
+            (claim("a.1", 1, State::NotRun), Decision::TakeOver),
             (claim("a.1", 1, State::Done(answer.clone())), Decision::Replay(answer)),
             (Claim { fingerprint: 2, ..claim("a.1", 1, State::NotRun) }, Decision::Mismatch),
         ];
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -94,7 +94,7 @@
             None => Expect::Absent,
             Some((claim, version)) => match claim.decide(mine) {
                 Decision::Own => return Ok(()),
-                Decision::Take => Expect::Version(version),
+                Decision::TakeOver => Expect::Version(version),
                 Decision::Replay(answer) => return Err(NotAcquired::Replay(answer)),
                 Decision::Unknown => return Err(NotAcquired::Unknown),
                 Decision::Mismatch => return Err(NotAcquired::Mismatch),
@@ -114,7 +114,7 @@
         let Ok(Some((claim, _))) = read(shared, &name).await else { continue };
         match claim.decide(mine) {
             Decision::Replay(answer) => return Some(NotAcquired::Replay(answer)),
-            Decision::Take => return None,
+            Decision::TakeOver => return None,
             Decision::Unknown | Decision::Own | Decision::Mismatch => {}
         }
     }
@@ -131,7 +131,7 @@
         Ok(Some((found, _))) => match found.decide(claim) {
             Decision::Replay(answer) => NotAcquired::Replay(answer),
             Decision::Mismatch => NotAcquired::Mismatch,
-            Decision::Own | Decision::Unknown | Decision::Take => NotAcquired::Unknown,
+            Decision::Own | Decision::Unknown | Decision::TakeOver => NotAcquired::Unknown,
         },
         Ok(None) | Err(_) => NotAcquired::Unknown,
     }
@@ -171,7 +171,7 @@
 
 async fn settle(shared: Arc<Shared>, claim: Claim, state: State) {
     let name = object_name(&claim.customer, &claim.key);
-    let text = claim.with(state.clone()).to_json();
+    let text = claim.with_state(state.clone()).to_json();
     let mut delay = SETTLE_DELAY;
     loop {
         match shared.store.get("claim", &name).await {
