--- a/crates/gateway/src/tokens/forecast.rs
+++ b/crates/gateway/src/tokens/forecast.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records a failed call.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.ongoing.get_or_insert(Ongoing { since: now, landed: self.landed });
     }
 
@@ -70,7 +70,7 @@
 
     /// Records a settlement that landed, and the resulting book. Returns whether it ended an
     /// outage.
-    pub fn landed(&mut self, book: &Book, now: Instant) -> bool {
+    pub fn record_settlement(&mut self, book: &Book, now: Instant) -> bool {
         let ended = self.unreachable_for(now).is_some();
         self.ongoing = None;
         self.landed = book.landed;
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -236,7 +236,7 @@
 
     async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
         self.outage.record_failure(fault);
-        self.forecast.failed(Instant::now());
+        self.forecast.record_failure(Instant::now());
         self.setup.funds.set_store_unreachable(true);
         // Ends the delay as soon as any task of this box reaches the store.
         let _ = tokio::time::timeout(*delay, self.recovery.recovered()).await;
@@ -281,7 +281,8 @@
         );
         self.outage.record_success();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
+        self.settle_at_once =
+            book.is_some_and(|book| self.forecast.record_settlement(book, Instant::now()));
         self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -37,7 +37,7 @@
     fn settle_own(&mut self) -> bool {
         self.forecast.report_outage(&mut self.book, Instant::now());
         self.settle("box-0");
-        self.forecast.landed(&self.book, Instant::now())
+        self.forecast.record_settlement(&self.book, Instant::now())
     }
 
     /// Makes a settlement of any box.
@@ -57,7 +57,7 @@
 
     /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
-        self.forecast.failed(Instant::now());
+        self.forecast.record_failure(Instant::now());
         advance(seconds).await;
         (0..others_settle).for_each(|_| self.settle("box-1"));
         self.settle_own()
@@ -79,7 +79,7 @@
     let mut fixture = Fixture::open();
     advance(60).await;
     fixture.settle_own();
-    fixture.forecast.failed(Instant::now());
+    fixture.forecast.record_failure(Instant::now());
     advance(8).await;
     assert_eq!(fixture.horizon_and_share().0, 1, "the store has not answered yet");
 }
--- a/crates/ledger/src/range_set.rs
+++ b/crates/ledger/src/range_set.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn ranges(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 }
@@ -59,7 +59,7 @@
                 prop_assert_eq!(set.contains(n), model.contains(&n));
             }
             let starts = model.iter().filter(|n| **n == 0 || !model.contains(&(**n - 1)));
-            prop_assert_eq!(set.ranges(), starts.count());
+            prop_assert_eq!(set.range_count(), starts.count());
         }
     }
 }
