--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -64,12 +64,12 @@
     }
 
     /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
-    /// the book itself, it waits for that at most for `from_store`.
+    /// the book itself, it waits for that at most for `store_timeout`.
     pub async fn hold(
         &self,
         customer: &Arc<str>,
         worst: u64,
-        from_store: Duration,
+        store_timeout: Duration,
         until: Instant,
     ) -> Option<Hold> {
         if let Some(hold) = self.funds.try_hold(customer, worst) {
@@ -78,7 +78,7 @@
         let mut answered = false;
         for keeper in self.peers.keepers() {
             if keeper == *self.peers.me() {
-                return self.hold_from_book(customer, worst, from_store, until).await;
+                return self.hold_from_book(customer, worst, store_timeout, until).await;
             }
             match self.hold_from_keeper(&keeper, customer, worst, until).await {
                 Outcome::Hold(hold) => return Some(hold),
@@ -94,7 +94,7 @@
         match answered {
             true => None,
             // A box that reaches no keeper turns to the book itself.
-            false => self.hold_from_book(customer, worst, from_store, until).await,
+            false => self.hold_from_book(customer, worst, store_timeout, until).await,
         }
     }
 
@@ -103,11 +103,11 @@
         &self,
         customer: &Arc<str>,
         worst: u64,
-        from_store: Duration,
+        store_timeout: Duration,
         until: Instant,
     ) -> Option<Hold> {
-        let from_store = (Instant::now() + from_store).min(until);
-        match self.funds.hold(customer, worst, from_store).await {
+        let store_until = (Instant::now() + store_timeout).min(until);
+        match self.funds.hold(customer, worst, store_until).await {
             Some(hold) => Some(hold),
             None => self.borrower.hold(customer, worst, until).await,
         }
@@ -171,17 +171,13 @@
         keeper: &Incarnation,
         items: Vec<Demand>,
         timeout: Duration,
-        leaves: bool,
+        is_stopping: bool,
     ) -> Option<Drawn> {
         let (this, keeper) = (self.clone(), keeper.clone());
         let attempt = tokio::spawn(async move {
             let within_ms = timeout.as_millis() as u64;
-            let draw = Draw {
-                keeper: keeper.clone(),
-                items: items.clone(),
-                within_ms,
-                is_stopping: leaves,
-            };
+            let draw =
+                Draw { keeper: keeper.clone(), items: items.clone(), within_ms, is_stopping };
             let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
             let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
             this.funds.receive_supply(&keeper, &items, &drawn.items);
@@ -219,10 +215,10 @@
         }
     }
 
-    async fn return_all(&self, keeper: &Incarnation, leaves: bool) {
+    async fn return_all(&self, keeper: &Incarnation, is_stopping: bool) {
         let demands = self.funds.return_all(keeper);
         let returned = demands.iter().map(|demand| demand.share.returned).sum::<u64>();
-        let acknowledged = self.draw(keeper, demands, Duration::ZERO, leaves).await.is_some();
+        let acknowledged = self.draw(keeper, demands, Duration::ZERO, is_stopping).await.is_some();
         tracing::info!(
             event = "tokens_returned",
             keeper = keeper.as_str(),
--- a/crates/gateway/src/tokens/bills.rs
+++ b/crates/gateway/src/tokens/bills.rs
@@ -35,7 +35,7 @@
     /// Number of bills on the page that was sent last, until it is known to be written. The page
     /// may have landed, so later bills belong on the next one.
     sent: Option<usize>,
-    written: Instant,
+    last_written: Instant,
     /// Pages of other boxes, to be written by this one.
     taken_over: Vec<BillPage>,
 }
@@ -56,7 +56,7 @@
         self.open.drain(..count);
         self.page += 1;
         self.sent = None;
-        self.written = Instant::now();
+        self.last_written = Instant::now();
     }
 }
 
@@ -64,8 +64,8 @@
     /// Starts without bills.
     pub fn open(by: Incarnation) -> Bills {
         let (open, taken_over) = (Vec::new(), Vec::new());
-        let (page, sent, written) = (0, None, Instant::now());
-        let state = State { by, open, last_number: 0, page, sent, written, taken_over };
+        let (page, sent, last_written) = (0, None, Instant::now());
+        let state = State { by, open, last_number: 0, page, sent, last_written, taken_over };
         Bills(Arc::new(Mutex::new(state)))
     }
 
@@ -111,7 +111,7 @@
     fn next(&self, all: bool) -> Option<(BillPage, usize)> {
         let mut state = self.0.lock();
         let due = all
-            || state.written.elapsed() >= PAGE_INTERVAL
+            || state.last_written.elapsed() >= PAGE_INTERVAL
             || state.open.len() >= MAX_BILLS_PER_PAGE;
         due.then(|| state.next()).flatten()
     }
--- a/crates/gateway/src/tokens/funds/transfers.rs
+++ b/crates/gateway/src/tokens/funds/transfers.rs
@@ -28,7 +28,7 @@
             let wallet = state.wallets.get_mut(&demand.customer);
             let wallet = wallet.filter(|_| demand.customer == supply.customer);
             if let Some(wallet) = wallet {
-                wallet.drawn(keeper, demand.share, supply);
+                wallet.receive_supply(keeper, demand.share, supply);
             }
         }
     }
@@ -114,7 +114,7 @@
         let mut state = self.0.state.lock();
         let supplies = demands.iter().map(|demand| {
             let wallet = state.wallets.entry(demand.customer.clone()).or_default();
-            wallet.supplies(&demand.customer, to, demand.least, now)
+            wallet.supply(&demand.customer, to, demand.least, now)
         });
         supplies.collect()
     }
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -366,8 +366,8 @@
         let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
         acquirer.leave().await;
         selector.promise_all(funds, peers).await;
-        let soon = until.min(Instant::now() + HAND_OVER_DELAY);
-        let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
+        let hand_over_at = until.min(Instant::now() + HAND_OVER_DELAY);
+        let mut done = tokio::time::timeout_at(hand_over_at, self.leave_book()).await.is_ok();
         if !done {
             self.hand_over().await;
             done = tokio::time::timeout_at(until, self.leave_book()).await.is_ok();
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -33,7 +33,7 @@
     /// Free, granted by the book and promised to the witness.
     pub promised: u64,
     /// Free, granted by the book and not promised.
-    pub open: u64,
+    pub unpromised: u64,
     /// Free, passed on by keepers.
     pub of_keepers: u64,
     /// Reserved for requests in progress.
@@ -47,7 +47,7 @@
 impl Breakdown {
     /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
-        let free = self.promised + self.open + self.of_keepers;
+        let free = self.promised + self.unpromised + self.of_keepers;
         free + self.reserved + self.unsettled + self.passed
     }
 }
@@ -81,7 +81,7 @@
     /// Promised tokens that requests need.
     needed_promised: u64,
     /// The paid amount has changed since the last settlement.
-    topped_up: bool,
+    paid_changed: bool,
     /// Until this time other boxes are not asked for this many tokens or more, as they had too few.
     others_exhausted: Option<(Instant, u64)>,
     /// Tokens that keepers passed on to this box.
@@ -104,7 +104,7 @@
     /// Applies the paid amount of the configuration.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
-            (self.topped_up, self.others_exhausted) = (true, None);
+            (self.paid_changed, self.others_exhausted) = (true, None);
         }
         self.paid = paid.map(|paid| (paid, version));
     }
@@ -137,7 +137,7 @@
         let promised = self.promised.min(own);
         Breakdown {
             promised,
-            open: own - promised,
+            unpromised: own - promised,
             of_keepers: self.free() - own,
             reserved: self.account.tokens(Part::Offline).reserved,
             unsettled: self.charged + self.keeper_shares.unreported(),
@@ -146,19 +146,19 @@
     }
 
     /// Free tokens that are not promised.
-    pub fn open(&self) -> u64 {
+    pub fn unpromised(&self) -> u64 {
         self.free().saturating_sub(self.promised)
     }
 
     /// Whether a promise keeps tokens from a request of this size.
     pub fn is_promise_blocking(&self, worst: u64) -> bool {
-        self.promised > 0 && self.open() < worst
+        self.promised > 0 && self.unpromised() < worst
     }
 
     /// Reserves the worst case of a request.
     pub fn reserve(&mut self, worst: u64, now: Instant) -> Option<Reservation> {
         self.peak = self.peak.max(worst);
-        if self.open() < worst {
+        if self.unpromised() < worst {
             return None;
         }
         let reservation = self.account.reserve(Part::Offline, worst).ok()?;
@@ -194,7 +194,7 @@
 
     /// Returns how many tokens a request of this size lacks, with some for the requests after it.
     pub fn missing(&mut self, worst: u64, now: Instant) -> u64 {
-        match worst.saturating_sub(self.open()) {
+        match worst.saturating_sub(self.unpromised()) {
             0 => 0,
             missing => missing + self.rate.used_in(RESERVE_S, now),
         }
@@ -204,7 +204,7 @@
     /// nothing is requested before the next regular one, since such settlements rarely succeed and
     /// load the store.
     pub fn is_book_exhausted(&self, tokens: u64) -> bool {
-        self.has_settled && !self.topped_up && self.own() + self.granted.left < tokens
+        self.has_settled && !self.paid_changed && self.own() + self.granted.left < tokens
     }
 
     /// Whether other boxes recently had too few tokens for a request of this size.
--- a/crates/gateway/src/tokens/wallet/promises.rs
+++ b/crates/gateway/src/tokens/wallet/promises.rs
@@ -20,13 +20,14 @@
 
     /// Whether a new promise would free tokens that are needed, or keep many more.
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
-        let open = self.open();
-        let needed = self.needed_promised > 0 || open < self.rate.used_in(MIN_UNPROMISED_S, now);
+        let unpromised = self.unpromised();
+        let needed =
+            self.needed_promised > 0 || unpromised < self.rate.used_in(MIN_UNPROMISED_S, now);
         let promisable = self.promisable(now);
         match self.promised.cmp(&promisable) {
             Ordering::Less => promisable > self.promised + self.rate.used_in(UNPROMISED_S, now),
             Ordering::Equal => false,
-            Ordering::Greater => needed || self.has_spare() || self.retiring,
+            Ordering::Greater => needed || self.has_surplus() || self.retiring,
         }
     }
 
@@ -46,12 +47,12 @@
     }
 
     fn promisable(&mut self, now: Instant) -> u64 {
-        let open = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
+        let unpromised = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
         if self.retiring {
             return 0;
         }
-        let promisable = self.own().saturating_sub(self.borrowed + open);
-        match self.has_spare() {
+        let promisable = self.own().saturating_sub(self.borrowed + unpromised);
+        match self.has_surplus() {
             // The surplus is to be returned to the book.
             true => promisable.min(self.granted.target),
             false => promisable,
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -24,15 +24,15 @@
     pub fn is_due(&self) -> bool {
         let (free, target) = (self.own() as f64, self.granted.target as f64);
         let low = free < target * REFILL_FACTOR && self.granted.left > 0;
-        self.has_settled && (low || self.has_surplus())
+        self.has_settled && (low || self.is_return_due())
     }
 
-    fn has_surplus(&self) -> bool {
+    fn is_return_due(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * RETURN_FACTOR + self.peak as f64
     }
 
     /// Whether this box holds more than any settlement should leave here.
-    pub(super) fn has_spare(&self) -> bool {
+    pub(super) fn has_surplus(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * KEEP_FACTOR
     }
 
@@ -75,7 +75,7 @@
         match participation {
             Participation::Leaving => self.own(),
             Participation::Retiring => self.disposable(),
-            Participation::Active if !self.has_settled || !self.has_spare() => 0,
+            Participation::Active if !self.has_settled || !self.has_surplus() => 0,
             Participation::Active => self.disposable().min(self.own() - self.granted.target),
         }
     }
@@ -84,7 +84,7 @@
     pub fn landed(&mut self, item: &Item, holder: &Incarnation, brought: Option<&Granted>) {
         let to_me = item.transfers.iter().filter(|transfer| transfer.to == *holder);
         self.borrowed -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
-        self.topped_up &= item.paid != self.paid;
+        self.paid_changed &= item.paid != self.paid;
         if let Some(granted) = brought {
             self.account.add(Part::Offline, granted.tokens);
             self.granted = granted.clone();
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -57,7 +57,7 @@
         now: Instant,
     ) -> Option<Demand> {
         let ahead = self.rate.used_in(AHEAD_S, now);
-        let lacks = |tokens: u64| tokens.saturating_sub(self.open());
+        let lacks = |tokens: u64| tokens.saturating_sub(self.unpromised());
         let least = worst.map_or(0, lacks);
         // One demand covers all waiting requests. If each asked in turn, most of them would time
         // out on a busy box.
@@ -73,7 +73,7 @@
     /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
     /// Otherwise every box would accumulate tokens that its requests did not use.
     fn return_surplus(&mut self, keeper: &Incarnation, keep: u64) {
-        let free = self.open();
+        let free = self.unpromised();
         if free > 2 * keep {
             let returned = self.keeper_shares.return_tokens(keeper, free - keep);
             let taken = self.account.remove(Part::Offline, returned);
@@ -91,13 +91,13 @@
 
     /// Whether used or idle tokens are to be reported to a keeper.
     pub fn has_unreported(&mut self, keeper: &Incarnation, now: Instant) -> bool {
-        let idle = self.open() > 2 * self.rate.used_in(AHEAD_S, now);
+        let idle = self.unpromised() > 2 * self.rate.used_in(AHEAD_S, now);
         self.keeper_shares.has_unreported(keeper)
             || (idle && self.keeper_shares.share(keeper).outstanding() > 0)
     }
 
     /// Applies a keeper's answer to a demand with the `reported` totals.
-    pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
+    pub fn receive_supply(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
         let new = self.keeper_shares.receive(keeper, supply.passed_on);
         self.account.add(Part::Offline, new);
         self.keeper_shares.acknowledge(keeper, reported);
@@ -159,13 +159,7 @@
     }
 
     /// On a keeper: returns the answer to another box's demand.
-    pub fn supplies(
-        &self,
-        customer: &Arc<str>,
-        to: &Incarnation,
-        need: u64,
-        now: Instant,
-    ) -> Supply {
+    pub fn supply(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
         let exhausted = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
         Supply { customer: customer.clone(), passed_on: self.box_shares.total(to), used, exhausted }
