--- a/crates/gateway/src/tokens/funds/mod.rs
+++ b/crates/gateway/src/tokens/funds/mod.rs
@@ -63,7 +63,7 @@
     /// Tokens that are not reserved for a request.
     pub free: u64,
     /// Tokens passed on to other boxes, and not reported as used or returned.
-    pub passed: u64,
+    pub outstanding: u64,
     /// Part of `free` that is promised to the witness.
     pub promised: u64,
     /// Tokens paid and not known to be spent, whoever holds them.
@@ -268,7 +268,7 @@
         let balance = |(customer, wallet): (&Arc<str>, &Wallet)| Balance {
             customer: customer.clone(),
             free: wallet.free(),
-            passed: wallet.outstanding(),
+            outstanding: wallet.outstanding(),
             promised: wallet.promised(),
             unspent: wallet.granted.unspent,
         };
--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -82,8 +82,11 @@
         return;
     }
     let of = |(customer, breakdown): &(Arc<str>, Breakdown)| {
-        let Breakdown { promised, unpromised, of_keepers, reserved, unsettled, passed } = breakdown;
-        format!("{customer} {promised} {unpromised} {of_keepers} {reserved} {unsettled} {passed}")
+        let Breakdown { promised, unpromised, of_keepers, reserved, unsettled, outstanding } =
+            breakdown;
+        format!(
+            "{customer} {promised} {unpromised} {of_keepers} {reserved} {unsettled} {outstanding}"
+        )
     };
     let held: Vec<String> = breakdown.iter().map(of).collect();
     tracing::info!(
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -41,14 +41,14 @@
     /// Used, and not yet reported to the book or a keeper.
     pub unsettled: u64,
     /// Passed on to other boxes, and not reported as used or returned.
-    pub passed: u64,
+    pub outstanding: u64,
 }
 
 impl Breakdown {
     /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
         let free = self.promised + self.unpromised + self.of_keepers;
-        free + self.reserved + self.unsettled + self.passed
+        free + self.reserved + self.unsettled + self.outstanding
     }
 }
 
@@ -141,7 +141,7 @@
             of_keepers: self.free() - own,
             reserved: self.account.tokens(Part::Offline).reserved,
             unsettled: self.charged + self.keeper_shares.unreported(),
-            passed: self.box_shares.outstanding(),
+            outstanding: self.box_shares.outstanding(),
         }
     }
 
--- a/crates/gateway/tests/loopback/keepers.rs
+++ b/crates/gateway/tests/loopback/keepers.rs
@@ -134,10 +134,10 @@
         for gateway in &boxes {
             serves(harness, gateway).await;
         }
-        boxes.iter().filter(|gateway| gateway.balance("bornova").passed > 0).count() == 1
+        boxes.iter().filter(|gateway| gateway.balance("bornova").outstanding > 0).count() == 1
     })
     .await;
-    boxes.sort_by_key(|gateway| gateway.balance("bornova").passed == 0);
+    boxes.sort_by_key(|gateway| gateway.balance("bornova").outstanding == 0);
     boxes
 }
 
@@ -189,7 +189,7 @@
         charged_tokens += crate::harness::charged_tokens(&gateway);
         gateway.stop().await;
     }
-    assert_eq!(keeper.balance("bornova").passed, 0, "everything was reported or returned");
+    assert_eq!(keeper.balance("bornova").outstanding, 0, "everything was reported or returned");
     keeper.stop().await;
     let ledger = &harness.book().await.ledgers["bornova"];
     assert_eq!(
