--- a/crates/gateway/src/tokens/funds/settlements.rs
+++ b/crates/gateway/src/tokens/funds/settlements.rs
@@ -71,9 +71,9 @@
         let mut state = self.0.state.lock();
         state.last_landed = Some(Instant::now());
         for item in &settlement.items {
-            let brought = granted.iter().find(|granted| granted.customer == item.customer);
+            let of_customer = granted.iter().find(|granted| granted.customer == item.customer);
             let wallet = state.wallets.entry(item.customer.clone()).or_default();
-            wallet.landed(item, &settlement.holder, brought);
+            wallet.landed(item, &settlement.holder, of_customer);
         }
         drop(state);
         self.0.settled.send_modify(|count| *count += 1);
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -49,7 +49,7 @@
         }
         let returned = self.surplus(participation);
         let returned = self.account.remove(Part::Offline, returned);
-        let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
+        let expected = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
             / EXPECTED_REQUEST_DIVISOR;
         Item {
             customer: customer.clone(),
@@ -64,7 +64,7 @@
             observed: Observed {
                 rate: self.rate.per_second(now),
                 largest: self.peak,
-                peak: self.peak.max(guess),
+                peak: self.peak.max(expected),
                 unspent: 0,
             },
         }
@@ -81,11 +81,11 @@
     }
 
     /// Applies the result of a settlement with `item` that landed.
-    pub fn landed(&mut self, item: &Item, holder: &Incarnation, brought: Option<&Granted>) {
+    pub fn landed(&mut self, item: &Item, holder: &Incarnation, granted: Option<&Granted>) {
         let to_me = item.transfers.iter().filter(|transfer| transfer.to == *holder);
         self.borrowed -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
         self.paid_changed &= item.paid != self.paid;
-        if let Some(granted) = brought {
+        if let Some(granted) = granted {
             self.account.add(Part::Offline, granted.tokens);
             self.granted = granted.clone();
             self.has_settled = true;
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -367,8 +367,8 @@
     ledger.charge(holder, item.charged, item.requests);
     ledger.count_lost(holder, item.lost);
     let unspent = ledger.paid_wanted.saturating_sub(ledger.spent);
-    let part = share_permille(ledger, holder, item, policy);
-    let target = target(unspent, ledger.paid_wanted, part, item.observed, policy);
+    let share = share_permille(ledger, holder, item, policy);
+    let target = target(unspent, ledger.paid_wanted, share, item.observed, policy);
     let target = reduce_after_losses(target, ledger);
     let left = (ledger.left() + item.returned).min(unspent);
     // If the rest does not cover the waiting requests, it is left for smaller ones on any box.
@@ -408,9 +408,9 @@
 /// in an outage can be used after it, but those that a box held when it died cannot.
 fn target(unspent: u64, paid: u64, share_permille: u64, observed: Observed, policy: Policy) -> u64 {
     let scarcity_limit = (paid * policy.scarcity_permille / 1_000).max(1);
-    let part = unspent * share_permille / 1_000 * unspent.min(scarcity_limit) / scarcity_limit;
+    let share = unspent * share_permille / 1_000 * unspent.min(scarcity_limit) / scarcity_limit;
     let large = observed.peak / policy.boxes.max(1);
-    part.min(observed.rate * policy.offline_horizon + large)
+    share.min(observed.rate * policy.offline_horizon + large)
 }
 
 /// Reduces a target if boxes have died with tokens of the budget and no witness was left.
--- a/crates/ledger/src/sizing.rs
+++ b/crates/ledger/src/sizing.rs
@@ -109,11 +109,11 @@
 pub fn target(policy: Policy, observed: Observed) -> Target {
     let boxes = policy.boxes.max(1);
     let even_share = observed.unspent / (boxes * 2);
-    let wanted = observed.rate * policy.online_horizon;
-    let online = wanted.max(observed.largest * 4).min(even_share);
+    let wanted_online = observed.rate * policy.online_horizon;
+    let online = wanted_online.max(observed.largest * 4).min(even_share);
     let share = observed.unspent * policy.offline_share / 1_000 / boxes;
-    let use_offline = (observed.rate * policy.offline_horizon).max(observed.peak * 8);
-    Target { online, offline: share.min(use_offline) }
+    let wanted_offline = (observed.rate * policy.offline_horizon).max(observed.peak * 8);
+    Target { online, offline: share.min(wanted_offline) }
 }
 
 #[cfg(test)]
