--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -24,8 +24,8 @@
 /// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
 /// longer than a round trip, for boxes under load.
 const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
-/// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
-/// time for which a box holds tokens in reserve.
+/// Interval at which used tokens are reported to keepers and idle ones are returned. Shorter than
+/// the seconds of use that a box holds in reserve.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The result of asking a keeper.
@@ -63,8 +63,8 @@
         Duration::from_millis(self.settings.borrow().money.keeper_ms)
     }
 
-    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
-    /// the book itself, it waits for that at most for `store_timeout`.
+    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box
+    /// draws from the book itself, it waits for a settlement for at most `store_timeout`.
     pub async fn hold(
         &self,
         customer: &Arc<str>,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Asks the book, then other keepers.
+    /// Draws from the book, then borrows from other keepers.
     async fn hold_from_book(
         &self,
         customer: &Arc<str>,
--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -1,5 +1,5 @@
-//! Log lines on tokens: what settlements changed, what this box holds, and the store calls and
-//! messages that it takes.
+//! Log lines on tokens: what settlements changed, what this box holds, and how many store calls and
+//! bytes of peer traffic this takes.
 
 use std::sync::Arc;
 
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -85,6 +85,7 @@
     /// Whether a book was ever seen; if it is missing later, no new one is created.
     book_seen: bool,
     forecast: Forecast,
+    /// Number of the last write.
     write: u64,
     /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
@@ -226,6 +227,7 @@
         self.settle(Participation::Active).await;
     }
 
+    /// Returns this box's entry in the book for the next write, under a new number.
     fn writer(&mut self) -> Writer {
         self.write += 1;
         let Setup { peers, selector, .. } = &self.setup;
--- a/crates/gateway/src/tokens/shares.rs
+++ b/crates/gateway/src/tokens/shares.rs
@@ -32,6 +32,8 @@
 
     /// Counts up to `tokens` as used, from the oldest share first, so that shares of dead keepers
     /// are used up. Returns how many were.
+    ///
+    /// A request is counted with the first share that pays for it.
     pub fn spend(&mut self, tokens: u64) -> u64 {
         let mut left = tokens;
         for entry in &mut self.entries {
@@ -102,7 +104,8 @@
 #[derive(Debug, Default)]
 struct BoxShare {
     share: Share,
-    /// The box died: its reports are ignored, and it gets no more tokens.
+    /// The box died, or the keeper is about to stop: reports are ignored, and no more tokens are
+    /// passed on.
     closed: bool,
 }
 
@@ -125,7 +128,7 @@
         self.entries.get(to).map_or(0, |entry| entry.share.passed_on)
     }
 
-    /// Whether a box counts as dead.
+    /// Whether the account of a box is closed.
     pub fn is_closed(&self, of: &Incarnation) -> bool {
         self.entries.get(of).is_some_and(|entry| entry.closed)
     }
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -4,8 +4,8 @@
 //! a box's own tokens, those granted by the book, are promised, lent, passed on or returned to the
 //! book.
 //!
-//! The `promised` part of the free tokens is promised to the witness, which can then confirm after this
-//! box's death that they were not used. Only a later promise makes them available to requests.
+//! Some of the free tokens are promised to the witness, which can then confirm after this box's
+//! death that they were not used. Only a later promise makes them available to requests.
 
 mod promises;
 mod settlements;
@@ -58,14 +58,16 @@
     account: Account,
     /// Paid amount, with the version of the configuration that sets it.
     pub paid: Option<(u64, u64)>,
-    /// Charged and not planned into a settlement yet.
+    /// Tokens charged and not planned into a settlement yet.
     charged: u64,
+    /// Requests charged and not planned into a settlement yet.
     requests: u64,
     /// Sum of the worst cases of requests that wait for tokens from the book.
     pub waiting: u64,
     /// Sum of the worst cases of requests that wait for tokens from a keeper.
     pub waiting_for_keeper: u64,
     rate: Rate,
+    /// Largest worst case of one request so far.
     peak: u64,
     /// Result of the last settlement.
     pub granted: Granted,
@@ -78,7 +80,7 @@
     last_transfer: u64,
     /// Promised free tokens: the highest amount that the witness may have on record.
     promised: u64,
-    /// Promised tokens that requests need.
+    /// Promised tokens that requests need, to be left out of the next promise.
     needed_promised: u64,
     /// The paid amount has changed since the last settlement.
     paid_changed: bool,
@@ -175,7 +177,8 @@
         charged
     }
 
-    /// Counts tokens as used, those of keepers first.
+    /// Counts tokens as used, those of keepers first. A request that a keeper's tokens paid for,
+    /// even in part, is reported to the keeper and not to the book.
     fn spend(&mut self, tokens: u64) {
         let of_keepers = self.keeper_shares.spend(tokens);
         self.charged += tokens - of_keepers;
@@ -201,8 +204,7 @@
     }
 
     /// Whether the book could not bring this box up to `tokens` as of the last settlement. If so,
-    /// nothing is requested before the next regular one, since such settlements rarely succeed and
-    /// load the store.
+    /// requests wait for no extra settlement, which would load the store and rarely bring enough.
     pub fn is_book_exhausted(&self, tokens: u64) -> bool {
         self.has_settled && !self.paid_changed && self.own() + self.granted.left < tokens
     }
--- a/crates/gateway/src/tokens/wallet/promises.rs
+++ b/crates/gateway/src/tokens/wallet/promises.rs
@@ -13,12 +13,12 @@
 const MIN_UNPROMISED_S: f64 = 0.5;
 
 impl Wallet {
-    /// Counts tokens as needed that a promise keeps.
+    /// Records that a request needs tokens that are promised.
     pub fn need_promised(&mut self, tokens: u64) {
         self.needed_promised += tokens;
     }
 
-    /// Whether a new promise would free tokens that are needed, or keep many more.
+    /// Whether a new promise would free tokens that are needed, or cover many more.
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
         let unpromised = self.unpromised();
         let needed =
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -31,7 +31,7 @@
         self.own() as f64 > self.granted.target as f64 * RETURN_FACTOR + self.peak as f64
     }
 
-    /// Whether this box holds more than any settlement should leave here.
+    /// Whether this box holds more than a settlement should leave here.
     pub(super) fn has_surplus(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * KEEP_FACTOR
     }
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -15,7 +15,7 @@
 /// Tokens of one part.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// Granted by draws that landed, less what was returned.
+    /// Granted, passed on or lent to this box, less what it returned, passed on or lent.
     pub given: u64,
     /// Charged for requests that ended.
     pub charged: u64,
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -24,8 +24,8 @@
 /// first to get a customer's requests has some tokens.
 const EVEN_SHARE_PERMILLE: u64 = 300;
 
-/// Most settlements of one box while all boxes return after an outage: a few in a row, one of them
-/// planned before it.
+/// Most settlements per box that land while all boxes return after an outage: each box makes a few
+/// in a row, one of them planned before the outage. If more have landed, the store was reachable.
 const MAX_SETTLEMENTS_AT_RETURN: u64 = 4;
 
 /// Weight of unwitnessed losses: with 1/20 of the paid amount lost, boxes hold half as much. Where
@@ -420,8 +420,7 @@
     (u128::from(target) * paid / (paid + lost)) as u64
 }
 
-/// Seconds of use that a settlement for waiting requests brings in addition. Otherwise each later
-/// request would wait for a settlement of its own.
+/// Seconds of use that a settlement for waiting requests grants in addition.
 const AHEAD_S: u64 = 1;
 
 /// Returns the tokens to grant ahead to a box whose requests wait: [`AHEAD_S`] seconds of use, but
--- a/crates/ledger/src/incarnation.rs
+++ b/crates/ledger/src/incarnation.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Box name and a random suffix, as in `bornova-1.5f3a9c01d2e4`.
+/// Box name and a random suffix, as in `bornova-1.00005f3a9c01d2e4`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(Arc<str>);
--- a/crates/ledger/src/range_set.rs
+++ b/crates/ledger/src/range_set.rs
@@ -1,9 +1,9 @@
-//! A set of record numbers, stored as merged ranges. Numbers are assigned densely, so there are few
-//! ranges.
+//! A set of numbers of records or transfers, stored as merged ranges. Numbers are assigned densely,
+//! so there are few ranges.
 
 use serde::{Deserialize, Serialize};
 
-/// Numbers of records that a journal has dropped, as sorted inclusive ranges.
+/// A set of numbers, as sorted inclusive ranges that are not adjacent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RangeSet(Vec<(u64, u64)>);
