--- a/crates/gateway/src/tokens/report.rs
+++ b/crates/gateway/src/tokens/report.rs
@@ -1,5 +1,5 @@
-//! Log lines on tokens: what settlements changed, what this box holds, and the store calls and
-//! messages that it takes.
+//! Log lines on tokens: what settlements changed, what this box holds, and how many store calls and
+//! bytes of peer traffic this takes.
 
 use std::sync::Arc;
 
@@ -40,9 +40,13 @@
 /// Logs each budget that a settlement changed.
 pub fn settled(settlement: &Settlement, granted: &[Granted]) {
     for (item, granted) in settlement.items.iter().zip(granted) {
-        if granted.misfits > 0 {
+        if granted.uncovered_transfers > 0 {
             let customer = &*item.customer;
-            tracing::error!(event = "transfers_misfit", customer, count = granted.misfits);
+            tracing::error!(
+                event = "transfers_misfit",
+                customer,
+                count = granted.uncovered_transfers
+            );
         }
         let changed = item.charged > 0
             || granted.tokens > 0
@@ -78,8 +82,11 @@
         return;
     }
     let of = |(customer, breakdown): &(Arc<str>, Breakdown)| {
-        let Breakdown { kept, open, of_keepers, reserved, unsettled, passed } = breakdown;
-        format!("{customer} {kept} {open} {of_keepers} {reserved} {unsettled} {passed}")
+        let Breakdown { promised, unpromised, of_keepers, reserved, unsettled, outstanding } =
+            breakdown;
+        format!(
+            "{customer} {promised} {unpromised} {of_keepers} {reserved} {unsettled} {outstanding}"
+        )
     };
     let held: Vec<String> = breakdown.iter().map(of).collect();
     tracing::info!(
--- a/crates/gateway/src/tokens/wallet/mod.rs
+++ b/crates/gateway/src/tokens/wallet/mod.rs
@@ -4,8 +4,8 @@
 //! a box's own tokens, those granted by the book, are promised, lent, passed on or returned to the
 //! book.
 //!
-//! The `kept` part of the free tokens is promised to the witness, which can then confirm after this
-//! box's death that they were not used. Only a later promise makes them available to requests.
+//! Some of the free tokens are promised to the witness, which can then confirm after this box's
+//! death that they were not used. Only a later promise makes them available to requests.
 
 mod promises;
 mod settlements;
@@ -31,9 +31,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Breakdown {
     /// Free, granted by the book and promised to the witness.
-    pub kept: u64,
+    pub promised: u64,
     /// Free, granted by the book and not promised.
-    pub open: u64,
+    pub unpromised: u64,
     /// Free, passed on by keepers.
     pub of_keepers: u64,
     /// Reserved for requests in progress.
@@ -41,14 +41,14 @@
     /// Used, and not yet reported to the book or a keeper.
     pub unsettled: u64,
     /// Passed on to other boxes, and not reported as used or returned.
-    pub passed: u64,
+    pub outstanding: u64,
 }
 
 impl Breakdown {
     /// Tokens that are lost if this box and its witness die.
     pub fn total(&self) -> u64 {
-        let free = self.kept + self.open + self.of_keepers;
-        free + self.reserved + self.unsettled + self.passed
+        let free = self.promised + self.unpromised + self.of_keepers;
+        free + self.reserved + self.unsettled + self.outstanding
     }
 }
 
@@ -58,14 +58,16 @@
     account: Account,
     /// Paid amount, with the version of the configuration that sets it.
     pub paid: Option<(u64, u64)>,
-    /// Charged and not planned into a settlement yet.
+    /// Tokens charged and not planned into a settlement yet.
     charged: u64,
+    /// Requests charged and not planned into a settlement yet.
     requests: u64,
     /// Sum of the worst cases of requests that wait for tokens from the book.
     pub waiting: u64,
     /// Sum of the worst cases of requests that wait for tokens from a keeper.
     pub waiting_for_keeper: u64,
     rate: Rate,
+    /// Largest worst case of one request so far.
     peak: u64,
     /// Result of the last settlement.
     pub granted: Granted,
@@ -77,11 +79,11 @@
     /// Number of the last transfer to another box.
     last_transfer: u64,
     /// Promised free tokens: the highest amount that the witness may have on record.
-    kept: u64,
-    /// Promised tokens that requests need.
+    promised: u64,
+    /// Promised tokens that requests need, to be left out of the next promise.
     needed_promised: u64,
     /// The paid amount has changed since the last settlement.
-    topped_up: bool,
+    paid_changed: bool,
     /// Until this time other boxes are not asked for this many tokens or more, as they had too few.
     others_exhausted: Option<(Instant, u64)>,
     /// Tokens that keepers passed on to this box.
@@ -104,7 +106,7 @@
     /// Applies the paid amount of the configuration.
     pub fn configure(&mut self, paid: Option<u64>, version: u64) {
         if self.paid.map(|(paid, _)| paid) != paid {
-            (self.topped_up, self.others_exhausted) = (true, None);
+            (self.paid_changed, self.others_exhausted) = (true, None);
         }
         self.paid = paid.map(|paid| (paid, version));
     }
@@ -121,7 +123,7 @@
 
     /// Own tokens that may be returned to the book.
     fn disposable(&self) -> u64 {
-        self.own().saturating_sub(self.borrowed + self.kept)
+        self.own().saturating_sub(self.borrowed + self.promised)
     }
 
     /// Whether this box has something to report to the book or holds tokens granted by it.
@@ -134,31 +136,31 @@
     /// Returns the tokens by what they are used for.
     pub fn breakdown(&self) -> Breakdown {
         let own = self.own();
-        let kept = self.kept.min(own);
+        let promised = self.promised.min(own);
         Breakdown {
-            kept,
-            open: own - kept,
+            promised,
+            unpromised: own - promised,
             of_keepers: self.free() - own,
             reserved: self.account.tokens(Part::Offline).reserved,
             unsettled: self.charged + self.keeper_shares.unreported(),
-            passed: self.box_shares.outstanding(),
+            outstanding: self.box_shares.outstanding(),
         }
     }
 
     /// Free tokens that are not promised.
-    pub fn open(&self) -> u64 {
-        self.free().saturating_sub(self.kept)
+    pub fn unpromised(&self) -> u64 {
+        self.free().saturating_sub(self.promised)
     }
 
     /// Whether a promise keeps tokens from a request of this size.
     pub fn is_promise_blocking(&self, worst: u64) -> bool {
-        self.kept > 0 && self.open() < worst
+        self.promised > 0 && self.unpromised() < worst
     }
 
     /// Reserves the worst case of a request.
     pub fn reserve(&mut self, worst: u64, now: Instant) -> Option<Reservation> {
         self.peak = self.peak.max(worst);
-        if self.open() < worst {
+        if self.unpromised() < worst {
             return None;
         }
         let reservation = self.account.reserve(Part::Offline, worst).ok()?;
@@ -175,7 +177,8 @@
         charged
     }
 
-    /// Counts tokens as used, those of keepers first.
+    /// Counts tokens as used, those of keepers first. A request that a keeper's tokens paid for,
+    /// even in part, is reported to the keeper and not to the book.
     fn spend(&mut self, tokens: u64) {
         let of_keepers = self.keeper_shares.spend(tokens);
         self.charged += tokens - of_keepers;
@@ -194,17 +197,16 @@
 
     /// Returns how many tokens a request of this size lacks, with some for the requests after it.
     pub fn missing(&mut self, worst: u64, now: Instant) -> u64 {
-        match worst.saturating_sub(self.open()) {
+        match worst.saturating_sub(self.unpromised()) {
             0 => 0,
             missing => missing + self.rate.used_in(RESERVE_S, now),
         }
     }
 
     /// Whether the book could not bring this box up to `tokens` as of the last settlement. If so,
-    /// nothing is requested before the next regular one, since such settlements rarely succeed and
-    /// load the store.
+    /// requests wait for no extra settlement, which would load the store and rarely bring enough.
     pub fn is_book_exhausted(&self, tokens: u64) -> bool {
-        self.has_settled && !self.topped_up && self.own() + self.granted.left < tokens
+        self.has_settled && !self.paid_changed && self.own() + self.granted.left < tokens
     }
 
     /// Whether other boxes recently had too few tokens for a request of this size.
--- a/crates/gateway/src/tokens/wallet/promises.rs
+++ b/crates/gateway/src/tokens/wallet/promises.rs
@@ -13,57 +13,58 @@
 const MIN_UNPROMISED_S: f64 = 0.5;
 
 impl Wallet {
-    /// Counts tokens as needed that a promise keeps.
+    /// Records that a request needs tokens that are promised.
     pub fn need_promised(&mut self, tokens: u64) {
         self.needed_promised += tokens;
     }
 
-    /// Whether a new promise would free tokens that are needed, or keep many more.
+    /// Whether a new promise would free tokens that are needed, or cover many more.
     pub fn is_promise_due(&mut self, now: Instant) -> bool {
-        let open = self.open();
-        let needed = self.needed_promised > 0 || open < self.rate.used_in(MIN_UNPROMISED_S, now);
-        let keepable = self.keepable(now);
-        match self.kept.cmp(&keepable) {
-            Ordering::Less => keepable > self.kept + self.rate.used_in(UNPROMISED_S, now),
+        let unpromised = self.unpromised();
+        let needed =
+            self.needed_promised > 0 || unpromised < self.rate.used_in(MIN_UNPROMISED_S, now);
+        let promisable = self.promisable(now);
+        match self.promised.cmp(&promisable) {
+            Ordering::Less => promisable > self.promised + self.rate.used_in(UNPROMISED_S, now),
             Ordering::Equal => false,
-            Ordering::Greater => needed || self.has_spare() || self.retiring,
+            Ordering::Greater => needed || self.has_surplus() || self.retiring,
         }
     }
 
     /// Returns the tokens to promise. Until the witness accepts the promise, the previous one holds
     /// as well.
     pub fn promise(&mut self, now: Instant) -> u64 {
-        let keeps = self.keepable(now);
+        let promised = self.promisable(now);
         self.needed_promised = 0;
-        self.kept = self.kept.max(keeps);
-        keeps
+        self.promised = self.promised.max(promised);
+        promised
     }
 
     /// Returns the tokens of the last promise before a planned stop: all that are free.
     pub fn promise_all(&mut self) -> u64 {
-        self.kept = self.own().saturating_sub(self.borrowed);
-        self.kept
+        self.promised = self.own().saturating_sub(self.borrowed);
+        self.promised
     }
 
-    fn keepable(&mut self, now: Instant) -> u64 {
-        let open = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
+    fn promisable(&mut self, now: Instant) -> u64 {
+        let unpromised = self.rate.used_in(UNPROMISED_S, now) + self.needed_promised;
         if self.retiring {
             return 0;
         }
-        let keepable = self.own().saturating_sub(self.borrowed + open);
-        match self.has_spare() {
+        let promisable = self.own().saturating_sub(self.borrowed + unpromised);
+        match self.has_surplus() {
             // The surplus is to be returned to the book.
-            true => keepable.min(self.granted.target),
-            false => keepable,
+            true => promisable.min(self.granted.target),
+            false => promisable,
         }
     }
 
     /// Sets the promised tokens, after the witness accepted them or the promise was dropped.
-    pub fn keep(&mut self, tokens: u64) {
-        self.kept = tokens;
+    pub fn set_promised(&mut self, tokens: u64) {
+        self.promised = tokens;
     }
 
-    pub fn kept(&self) -> u64 {
-        self.kept
+    pub fn promised(&self) -> u64 {
+        self.promised
     }
 }
--- a/crates/gateway/src/tokens/wallet/transfers.rs
+++ b/crates/gateway/src/tokens/wallet/transfers.rs
@@ -27,7 +27,7 @@
         now: Instant,
     ) -> Option<Transfer> {
         let reserve = self.rate.used_in(RESERVE_S, now);
-        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.kept));
+        let spare = self.own().saturating_sub(reserve.max(self.borrowed + self.promised));
         let tokens = self.account.remove(Part::Offline, wanted.min(spare));
         if tokens == 0 {
             return None;
@@ -57,7 +57,7 @@
         now: Instant,
     ) -> Option<Demand> {
         let ahead = self.rate.used_in(AHEAD_S, now);
-        let lacks = |tokens: u64| tokens.saturating_sub(self.open());
+        let lacks = |tokens: u64| tokens.saturating_sub(self.unpromised());
         let least = worst.map_or(0, lacks);
         // One demand covers all waiting requests. If each asked in turn, most of them would time
         // out on a busy box.
@@ -73,7 +73,7 @@
     /// Returns tokens to a keeper if more than twice `keep` are free, and leaves `keep` of them.
     /// Otherwise every box would accumulate tokens that its requests did not use.
     fn return_surplus(&mut self, keeper: &Incarnation, keep: u64) {
-        let free = self.open();
+        let free = self.unpromised();
         if free > 2 * keep {
             let returned = self.keeper_shares.return_tokens(keeper, free - keep);
             let taken = self.account.remove(Part::Offline, returned);
@@ -91,14 +91,14 @@
 
     /// Whether used or idle tokens are to be reported to a keeper.
     pub fn has_unreported(&mut self, keeper: &Incarnation, now: Instant) -> bool {
-        let idle = self.open() > 2 * self.rate.used_in(AHEAD_S, now);
+        let idle = self.unpromised() > 2 * self.rate.used_in(AHEAD_S, now);
         self.keeper_shares.has_unreported(keeper)
             || (idle && self.keeper_shares.share(keeper).outstanding() > 0)
     }
 
     /// Applies a keeper's answer to a demand with the `reported` totals.
-    pub fn drawn(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
-        let new = self.keeper_shares.receive(keeper, supply.given);
+    pub fn receive_supply(&mut self, keeper: &Incarnation, reported: Share, supply: &Supply) {
+        let new = self.keeper_shares.receive(keeper, supply.passed_on);
         self.account.add(Part::Offline, new);
         self.keeper_shares.acknowledge(keeper, reported);
         self.reported_used = self.reported_used.max(Some(supply.used));
@@ -128,11 +128,11 @@
     /// On a keeper: passes tokens on if they are enough for one request, up to the needs of all
     /// waiting requests and some for later ones. Returns whether it did.
     pub fn pass_on(&mut self, to: &Incarnation, demand: &Demand, now: Instant) -> bool {
-        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.given);
+        let in_transit = self.box_shares.total(to).saturating_sub(demand.share.passed_on);
         let least = demand.least.saturating_sub(in_transit);
         // Borrowed tokens may be passed on as well: the book counts them with the lender until one
         // side reports the transfer, and never with the box that gets them here.
-        let spare = self.own().saturating_sub(self.kept);
+        let spare = self.own().saturating_sub(self.promised);
         if spare < least || self.box_shares.is_closed(to) || self.abandoned {
             return false;
         }
@@ -159,16 +159,10 @@
     }
 
     /// On a keeper: returns the answer to another box's demand.
-    pub fn supplies(
-        &self,
-        customer: &Arc<str>,
-        to: &Incarnation,
-        need: u64,
-        now: Instant,
-    ) -> Supply {
-        let dry = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
+    pub fn supply(&self, customer: &Arc<str>, to: &Incarnation, need: u64, now: Instant) -> Supply {
+        let exhausted = self.is_book_exhausted(need) && self.are_others_exhausted(need, now);
         let used = self.granted.used + self.charged;
-        Supply { customer: customer.clone(), given: self.box_shares.total(to), used, dry }
+        Supply { customer: customer.clone(), passed_on: self.box_shares.total(to), used, exhausted }
     }
 
     /// Tokens passed on as a keeper, and not reported as used or returned.
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -13,7 +13,7 @@
 use gateway::{Acceptance, Funds, Hold, Participation, Promises, Table};
 use ledger::{
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
-    Untouched, Witness, Writer,
+    Unused, Witness, Writer,
 };
 use platform::{config::Config, fixtures};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -114,7 +114,7 @@
     /// Promises that other boxes made to this one.
     received_promises: Promises,
     /// Untouched tokens of earlier incarnations, to be reported with the next settlement.
-    earlier: Vec<Untouched>,
+    earlier: Vec<Unused>,
 }
 
 impl Node {
@@ -264,7 +264,7 @@
             // The witness has died.
             None => Default::default(),
         };
-        self.nodes[at].earlier.push(Untouched { holder, witness: claim.witness, tokens });
+        self.nodes[at].earlier.push(Unused { holder, witness: claim.witness, tokens });
     }
 
     /// Opens a claim on a living box, as if it had ended.
@@ -338,7 +338,7 @@
     }
 
     /// Untouched tokens of a dead box, as its witness reports them.
-    fn untouched(&self, holder: &Incarnation) -> Option<Untouched> {
+    fn untouched(&self, holder: &Incarnation) -> Option<Unused> {
         let witness = self.book.writers.get(holder)?.witness.clone()?;
         let by = self.nodes.iter().find(|node| node.name == witness.by)?;
         let newest = self.terms.get(&(holder.clone(), witness.by.clone())).copied();
@@ -347,20 +347,20 @@
             _ => witness.term,
         };
         let tokens = by.received_promises.seal(holder, term)?;
-        Some(Untouched { holder: holder.clone(), witness, tokens })
+        Some(Unused { holder: holder.clone(), witness, tokens })
     }
 
     fn write(&mut self, at: usize, answered: bool) {
         let fault = self.fault;
         let node = &mut self.nodes[at];
         let Some(settlement) = node.pending.take() else { return };
-        let landed = self.book.has(&settlement.holder, settlement.writer.write);
+        let landed = self.book.has_landed(&settlement.holder, settlement.writer.write);
         let granted = match landed {
             true => node.unconfirmed_grants.take().expect("a write that landed had a result"),
             false => self.book.settle(&settlement, POLICY),
         };
         if fault == Fault::CollectTwice && !landed {
-            let free = |untouched: &Untouched| untouched.tokens.values().sum::<u64>();
+            let free = |untouched: &Unused| untouched.tokens.values().sum::<u64>();
             let again: u64 = settlement.unused_by_earlier.iter().map(free).sum();
             self.book.ledgers.values_mut().for_each(|l| l.spent = l.spent.saturating_sub(again));
         }
@@ -372,7 +372,7 @@
             }
         }
         if fault == Fault::ForgetTransfers {
-            self.book.ledgers.values_mut().for_each(|ledger| ledger.passed.clear());
+            self.book.ledgers.values_mut().for_each(|ledger| ledger.counted_transfers.clear());
         }
         match answered {
             true => {
@@ -445,10 +445,12 @@
         funds.receive_report(&request.from, &request.items);
         for demand in &request.items {
             if demand.need > 0 && funds.try_pass_on(&request.from, demand) {
-                let tokens = funds.supplies(&request.from, std::slice::from_ref(demand))[0].given;
+                let tokens =
+                    funds.supplies(&request.from, std::slice::from_ref(demand))[0].passed_on;
                 if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
-                    let share = ledger::Share { given: tokens, returned: tokens, ..demand.share };
+                    let share =
+                        ledger::Share { passed_on: tokens, returned: tokens, ..demand.share };
                     let back = Demand { share, need: 0, least: 0, ..demand.clone() };
                     funds.receive_report(&request.from, &[back]);
                 }
@@ -500,8 +502,8 @@
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].given;
-            let share = ledger::Share { given, returned: given, ..Default::default() };
+            let passed_on = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].passed_on;
+            let share = ledger::Share { passed_on, returned: passed_on, ..Default::default() };
             node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
     }
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -18,14 +18,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Draw, Incarnation, Ledger, Observed, Policy, Transfer, Untouched, Witness};
+use crate::{Draw, Incarnation, Ledger, Observed, Policy, Transfer, Unused, Witness};
 
 /// Part of what all boxes may hold that is split evenly, in thousandths. Thus a box that is the
 /// first to get a customer's requests has some tokens.
 const EVEN_SHARE_PERMILLE: u64 = 300;
 
-/// Most settlements of one box while all boxes return after an outage: a few in a row, one of them
-/// planned before it.
+/// Most settlements per box that land while all boxes return after an outage: each box makes a few
+/// in a row, one of them planned before the outage. If more have landed, the store was reachable.
 const MAX_SETTLEMENTS_AT_RETURN: u64 = 4;
 
 /// Weight of unwitnessed losses: with 1/20 of the paid amount lost, boxes hold half as much. Where
@@ -146,7 +146,7 @@
     pub writer: Writer,
     pub items: Vec<Item>,
     /// Tokens that dead incarnations left unused, as reported by their witnesses.
-    pub unused_by_earlier: Vec<Untouched>,
+    pub unused_by_earlier: Vec<Unused>,
     /// The box draws no more, and returns what it can. Once it has nothing to report and holds
     /// nothing, it is removed, so that the book only lists boxes that draw.
     pub retires: bool,
@@ -183,7 +183,7 @@
     pub lost: u64,
     /// Number of transfers that were not counted because the giver never had the tokens: a violated
     /// invariant.
-    pub misfits: usize,
+    pub uncovered_transfers: usize,
 }
 
 impl Book {
@@ -210,7 +210,7 @@
     }
 
     /// Whether write number `write` of `holder` has landed.
-    pub fn has(&self, holder: &Incarnation, write: u64) -> bool {
+    pub fn has_landed(&self, holder: &Incarnation, write: u64) -> bool {
         self.writers.get(holder).is_some_and(|writer| writer.write >= write)
     }
 
@@ -226,18 +226,18 @@
             false => self.idle.remove(holder),
         };
         self.landed += 1;
-        settlement.unused_by_earlier.iter().for_each(|untouched| self.close_claim(untouched));
+        settlement.unused_by_earlier.iter().for_each(|unused| self.close_claim(unused));
         let policy = Policy { boxes: self.boxes(), ..policy };
         let mut granted = Vec::with_capacity(settlement.items.len());
         for item in &settlement.items {
-            let gone: Vec<bool> =
+            let receivers_died: Vec<bool> =
                 item.transfers.iter().map(|transfer| self.is_replaced(&transfer.to)).collect();
             let ledger = self.ledgers.entry(item.customer.clone()).or_default();
-            let passed = item.transfers.iter().zip(gone);
-            let passed = passed.map(|(transfer, gone)| ledger.pass_on(transfer, gone));
-            let misfits = passed.filter(Result::is_err).count();
+            let counted = item.transfers.iter().zip(receivers_died);
+            let counted = counted.map(|(transfer, died)| ledger.count_transfer(transfer, died));
+            let uncovered_transfers = counted.filter(Result::is_err).count();
             let settled = settle_item(ledger, settlement, item, policy, first);
-            granted.push(Granted { misfits, ..settled });
+            granted.push(Granted { uncovered_transfers, ..settled });
         }
         if settlement.leaves {
             self.writers.remove(holder);
@@ -314,19 +314,19 @@
 
     /// Closes a claim by the answer of its witness: unused tokens are free again, the rest counts
     /// as spent. Ignored if the claim is closed already or names another witness.
-    fn close_claim(&mut self, untouched: &Untouched) {
-        let claim = self.claims.get(&untouched.holder);
-        if claim.is_some_and(|claim| claim.witness == untouched.witness) {
-            self.claims.remove(&untouched.holder);
-            self.write_off(&untouched.holder, &untouched.tokens);
+    fn close_claim(&mut self, unused: &Unused) {
+        let claim = self.claims.get(&unused.holder);
+        if claim.is_some_and(|claim| claim.witness == unused.witness) {
+            self.claims.remove(&unused.holder);
+            self.write_off(&unused.holder, &unused.tokens);
         }
     }
 
-    fn write_off(&mut self, name: &Incarnation, untouched: &BTreeMap<Arc<str>, u64>) {
+    fn write_off(&mut self, name: &Incarnation, unused: &BTreeMap<Arc<str>, u64>) {
         for (customer, ledger) in &mut self.ledgers {
-            let tokens = untouched.get(customer).copied().unwrap_or_default();
+            let tokens = unused.get(customer).copied().unwrap_or_default();
             let lost = ledger.write_off(name, tokens);
-            if untouched.is_empty() {
+            if unused.is_empty() {
                 ledger.unwitnessed += lost;
             }
         }
@@ -367,8 +367,8 @@
     ledger.charge(holder, item.charged, item.requests);
     ledger.count_lost(holder, item.lost);
     let unspent = ledger.paid_wanted.saturating_sub(ledger.spent);
-    let part = share_permille(ledger, holder, item, policy);
-    let target = target(unspent, ledger.paid_wanted, part, item.observed, policy);
+    let share = share_permille(ledger, holder, item, policy);
+    let target = target(unspent, ledger.paid_wanted, share, item.observed, policy);
     let target = reduce_after_losses(target, ledger);
     let left = (ledger.left() + item.returned).min(unspent);
     // If the rest does not cover the waiting requests, it is left for smaller ones on any box.
@@ -398,7 +398,7 @@
         left: ledger.left().min(unspent),
         used: ledger.spent - ledger.lost,
         lost: ledger.lost,
-        misfits: 0,
+        uncovered_transfers: 0,
     }
 }
 
@@ -408,9 +408,9 @@
 /// in an outage can be used after it, but those that a box held when it died cannot.
 fn target(unspent: u64, paid: u64, share_permille: u64, observed: Observed, policy: Policy) -> u64 {
     let scarcity_limit = (paid * policy.scarcity_permille / 1_000).max(1);
-    let part = unspent * share_permille / 1_000 * unspent.min(scarcity_limit) / scarcity_limit;
+    let share = unspent * share_permille / 1_000 * unspent.min(scarcity_limit) / scarcity_limit;
     let large = observed.peak / policy.boxes.max(1);
-    part.min(observed.rate * policy.offline_horizon + large)
+    share.min(observed.rate * policy.offline_horizon + large)
 }
 
 /// Reduces a target if boxes have died with tokens of the budget and no witness was left.
@@ -420,8 +420,7 @@
     (u128::from(target) * paid / (paid + lost)) as u64
 }
 
-/// Seconds of use that a settlement for waiting requests brings in addition. Otherwise each later
-/// request would wait for a settlement of its own.
+/// Seconds of use that a settlement for waiting requests grants in addition.
 const AHEAD_S: u64 = 1;
 
 /// Returns the tokens to grant ahead to a box whose requests wait: [`AHEAD_S`] seconds of use, but
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -31,7 +31,7 @@
     Sealed,
     /// More tokens than the grant holds: the caller violated an invariant.
     #[snafu(display("{tokens} tokens exceed what the grant holds"))]
-    Misfit { tokens: u64 },
+    ExceedsGrant { tokens: u64 },
 }
 
 /// Tokens requested or returned in one write.
@@ -95,9 +95,9 @@
     pub ended: Vec<Incarnation>,
     /// Numbers of the counted transfers between boxes, by giver. Kept after the giver is gone, as
     /// the receiver may report a transfer later.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub passed: BTreeMap<Incarnation, RangeSet>,
-    /// Transfers applied, while the giver or the receiver still has a grant.
+    #[serde(rename = "passed", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub counted_transfers: BTreeMap<Incarnation, RangeSet>,
+    /// Transfers applied from journals, while the giver or the receiver still has a grant.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub transfers: BTreeSet<Transfer>,
 }
@@ -156,7 +156,7 @@
             return Err(Error::Sealed);
         }
         if draw.return_online > grant.online || draw.return_offline > grant.offline {
-            return Err(Error::Misfit { tokens: returned });
+            return Err(Error::ExceedsGrant { tokens: returned });
         }
         let wanted = draw.online + draw.offline;
         let left = self.left() + returned;
@@ -201,7 +201,7 @@
         let charged = record.outcome.as_ref().map_or(0, |outcome| outcome.charged);
         let grant = self.grants.entry(by.clone()).or_default();
         let part = grant.part_mut(record.part);
-        *part = part.checked_sub(charged).ok_or(Error::Misfit { tokens: charged })?;
+        *part = part.checked_sub(charged).ok_or(Error::ExceedsGrant { tokens: charged })?;
         grant.folded = position;
         self.spent += charged;
         match Bill::of(by, record) {
@@ -215,14 +215,15 @@
         Ok(())
     }
 
-    /// Moves offline tokens from giver to receiver, once. Returns whether it did.
+    /// Moves the offline tokens of a transfer in a journal from giver to receiver, once. Returns
+    /// whether it did.
     pub fn apply_transfer(&mut self, transfer: &Transfer) -> Result<bool, Error> {
         if self.transfers.contains(transfer) {
             return Ok(false);
         }
         let giver = self.grants.entry(transfer.from.clone()).or_default();
         let rest = giver.offline.checked_sub(transfer.tokens);
-        giver.offline = rest.ok_or(Error::Misfit { tokens: transfer.tokens })?;
+        giver.offline = rest.ok_or(Error::ExceedsGrant { tokens: transfer.tokens })?;
         // Tokens for a holder that has ended go back to the budget.
         if !self.ended.contains(&transfer.to) {
             self.grants.entry(transfer.to.clone()).or_default().offline += transfer.tokens;
@@ -295,24 +296,32 @@
 
     /// Counts offline tokens that one box lent to another, once, whichever of them reports it.
     ///
-    /// `gone` says that the receiver died, and the tokens are lost with it.
-    pub fn pass_on(&mut self, transfer: &Transfer, gone: bool) -> Result<(), Error> {
-        let misfit = Error::Misfit { tokens: transfer.tokens };
-        if self.passed.get(&transfer.from).is_some_and(|numbers| numbers.contains(transfer.n)) {
+    /// If `receiver_died`, the tokens are lost with it.
+    pub fn count_transfer(
+        &mut self,
+        transfer: &Transfer,
+        receiver_died: bool,
+    ) -> Result<(), Error> {
+        let exceeds_grant = Error::ExceedsGrant { tokens: transfer.tokens };
+        if self
+            .counted_transfers
+            .get(&transfer.from)
+            .is_some_and(|numbers| numbers.contains(transfer.n))
+        {
             return Ok(());
         }
         match self.grants.get_mut(&transfer.from) {
             Some(giver) => {
-                giver.offline = giver.offline.checked_sub(transfer.tokens).ok_or(misfit)?
+                giver.offline = giver.offline.checked_sub(transfer.tokens).ok_or(exceeds_grant)?
             }
             // The giver died, and these tokens were written off with its grant.
             None => {
-                self.lost = self.lost.checked_sub(transfer.tokens).ok_or(misfit)?;
+                self.lost = self.lost.checked_sub(transfer.tokens).ok_or(exceeds_grant)?;
                 self.spent -= transfer.tokens;
             }
         }
-        self.passed.entry(transfer.from.clone()).or_default().insert(transfer.n);
-        match gone {
+        self.counted_transfers.entry(transfer.from.clone()).or_default().insert(transfer.n);
+        match receiver_died {
             true => {
                 self.spent += transfer.tokens;
                 self.lost += transfer.tokens;
@@ -326,11 +335,11 @@
         Ok(())
     }
 
-    /// Counts the grant of a dead holder as spent, except for `untouched` tokens that it certainly
+    /// Counts the grant of a dead holder as spent, except for `unused` tokens that it certainly
     /// did not use. Returns the tokens lost.
-    pub fn write_off(&mut self, holder: &Incarnation, untouched: u64) -> u64 {
+    pub fn write_off(&mut self, holder: &Incarnation, unused: u64) -> u64 {
         let held = self.grants.remove(holder).map_or(0, |grant| grant.total());
-        let lost = held.saturating_sub(untouched);
+        let lost = held.saturating_sub(unused);
         self.spent += lost;
         self.lost += lost;
         self.lower_paid();
--- a/crates/ledger/src/range_set.rs
+++ b/crates/ledger/src/range_set.rs
@@ -1,9 +1,9 @@
-//! A set of record numbers, stored as merged ranges. Numbers are assigned densely, so there are few
-//! ranges.
+//! A set of numbers of records or transfers, stored as merged ranges. Numbers are assigned densely,
+//! so there are few ranges.
 
 use serde::{Deserialize, Serialize};
 
-/// Numbers of records that a journal has dropped, as sorted inclusive ranges.
+/// A set of numbers, as sorted inclusive ranges that are not adjacent.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RangeSet(Vec<(u64, u64)>);
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn ranges(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 }
@@ -59,7 +59,7 @@
                 prop_assert_eq!(set.contains(n), model.contains(&n));
             }
             let starts = model.iter().filter(|n| **n == 0 || !model.contains(&(**n - 1)));
-            prop_assert_eq!(set.ranges(), starts.count());
+            prop_assert_eq!(set.range_count(), starts.count());
         }
     }
 }
