--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -118,7 +118,7 @@
 pub enum Dataset {
     /// The configuration.
     Config,
-    /// The endpoints.
+    /// The list of endpoints.
     Endpoints,
 }
 
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -172,7 +172,7 @@
         keepers
     }
 
-    /// The watchers that this box subscribes to.
+    /// Watchers of the store, in the order in which this box asks them; may include this box.
     pub fn watchers(&self) -> Watchers {
         let state = self.state.lock();
         let others: Vec<Profile> =
@@ -186,7 +186,7 @@
         state.known.get(name).is_some_and(|known| known.is_reachable(Instant::now()))
     }
 
-    /// Whether this box is the keeper that it would ask itself.
+    /// Whether this box is first in its own order of keepers.
     pub fn is_keeper(&self) -> bool {
         self.keepers().first() == Some(&self.me)
     }
@@ -248,7 +248,8 @@
         self.promises.close();
     }
 
-    /// The current incarnation of a box, if known; it answers that the one in question has ended.
+    /// Client for whichever incarnation of the same box is known. An answer from a later one shows
+    /// that `name` has ended.
     fn current_peer(&self, name: &Incarnation) -> Option<Peer> {
         let state = self.state.lock();
         let mut known = state.known.iter();
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -21,8 +21,8 @@
 /// Timeout of a promise, for which a request may be waiting: many round trips between availability
 /// zones.
 const PROMISE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Timeout of sealing a promise, at the start of a box: the boxes know each other for longer than
-/// this before they are granted tokens.
+/// Timeout of sealing the promise of an earlier incarnation, when a box starts. Shorter than the
+/// time for which boxes know each other before the first tokens are granted.
 const SEAL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Timeout of a published prompt, which endpoints process in less time, and of other notifications.
 pub(super) const NOTIFY_TIMEOUT: Duration = Duration::from_millis(200);
@@ -274,7 +274,7 @@
 
     /// Builds a message from this box.
     pub fn message(&self, frame: Frame) -> Message {
-        // The time stamp is not used by this kind of box.
+        // Gateways do not order events by time stamps; only routers do.
         Message { from: self.me.clone(), stamp: Timestamp::default(), frame }
     }
 }
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -44,7 +44,9 @@
     /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
-            return Frame::Refused { reason: "another life of this box is meant".into() };
+            return Frame::Refused {
+                reason: "the request names another incarnation of the receiver".into(),
+            };
         }
         let is_accepted = self.funds.receive_report(from, &draw.items);
         if !is_accepted {
@@ -100,7 +102,9 @@
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
-            return Frame::Refused { reason: "this box may not ask of that life".into() };
+            return Frame::Refused {
+                reason: "the sender may not seal the promise of this incarnation".into(),
+            };
         }
         let tokens = self.peers.promises.seal(holder, term);
         tracing::info!(
@@ -129,16 +133,16 @@
                 if !self.peers.knows(&request.from) =>
             {
                 self.peers.report_stale_list();
-                Frame::Refused { reason: "this box is not known here yet".into() }
+                Frame::Refused { reason: "the sender is not in the list of boxes".into() }
             }
             Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
                 let number = promise.number;
                 match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
-                    Acceptance::Rejected => {
-                        Frame::Refused { reason: "a newer promise or a seal is known".into() }
-                    }
+                    Acceptance::Rejected => Frame::Refused {
+                        reason: "a newer promise is in force, or the promise is sealed".into(),
+                    },
                     Acceptance::Closed => Frame::Sealed { tokens: None },
                 }
             }
@@ -166,11 +170,11 @@
                 Frame::Done
             }
             Frame::Bills { .. } | Frame::HandOver { .. } if *self.stopping.borrow() => {
-                Frame::Refused { reason: "this box is about to stop itself".into() }
-            }
-            Frame::HandOver { to, .. } if to != self.me => {
-                Frame::Refused { reason: "another life of this box is meant".into() }
+                Frame::Refused { reason: "the receiver is about to stop".into() }
             }
+            Frame::HandOver { to, .. } if to != self.me => Frame::Refused {
+                reason: "the request names another incarnation of the receiver".into(),
+            },
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
                     event = "bills_taken_over",
@@ -181,18 +185,22 @@
                 Frame::Done
             }
             Frame::Subscribe(_) if *self.stopping.borrow() => {
-                Frame::Refused { reason: "this box is about to stop itself".into() }
-            }
-            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
-                Frame::Refused { reason: "another life of this box is meant".into() }
+                Frame::Refused { reason: "the receiver is about to stop".into() }
             }
+            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => Frame::Refused {
+                reason: "the request names another incarnation of the receiver".into(),
+            },
             Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
-                None => Frame::Refused { reason: "this box does not look at the store yet".into() },
+                None => {
+                    Frame::Refused { reason: "the receiver does not watch the store yet".into() }
+                }
             },
             Frame::Draw(draw) => self.draw(&request.from, draw).await,
             Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
-            _ => Frame::Refused { reason: "no question that boxes ask each other".into() },
+            _ => Frame::Refused {
+                reason: "the receiver does not serve requests of this kind".into(),
+            },
         };
         self.peers.message(frame)
     }
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -19,9 +19,9 @@
 /// How often a task retries calls while the store does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Probe {
-    /// Retries often, on behalf of all tasks of the box and its subscribers. Changes after the end
-    /// of an outage cannot be told from those before: late detection mistakes an endpoint that has
-    /// just left for one whose entry lapsed, and keeps sending it requests.
+    /// Retries often, on behalf of all tasks of the box and its subscribers. Until the end of an
+    /// outage is detected, an endpoint that leaves after it cannot be told from one whose entry
+    /// lapsed during it, and keeps getting requests.
     Eager,
     /// Retries seldom and relies on notification.
     Lazy,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -17,7 +17,7 @@
     #[snafu(display("a message of {bytes} bytes is larger than {}", crate::MAX_MESSAGE_BYTES))]
     TooLarge { bytes: usize },
     /// The message is truncated, has trailing bytes, or is not a known frame.
-    #[snafu(display("the message was not understood: {reason}"))]
+    #[snafu(display("malformed message: {reason}"))]
     Malformed { reason: String },
     /// The connection failed or could not be opened.
     #[snafu(display("peer unreachable: {reason}"))]
--- a/crates/wire/src/format.rs
+++ b/crates/wire/src/format.rs
@@ -12,7 +12,7 @@
 pub const NEWEST_FORMAT: u16 = 2;
 /// Oldest supported format.
 pub const OLDEST_FORMAT: u16 = 1;
-/// Largest encoded message, in bytes.
+/// Largest encoded message, with its format number.
 pub const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
 const HEADER_BYTES: usize = 2;
@@ -44,7 +44,7 @@
     }
     let (head, body) = bytes
         .split_first_chunk::<HEADER_BYTES>()
-        .ok_or_else(|| Error::Malformed { reason: "no format number".into() })?;
+        .ok_or_else(|| Error::Malformed { reason: "format number is missing".into() })?;
     let format = u16::from_le_bytes(*head);
     if !(OLDEST_FORMAT..=NEWEST_FORMAT).contains(&format) {
         return Err(Error::Format { format });
@@ -53,6 +53,6 @@
         .map_err(|error| Error::Malformed { reason: error.to_string() })?;
     match read == body.len() {
         true => Ok((message, format)),
-        false => Err(Error::Malformed { reason: "bytes after the end".into() }),
+        false => Err(Error::Malformed { reason: "trailing bytes after the frame".into() }),
     }
 }
