--- a/crates/gateway/src/fleet/entry.rs
+++ b/crates/gateway/src/fleet/entry.rs
@@ -22,14 +22,15 @@
     /// Address on which it serves other boxes.
     pub peer: SocketAddr,
     /// Its capacity.
-    pub strength: u64,
+    #[serde(rename = "strength")]
+    pub capacity: u64,
 }
 
 impl Entry {
     /// What the choice of keepers and watchers needs to know.
     pub fn profile(&self) -> Profile {
-        let Entry { incarnation, zone, strength, .. } = self;
-        Profile { name: incarnation.clone(), zone: zone.clone(), strength: *strength }
+        let Entry { incarnation, zone, capacity, .. } = self;
+        Profile { name: incarnation.clone(), zone: zone.clone(), capacity: *capacity }
     }
 }
 
--- a/crates/gateway/src/fleet/keepers.rs
+++ b/crates/gateway/src/fleet/keepers.rs
@@ -35,7 +35,7 @@
     /// Its availability zone.
     pub zone: Arc<str>,
     /// Its capacity; boxes with more are preferred.
-    pub strength: u64,
+    pub capacity: u64,
 }
 
 /// Boxes to ask for tokens, most preferred first; includes `me` where this box itself is one of
@@ -73,5 +73,5 @@
 }
 
 fn rank(profile: &Profile) -> (u64, u64) {
-    (profile.strength, member::weight(&profile.zone, profile.name.box_name()))
+    (profile.capacity, member::weight(&profile.zone, profile.name.box_name()))
 }
--- a/crates/gateway/src/fleet/peers/greetings.rs
+++ b/crates/gateway/src/fleet/peers/greetings.rs
@@ -19,8 +19,8 @@
         let before = self.registered_before(version);
         for name in before.into_iter().filter(|name| !greeted.contains(name)).collect::<Vec<_>>() {
             let Some(peer) = self.peer(&name) else { continue };
-            let Entry { zone, peer: address, strength, .. } = me.clone();
-            let sender = Greeting { zone, peer: address, strength, version };
+            let Entry { zone, peer: address, capacity, .. } = me.clone();
+            let sender = Greeting { zone, peer: address, capacity, version };
             let frame = Frame::Greet { to: name.clone(), sender };
             greeted.push(name.clone());
             let peers = self.clone();
--- a/crates/gateway/src/fleet/watchers.rs
+++ b/crates/gateway/src/fleet/watchers.rs
@@ -48,9 +48,9 @@
 /// Chooses the watchers of a fleet, in the order of preference of one of its boxes.
 pub fn watchers(me: &Profile, others: &[Profile]) -> Watchers {
     let fleet = || others.iter().chain([me]);
-    let strongest = fleet().map(|profile| profile.strength).max().unwrap_or_default();
+    let largest = fleet().map(|profile| profile.capacity).max().unwrap_or_default();
     let mut eligible: Vec<&Profile> =
-        fleet().filter(|profile| profile.strength * 2 >= strongest).collect();
+        fleet().filter(|profile| profile.capacity * 2 >= largest).collect();
     eligible.sort_by_key(|profile| {
         (Reverse(member::weight(HASH_KEY, profile.name.box_name())), &profile.name)
     });
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -115,7 +115,7 @@
         let profile = Profile {
             name: incarnation.clone(),
             zone: settings.zone.clone(),
-            strength: settings.machine.strength(),
+            capacity: settings.machine.capacity(),
         };
         let peers = Peers::open(profile, settings.listen.peers, random.random());
         let (in_force_settings, read_settings) = watch::channel(Arc::new(settings.clone()));
@@ -185,7 +185,7 @@
                 incarnation: incarnation.clone(),
                 zone: settings.zone.clone(),
                 peer,
-                strength: settings.machine.strength(),
+                capacity: settings.machine.capacity(),
             };
             Discovery::new(store.clone(), me, peers.clone(), view.clone(), recovery.clone())
         });
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -74,7 +74,7 @@
 impl Machine {
     /// Capacity of the box: the smaller of hundredths of a core and Mbit/s. A message of one
     /// kilobyte uses about the same amount of each.
-    pub fn strength(&self) -> u64 {
+    pub fn capacity(&self) -> u64 {
         (self.cores * 100.0).min(self.link_mbps) as u64
     }
 }
--- a/crates/gateway/src/sync/view/boxes.rs
+++ b/crates/gateway/src/sync/view/boxes.rs
@@ -30,9 +30,9 @@
     /// Takes over the address of a box that registered after this one, which this one may not have
     /// read: it may be cut off from the store since.
     pub fn receive_greeting(&self, from: &Incarnation, sender: Greeting) {
-        let Greeting { zone, peer, strength, version } = sender;
+        let Greeting { zone, peer, capacity, version } = sender;
         let name: Arc<str> = from.box_name().into();
-        let entry = Entry { incarnation: from.clone(), zone, peer, strength };
+        let entry = Entry { incarnation: from.clone(), zone, peer, capacity };
         let mut state = self.0.state.lock();
         if state.boxes.get(&name).is_some_and(|(_, known)| *known >= version) {
             return;
--- a/crates/gateway/tests/loopback/sync.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -26,7 +26,7 @@
     let profile = |name: &String| Profile {
         name: Incarnation::new(name, 1),
         zone: "z1".into(),
-        strength: gateway::settings::Machine::default().strength(),
+        capacity: gateway::settings::Machine::default().capacity(),
     };
     let others: Vec<Profile> = names[1..].iter().map(profile).collect();
     let watchers = watchers(&profile(&names[0]), &others);
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -5,8 +5,8 @@
 use gateway::{Profile, interval_factor, keepers};
 use ledger::Incarnation;
 
-fn profile(name: &str, zone: &str, strength: u64) -> Profile {
-    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, capacity: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), capacity }
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -102,7 +102,7 @@
         assert!(!rendered.contains("{{"), "a placeholder is left: {rendered}");
         let settings = Settings::read(&rendered).expect("valid");
         assert_eq!(settings.listen.peers.map(|address| address.port()), Some(7340));
-        assert_eq!(settings.machine.strength(), 20, "the link is the scarcest resource");
+        assert_eq!(settings.machine.capacity(), 20, "the link is the scarcest resource");
         assert_eq!(settings.cold, cold);
     }
 }
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -14,8 +14,8 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-fn profile(name: &str, zone: &str, strength: u64) -> Profile {
-    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, capacity: u64) -> Profile {
+    Profile { name: Incarnation::new(name, 1), zone: zone.into(), capacity }
 }
 
 /// A fleet of three zones in which every fourth box is weak.
@@ -67,7 +67,7 @@
     for index in 0..fleet.len() {
         let seen = watchers_seen_from(&fleet, index);
         let strong = |name: &Incarnation| {
-            fleet.iter().any(|profile| profile.name == *name && profile.strength == 50)
+            fleet.iter().any(|profile| profile.name == *name && profile.capacity == 50)
         };
         assert!(seen.all().all(strong));
         *subscriber_counts.entry(seen.active[0].box_name().to_owned()).or_insert(0) += 1;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -124,7 +124,8 @@
     /// Address on which it serves other boxes.
     pub peer: SocketAddr,
     /// Its capacity, for the choice of keepers and watchers.
-    pub strength: u64,
+    #[serde(rename = "strength")]
+    pub capacity: u64,
     /// Version of its entry in the store.
     pub version: u64,
 }
