--- a/crates/gateway/src/fleet/entry.rs
+++ b/crates/gateway/src/fleet/entry.rs
@@ -15,7 +15,6 @@
 /// Entry of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Incarnation of the box.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Arc<str>,
@@ -30,7 +29,7 @@
     /// What the choice of keepers and watchers needs to know.
     pub fn profile(&self) -> Profile {
         let Entry { incarnation, zone, capacity, .. } = self;
-        Profile { name: incarnation.clone(), zone: zone.clone(), capacity: *capacity }
+        Profile { incarnation: incarnation.clone(), zone: zone.clone(), capacity: *capacity }
     }
 }
 
--- a/crates/gateway/src/fleet/keepers.rs
+++ b/crates/gateway/src/fleet/keepers.rs
@@ -30,8 +30,7 @@
 /// A box as the choice of keepers and watchers sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Profile {
-    /// Incarnation of the box.
-    pub name: Incarnation,
+    pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// Its capacity; boxes with more are preferred.
@@ -44,7 +43,7 @@
     let of_zone = |zone: &Arc<str>, max: usize| {
         let all = others.iter().chain([me]).filter(|profile| profile.zone == *zone);
         let mut profiles: Vec<&Profile> = all.collect();
-        profiles.sort_by_key(|profile| (Reverse(rank(profile)), &profile.name));
+        profiles.sort_by_key(|profile| (Reverse(rank(profile)), &profile.incarnation));
         profiles.truncate(max);
         profiles
     };
@@ -58,7 +57,7 @@
         true => own.chain(elsewhere).collect(),
         false => elsewhere.chain(own).collect(),
     };
-    profiles.into_iter().map(|profile| profile.name.clone()).collect()
+    profiles.into_iter().map(|profile| profile.incarnation.clone()).collect()
 }
 
 /// Zones that have a keeper.
@@ -73,5 +72,5 @@
 }
 
 fn rank(profile: &Profile) -> (u64, u64) {
-    (profile.capacity, member::weight(&profile.zone, profile.name.box_name()))
+    (profile.capacity, member::weight(&profile.zone, profile.incarnation.box_name()))
 }
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -96,7 +96,7 @@
     pub fn open(me: Profile, address: Option<SocketAddr>, seed: u64) -> Peers {
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
-        let name = me.name.clone();
+        let incarnation = me.incarnation.clone();
         let (address, last_received, last_unanswered) = Default::default();
         let state = State {
             address,
@@ -107,7 +107,7 @@
             last_unanswered,
         };
         Peers {
-            me: name,
+            me: incarnation,
             source,
             state: Arc::new(Mutex::new(state)),
             promises: Promises::default(),
--- a/crates/gateway/src/fleet/watchers.rs
+++ b/crates/gateway/src/fleet/watchers.rs
@@ -52,7 +52,7 @@
     let mut eligible: Vec<&Profile> =
         fleet().filter(|profile| profile.capacity * 2 >= largest).collect();
     eligible.sort_by_key(|profile| {
-        (Reverse(member::weight(HASH_KEY, profile.name.box_name())), &profile.name)
+        (Reverse(member::weight(HASH_KEY, profile.incarnation.box_name())), &profile.incarnation)
     });
     let eligible = interleave_zones(eligible);
     let count =
@@ -60,7 +60,7 @@
     let (first, rest) = eligible.split_at(count);
     let preferred = |mut profiles: Vec<&Profile>| -> Vec<Incarnation> {
         profiles.sort_by_key(|profile| Reverse(preference(me, profile)));
-        profiles.into_iter().map(|profile| profile.name.clone()).collect()
+        profiles.into_iter().map(|profile| profile.incarnation.clone()).collect()
     };
     let standby = &rest[..count.min(rest.len())];
     Watchers { active: preferred(first.to_vec()), standby: preferred(standby.to_vec()) }
@@ -82,6 +82,6 @@
 /// Preference for a watcher: those in the same availability zone first, and otherwise an order that
 /// differs between boxes, so that watchers share the subscribers.
 fn preference(me: &Profile, watcher: &Profile) -> (bool, u64, Arc<str>) {
-    let name = watcher.name.box_name();
-    (watcher.zone == me.zone, member::weight(me.name.box_name(), name), name.into())
+    let name = watcher.incarnation.box_name();
+    (watcher.zone == me.zone, member::weight(me.incarnation.box_name(), name), name.into())
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -113,7 +113,7 @@
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
         let profile = Profile {
-            name: incarnation.clone(),
+            incarnation: incarnation.clone(),
             zone: settings.zone.clone(),
             capacity: settings.machine.capacity(),
         };
--- a/crates/gateway/tests/loopback/sync.rs
+++ b/crates/gateway/tests/loopback/sync.rs
@@ -24,7 +24,7 @@
 /// Names of the watchers of a fleet.
 fn watcher_names(names: &[String]) -> Vec<String> {
     let profile = |name: &String| Profile {
-        name: Incarnation::new(name, 1),
+        incarnation: Incarnation::new(name, 1),
         zone: "z1".into(),
         capacity: gateway::settings::Machine::default().capacity(),
     };
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -6,7 +6,7 @@
 use ledger::Incarnation;
 
 fn profile(name: &str, zone: &str, capacity: u64) -> Profile {
-    Profile { name: Incarnation::new(name, 1), zone: zone.into(), capacity }
+    Profile { incarnation: Incarnation::new(name, 1), zone: zone.into(), capacity }
 }
 
 /// Names of the boxes that one box of a fleet asks, in order.
@@ -30,7 +30,7 @@
     let fleet = fleet(&[("bornova", 19), ("buca", 16), ("cigli", 18)]);
     for index in 0..fleet.len() {
         let asked = asked(&fleet, index);
-        assert_eq!(asked[0], format!("{}-0", fleet[index].zone), "{}", fleet[index].name);
+        assert_eq!(asked[0], format!("{}-0", fleet[index].zone), "{}", fleet[index].incarnation);
     }
 }
 
@@ -59,7 +59,7 @@
         let first: BTreeSet<&String> = asked.iter().map(|asked| &asked[0]).collect();
         assert_eq!(first.len(), count, "{boxes} boxes in {zones} zones: {first:?}");
         for (index, asked) in asked.iter().enumerate() {
-            let name = fleet[index].name.box_name();
+            let name = fleet[index].incarnation.box_name();
             let is_keeper = first.iter().any(|first| **first == name);
             assert_eq!(is_keeper, asked[0] == name, "a keeper is its own first choice");
             let tried: BTreeSet<&String> = asked.iter().collect();
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -14,7 +14,7 @@
 /// Guards against traffic between availability zones: each large prompt is announced to twelve boxes.
 #[test]
 fn prompts_are_announced_in_the_own_zone_first() {
-    let me = Profile { name: Incarnation::new("z1-me", 7), zone: "z1".into(), capacity: 1 };
+    let me = Profile { incarnation: Incarnation::new("z1-me", 7), zone: "z1".into(), capacity: 1 };
     for (near, far, near_recipients) in [(20, 20, 12), (3, 20, 3), (0, 4, 0)] {
         let peers = Peers::open(me.clone(), None, 1);
         let entries =
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 
 fn profile(name: &str, zone: &str, capacity: u64) -> Profile {
-    Profile { name: Incarnation::new(name, 1), zone: zone.into(), capacity }
+    Profile { incarnation: Incarnation::new(name, 1), zone: zone.into(), capacity }
 }
 
 /// A fleet of three zones in which every fourth box is weak.
@@ -67,7 +67,7 @@
     for index in 0..fleet.len() {
         let seen = watchers_seen_from(&fleet, index);
         let strong = |name: &Incarnation| {
-            fleet.iter().any(|profile| profile.name == *name && profile.capacity == 50)
+            fleet.iter().any(|profile| profile.incarnation == *name && profile.capacity == 50)
         };
         assert!(seen.all().all(strong));
         *subscriber_counts.entry(seen.active[0].box_name().to_owned()).or_insert(0) += 1;
@@ -84,7 +84,7 @@
         let fleet: Vec<Profile> =
             (0..boxes).map(|n| profile(&format!("box-{n}"), zones[n % 6], 10)).collect();
         let zone_of = |name: &Incarnation| {
-            let profile = fleet.iter().find(|profile| profile.name == *name);
+            let profile = fleet.iter().find(|profile| profile.incarnation == *name);
             profile.expect("one of the fleet").zone.clone()
         };
         let watchers = watchers_seen_from(&fleet, 0).active;
@@ -96,7 +96,7 @@
             assert!(
                 subscribed_zone == *own || !with_watcher.contains(own),
                 "{} subscribes in {subscribed_zone}",
-                fleet[index].name
+                fleet[index].incarnation
             );
         }
     }
