--- a/crates/gateway/src/fleet/peers/permits.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -43,7 +43,7 @@
         let timeout = HOP_TIMEOUT * u32::from(MAX_HOPS + 1 - permit.hops.min(MAX_HOPS));
         let peer = self.peer(issuer)?;
         match self.ask(issuer, &peer, Frame::PermitRequest(permit), timeout).await {
-            Reply::Frame(Frame::PermitReply(PermitReply::Leaves)) => {
+            Reply::Frame(Frame::PermitReply(PermitReply::Stopping)) => {
                 self.avoid_for(issuer, STOPPING_RETRY_DELAY);
                 None
             }
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -75,13 +75,13 @@
                 endpoints.receive_limit(signal, &by);
                 "free"
             }
-            PermitReply::After { .. } | PermitReply::Leaves => "none",
+            PermitReply::After { .. } | PermitReply::Stopping => "none",
         };
         metrics.permits.get_or_create(&PermitOutcome { outcome }).inc();
         let wait = match reply {
             PermitReply::Granted | PermitReply::Free { .. } => return true,
             PermitReply::After { ms } => Duration::from_millis(ms),
-            PermitReply::Leaves => NO_ISSUER_RETRY_DELAY,
+            PermitReply::Stopping => NO_ISSUER_RETRY_DELAY,
         };
         let wait_ms = wait.as_millis() as u64;
         tracing::info!(event = "no_turn", endpoint = &*chosen.instance, by, wait_ms);
@@ -93,7 +93,7 @@
     pub async fn answer(&self, request: wire::PermitRequest, from: &str) -> PermitReply {
         let Setup { endpoints, stopping, .. } = &self.0.setup;
         if *stopping.borrow() {
-            return PermitReply::Leaves;
+            return PermitReply::Stopping;
         }
         let wire::PermitRequest { signal, hops } = request;
         endpoints.receive_limit(&signal, from);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -226,7 +226,8 @@
         signal: LimitNotice,
     },
     /// The box is about to stop and issues no more permits.
-    Leaves,
+    #[serde(rename = "Leaves")]
+    Stopping,
 }
 
 /// A request or an answer.
