--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/config_table.rs
@@ -7,7 +7,7 @@
 
 /// One version of the configuration, indexed.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct ConfigTable {
     config: Config,
     /// Indices of a host's routes, the longest prefix first.
     hosts: HashMap<Arc<str>, Vec<usize>>,
@@ -16,9 +16,9 @@
     services: HashMap<Arc<str>, usize>,
 }
 
-impl Table {
+impl ConfigTable {
     /// Indexes a configuration.
-    pub fn new(config: Config) -> Table {
+    pub fn new(config: Config) -> ConfigTable {
         let mut hosts: HashMap<Arc<str>, Vec<usize>> = HashMap::new();
         for (at, route) in config.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
@@ -32,7 +32,7 @@
         let keys = keys.map(|(key, at)| (key.clone(), at)).collect();
         let services = config.services.iter().enumerate();
         let services = services.map(|(at, service)| (service.name.clone(), at)).collect();
-        Table { hosts, keys, services, config }
+        ConfigTable { hosts, keys, services, config }
     }
 
     pub fn version(&self) -> u64 {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,10 +21,11 @@
 mod sync;
 mod outage;
 pub mod settings;
-mod table;
+mod config_table;
 mod proxy;
 
 pub use clock::{Clock, Dataset, Watchdog};
+pub use config_table::ConfigTable;
 pub use fleet::{
     entry::Entry,
     keepers::{Profile, keepers},
@@ -48,7 +49,6 @@
     directory::Directory,
     evacuations::{Evacuations, Zones},
 };
-pub use table::Table;
 pub use tokens::{
     bills::Bills,
     forecast::Forecast,
--- a/crates/gateway/src/proxy/context.rs
+++ b/crates/gateway/src/proxy/context.rs
@@ -9,6 +9,7 @@
 
 use crate::{
     clock::{Clock, Moment, Watchdog},
+    config_table::ConfigTable,
     fleet::peers::Peers,
     metrics::Metrics,
     proxy::{
@@ -16,7 +17,6 @@
         permits::Permits, retries::Retries,
     },
     settings::Settings,
-    table::Table,
     tokens::{acquirer::Acquirer, bills::Bills, funds::Funds},
 };
 
@@ -24,7 +24,7 @@
 pub struct Context {
     /// Current settings; `Gateway` replaces them at run time.
     pub settings: watch::Sender<Arc<Settings>>,
-    pub table: watch::Receiver<Option<Arc<Table>>>,
+    pub table: watch::Receiver<Option<Arc<ConfigTable>>>,
     pub endpoints: Arc<Endpoints>,
     /// Requests that crashed endpoints.
     pub crashes: Crashes,
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -22,8 +22,8 @@
 
 use crate::{
     clock::{Clock, Moment},
+    config_table::ConfigTable,
     settings,
-    table::Table,
 };
 
 /// Prompt tokens that count as much as one request in flight. Processing them delays all other requests of an engine
@@ -219,7 +219,7 @@
     }
 
     /// Applies the configuration of services.
-    pub fn configure(&self, table: &Table) {
+    pub fn configure(&self, table: &ConfigTable) {
         let settings::Cold { factor, extra } = self.cold;
         let allowance = |service: &Service| Allowance {
             per_s: service.cold_per_s * factor + extra,
--- a/crates/gateway/src/sync/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -29,6 +29,7 @@
 
 use crate::{
     clock::{Dataset, Moment, Watchdog},
+    config_table::ConfigTable,
     fleet::{
         entry::{BOXES, Entry},
         peers::Peers,
@@ -36,12 +37,11 @@
     outage::Recovery,
     proxy::{crashes::Crashes, endpoints::Endpoints},
     sync::{change_log::ChangeLog, directory::Directory, evacuations::Evacuations},
-    table::Table,
     tokens::funds::Funds,
 };
 
 /// The configuration in force; `None` until one was read.
-pub type InForce = watch::Sender<Option<Arc<Table>>>;
+pub type InForce = watch::Sender<Option<Arc<ConfigTable>>>;
 
 /// Where updates are applied.
 pub struct Consumers {
@@ -160,7 +160,7 @@
             return;
         }
         let (version, routes) = (config.version, config.routes.len());
-        let table = Arc::new(Table::new(config));
+        let table = Arc::new(ConfigTable::new(config));
         self.0.consumers.funds.configure(&table);
         self.0.consumers.endpoints.configure(&table);
         self.0.consumers.in_force.send_replace(Some(table));
--- a/crates/gateway/src/tokens/funds/mod.rs
+++ b/crates/gateway/src/tokens/funds/mod.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    table::Table,
+    config_table::ConfigTable,
     tokens::wallet::{Breakdown, Wallet},
 };
 
@@ -148,7 +148,7 @@
     }
 
     /// Applies the paid amounts of the configuration.
-    pub fn configure(&self, table: &Table) {
+    pub fn configure(&self, table: &ConfigTable) {
         let mut state = self.0.state.lock();
         for customer in table.config().customers.iter().flatten() {
             let wallet = state.wallets.entry(customer.name.clone()).or_default();
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Directory, EventCounter, Reason, Retries, Table, settings};
+use gateway::{ConfigTable, Directory, EventCounter, Reason, Retries, settings};
 use http::StatusCode;
 use platform::{config::Config, endpoint::Entry, fixtures};
 
-fn table(routes: &[&str]) -> Table {
+fn table(routes: &[&str]) -> ConfigTable {
     let text = fixtures::config(3, 1_000, routes);
-    Table::new(Config::read(&text).expect("a valid configuration"))
+    ConfigTable::new(Config::read(&text).expect("a valid configuration"))
 }
 
 #[test]
@@ -18,7 +18,7 @@
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
         ("short", "desk.example", "/x/", &[("c", 1)]),
     ]);
-    let table = Table::new(Config::read(&text).expect("unknown fields are ignored"));
+    let table = ConfigTable::new(Config::read(&text).expect("unknown fields are ignored"));
     let cases = [
         ("desk.example", "/x/y/z", Some("long")),
         ("desk.example:8080", "/x/yz", Some("short")),
@@ -46,7 +46,7 @@
 fn split_follows_weights_and_request_id() {
     let services = [("a", 90), ("b", 10), ("never", 0)];
     let text = fixtures::routes(&[("r", "h", "/", &services)]);
-    let table = Table::new(Config::read(&text).expect("valid"));
+    let table = ConfigTable::new(Config::read(&text).expect("valid"));
     let route = table.route("h", "/").expect("a route").clone();
     let ids: Vec<String> = (0..2_000).map(|n| format!("id-{n}")).collect();
     let to = |id: &String| table.target(&route, id).expect("a service").clone();
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Funds, Participation, Table};
+use gateway::{ConfigTable, Funds, Participation};
 use ledger::{Book, Granted, Incarnation, Item, Policy, Writer};
 use platform::{config::Config, fixtures};
 
@@ -28,7 +28,7 @@
     fn open() -> Fixture {
         let funds = Funds::open();
         let text = fixtures::config(1, PAID, &["stream"]);
-        funds.configure(&Table::new(Config::read(&text).expect("valid")));
+        funds.configure(&ConfigTable::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new("box-0", 1);
         let mut fixture = Fixture { funds, name, write: 0, book: Book::default() };
         fixture.settle();
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -10,7 +10,7 @@
     sync::Arc,
 };
 
-use gateway::{Acceptance, Funds, Hold, Participation, Promises, Table};
+use gateway::{Acceptance, ConfigTable, Funds, Hold, Participation, Promises};
 use ledger::{
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
     Untouched, Witness, Writer,
@@ -121,7 +121,7 @@
     fn start(at: usize, incarnation: u64) -> Node {
         let funds = Funds::open();
         let text = fixtures::config(1, PAID, &["stream"]);
-        funds.configure(&Table::new(Config::read(&text).expect("valid")));
+        funds.configure(&ConfigTable::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new(&format!("box-{at}"), incarnation);
         Node {
             name,
