--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -131,15 +131,15 @@
     clock: Clock,
     last_check: Mutex<Moment>,
     state: watch::Sender<State>,
-    forget: Forget,
+    close_connections: CloseConnections,
 }
 
 /// Closes connections that may be dead, before state is read again.
-struct Forget(Box<dyn Fn() + Send + Sync>);
+struct CloseConnections(Box<dyn Fn() + Send + Sync>);
 
-impl fmt::Debug for Forget {
+impl fmt::Debug for CloseConnections {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Forget")
+        f.write_str("CloseConnections")
     }
 }
 
@@ -161,12 +161,13 @@
 }
 
 impl Watchdog {
-    /// Creates a watchdog; after each suspension it calls `forget`, which closes connections that
+    /// Creates a watchdog that calls `close_connections` after each suspension, for connections that
     /// may be dead.
-    pub fn open(clock: Clock, forget: impl Fn() + Send + Sync + 'static) -> Watchdog {
+    pub fn open(clock: Clock, close_connections: impl Fn() + Send + Sync + 'static) -> Watchdog {
         let last_check = Mutex::new(clock.now());
-        let (state, forget) = (watch::channel(State::default()).0, Forget(Box::new(forget)));
-        Watchdog(Arc::new(Shared { clock, last_check, state, forget }))
+        let (state, close_connections) =
+            (watch::channel(State::default()).0, CloseConnections(Box::new(close_connections)));
+        Watchdog(Arc::new(Shared { clock, last_check, state, close_connections }))
     }
 
     /// Checks periodically for as long as the box runs.
@@ -186,7 +187,7 @@
         }
         let (gap_ms, suspended_ms) = (gap.as_millis() as u64, suspended.as_millis() as u64);
         tracing::warn!(event = "held_up", gap_ms, suspended_ms);
-        (self.0.forget.0)();
+        (self.0.close_connections.0)();
         self.0.state.send_modify(|state| {
             state.suspensions += 1;
             state.deadline = Some(Instant::now() + REFRESH_TIMEOUT);
--- a/crates/gateway/src/fleet/keepers.rs
+++ b/crates/gateway/src/fleet/keepers.rs
@@ -43,7 +43,7 @@
     let of_zone = |zone: &Arc<str>, max: usize| {
         let all = others.iter().chain([me]).filter(|profile| profile.zone == *zone);
         let mut profiles: Vec<&Profile> = all.collect();
-        profiles.sort_by_key(|profile| (Reverse(rank(profile)), &profile.incarnation));
+        profiles.sort_by_key(|profile| (Reverse(preference(profile)), &profile.incarnation));
         profiles.truncate(max);
         profiles
     };
@@ -71,6 +71,6 @@
     zones
 }
 
-fn rank(profile: &Profile) -> (u64, u64) {
+fn preference(profile: &Profile) -> (u64, u64) {
     (profile.capacity, member::weight(&profile.zone, profile.incarnation.box_name()))
 }
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -55,7 +55,7 @@
     /// Number of the next published prompt.
     prompts: Arc<AtomicU64>,
     /// Notified when the list of boxes turns out to be stale.
-    unknown: Arc<Notify>,
+    stale_list: Arc<Notify>,
     /// Bytes of this box's requests and their answers.
     pub traffic: Traffic,
 }
@@ -112,7 +112,7 @@
             state: Arc::new(Mutex::new(state)),
             promises: Promises::default(),
             prompts: Arc::default(),
-            unknown: Arc::default(),
+            stale_list: Arc::default(),
             traffic: Traffic::default(),
         }
     }
@@ -139,9 +139,9 @@
         for (entry, version) in entries {
             let name = entry.incarnation.clone();
             let is_same = |known: &Incarnation| known.box_name() == name.box_name();
-            let is_old =
+            let is_current =
                 |(known, of): (&Incarnation, &Known)| is_same(known) && of.version >= version;
-            if is_same(&self.me) || state.known.iter().any(is_old) {
+            if is_same(&self.me) || state.known.iter().any(is_current) {
                 continue;
             }
             state.known.retain(|known, _| !is_same(known));
@@ -152,12 +152,12 @@
 
     /// Waits until the list of boxes turns out to be stale.
     pub async fn stale_list(&self) {
-        self.unknown.notified().await;
+        self.stale_list.notified().await;
     }
 
     /// Reports that the list of boxes is stale.
     pub fn report_stale_list(&self) {
-        self.unknown.notify_one();
+        self.stale_list.notify_one();
     }
 
     /// Reachable boxes to ask for tokens, most preferred first; includes this box where it is one
@@ -203,12 +203,12 @@
     }
 
     /// Replaces an incarnation by a later one of the same box that answered in its place.
-    fn replace(&self, name: &Incarnation, now: &Incarnation) {
+    fn replace(&self, name: &Incarnation, successor: &Incarnation) {
         let mut state = self.state.lock();
         if let Some(Known { entry, version, peer, .. }) = state.known.remove(name) {
-            let entry = Entry { incarnation: now.clone(), ..entry };
+            let entry = Entry { incarnation: successor.clone(), ..entry };
             let known = Known { entry, version, peer, avoid_until: None };
-            state.known.entry(now.clone()).or_insert(known);
+            state.known.entry(successor.clone()).or_insert(known);
         }
     }
 
--- a/crates/gateway/src/fleet/peers/permits.rs
+++ b/crates/gateway/src/fleet/peers/permits.rs
@@ -39,10 +39,14 @@
 
     /// Requests a permit; `None` if the issuer is silent or about to stop and another box is to be
     /// asked.
-    pub async fn permit(&self, issuer: &Incarnation, permit: PermitRequest) -> Option<PermitReply> {
-        let timeout = HOP_TIMEOUT * u32::from(MAX_HOPS + 1 - permit.hops.min(MAX_HOPS));
+    pub async fn permit(
+        &self,
+        issuer: &Incarnation,
+        request: PermitRequest,
+    ) -> Option<PermitReply> {
+        let timeout = HOP_TIMEOUT * u32::from(MAX_HOPS + 1 - request.hops.min(MAX_HOPS));
         let peer = self.peer(issuer)?;
-        match self.ask(issuer, &peer, Frame::PermitRequest(permit), timeout).await {
+        match self.ask(issuer, &peer, Frame::PermitRequest(request), timeout).await {
             Reply::Frame(Frame::PermitReply(PermitReply::Stopping)) => {
                 self.avoid_for(issuer, STOPPING_RETRY_DELAY);
                 None
@@ -50,7 +54,7 @@
             Reply::Frame(Frame::PermitReply(reply)) => Some(reply),
             // The issuer does not know this box yet.
             Reply::Frame(_) => Some(PermitReply::After { ms: HOP_TIMEOUT.as_millis() as u64 }),
-            Reply::Replaced | Reply::Nothing => None,
+            Reply::Replaced | Reply::NoAnswer => None,
         }
     }
 
--- a/crates/gateway/src/fleet/peers/requests.rs
+++ b/crates/gateway/src/fleet/peers/requests.rs
@@ -96,18 +96,17 @@
     Frame(Frame),
     /// A later incarnation of the box answered: the one that was asked has ended.
     Replaced,
-    /// No answer.
-    Nothing,
+    NoAnswer,
 }
 
 impl Peers {
     /// Polls a watcher once; `None` if it does not answer in time or does not watch the store.
-    pub async fn subscribe(&self, listen: Subscribe, timeout: Duration) -> Option<Update> {
-        let watcher = listen.watcher.clone();
+    pub async fn subscribe(&self, request: Subscribe, timeout: Duration) -> Option<Update> {
+        let watcher = request.watcher.clone();
         let peer = self.peer(&watcher)?;
-        match self.ask(&watcher, &peer, Frame::Subscribe(listen), timeout).await {
+        match self.ask(&watcher, &peer, Frame::Subscribe(request), timeout).await {
             Reply::Frame(Frame::Update(update)) => Some(update),
-            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::NoAnswer => None,
         }
     }
 
@@ -121,7 +120,7 @@
                 }
                 Some(drawn)
             }
-            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::NoAnswer => None,
         }
     }
 
@@ -155,7 +154,7 @@
             }
             Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => Delivery::Gone,
             Reply::Frame(Frame::Refused { .. }) => Delivery::Not,
-            Reply::Frame(_) | Reply::Nothing => Delivery::Unknown,
+            Reply::Frame(_) | Reply::NoAnswer => Delivery::Unknown,
         }
     }
 
@@ -188,7 +187,7 @@
         match self.ask(by, &peer, frame, SEAL_TIMEOUT).await {
             Reply::Frame(Frame::Sealed { tokens: Some(tokens) }) => WitnessReply::Untouched(tokens),
             Reply::Frame(Frame::Sealed { tokens: None }) | Reply::Replaced => WitnessReply::Nothing,
-            Reply::Frame(_) | Reply::Nothing => WitnessReply::NoAnswer,
+            Reply::Frame(_) | Reply::NoAnswer => WitnessReply::NoAnswer,
         }
     }
 
@@ -205,7 +204,7 @@
             Reply::Frame(Frame::Lent { transfer }) => {
                 transfer.filter(|transfer| transfer.from == *name && transfer.to == self.me)
             }
-            Reply::Frame(_) | Reply::Replaced | Reply::Nothing => None,
+            Reply::Frame(_) | Reply::Replaced | Reply::NoAnswer => None,
         }
     }
 
@@ -237,8 +236,8 @@
         });
         match answered {
             Ok(answer) if answer.from != *name => {
-                let (peer, now) = (name.as_str(), answer.from.as_str());
-                tracing::info!(event = "peer_replaced", peer, now);
+                let (peer, successor) = (name.as_str(), answer.from.as_str());
+                tracing::info!(event = "peer_replaced", peer, now = successor);
                 // A box has one incarnation at a time. An answer from a different box proves
                 // nothing about it.
                 match answer.from.box_name() == name.box_name() {
@@ -249,7 +248,7 @@
                     false => {
                         self.avoid_for(name, SILENT_RETRY_DELAY);
                         self.report_stale_list();
-                        Reply::Nothing
+                        Reply::NoAnswer
                     }
                 }
             }
@@ -267,7 +266,7 @@
                 tracing::info!(event = "peer_silent", peer = name.as_str(), %error);
                 self.state.lock().last_unanswered = Some(Instant::now());
                 self.avoid_for(name, SILENT_RETRY_DELAY);
-                Reply::Nothing
+                Reply::NoAnswer
             }
         }
     }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -118,10 +118,10 @@
             capacity: settings.machine.capacity(),
         };
         let peers = Peers::open(profile, settings.listen.peers, random.random());
-        let (in_force_settings, read_settings) = watch::channel(Arc::new(settings.clone()));
+        let (in_force_settings, settings_updates) = watch::channel(Arc::new(settings.clone()));
         let borrower = Borrower::new(funds.clone(), peers.clone());
         let acquirer =
-            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), read_settings.clone());
+            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), settings_updates.clone());
         let view = View::open(Consumers {
             in_force,
             funds: funds.clone(),
@@ -205,7 +205,7 @@
             registered: registered.clone(),
             bills,
             holder: incarnation.clone(),
-            settings: read_settings,
+            settings: settings_updates,
         };
         let settler = Settler::new(setup, recovery.clone());
         let lapse = Duration::from_millis(settings.limits.lapse_ms);
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -52,16 +52,16 @@
         if !is_accepted {
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
-        let leaves = *self.stopping.borrow();
-        if !draw.is_stopping && !leaves {
+        let is_stopping = *self.stopping.borrow();
+        if !draw.is_stopping && !is_stopping {
             let deadline = Instant::now() + Duration::from_millis(draw.within_ms);
             for demand in draw.items.iter().filter(|demand| demand.need > 0) {
                 self.pass_on(from, demand, deadline).await;
             }
         }
-        let (items, cut) =
+        let (items, is_store_unreachable) =
             (self.funds.supplies(from, &draw.items), self.funds.is_store_unreachable());
-        Frame::Drawn(Drawn { items, is_store_unreachable: cut, is_stopping: leaves })
+        Frame::Drawn(Drawn { items, is_store_unreachable, is_stopping })
     }
 
     async fn pass_on(&self, to: &Incarnation, demand: &Demand, deadline: Instant) {
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -78,8 +78,8 @@
 
 #[async_trait::async_trait]
 impl Answer for Echo {
-    async fn answer(&self, question: Message) -> Message {
-        question
+    async fn answer(&self, request: Message) -> Message {
+        request
     }
 }
 
--- a/crates/wire/tests/size.rs
+++ b/crates/wire/tests/size.rs
@@ -68,9 +68,9 @@
 
 fn subscribe_message() -> Message {
     let watcher = Incarnation::new("box-1", 1);
-    let listen =
+    let subscribe =
         Subscribe { watcher, since: Some(0), config: 0, is_store_unreachable: false, wait_ms: 0 };
-    message(Frame::Subscribe(listen))
+    message(Frame::Subscribe(subscribe))
 }
 
 /// Forwards one connection to `to` and counts the bytes that come back.
@@ -109,9 +109,9 @@
     let answer = peer.ask(&subscribe_message(), Duration::from_secs(30)).await.expect("an answer");
     assert_eq!(answer, message(full_update(ENDPOINTS)), "decompression restores the message");
     let plain = encode(&answer, wire::NEWEST_FORMAT).expect("below the size limit").len();
-    let took = count.load(Ordering::Relaxed);
+    let transferred = count.load(Ordering::Relaxed);
     // A fifth of the plain size passes a 10 Mbit/s link within the subscriber's timeout of 0.6 s.
-    assert!(took * 5 < plain, "{took} of {plain} bytes transferred");
+    assert!(transferred * 5 < plain, "{transferred} of {plain} bytes transferred");
 }
 
 #[tokio::test]
