--- a/crates/flintbench/src/slopes.rs
+++ b/crates/flintbench/src/slopes.rs
@@ -184,9 +184,9 @@
             |i: usize| balance::Snapshot { name: format!("engine-{i:04}").into(), in_flight: 3 };
         let told = wire::Status {
             in_flight: vec![("models".into(), (0..n).map(busy).collect())],
-            newest: 1,
-            versions: 1,
-            platform: true,
+            newest_version: 1,
+            version_sum: 1,
+            is_platform_reachable: true,
         };
         let from = Incarnation::new("box-17", 17);
         let frame = wire::Frame::Status(told);
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -72,8 +72,8 @@
         match shared.find_place(&call.caller.customer, &call.key).await {
             Location::Nowhere => return None,
             Location::Place(place) => return relay::attach(shared, call, driver, &place).await,
-            Location::Soon if call.time_left() < LOOKUP_INTERVAL => return None,
-            Location::Soon => tokio::time::sleep(LOOKUP_INTERVAL).await,
+            Location::Pending if call.time_left() < LOOKUP_INTERVAL => return None,
+            Location::Pending => tokio::time::sleep(LOOKUP_INTERVAL).await,
         }
     }
 }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -142,9 +142,9 @@
     let snapshot = shared.config.borrow().clone();
     Status {
         in_flight: shared.endpoints.snapshot(),
-        newest: snapshot.newest_version(),
-        versions: snapshot.version_sum(),
-        platform: shared.fallback.is_direct() && shared.health.is_up(),
+        newest_version: snapshot.newest_version(),
+        version_sum: snapshot.version_sum(),
+        is_platform_reachable: shared.fallback.is_direct() && shared.health.is_up(),
     }
 }
 
@@ -154,7 +154,7 @@
     let name: Arc<str> = from.box_name().into();
     shared.endpoints.receive_peer_load(&name, &status.in_flight, now);
     let snapshot = shared.config.borrow();
-    status.newest > snapshot.newest_version() || status.versions > snapshot.version_sum()
+    status.newest_version > snapshot.newest_version() || status.version_sum > snapshot.version_sum()
 }
 
 /// Exchanges status with random peers in rounds, for as long as the router runs.
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -187,7 +187,7 @@
         let reaches = |name: &Incarnation| {
             let state = self.state.lock();
             let status = state.known.get(name).and_then(|known| known.status.as_ref());
-            status.is_some_and(|status| status.platform)
+            status.is_some_and(|status| status.is_platform_reachable)
         };
         let (_, peer) = self.reachable(false).into_iter().find(|(name, _)| reaches(name))?;
         self.ask(&peer, Frame::Call(request), PLATFORM_CALL_TIMEOUT).await
@@ -197,7 +197,7 @@
     pub fn reaches_platform(&self) -> bool {
         let state = self.state.lock();
         let reaches = |known: &PeerState| {
-            known.reachable && known.status.as_ref().is_some_and(|t| t.platform)
+            known.reachable && known.status.as_ref().is_some_and(|t| t.is_platform_reachable)
         };
         state.known.values().any(reaches)
     }
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -61,7 +61,7 @@
             Some(Entry::Starting { by: other, at })
                 if other != by && at + START_TIMEOUT_MS > now =>
             {
-                return Location::Soon;
+                return Location::Pending;
             }
             Some(Entry::Starting { .. }) | None => {}
         }
@@ -92,7 +92,7 @@
         let (a, b) = (Incarnation::from("a.1"), Incarnation::from("b.1"));
         let find = |by, now| places.find(&"c".into(), &"k".into(), by, now);
         assert_eq!(find(&a, 0), Location::Nowhere);
-        assert_eq!(find(&b, 10), Location::Soon);
+        assert_eq!(find(&b, 10), Location::Pending);
         assert_eq!(find(&a, 20), Location::Nowhere);
         assert_eq!(
             find(&b, 20 + START_TIMEOUT_MS),
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -24,11 +24,13 @@
     /// Requests in flight to endpoints, by pool.
     pub in_flight: Vec<(Arc<str>, Vec<Snapshot>)>,
     /// Newest source version of the configuration in force.
-    pub newest: u64,
+    #[serde(rename = "newest")]
+    pub newest_version: u64,
     /// Sum of all versions in force, which reveals a gap below the newest.
-    pub versions: u64,
-    /// Whether the sender reaches the platform.
-    pub platform: bool,
+    #[serde(rename = "versions")]
+    pub version_sum: u64,
+    #[serde(rename = "platform")]
+    pub is_platform_reachable: bool,
 }
 
 /// Where a request is or was executed.
@@ -48,7 +50,8 @@
     /// Nobody executes the request: the sender may.
     Nowhere,
     /// Another incarnation is about to execute it.
-    Soon,
+    #[serde(rename = "Soon")]
+    Pending,
     /// It is or was executed there.
     Place(Place),
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -28,11 +28,11 @@
             let (kind, name) = (kind.into(), name.into());
             Frame::Call(PlatformCall::Put { kind, name, value: "{}".into(), version })
         }),
-        any::<u64>().prop_map(|newest| Frame::Status(Status {
+        any::<u64>().prop_map(|newest_version| Frame::Status(Status {
             in_flight: vec![("pool".into(), Vec::new())],
-            newest,
-            versions: 1,
-            platform: true,
+            newest_version,
+            version_sum: 1,
+            is_platform_reachable: true,
         })),
         prop::collection::vec(word, 0..5).prop_map(|objects| Frame::Objects {
             objects: objects.into_iter().map(Into::into).collect(),
