--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -139,7 +139,7 @@
 
 impl fmt::Debug for CloseConnections {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("CloseConnections")
+        f.write_str("Forget")
     }
 }
 
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -44,9 +44,7 @@
     /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
-            return Frame::Refused {
-                reason: "the request names another incarnation of the receiver".into(),
-            };
+            return Frame::Refused { reason: "the request is for another incarnation".into() };
         }
         let is_accepted = self.funds.receive_report(from, &draw.items);
         if !is_accepted {
@@ -102,9 +100,7 @@
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
-            return Frame::Refused {
-                reason: "the sender may not seal the promise of this incarnation".into(),
-            };
+            return Frame::Refused { reason: "the sender may not seal this promise".into() };
         }
         let tokens = self.peers.promises.seal(holder, term);
         tracing::info!(
@@ -140,9 +136,9 @@
                 let number = promise.number;
                 match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
-                    Acceptance::Rejected => Frame::Refused {
-                        reason: "a newer promise is in force, or the promise is sealed".into(),
-                    },
+                    Acceptance::Rejected => {
+                        Frame::Refused { reason: "the promise is outdated or sealed".into() }
+                    }
                     Acceptance::Closed => Frame::Sealed { tokens: None },
                 }
             }
@@ -172,9 +168,9 @@
             Frame::Bills { .. } | Frame::HandOver { .. } if *self.stopping.borrow() => {
                 Frame::Refused { reason: "the receiver is about to stop".into() }
             }
-            Frame::HandOver { to, .. } if to != self.me => Frame::Refused {
-                reason: "the request names another incarnation of the receiver".into(),
-            },
+            Frame::HandOver { to, .. } if to != self.me => {
+                Frame::Refused { reason: "the request is for another incarnation".into() }
+            }
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
                     event = "bills_taken_over",
@@ -187,14 +183,12 @@
             Frame::Subscribe(_) if *self.stopping.borrow() => {
                 Frame::Refused { reason: "the receiver is about to stop".into() }
             }
-            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => Frame::Refused {
-                reason: "the request names another incarnation of the receiver".into(),
-            },
+            Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
+                Frame::Refused { reason: "the request is for another incarnation".into() }
+            }
             Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
-                None => {
-                    Frame::Refused { reason: "the receiver does not watch the store yet".into() }
-                }
+                None => Frame::Refused { reason: "the receiver does not watch the store".into() },
             },
             Frame::Draw(draw) => self.draw(&request.from, draw).await,
             Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
