--- a/crates/gateway/src/fleet/entry.rs
+++ b/crates/gateway/src/fleet/entry.rs
@@ -15,21 +15,21 @@
 /// Entry of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Incarnation of the box.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: Arc<str>,
     /// Address on which it serves other boxes.
     pub peer: SocketAddr,
     /// Its capacity.
-    pub strength: u64,
+    #[serde(rename = "strength")]
+    pub capacity: u64,
 }
 
 impl Entry {
     /// What the choice of keepers and watchers needs to know.
     pub fn profile(&self) -> Profile {
-        let Entry { incarnation, zone, strength, .. } = self;
-        Profile { name: incarnation.clone(), zone: zone.clone(), strength: *strength }
+        let Entry { incarnation, zone, capacity, .. } = self;
+        Profile { incarnation: incarnation.clone(), zone: zone.clone(), capacity: *capacity }
     }
 }
 
--- a/crates/gateway/src/fleet/peers/mod.rs
+++ b/crates/gateway/src/fleet/peers/mod.rs
@@ -55,7 +55,7 @@
     /// Number of the next published prompt.
     prompts: Arc<AtomicU64>,
     /// Notified when the list of boxes turns out to be stale.
-    unknown: Arc<Notify>,
+    stale_list: Arc<Notify>,
     /// Bytes of this box's requests and their answers.
     pub traffic: Traffic,
 }
@@ -96,7 +96,7 @@
     pub fn open(me: Profile, address: Option<SocketAddr>, seed: u64) -> Peers {
         let source = address.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |address| address.ip());
         let random = SmallRng::seed_from_u64(seed);
-        let name = me.name.clone();
+        let incarnation = me.incarnation.clone();
         let (address, last_received, last_unanswered) = Default::default();
         let state = State {
             address,
@@ -107,12 +107,12 @@
             last_unanswered,
         };
         Peers {
-            me: name,
+            me: incarnation,
             source,
             state: Arc::new(Mutex::new(state)),
             promises: Promises::default(),
             prompts: Arc::default(),
-            unknown: Arc::default(),
+            stale_list: Arc::default(),
             traffic: Traffic::default(),
         }
     }
@@ -139,9 +139,9 @@
         for (entry, version) in entries {
             let name = entry.incarnation.clone();
             let is_same = |known: &Incarnation| known.box_name() == name.box_name();
-            let is_old =
+            let is_current =
                 |(known, of): (&Incarnation, &Known)| is_same(known) && of.version >= version;
-            if is_same(&self.me) || state.known.iter().any(is_old) {
+            if is_same(&self.me) || state.known.iter().any(is_current) {
                 continue;
             }
             state.known.retain(|known, _| !is_same(known));
@@ -152,12 +152,12 @@
 
     /// Waits until the list of boxes turns out to be stale.
     pub async fn stale_list(&self) {
-        self.unknown.notified().await;
+        self.stale_list.notified().await;
     }
 
     /// Reports that the list of boxes is stale.
     pub fn report_stale_list(&self) {
-        self.unknown.notify_one();
+        self.stale_list.notify_one();
     }
 
     /// Reachable boxes to ask for tokens, most preferred first; includes this box where it is one
@@ -172,7 +172,7 @@
         keepers
     }
 
-    /// The watchers that this box subscribes to.
+    /// Watchers of the store, in the order in which this box asks them; may include this box.
     pub fn watchers(&self) -> Watchers {
         let state = self.state.lock();
         let others: Vec<Profile> =
@@ -186,7 +186,7 @@
         state.known.get(name).is_some_and(|known| known.is_reachable(Instant::now()))
     }
 
-    /// Whether this box is the keeper that it would ask itself.
+    /// Whether this box is first in its own order of keepers.
     pub fn is_keeper(&self) -> bool {
         self.keepers().first() == Some(&self.me)
     }
@@ -203,12 +203,12 @@
     }
 
     /// Replaces an incarnation by a later one of the same box that answered in its place.
-    fn replace(&self, name: &Incarnation, now: &Incarnation) {
+    fn replace(&self, name: &Incarnation, successor: &Incarnation) {
         let mut state = self.state.lock();
         if let Some(Known { entry, version, peer, .. }) = state.known.remove(name) {
-            let entry = Entry { incarnation: now.clone(), ..entry };
+            let entry = Entry { incarnation: successor.clone(), ..entry };
             let known = Known { entry, version, peer, avoid_until: None };
-            state.known.entry(now.clone()).or_insert(known);
+            state.known.entry(successor.clone()).or_insert(known);
         }
     }
 
@@ -248,7 +248,8 @@
         self.promises.close();
     }
 
-    /// The current incarnation of a box, if known; it answers that the one in question has ended.
+    /// Client for whichever incarnation of the same box is known. An answer from a later one shows
+    /// that `name` has ended.
     fn current_peer(&self, name: &Incarnation) -> Option<Peer> {
         let state = self.state.lock();
         let mut known = state.known.iter();
