--- a/crates/flintbench/src/accounting.rs
+++ b/crates/flintbench/src/accounting.rs
@@ -115,8 +115,8 @@
         let settle_start = Instant::now();
         let settled = self.fleet.settle(SETTLE_TIMEOUT).await;
         let audit = Audit::of(&self.fleet).await;
-        for fault in audit.faults().iter().take(MAX_PRINTED_VIOLATIONS) {
-            eprintln!("{fault}");
+        for violation in audit.faults().iter().take(MAX_PRINTED_VIOLATIONS) {
+            eprintln!("{violation}");
         }
         let figures = audit.figures();
         let mut report = Report::of(&figures);
@@ -212,7 +212,7 @@
     json!(online)
 }
 
-/// Suspends a box for long enough to be sealed, then resumes it.
+/// Suspends a box, by default for long enough to be sealed, then resumes it.
 pub async fn pause(options: &Options) -> Report {
     let mut testbed = Testbed::start(options, AMPLE_TOKENS, |_| {}).await;
     let load = testbed.spawn_load();
--- a/crates/flintbench/src/changes.rs
+++ b/crates/flintbench/src/changes.rs
@@ -1,4 +1,5 @@
-//! Experiments with load during changes: mixed prompts, draining, restarts and configuration.
+//! Experiments under load: long prompts beside short ones, draining, restarts and changes of the
+//! configuration.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -133,8 +134,8 @@
     }
 }
 
-/// Marks an endpoint as leaving in its pool under load. Afterwards no request may be cut off, and
-/// none sent to it more than 3 s later.
+/// Marks an endpoint as leaving in its pool under load. No request may be cut off, and none may be
+/// sent to the endpoint more than 3 s later.
 pub async fn drain_endpoint(options: &Options) -> Report {
     let fleet = start_fleet(options, 4, |_| {}).await;
     let (caller, balancer) = (fleet.caller.clone(), Balancer::of(&fleet));
--- a/crates/flintbench/src/herd.rs
+++ b/crates/flintbench/src/herd.rs
@@ -1,8 +1,7 @@
 //! Simulates boxes that select among the same endpoints from outdated load reports, where a herd of
 //! requests may follow each report.
 //!
-//! Selection is the router's own (`balance::Pool`). Endpoints are queues in simulated time, and all
-//! policies see the same arrivals.
+//! Selection is the router's own (`balance::Pool`). Endpoints are queues in simulated time.
 
 use std::{collections::BinaryHeap, sync::Arc, time::Duration};
 
@@ -47,6 +46,7 @@
     history: std::collections::VecDeque<(u64, u32, u32)>,
 }
 
+/// Boxes that send requests to simulated endpoints under one policy.
 struct Simulation {
     policy: Policy,
     pools: Vec<Pool>,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Measures queueing times under each policy with the same arrivals.
+/// Measures queueing times under each policy, with arrivals at the same rate.
 pub fn run(options: &Options) -> Report {
     let boxes = options.boxes.unwrap_or(8);
     let duration_ms = options.seconds.unwrap_or(60) * 1_000;
