--- a/crates/flintbench/src/latency.rs
+++ b/crates/flintbench/src/latency.rs
@@ -118,7 +118,7 @@
 /// Each router of a fleet runs on one thread, named after its box.
 pub fn thread_cpu_seconds(name: &str) -> f64 {
     /// Clock ticks per second in `/proc`, fixed by the kernel's user-space interface.
-    const TICKS: f64 = 100.0;
+    const TICKS_PER_S: f64 = 100.0;
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return 0.0 };
     let mut ticks = 0.0;
     for task in tasks.flatten() {
@@ -131,5 +131,5 @@
         let field = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok());
         ticks += field(11).unwrap_or(0.0) + field(12).unwrap_or(0.0);
     }
-    ticks / TICKS
+    ticks / TICKS_PER_S
 }
