--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -52,9 +52,9 @@
     let cases: [(&[Liveness], Verdict); 6] = [
         (&[Running, Running, Running], Verdict::Allowed),
         (&[Ended, Ended, Ended], Verdict::Quarantined { for_s: 86_400 }),
-        (&[Ended, Ended, Running], Verdict::Suspect { ended: 2 }),
+        (&[Ended, Ended, Running], Verdict::Suspect { crashes: 2 }),
         (&[Unreachable, Unreachable, Unreachable], Verdict::Allowed),
-        (&[Running, Ended, Running, Running, Running], Verdict::Suspect { ended: 1 }),
+        (&[Running, Ended, Running, Running, Running], Verdict::Suspect { crashes: 1 }),
         (&[Ended, Running, Ended, Unreachable, Ended], Verdict::Quarantined { for_s: 86_400 }),
     ];
     for (found, expected) in cases {
@@ -84,7 +84,7 @@
         let (crashes, _probes) = broken(5).await;
         let (fingerprint, began) = (request(), Instant::now());
         let verdict = crashes.verdict(&fingerprint, began + left).await;
-        assert_eq!(verdict, Verdict::Unconfirmed { ended: 0 });
+        assert_eq!(verdict, Verdict::Unconfirmed { crashes: 0 });
         assert!(began.elapsed() <= left.min(Duration::from_millis(50)));
     }
 }
--- a/crates/quarantine/src/registry.rs
+++ b/crates/quarantine/src/registry.rs
@@ -32,11 +32,11 @@
 pub enum Verdict {
     /// It may be run.
     Allowed,
-    /// It may be run, although `ended` endpoints crashed with it.
-    Suspect { ended: usize },
-    /// It depends on possible crashes that are not confirmed yet, in addition to `ended` confirmed
-    /// ones.
-    Unconfirmed { ended: usize },
+    /// It may be run, although `crashes` endpoints crashed with it.
+    Suspect { crashes: usize },
+    /// It depends on possible crashes that are not confirmed yet, in addition to `crashes`
+    /// confirmed ones.
+    Unconfirmed { crashes: usize },
     /// It must not be run for `for_s` seconds.
     Quarantined { for_s: u64 },
 }
@@ -132,14 +132,14 @@
     /// within milliseconds.
     pub fn verdict(&self, request: &Fingerprint, unconfirmed: &[Arc<str>], now_s: u64) -> Verdict {
         let keep_s = self.limits.keep_s;
-        let mut ended = self.crashed_with(request);
-        ended.retain(|_, at| *at + keep_s > now_s);
-        let confirmed = ended.len();
+        let mut crashes = self.crashed_with(request);
+        crashes.retain(|_, at| *at + keep_s > now_s);
+        let confirmed = crashes.len();
         let pending: BTreeSet<_> =
-            unconfirmed.iter().filter(|instance| !ended.contains_key(instance)).collect();
+            unconfirmed.iter().filter(|instance| !crashes.contains_key(instance)).collect();
         match confirmed {
             _ if confirmed >= self.limits.crashes => {
-                let mut seconds: Vec<u64> = ended.into_values().collect();
+                let mut seconds: Vec<u64> = crashes.into_values().collect();
                 seconds.sort_unstable();
                 // The quarantine ends when so many crashes have expired that one fewer than needed
                 // is left.
@@ -147,10 +147,10 @@
                 Verdict::Quarantined { for_s: (last + keep_s).saturating_sub(now_s) }
             }
             _ if confirmed + pending.len() >= self.limits.crashes => {
-                Verdict::Unconfirmed { ended: confirmed }
+                Verdict::Unconfirmed { crashes: confirmed }
             }
             0 => Verdict::Allowed,
-            _ => Verdict::Suspect { ended: confirmed },
+            _ => Verdict::Suspect { crashes: confirmed },
         }
     }
 
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -76,7 +76,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 struct Count {
     /// Engines crashed by guilty requests.
-    ended: u64,
+    crashes: u64,
     /// Innocent requests refused.
     refused: u64,
     /// Innocent requests broken by a crash of their engine.
@@ -231,7 +231,7 @@
                 self.engines[at].1.iter().partition(|run| run.ends_at <= now);
             let is_guilty = |run: &Run| matches!(run.who, Who::Guilty(_));
             if done.iter().any(is_guilty) {
-                self.count.ended += 1;
+                self.count.crashes += 1;
                 self.crash(at, now);
                 continue;
             }
@@ -250,16 +250,16 @@
     }
 }
 
-fn run(ended: usize, answers_count: bool) -> Count {
-    run_with(ended, answers_count, None)
+fn run(crashes: usize, answers_count: bool) -> Count {
+    run_with(crashes, answers_count, None)
 }
 
-fn run_with(ended: usize, answers_count: bool, policy: Option<Policy>) -> Count {
+fn run_with(crashes: usize, answers_count: bool, policy: Option<Policy>) -> Count {
     let mut all = Count::default();
     for seed in 0..SEEDS {
         let mut fleet = Fleet {
             random: ChaCha8Rng::seed_from_u64(seed),
-            registry: Registry::new(Limits { crashes: ended, keep_s: 86_400 }),
+            registry: Registry::new(Limits { crashes, keep_s: 86_400 }),
             answers_count,
             policy,
             unconfirmed: Vec::new(),
@@ -271,7 +271,7 @@
         fleet.retry(5_000, Who::Guilty(1), 0);
         fleet.retry(12_000, Who::Guilty(2), 0);
         (0..RUN_MS).step_by(STEP_MS as usize).for_each(|now| fleet.step(now));
-        all.ended += fleet.count.ended;
+        all.crashes += fleet.count.crashes;
         all.refused += fleet.count.refused;
         all.broken += fleet.count.broken;
         all.delayed += fleet.count.delayed;
@@ -289,9 +289,9 @@
     println!("never {never:?}\ntwo {two:?}\nthree {three:?}");
     println!("three without answers {three_without_answers:?}\nfour {four:?}");
     let guilty = 2 * SEEDS;
-    assert!(three.ended <= 3 * guilty, "at most three crashes per guilty request: {three:?}");
+    assert!(three.crashes <= 3 * guilty, "at most three crashes per guilty request: {three:?}");
     assert_eq!(three.refused, 0, "innocent requests");
-    assert!(never.ended > 5 * three.ended && never.broken > 3 * three.broken, "{never:?}");
+    assert!(never.crashes > 5 * three.crashes && never.broken > 3 * three.broken, "{never:?}");
     assert!(two.refused > 0, "by chance, innocent requests ran at two crashes: {two:?}");
     assert!(
         three_without_answers.refused > 0,
@@ -308,14 +308,14 @@
     let guilty = 2 * SEEDS;
     for (policy, count) in [("waits", &waits), ("refused", &refused)] {
         assert!(
-            count.ended <= 3 * guilty,
+            count.crashes <= 3 * guilty,
             "{policy}: at most three crashes per guilty request: {count:?}"
         );
         assert_eq!(count.refused, 0, "{policy}: innocent requests");
     }
     assert!(counts.refused > 0, "connection resets look like crashes: {counts:?}");
     assert!(
-        ignored.ended > waits.ended,
+        ignored.crashes > waits.crashes,
         "callers retry before the crash is confirmed: {ignored:?}"
     );
 }
--- a/crates/quarantine/tests/registry.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -12,13 +12,13 @@
     Fingerprint::of(Some(&"bornova".into()), [n.to_le_bytes().as_slice()])
 }
 
-fn ended(endpoint: &str, requests: &[u32]) -> Report {
+fn crashed(endpoint: &str, requests: &[u32]) -> Report {
     let finding = Finding::Ended { endpoint: endpoint.into() };
     Report { finding, requests: requests.iter().copied().map(request).collect(), at_s: NOW }
 }
 
 fn answered(requests: &[u32]) -> Report {
-    Report { finding: Finding::Answered, ..ended("", requests) }
+    Report { finding: Finding::Answered, ..crashed("", requests) }
 }
 
 /// Takes these reports in this order, each with the next store version.
@@ -35,26 +35,30 @@
     use Verdict::{Allowed, Quarantined, Suspect};
     let cases: [(&str, Vec<Report>, Verdict); 7] = [
         ("no reports", vec![], Allowed),
-        ("two endpoints", vec![ended("a", &[1]), ended("b", &[1])], Suspect { ended: 2 }),
+        ("two endpoints", vec![crashed("a", &[1]), crashed("b", &[1])], Suspect { crashes: 2 }),
         (
             "three endpoints",
-            vec![ended("a", &[1]), ended("b", &[1]), ended("c", &[1, 2])],
+            vec![crashed("a", &[1]), crashed("b", &[1]), crashed("c", &[1, 2])],
             Quarantined { for_s: 100 },
         ),
         (
             "one endpoint, reported by three boxes",
-            vec![ended("a", &[1]), ended("a", &[1]), ended("a", &[1])],
-            Suspect { ended: 1 },
+            vec![crashed("a", &[1]), crashed("a", &[1]), crashed("a", &[1])],
+            Suspect { crashes: 1 },
+        ),
+        (
+            "other requests",
+            vec![crashed("a", &[2]), crashed("b", &[2]), crashed("c", &[2])],
+            Allowed,
         ),
-        ("other requests", vec![ended("a", &[2]), ended("b", &[2]), ended("c", &[2])], Allowed),
         (
             "crashes, then a complete answer",
-            vec![ended("a", &[1]), ended("b", &[1]), ended("c", &[1]), answered(&[1])],
+            vec![crashed("a", &[1]), crashed("b", &[1]), crashed("c", &[1]), answered(&[1])],
             Allowed,
         ),
         (
             "a complete answer, then crashes",
-            vec![answered(&[1]), ended("a", &[1]), ended("b", &[1]), ended("c", &[1])],
+            vec![answered(&[1]), crashed("a", &[1]), crashed("b", &[1]), crashed("c", &[1])],
             Quarantined { for_s: 100 },
         ),
     ];
@@ -66,13 +70,14 @@
 #[test]
 fn an_unconfirmed_crash_never_quarantines() {
     let verdict = |confirmed: &[&str], instances: &[&str]| {
-        let reports: Vec<Report> = confirmed.iter().map(|instance| ended(instance, &[1])).collect();
+        let reports: Vec<Report> =
+            confirmed.iter().map(|instance| crashed(instance, &[1])).collect();
         let instances: Vec<Arc<str>> =
             instances.iter().map(|instance| (*instance).into()).collect();
         registry(&reports).verdict(&request(1), &instances, NOW)
     };
     let (suspect, unconfirmed) =
-        (|ended| Verdict::Suspect { ended }, |ended| Verdict::Unconfirmed { ended });
+        (|crashes| Verdict::Suspect { crashes }, |crashes| Verdict::Unconfirmed { crashes });
     let cases: [(&[&str], &[&str], Verdict); 7] = [
         (&[], &["a", "b"], Verdict::Allowed),
         (&[], &["a", "b", "c", "d"], unconfirmed(0)),
@@ -95,11 +100,11 @@
 fn a_quarantine_ends_when_its_oldest_needed_crash_expires() {
     let mut registry = Registry::new(LIMITS);
     for (n, at_s) in [1_000, 1_010, 1_020, 1_030].into_iter().enumerate() {
-        let report = Report { at_s, ..ended(&format!("i-{n}"), &[1]) };
+        let report = Report { at_s, ..crashed(&format!("i-{n}"), &[1]) };
         registry.add_report(&format!("r-{n}").into(), Some(n as u64), report, 1_030, 0);
     }
     assert_eq!(registry.verdict(&request(1), &[], 1_030), Verdict::Quarantined { for_s: 80 });
-    assert_eq!(registry.verdict(&request(1), &[], 1_110), Verdict::Suspect { ended: 2 });
+    assert_eq!(registry.verdict(&request(1), &[], 1_110), Verdict::Suspect { crashes: 2 });
     registry.expire(1_200);
     assert!(registry.is_empty());
     assert_eq!(registry.verdict(&request(1), &[], 1_200), Verdict::Allowed);
@@ -111,7 +116,7 @@
     let mut registry = Registry::new(LIMITS);
     assert!(!registry.answered(&request(1), 5_000), "no report names it");
     let take = |registry: &mut Registry, n: usize, now_ms| {
-        let report = ended(&format!("i-{n}"), &[1, 2]);
+        let report = crashed(&format!("i-{n}"), &[1, 2]);
         registry.add_report(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
     assert_eq!(take(&mut registry, 1, 6_000), []);
@@ -125,9 +130,9 @@
 
 #[test]
 fn reports_are_bounded_and_keep_the_quarantine() {
-    let mut registry = registry(&[ended("a", &[1]), ended("b", &[1]), ended("c", &[1])]);
+    let mut registry = registry(&[crashed("a", &[1]), crashed("b", &[1]), crashed("c", &[1])]);
     for n in 0..5_000_u32 {
-        let report = ended(&format!("i-{n}"), &[n + 10, n + 11]);
+        let report = crashed(&format!("i-{n}"), &[n + 10, n + 11]);
         registry.add_report(&format!("w-{n}").into(), Some(u64::from(n) + 10), report, NOW, 0);
         registry.answered(&request(n), u64::from(n));
     }
@@ -136,7 +141,7 @@
     assert_eq!(registry.verdict(&request(1), &[], NOW), Verdict::Quarantined { for_s: 100 });
     let many: Vec<u32> = (0..10_000).collect();
     let mut wide = Registry::new(LIMITS);
-    wide.add_report(&"r".into(), None, ended("a", &many), NOW, 0);
+    wide.add_report(&"r".into(), None, crashed("a", &many), NOW, 0);
     assert_eq!(
         wide.verdict(&request(9_999), &[], NOW),
         Verdict::Allowed,
@@ -146,7 +151,7 @@
 
 #[test]
 fn reports_and_fingerprints_round_trip() {
-    let report = ended("i-1 7", &[1, 2]);
+    let report = crashed("i-1 7", &[1, 2]);
     let text = serde_json::to_string(&report).expect("reports always serialize");
     assert_eq!(serde_json::from_str::<Report>(&text).expect("a valid report"), report);
     for odd in ["1@b", "zz@b", "", "no separator"] {
@@ -172,7 +177,7 @@
         let reports: Vec<Report> = reports
             .into_iter()
             .map(|(endpoint, n, is_crash)| match is_crash {
-                true => ended(&format!("i-{endpoint}"), &[n]),
+                true => crashed(&format!("i-{endpoint}"), &[n]),
                 false => answered(&[n]),
             })
             .collect();
