--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -208,7 +208,7 @@
             settings: read_settings,
         };
         let settler = Settler::new(setup, recovery.clone());
-        let lapse = Duration::from_millis(settings.limits.lapse_ms);
+        let grace = Duration::from_millis(settings.limits.lapse_ms);
         let name = settings.box_name.clone();
         let reporter = Reporter {
             store: store.clone(),
@@ -222,7 +222,7 @@
             recovery,
             watchdog: watchdog.clone(),
             name,
-            lapse,
+            grace,
         };
         let subscriber =
             Subscriber::new(context.peers.clone(), watcher_setup, registered, random.random());
--- a/crates/gateway/src/sync/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -53,9 +53,9 @@
     }
 
     /// The store is reachable again: entries that expired since `lost_since` may come back for
-    /// `lapse`.
-    pub fn store_returned(&self, lost_since: Instant, lapse: Duration) {
-        let until = self.now() + lapse.as_millis() as u64;
+    /// `grace`.
+    pub fn store_returned(&self, lost_since: Instant, grace: Duration) {
+        let until = self.now() + grace.as_millis() as u64;
         let lost_since = self.ms(lost_since);
         self.0.state.lock().directory.store_returned(lost_since, until);
     }
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -44,7 +44,7 @@
     /// Name of this box.
     pub name: Arc<str>,
     /// How long missing entries are kept after an outage of the store.
-    pub lapse: Duration,
+    pub grace: Duration,
 }
 
 /// Tasks that watch the store; they end when this is dropped.
@@ -214,7 +214,7 @@
     let since = outage.since();
     outage.record_success();
     if let Some(since) = since.filter(|since| since.elapsed() > MIN_EXPIRY_OUTAGE) {
-        setup.view.store_returned(since, setup.lapse);
+        setup.view.store_returned(since, setup.grace);
     }
 }
 
@@ -245,7 +245,7 @@
         watch = setup.store.watch_kind(platform::ENDPOINTS, from) => watch?,
         lost_since = setup.recovery.recovered() => {
             // Another task noticed an outage and its end: this watch may be dead.
-            setup.view.store_returned(lost_since, setup.lapse);
+            setup.view.store_returned(lost_since, setup.grace);
             return Ok(None);
         }
     };
