--- a/crates/balance/src/pool/choose.rs
+++ b/crates/balance/src/pool/choose.rs
@@ -173,13 +173,13 @@
         now: u64,
     ) -> (f64, Choice) {
         let load = endpoint.load(now);
-        let held = self.prefixes.held(prefix, &endpoint.name).max(assumed);
-        let missing = prefix.size().saturating_sub(held);
+        let cached = self.prefixes.cached_size(prefix, &endpoint.name).max(assumed);
+        let missing = prefix.size().saturating_sub(cached);
         let zone_cost = if endpoint.zone == self.zone { 0.0 } else { self.weights.other_zone };
         let backlog = endpoint.backlog(self.mean_prefill, now);
         let cost = (load + 1.0) * self.weights.in_flight * endpoint.slow_start(now)
             + (missing as f64 * self.weights.prefill + backlog) / self.weights.size_per_request
             + zone_cost;
-        (cost, Choice { name: endpoint.name.clone(), cached: held, load })
+        (cost, Choice { name: endpoint.name.clone(), cached, load })
     }
 }
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -192,10 +192,10 @@
         }
     }
 
-    /// Records the prefill of a prompt of which the endpoint holds `held`; returns the size to
+    /// Records the prefill of a prompt of which the endpoint has `cached` in its cache; returns the size to
     /// prefill.
-    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
-        let missing = prefix.size().saturating_sub(held);
+    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, cached: u64) -> u64 {
+        let missing = prefix.size().saturating_sub(cached);
         self.mean_prefill += (missing as f64 - self.mean_prefill) * MEAN_PREFILL_GAIN;
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.start_prefill(missing);
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -122,7 +122,7 @@
     }
 
     /// Size of the leading blocks that an endpoint probably holds.
-    pub fn held(&self, prefix: &Prefix, endpoint: &str) -> u64 {
+    pub fn cached_size(&self, prefix: &Prefix, endpoint: &str) -> u64 {
         let holds = |block: &&Block| {
             let holders = self.holders.get(&block.hash);
             holders.is_some_and(|names| names.iter().any(|name| &**name == endpoint))
