--- a/crates/balance/src/endpoint.rs
+++ b/crates/balance/src/endpoint.rs
@@ -280,7 +280,7 @@
     }
 
     /// Takes over a load report, unless a newer one is known.
-    pub fn report(&mut self, report: Report) {
+    pub fn receive_report(&mut self, report: Report) {
         let newer = self.report.is_none_or(|known| known.at <= report.at);
         if newer {
             self.report = Some(report);
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -230,9 +230,9 @@
     }
 
     /// Takes over an endpoint's load report.
-    pub fn report(&mut self, name: &str, report: Report) {
+    pub fn receive_report(&mut self, name: &str, report: Report) {
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.report(report);
+            endpoint.receive_report(report);
         }
     }
 
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -25,7 +25,7 @@
     pool.start(&"e5".into(), &prefix, 10);
     let choice = pool.choose(&prefix, &[], 20, &mut random()).unwrap();
     assert_eq!((&*choice.name, choice.cached), ("e5", prefix.size()));
-    pool.report("e5", Report { at: 20, running: 32, waiting: 30, slots: 32 });
+    pool.receive_report("e5", Report { at: 20, running: 32, waiting: 30, slots: 32 });
     let choice = pool.choose(&prefix, &[], 30, &mut random()).unwrap();
     assert_ne!(&*choice.name, "e5");
 }
@@ -96,7 +96,7 @@
         for _ in 0..after {
             pool.start(&name, &Prefix::default(), 900);
         }
-        pool.report("e0", Report { at: 500, running: before + 3, waiting: 0, slots: 32 });
+        pool.receive_report("e0", Report { at: 500, running: before + 3, waiting: 0, slots: 32 });
         let load = pool.get("e0").unwrap().load(1_000);
         prop_assert_eq!(load, f64::from(before + 3 + after));
     }
@@ -131,7 +131,7 @@
     );
     // Another box's request waits there: it counts as a typical prompt, decaying with the report's
     // age.
-    pool.report("e1", Report { at: 0, running: 1, waiting: 1, slots: 64 });
+    pool.receive_report("e1", Report { at: 0, running: 1, waiting: 1, slots: 64 });
     assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has prompts of other boxes to prefill");
 }
 
--- a/crates/flintbench/src/herd.rs
+++ b/crates/flintbench/src/herd.rs
@@ -158,7 +158,7 @@
             if let Some((at, running, waiting)) = old.copied() {
                 let report = LoadReport { at, running, waiting, slots: SLOTS as u32 };
                 for pool in &mut self.pools {
-                    pool.report(&self.names[index], report);
+                    pool.receive_report(&self.names[index], report);
                 }
             }
         }
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -80,7 +80,7 @@
         }
         if let Some(Signal::Valid(load)) = &signals.load {
             let (running, waiting, slots) = (load.running, load.waiting, load.slots);
-            endpoint.report(Report { at: now, running, waiting, slots });
+            endpoint.receive_report(Report { at: now, running, waiting, slots });
         }
         let limit = signals.limit.as_ref().map(|signal| read_limit(endpoint, signal));
         let limit =
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -219,7 +219,7 @@
         let at = now.saturating_sub(load.age_ms);
         let (running, waiting, slots) = (load.running, load.waiting, load.slots);
         if let Some(pool) = pools.get_mut(&entry.pool) {
-            pool.report(endpoint, Report { at, running, waiting, slots });
+            pool.receive_report(endpoint, Report { at, running, waiting, slots });
         }
         state.refresh()
     }
