--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -75,8 +75,8 @@
     }
 
     /// Takes over a complete list, read at store version `at`.
-    pub fn list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
-        self.seen(at);
+    pub fn apply_list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
+        self.advance_to(at);
         let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
         for (id, version, entry) in entries {
             self.set(id, version, entry);
@@ -112,8 +112,8 @@
     }
 
     /// Takes over all entries that another box knows, which are complete up to store version `at`.
-    pub fn mirror(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
-        self.seen(at);
+    pub fn apply_snapshot(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
+        self.advance_to(at);
         let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
         for (id, version, entry) in entries {
             self.set(id, version, entry);
@@ -140,7 +140,7 @@
     }
 
     /// Records that all entries up to a store version are known.
-    pub fn seen(&mut self, at: u64) {
+    pub fn advance_to(&mut self, at: u64) {
         self.at = self.at.max(at);
     }
 
--- a/crates/gateway/src/sync/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -22,7 +22,7 @@
                 None => state.directory.remove(name, *version),
             }
         }
-        state.directory.list(entries, at, now);
+        state.directory.apply_list(entries, at, now);
         for object in objects {
             state.add_endpoint_change(&object.name, object.version, &object.value);
         }
@@ -46,7 +46,7 @@
                 _ => state.directory.remove(&change.name, change.version),
             }
         }
-        state.directory.seen(at);
+        state.directory.advance_to(at);
         if state.directory.sweep(now) || is_new {
             self.publish_endpoints(&mut state, "watch", at);
         }
@@ -123,7 +123,7 @@
             }
         }
         match whole {
-            true => self.directory.mirror(entries, at),
+            true => self.directory.apply_snapshot(entries, at),
             false => {
                 for (id, version, entry) in entries {
                     self.directory.set(id, version, entry);
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -69,7 +69,11 @@
 #[test]
 fn draining_endpoint_is_not_ready() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.set("a".into(), 3, entry("draining"));
     assert_eq!(ready(&directory), ["b"], "a is draining");
@@ -82,9 +86,13 @@
 #[test]
 fn lapsed_entries_have_time_to_come_back() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     assert_eq!(ready(&directory), ["a", "b"], "b may still come back");
     assert!(directory.has_missing());
     assert!(!directory.sweep(11_999));
@@ -92,7 +100,7 @@
     assert!(!directory.sweep(12_000), "b came back");
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.store_returned(15_000, 20_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
     assert!(!directory.sweep(19_999));
     assert!(directory.sweep(20_000), "b did not come back this time");
     assert_eq!(ready(&directory), ["a"]);
@@ -101,9 +109,13 @@
 #[test]
 fn entry_removed_after_an_outage_is_not_kept() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(
+    directory.apply_list(
         vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
         0,
         10_000,
@@ -116,16 +128,20 @@
 #[test]
 fn late_report_of_the_same_outage_extends_nothing() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     // A task that probes seldom finds the store 2 s later and reports the same outage.
     directory.store_returned(6_000, 14_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
     assert!(directory.sweep(12_000), "the time for b was not extended");
     assert_eq!(ready(&directory), ["a"]);
     directory.store_returned(13_000, 20_000);
-    directory.list(Vec::new(), 9, 18_000);
+    directory.apply_list(Vec::new(), 9, 18_000);
     assert_eq!(ready(&directory), ["a"], "another outage gives a again time to come back");
 }
 
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -114,7 +114,7 @@
 #[test]
 fn stale_snapshot_changes_nothing() {
     let mut directory = Directory::default();
-    directory.list(
+    directory.apply_list(
         vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))],
         6,
         0,
@@ -124,7 +124,7 @@
     directory.set("new".into(), 12, entry("ready"));
     // State of the suspended watcher at version 7.
     let old = vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))];
-    directory.mirror(old, 7);
+    directory.apply_snapshot(old, 7);
     assert_eq!(ready(&directory), BTreeSet::from(["new".into()]));
     // The entry lapsed during an outage and was written again.
     directory.set("left".into(), 13, entry("ready"));
@@ -134,8 +134,12 @@
 #[test]
 fn newer_snapshot_removes_entries() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))], 6, 0);
-    directory.mirror(vec![("b".into(), 6, entry("ready"))], 8);
+    directory.apply_list(
+        vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))],
+        6,
+        0,
+    );
+    directory.apply_snapshot(vec![("b".into(), 6, entry("ready"))], 8);
     assert_eq!(ready(&directory), BTreeSet::from(["b".into()]));
 }
 
@@ -330,7 +334,7 @@
                 Err(_) => watcher.directory.remove(id, *version),
             }
         }
-        watcher.directory.list(list, self.store.version, 0);
+        watcher.directory.apply_list(list, self.store.version, 0);
         for (id, (version, text)) in &self.store.entries {
             if watcher.directory.version(id) == Some(*version) {
                 watcher.change_log.put("servers", id, *version, Some(text));
@@ -367,7 +371,7 @@
             }
         }
         match is_snapshot {
-            true => self.subscriber.mirror(entries, watcher.at),
+            true => self.subscriber.apply_snapshot(entries, watcher.at),
             false => {
                 for (id, version, entry) in entries {
                     self.subscriber.set(id, version, entry);
