--- a/crates/balance/src/permits.rs
+++ b/crates/balance/src/permits.rs
@@ -64,11 +64,11 @@
         }
         // When the next permit is saved up, or the endpoint is due for a request in any case. With
         // a limit of zero, nothing is ever saved up.
-        let saved_up =
+        let next_permit_ms =
             ((1.0 - self.saved) * 1_000.0 / per_s).min(MAX_RETRY_MS as f64).ceil() as u64;
-        let next = (now + saved_up).min(self.issued_at + PROBE_INTERVAL_MS);
+        let earliest = (now + next_permit_ms).min(self.issued_at + PROBE_INTERVAL_MS);
         let spacing_ms = (RETRY_SPACING * 1_000.0 / per_s).min(MAX_RETRY_MS as f64) as u64;
-        self.last_retry_at = (self.last_retry_at + spacing_ms).clamp(next, now + MAX_RETRY_MS);
+        self.last_retry_at = (self.last_retry_at + spacing_ms).clamp(earliest, now + MAX_RETRY_MS);
         Permit::After { ms: self.last_retry_at - now }
     }
 }
--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -250,8 +250,12 @@
     /// Takes over the requests that a peer has in flight.
     pub fn receive_peer_load(&mut self, peer: &Arc<str>, snapshots: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
-            let count = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
-            endpoint.receive_peer_load(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
+            let reported = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
+            endpoint.receive_peer_load(
+                peer,
+                reported.map_or(0, |snapshot| snapshot.in_flight),
+                now,
+            );
         }
     }
 
--- a/crates/balance/tests/back_off.rs
+++ b/crates/balance/tests/back_off.rs
@@ -244,9 +244,8 @@
     }
 
     fn count(&mut self, at: usize, is_overloaded: bool, now: u64) {
-        let back_off_since =
-            self.back_off_since[at].filter(|back_off_since| now < back_off_since + BACK_OFF_MS);
-        let is_late = back_off_since.is_some_and(|back_off_since| now >= back_off_since + 500);
+        let back_off_since = self.back_off_since[at].filter(|since| now < since + BACK_OFF_MS);
+        let is_late = back_off_since.is_some_and(|since| now >= since + 500);
         self.in_back_off[at] += usize::from(is_late);
         match is_overloaded {
             true if back_off_since.is_none() => self.back_off_since[at] = Some(now),
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -116,7 +116,7 @@
     let short = Prefix::of_parts([(2, 500)]);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     pool.start(&"e1".into(), &long, 0);
-    let unread = pool.start_prefill("e1", &long, 0);
+    let missing = pool.start_prefill("e1", &long, 0);
     // Many answers in flight cost less than one long prompt.
     for _ in 0..8 {
         pool.start(&"e2".into(), &Prefix::default(), 0);
@@ -124,7 +124,7 @@
     let mut choose =
         |pool: &Pool| pool.choose(&short, &[], 0, &mut random).expect("an endpoint").name;
     assert!((0..20).all(|_| &*choose(&pool) == "e2"), "e1 has a long prompt to prefill");
-    pool.finish_prefill("e1", unread);
+    pool.finish_prefill("e1", missing);
     assert!(
         (0..20).all(|_| &*choose(&pool) == "e1"),
         "the prefill is done, and fewer requests are in flight there"
@@ -247,7 +247,7 @@
 #[test]
 fn large_shared_parts_are_owned_by_engines_that_are_not_slow() {
     let cases = [(6_000, 27.0, 0), (6_000, 22.0, 1), (200, 27.0, 1)];
-    for (shared, slow_ms, least) in cases {
+    for (shared, slow_ms, expected) in cases {
         let pool = pool_with_slow(&["e1", "e4", "e7"], slow_ms);
         let at_slow = (0..60).filter(|id| {
             let prefix = Prefix::of_parts([(*id, shared), (1_000 + id, 100)]);
@@ -255,7 +255,7 @@
             choice.cached > 0 && ["e1", "e4", "e7"].contains(&&*choice.name)
         });
         let at_slow = at_slow.count().min(1);
-        assert_eq!(at_slow, least, "{shared} shared, {slow_ms} ms");
+        assert_eq!(at_slow, expected, "{shared} shared, {slow_ms} ms");
     }
 }
 
--- a/crates/balance/tests/limit.rs
+++ b/crates/balance/tests/limit.rs
@@ -91,18 +91,18 @@
         changes_at in 0_usize..300,
     ) {
         let per_s = f64::from(per_s) / 1_000.0;
-        let (mut permits, mut now, mut given) = (Permits::open(0), 0, Vec::new());
+        let (mut permits, mut now, mut granted) = (Permits::open(0), 0, Vec::new());
         for (n, pause) in pauses.into_iter().enumerate() {
             now += pause;
             if n == changes_at {
                 permits = Permits::open(now);
             }
             if permits.take(per_s, now) == Permit::Granted {
-                given.push(now);
+                granted.push(now);
             }
         }
-        for (first, from) in given.iter().enumerate() {
-            let within = given[first..].iter().filter(|at| **at < from + 4_000).count();
+        for (first, from) in granted.iter().enumerate() {
+            let within = granted[first..].iter().filter(|at| **at < from + 4_000).count();
             prop_assert!(within as f64 <= per_s * 4.0 * 1.5 + 5.0, "{within} in 4 s at {per_s}");
         }
     }
@@ -134,8 +134,8 @@
 #[test]
 fn an_endpoint_with_a_zero_limit_is_probed_every_five_seconds() {
     let mut permits = Permits::open(0);
-    let given = (0..20_000).filter(|now| permits.take(0.0, *now) == Permit::Granted);
-    assert_eq!(given.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
+    let granted = (0..20_000).filter(|now| permits.take(0.0, *now) == Permit::Granted);
+    assert_eq!(granted.collect::<Vec<_>>(), [5_000, 10_000, 15_000]);
 }
 
 /// A pool of endpoints `e0` to `e2` in a fleet of three boxes, with these limits.
--- a/crates/gateway/src/sync/change_log.rs
+++ b/crates/gateway/src/sync/change_log.rs
@@ -86,21 +86,21 @@
 
     /// Names and versions of the objects of a kind, without deleted ones.
     pub fn names(&self, kind: &str) -> Vec<(Arc<str>, u64)> {
-        let there =
+        let present =
             self.objects.iter().filter(|((of, _), entry)| &**of == kind && entry.value.is_some());
-        there.map(|((_, name), entry)| (name.clone(), entry.version)).collect()
+        present.map(|((_, name), entry)| (name.clone(), entry.version)).collect()
     }
 
     /// The changes after number `since`, and whether they are a full snapshot. That is so for 0,
     /// and for numbers that are no longer remembered or were never assigned.
     pub fn since(&self, since: u64) -> (Vec<Change>, bool) {
-        let whole = since == 0 || since < self.dropped_until || since > self.last;
-        let from = if whole { 0 } else { since };
+        let is_snapshot = since == 0 || since < self.dropped_until || since > self.last;
+        let from = if is_snapshot { 0 } else { since };
         let changes = self.order.range(from + 1..).map(|(_, id)| {
             let entry = &self.objects[id];
             let (kind, name) = id.clone();
             Change { kind, name, version: entry.version, value: entry.value.clone() }
         });
-        (changes.collect(), whole)
+        (changes.collect(), is_snapshot)
     }
 }
--- a/crates/gateway/src/sync/subscriber.rs
+++ b/crates/gateway/src/sync/subscriber.rs
@@ -144,7 +144,7 @@
         let mut last_contact = Instant::now();
         let mut next_probe = Instant::now();
         // Whether this box probed the store itself during the outage and did not reach it either.
-        let mut probed_in_vain = false;
+        let mut own_probe_failed = false;
         loop {
             let watchers = self.peers.watchers();
             if watchers.is_active(self.peers.me())
@@ -163,11 +163,11 @@
             match &subscription {
                 Some(known) if known.is_store_unreachable && next_probe <= Instant::now() => {
                     match self.reaches_store().await {
-                        true if probed_in_vain => {
+                        true if own_probe_failed => {
                             subscription = self.resume_after_outage(&known.clone()).await
                         }
                         true => return false,
-                        false => probed_in_vain = true,
+                        false => own_probe_failed = true,
                     }
                     if subscription.is_none() {
                         return false;
@@ -176,7 +176,7 @@
                     last_contact = Instant::now();
                 }
                 Some(known) => {
-                    probed_in_vain &= known.is_store_unreachable;
+                    own_probe_failed &= known.is_store_unreachable;
                     last_contact = Instant::now();
                 }
                 None if last_contact.elapsed()
@@ -203,13 +203,13 @@
         let updates = self
             .request_updates(&subscription.watcher, Some(subscription.last), true, Duration::ZERO)
             .await?;
-        let now = Subscription {
+        let renewed = Subscription {
             last: updates.last,
             is_store_unreachable: updates.store_unreachable_ms.is_some(),
             ..subscription.clone()
         };
         self.setup.view.apply(updates);
-        (!now.is_store_unreachable).then_some(now)
+        (!renewed.is_store_unreachable).then_some(renewed)
     }
 
     /// A duration, up to half longer at random.
@@ -242,21 +242,21 @@
             // After a suspension the watcher may be gone and the connection dead.
             () = self.setup.watchdog.next_suspension(suspensions) => return None,
         };
-        let now = Subscription {
+        let renewed = Subscription {
             last: updates.last,
             is_store_unreachable: updates.store_unreachable_ms.is_some(),
             ..subscription.clone()
         };
-        let lost_store = now.is_store_unreachable && !subscription.is_store_unreachable;
+        let lost_store = renewed.is_store_unreachable && !subscription.is_store_unreachable;
         self.setup.view.apply(updates);
         match lost_store {
-            true => self.find_reachable(&subscription.watcher).await.or(Some(now)),
-            false => Some(now),
+            true => self.find_other_watcher(&subscription.watcher).await.or(Some(renewed)),
+            false => Some(renewed),
         }
     }
 
     /// Subscribes to another watcher, one that reaches the store.
-    async fn find_reachable(&self, excluded: &Incarnation) -> Option<Subscription> {
+    async fn find_other_watcher(&self, excluded: &Incarnation) -> Option<Subscription> {
         let watchers = self.peers.watchers();
         for watcher in watchers
             .active
--- a/crates/gateway/src/sync/view/boxes.rs
+++ b/crates/gateway/src/sync/view/boxes.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    pub(super) fn apply_boxes(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
+    pub(super) fn apply_boxes(&mut self, changes: Vec<wire::Change>, is_snapshot: bool, at: u64) {
         let before = std::mem::take(&mut self.boxes);
-        if !whole {
+        if !is_snapshot {
             self.boxes = before;
         } else {
             self.boxes = before.into_iter().filter(|(_, (_, version))| *version > at).collect();
--- a/crates/gateway/src/sync/view/endpoints.rs
+++ b/crates/gateway/src/sync/view/endpoints.rs
@@ -56,7 +56,7 @@
     /// `grace`.
     pub fn store_returned(&self, lost_since: Instant, grace: Duration) {
         let until = self.now() + grace.as_millis() as u64;
-        let lost_since = self.ms(lost_since);
+        let lost_since = self.to_ms(lost_since);
         self.0.state.lock().directory.store_returned(lost_since, until);
     }
 
@@ -109,7 +109,12 @@
         }
     }
 
-    pub(super) fn apply_endpoints(&mut self, changes: Vec<wire::Change>, whole: bool, at: u64) {
+    pub(super) fn apply_endpoints(
+        &mut self,
+        changes: Vec<wire::Change>,
+        is_snapshot: bool,
+        at: u64,
+    ) {
         let mut entries = Vec::new();
         let mut texts = Vec::new();
         for change in changes {
@@ -122,7 +127,7 @@
                 _ => self.directory.remove(&change.name, change.version),
             }
         }
-        match whole {
+        match is_snapshot {
             true => self.directory.apply_snapshot(entries, at),
             false => {
                 for (id, version, entry) in entries {
--- a/crates/gateway/src/sync/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -127,7 +127,7 @@
     }
 
     /// Milliseconds of an instant, on the assumption that the box was not suspended since then.
-    fn ms(&self, at: Instant) -> u64 {
+    fn to_ms(&self, at: Instant) -> u64 {
         self.now().saturating_sub(at.elapsed().as_millis() as u64)
     }
 
--- a/crates/gateway/src/sync/view/subscribers.rs
+++ b/crates/gateway/src/sync/view/subscribers.rs
@@ -59,13 +59,13 @@
             return None;
         }
         let logged = request.since.map(|since| state.change_log.since(since));
-        let (mut changes, whole) = logged.unwrap_or_default();
+        let (mut changes, is_snapshot) = logged.unwrap_or_default();
         changes.retain(|change| {
             &*change.kind != platform::CONFIG.0 || change.version > request.config
         });
         Some(Update {
             last: state.change_log.last(),
-            is_snapshot: whole,
+            is_snapshot,
             changes,
             endpoints_at: state.directory.at(),
             boxes_at: state.boxes_at,
--- a/crates/gateway/src/sync/watcher.rs
+++ b/crates/gateway/src/sync/watcher.rs
@@ -78,7 +78,7 @@
 async fn probe_store(setup: Setup, probe: Probe) {
     let mut outage = outage(&setup, "store", probe);
     loop {
-        match answers(&setup).await {
+        match ping_store(&setup).await {
             Ok(()) => {
                 outage.record_success();
                 setup.view.set_unreachable(None);
@@ -93,7 +93,7 @@
     }
 }
 
-async fn answers(setup: &Setup) -> Result<(), Error> {
+async fn ping_store(setup: &Setup) -> Result<(), Error> {
     match setup.store.ping(BOXES, &setup.name, PROBE_TIMEOUT).await {
         Ok(()) => Ok(()),
         Err(_) => setup.store.ping(BOXES, &setup.name, SECOND_PROBE_TIMEOUT).await,
@@ -106,7 +106,10 @@
     let apply = |received| match received {
         Received::All(list, suspensions) => view.load_config(&list.objects, suspensions),
         Received::Changes(changes) => {
-            changes.into_iter().filter_map(written).for_each(|object| view.update_config(&object));
+            changes
+                .into_iter()
+                .filter_map(written_object)
+                .for_each(|object| view.update_config(&object));
         }
     };
     follow(&setup, "configuration", platform::CONFIG.0, apply).await;
@@ -182,7 +185,7 @@
     }
 }
 
-fn written(change: Change) -> Option<Object> {
+fn written_object(change: Change) -> Option<Object> {
     let value = change.value?;
     Some(Object { kind: change.kind, name: change.name, version: change.version, value })
 }
--- a/crates/quarantine/src/registry.rs
+++ b/crates/quarantine/src/registry.rs
@@ -16,7 +16,7 @@
 /// retry.
 const ANSWER_TTL_MS: u64 = 60_000;
 /// Order of a report that the store has not confirmed yet: later than all that it has.
-const NOT_STORED: u64 = u64::MAX;
+const UNSTORED_ORDER: u64 = u64::MAX;
 
 /// When a request is quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,7 +91,7 @@
             self.by_request.entry(request.clone()).or_default().insert(name.clone());
         }
         let requests = report.requests.clone();
-        let order = (version.unwrap_or(NOT_STORED), self.arrivals);
+        let order = (version.unwrap_or(UNSTORED_ORDER), self.arrivals);
         self.reports.insert(name.clone(), Entry { report, order });
         self.trim();
         requests.into_iter().filter(|request| self.take_clearance(request, now_ms)).collect()
@@ -118,9 +118,9 @@
         let names = self.by_request.get(request).into_iter().flatten();
         let entries: Vec<&Entry> = names.filter_map(|name| self.reports.get(name)).collect();
         let answers = entries.iter().filter(|entry| entry.report.finding == Finding::Answered);
-        let cleared = answers.map(|entry| entry.order).max().unwrap_or_default();
-        let since = entries.iter().filter(|entry| entry.order > cleared);
-        let crashes = since.filter_map(|entry| match &entry.report.finding {
+        let cleared_at = answers.map(|entry| entry.order).max().unwrap_or_default();
+        let later = entries.iter().filter(|entry| entry.order > cleared_at);
+        let crashes = later.filter_map(|entry| match &entry.report.finding {
             Finding::Ended { endpoint } => Some((endpoint, entry.report.at_s)),
             Finding::Answered => None,
         });
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -178,14 +178,15 @@
                 is_crash,
             }),
         }
-        let (soon, sooner) = if self.policy.is_some() { (RETRY_MS, RETRY_MS) } else { (500, 100) };
+        let (guilty_delay, innocent_delay) =
+            if self.policy.is_some() { (RETRY_MS, RETRY_MS) } else { (500, 100) };
         for Run { who, tries, .. } in runs {
             match who {
-                Who::Guilty(_) => self.retry(now + soon, who, 0),
+                Who::Guilty(_) => self.retry(now + guilty_delay, who, 0),
                 Who::Popular | Who::Other(_) => {
                     self.count.broken += 1;
                     if tries + 1 < TRIES {
-                        self.retry(now + sooner, who, tries + 1);
+                        self.retry(now + innocent_delay, who, tries + 1);
                     }
                 }
             }
--- a/crates/quarantine/tests/registry.rs
+++ b/crates/quarantine/tests/registry.rs
@@ -115,17 +115,17 @@
 fn a_request_that_is_answered_often_is_cleared_at_once() {
     let mut registry = Registry::new(LIMITS);
     assert!(!registry.answered(&request(1), 5_000), "no report names it");
-    let take = |registry: &mut Registry, n: usize, now_ms| {
+    let add = |registry: &mut Registry, n: usize, now_ms| {
         let report = crashed(&format!("i-{n}"), &[1, 2]);
         registry.add_report(&format!("r-{n}").into(), Some(n as u64), report, NOW, now_ms)
     };
-    assert_eq!(take(&mut registry, 1, 6_000), []);
-    assert_eq!(take(&mut registry, 2, 6_001), [request(1)], "one crash before the quarantine");
-    assert_eq!(take(&mut registry, 3, 6_002), [], "an answer clears it once");
+    assert_eq!(add(&mut registry, 1, 6_000), []);
+    assert_eq!(add(&mut registry, 2, 6_001), [request(1)], "one crash before the quarantine");
+    assert_eq!(add(&mut registry, 3, 6_002), [], "an answer clears it once");
     let mut late = Registry::new(LIMITS);
     late.answered(&request(1), 5_000);
-    (1..3).for_each(|n| drop(take(&mut late, n, 5_000)));
-    assert_eq!(take(&mut late, 3, 65_001), [], "the answer is too old");
+    (1..3).for_each(|n| drop(add(&mut late, n, 5_000)));
+    assert_eq!(add(&mut late, 3, 65_001), [], "the answer is too old");
 }
 
 #[test]
