--- a/crates/forward/src/body.rs
+++ b/crates/forward/src/body.rs
@@ -21,19 +21,19 @@
 impl Body {
     pub(crate) fn new(incoming: Incoming, lease: Lease) -> Body {
         let mut body = Body { incoming, lease: Some(lease) };
-        body.end_if_whole();
+        body.release_if_complete();
         body
     }
 
-    fn end_if_whole(&mut self) {
+    fn release_if_complete(&mut self) {
         if http_body::Body::is_end_stream(&self.incoming) {
-            self.end();
+            self.release_connection();
         }
     }
 
-    fn end(&mut self) {
+    fn release_connection(&mut self) {
         if let Some(lease) = self.lease.take() {
-            lease.end();
+            lease.release();
         }
     }
 }
@@ -49,11 +49,11 @@
         let frame = ready!(Pin::new(&mut self.incoming).poll_frame(context));
         match frame {
             None => {
-                self.end();
+                self.release_connection();
                 Poll::Ready(None)
             }
             Some(Ok(frame)) => {
-                self.end_if_whole();
+                self.release_if_complete();
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => {
--- a/crates/forward/src/connections.rs
+++ b/crates/forward/src/connections.rs
@@ -79,7 +79,7 @@
 
     /// Reuses an idle connection to an address or opens one, without sending anything. At most `max_open` may be open.
     pub async fn connect(&self, address: SocketAddr, max_open: usize) -> Result<Ready, Fault> {
-        let mut slot = self.slot(address, max_open)?;
+        let mut slot = self.reserve_slot(address, max_open)?;
         let reused = slot.connection.is_some();
         if !reused {
             let opened =
@@ -92,7 +92,7 @@
     }
 
     /// Reserves one of the connections allowed to an address, with an idle connection if there is one.
-    fn slot(&self, address: SocketAddr, max_open: usize) -> Result<Slot, Fault> {
+    fn reserve_slot(&self, address: SocketAddr, max_open: usize) -> Result<Slot, Fault> {
         let mut hosts = self.hosts.lock();
         let host = hosts.entry(address).or_default();
         let now = Instant::now();
@@ -219,7 +219,7 @@
 
 impl Lease {
     /// Releases the connection after the end of the response.
-    pub fn end(self) {
+    pub fn release(self) {
         debug_assert!(self.options.idle_margin <= self.options.idle_timeout);
         if let Some(idle_time) = self.idle_time {
             self.slot.keep_idle(Instant::now() + idle_time);
--- a/crates/forward/tests/connections.rs
+++ b/crates/forward/tests/connections.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn whole() -> Reply {
+fn complete_reply() -> Reply {
     Reply::Complete(StatusCode::OK, HeaderMap::new(), "done".into())
 }
 
@@ -45,7 +45,7 @@
 async fn send_two(first: Reply) -> (Result<String, Fault>, usize) {
     let script = move |arrived: &standin::ReceivedRequest| match arrived.line.contains("first") {
         true => first.clone(),
-        false => whole(),
+        false => complete_reply(),
     };
     let endpoint = ScriptedEndpoint::spawn(script).await;
     let connections = connections();
@@ -80,7 +80,7 @@
     let late = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nlate".to_owned();
     let events = vec!["data: 1\n\n".to_owned()];
     let cases = [
-        ("complete response", whole(), Some("done"), 1),
+        ("complete response", complete_reply(), Some("done"), 1),
         (
             "complete stream",
             Reply::Events(none.clone(), events.clone(), Duration::ZERO),
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -50,9 +50,9 @@
     /// Limit of connections from this box to one endpoint.
     pub max_connections: usize,
     /// Priority sent to the endpoint, if it is an engine; 0 is the most urgent.
-    pub rank: Option<u8>,
+    pub engine_rank: Option<u8>,
     /// The same priority, for any service.
-    pub urgency: u8,
+    pub rank: u8,
 }
 
 impl Context {
@@ -104,8 +104,8 @@
             .map_or(DEFAULT_CONNECTIONS, u64::from);
         let max_connections =
             (fleet_max / self.peers.boxes()).max(MIN_CONNECTIONS.min(fleet_max)) as usize;
-        let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
-        let rank = engine.map(|_| urgency);
+        let rank = rank(customer.map_or(0, |c| c.priority), route.priority);
+        let engine_rank = engine.map(|_| rank);
         let limit = table.config().limits.max_body_bytes;
         let (parts, body) = request.into_parts();
         let body_permit = self.reserve_body(&body, limit)?;
@@ -128,8 +128,8 @@
             route,
             service,
             max_connections,
+            engine_rank,
             rank,
-            urgency,
         })
     }
 
@@ -201,8 +201,9 @@
         let wait = admitted.route.target.map_or(wait, |target| wait.min(target / 2));
         let now = Instant::now();
         let deadline = (now + wait).min(exchange.deadline);
-        let from_store = Duration::from_millis(money.store_ms);
-        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, from_store, deadline).await {
+        let store_timeout = Duration::from_millis(money.store_ms);
+        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, store_timeout, deadline).await
+        {
             exchange.set_hold(hold);
             return Ok(());
         }
--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -157,13 +157,13 @@
             Finding::Answered => Vec::new(),
         };
         let finding = report.finding.clone();
-        let innocent = state.registry.add_report(name, version, report, now_s, now_ms);
+        let cleared = state.registry.add_report(name, version, report, now_s, now_ms);
         drop(state);
         if !abandoned.is_empty() {
             self.report(finding, abandoned);
         }
-        if !innocent.is_empty() {
-            self.report(Finding::Answered, innocent);
+        if !cleared.is_empty() {
+            self.report(Finding::Answered, cleared);
         }
     }
 
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -127,7 +127,7 @@
     /// The refusal when no endpoint can be selected: the service has none, or the limits of cold and rate-limited
     /// endpoints are used up.
     fn no_endpoint(&self, admitted: &AdmittedRequest) -> Refusal {
-        match self.endpoints.retry_delay(&admitted.service, admitted.urgency) {
+        match self.endpoints.retry_delay(&admitted.service, admitted.rank) {
             Some(wait) if wait > CAPACITY_RETRY_DELAY => Reason::NoEndpoint.after(
                 wait,
                 "all endpoints of the service that take work are cold, rest or name a limit",
@@ -161,7 +161,7 @@
             instance: &chosen.id,
             customer: exchange.customer.as_deref(),
             remaining: Some(left),
-            rank: admitted.rank,
+            rank: admitted.engine_rank,
             resume_after: admitted.head.resumed_after,
         };
         let headers =
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -312,24 +312,24 @@
     }
 
     /// The endpoint has processed a prompt: the response began, or the request ended without one.
-    pub fn finish_prefill(&self, service: &str, id: &str, missing: u64) {
+    pub fn finish_prefill(&self, service: &str, instance: &str, prefill_tokens: u64) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.finish_prefill(id, missing);
+            pool.finish_prefill(instance, prefill_tokens);
         }
     }
 
     /// Records the time between two events of a stream.
-    pub fn record_gap(&self, service: &str, id: &str, gap: Duration) {
+    pub fn record_gap(&self, service: &str, instance: &str, gap: Duration) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.record_gap(id, gap.as_secs_f64() * 1_000.0);
+            pool.record_gap(instance, gap.as_secs_f64() * 1_000.0);
         }
     }
 
     /// A request at an endpoint ended.
-    pub fn end(&self, service: &str, id: &str, failure: Option<Failure>) {
+    pub fn end(&self, service: &str, instance: &str, failure: Option<Failure>) {
         let now = self.now();
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.end(id, failure, now);
+            pool.end(instance, failure, now);
         }
     }
 
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -48,17 +48,17 @@
 }
 
 impl Endpoints {
-    /// Applies the signals in the head of a response to a request that was sent `ago`.
+    /// Applies the signals in the head of a response to a request that was sent `since_sent` ago.
     pub fn receive_signals(
         &self,
         service: &str,
         chosen: &Chosen,
         head: &Head,
-        ago: Duration,
+        since_sent: Duration,
     ) -> Changes {
         let signals = &head.signals;
         let now = self.now();
-        let sent_at = now.saturating_sub(ago.as_millis() as u64);
+        let sent_at = now.saturating_sub(since_sent.as_millis() as u64);
         let instance = &chosen.instance;
         for (name, value) in signals.unread() {
             self.unread.lock().count_header(name, value, instance);
--- a/crates/gateway/src/proxy/exchange.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -113,13 +113,13 @@
     ///
     /// An incomplete stream is charged for the relayed events and those that the endpoint may have produced
     /// before it noticed the close. Where the length of the output is unknown, the maximum is charged.
-    fn charge(&self, end: &Outcome, events: u64) -> u64 {
+    fn charge(&self, outcome: &Outcome, events: u64) -> u64 {
         let Some(tokens) = self.tokens else { return 0 };
         let cost = |events: u64| {
             let output = events.saturating_mul(self.event_tokens);
             tokens.prompt + output.min(tokens.max_output)
         };
-        match end {
+        match outcome {
             _ if !self.may_have_run => 0,
             Outcome::Answered { status } if (200..300).contains(status) => cost(events),
             Outcome::Disconnected | Outcome::Broken { .. } if self.attempts == 1 => {
@@ -130,15 +130,15 @@
     }
 
     /// Settles and logs the request; later calls have no effect.
-    pub fn end(&mut self, end: Outcome, events: u64) {
+    pub fn end(&mut self, outcome: Outcome, events: u64) {
         if std::mem::replace(&mut self.is_ended, true) {
             return;
         }
         let reserved = self.hold.as_ref().map_or(0, Hold::tokens);
-        let charge = self.charge(&end, events);
+        let charge = self.charge(&outcome, events);
         let charged = self.hold.take().map_or(0, |hold| hold.settle(charge));
-        self.bill(&end, charged);
-        let (outcome, reason) = match &end {
+        self.bill(&outcome, charged);
+        let (outcome_name, reason) = match &outcome {
             Outcome::Answered { .. } => ("answered", "-"),
             Outcome::Refused(refusal) if refusal.reason.is_not_run() => {
                 ("not_run", refusal.reason.as_str())
@@ -147,8 +147,8 @@
             Outcome::Broken { .. } => ("broken", "-"),
             Outcome::Disconnected => ("left", "-"),
         };
-        self.update_metrics(outcome, reason, charged);
-        let (status, detail) = match &end {
+        self.update_metrics(outcome_name, reason, charged);
+        let (status, detail) = match &outcome {
             Outcome::Answered { status } => (*status, ""),
             Outcome::Refused(refusal) => (refusal.reason.status().as_u16(), &*refusal.detail),
             Outcome::Broken { reason } => (0, &**reason),
@@ -163,7 +163,7 @@
             endpoint = self.endpoint.as_deref(),
             fingerprint = self.fingerprint.as_ref().map(tracing::field::display),
             config = self.config_version,
-            outcome,
+            outcome = outcome_name,
             reason,
             status,
             detail,
@@ -178,8 +178,8 @@
         );
     }
 
-    fn bill(&self, end: &Outcome, charged: u64) {
-        let ended = match end {
+    fn bill(&self, outcome: &Outcome, charged: u64) {
+        let ended = match outcome {
             Outcome::Answered { .. } => Ended::Answered,
             Outcome::Refused(_) | Outcome::Broken { .. } | Outcome::Disconnected => Ended::Broken,
         };
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -45,7 +45,7 @@
 pub struct InFlight {
     endpoints: Arc<Endpoints>,
     service: Arc<str>,
-    endpoint: Arc<str>,
+    instance: Arc<str>,
     /// Prompt tokens that the endpoint has to process; taken when the response begins.
     prefill_tokens: Option<u64>,
     /// Announcement of the prompt to other boxes; withdrawn on drop.
@@ -70,12 +70,12 @@
         let prefill_tokens = endpoints.start(&service, chosen, prefix);
         let prompt_notice = (prefill_tokens >= MIN_ANNOUNCED_TOKENS)
             .then(|| peers.publish_prompt(&chosen.instance, prefix, prefill_tokens));
-        let endpoint = chosen.instance.clone();
+        let instance = chosen.instance.clone();
         let prefill_tokens = Some(prefill_tokens);
         InFlight {
             endpoints,
             service,
-            endpoint,
+            instance,
             prefill_tokens,
             prompt_notice,
             last_event_at: None,
@@ -87,7 +87,7 @@
     /// The response began.
     pub fn begin(&mut self) {
         if let Some(prefill_tokens) = self.prefill_tokens.take() {
-            self.endpoints.finish_prefill(&self.service, &self.endpoint, prefill_tokens);
+            self.endpoints.finish_prefill(&self.service, &self.instance, prefill_tokens);
             self.prompt_notice.take();
         }
     }
@@ -97,7 +97,7 @@
         let now = Instant::now();
         let pause = now.saturating_duration_since(self.last_event_at.replace(now)?);
         let gap = pause / events.clamp(1, u64::from(u32::MAX)) as u32;
-        self.endpoints.record_gap(&self.service, &self.endpoint, gap);
+        self.endpoints.record_gap(&self.service, &self.instance, gap);
         Some(pause)
     }
 
@@ -127,7 +127,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.begin();
-        self.endpoints.end(&self.service, &self.endpoint, self.failure);
+        self.endpoints.end(&self.service, &self.instance, self.failure);
     }
 }
 
@@ -161,11 +161,11 @@
             exchange,
             link,
         };
-        relay.end_if_whole();
+        relay.end_if_complete();
         relay
     }
 
-    fn end_if_whole(&mut self) {
+    fn end_if_complete(&mut self) {
         if self.body.is_end_stream() {
             self.end();
         }
@@ -223,7 +223,7 @@
                     let events = self.event_counter.events() - before;
                     self.record_events(events);
                 }
-                self.end_if_whole();
+                self.end_if_complete();
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(source)) => {
--- a/crates/gateway/src/proxy/retries.rs
+++ b/crates/gateway/src/proxy/retries.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Second {
-    at: u64,
+    at_s: u64,
     requests: u32,
     repeats: u32,
 }
@@ -52,9 +52,9 @@
         limits: &settings::Retries,
     ) -> &mut Second {
         let seconds = self.services.entry(service.clone()).or_default();
-        seconds.retain(|second| second.at + limits.window_s > now_s);
-        if seconds.last().is_none_or(|last| last.at != now_s) {
-            seconds.push(Second { at: now_s, requests: 0, repeats: 0 });
+        seconds.retain(|second| second.at_s + limits.window_s > now_s);
+        if seconds.last().is_none_or(|last| last.at_s != now_s) {
+            seconds.push(Second { at_s: now_s, requests: 0, repeats: 0 });
         }
         seconds.last_mut().expect("just pushed")
     }
