--- a/crates/forward/src/connections.rs
+++ b/crates/forward/src/connections.rs
@@ -78,7 +78,11 @@
     }
 
     /// Reuses an idle connection to an address or opens one, without sending anything. At most `max_open` may be open.
-    pub async fn connect(&self, address: SocketAddr, max_open: usize) -> Result<Ready, Fault> {
+    pub async fn connect(
+        &self,
+        address: SocketAddr,
+        max_open: usize,
+    ) -> Result<ReadyConnection, Fault> {
         let mut slot = self.reserve_slot(address, max_open)?;
         let reused = slot.connection.is_some();
         if !reused {
@@ -88,7 +92,7 @@
             self.hosts.lock().entry(address).or_default().opened += 1;
             slot.connection = Some(opened);
         }
-        Ok(Ready { slot, reused, options: self.options.clone() })
+        Ok(ReadyConnection { slot, reused, options: self.options.clone() })
     }
 
     /// Reserves one of the connections allowed to an address, with an idle connection if there is one.
@@ -129,25 +133,25 @@
     }
 
     /// Number of connections opened so far to addresses in use.
-    pub fn opened(&self) -> u64 {
+    pub fn count_opened(&self) -> u64 {
         self.hosts.lock().values().map(|host| host.opened).sum()
     }
 
     /// Number of open connections to an address.
-    pub fn open(&self, address: SocketAddr) -> usize {
+    pub fn count_open(&self, address: SocketAddr) -> usize {
         self.hosts.lock().get(&address).map_or(0, |host| host.open)
     }
 }
 
 /// An established connection, ready for one request.
 #[derive(Debug)]
-pub struct Ready {
+pub struct ReadyConnection {
     slot: Slot,
     reused: bool,
     options: Arc<Options>,
 }
 
-impl Ready {
+impl ReadyConnection {
     /// Sends a request. Dropping the future closes the connection.
     pub async fn send(mut self, request: Request) -> Result<Answer, Fault> {
         let connection = self.slot.connection.as_mut().expect("a ready connection is present");
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -14,5 +14,5 @@
 mod connections;
 
 pub use body::Body;
-pub use connections::{Answer, Connections, Options, Ready, Request};
+pub use connections::{Answer, Connections, Options, ReadyConnection, Request};
 pub use fault::Fault;
--- a/crates/forward/tests/connections.rs
+++ b/crates/forward/tests/connections.rs
@@ -138,7 +138,7 @@
         }
     };
     tokio::time::timeout(TIMEOUT, closed).await.expect("the endpoint sees the close");
-    assert_eq!(connections.open(endpoint.address()), 0);
+    assert_eq!(connections.count_open(endpoint.address()), 0);
 }
 
 #[tokio::test]
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -79,7 +79,7 @@
         metrics.quarantined.set(quarantined as i64);
         metrics.watches.set(i64::from(status.watches));
         metrics.store_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
-        metrics.connections.set(context.connections.opened() as i64);
+        metrics.connections.set(context.connections.count_opened() as i64);
         std::future::ready(page(StatusCode::OK, metrics.text()))
     }
 }
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -235,7 +235,7 @@
         chosen: &Chosen,
         exchange: &Exchange,
         in_flight: &mut InFlight,
-    ) -> Result<forward::Ready, Attempt> {
+    ) -> Result<forward::ReadyConnection, Attempt> {
         let connecting = self.connections.connect(chosen.address, admitted.max_connections);
         let connection = match tokio::time::timeout_at(exchange.deadline, connecting).await {
             Err(_) => {
