--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -66,7 +66,7 @@
         metrics.cold.set(context.endpoints.count_cold() as i64);
         metrics.leaving.set(context.endpoints.count_leaving() as i64);
         metrics.backing_off.set(context.endpoints.count_backing_off() as i64);
-        for (name, count) in context.endpoints.unread() {
+        for (name, count) in context.endpoints.unread_headers() {
             metrics.unreadable.get_or_create(&Header { name: name.to_string() }).set(count as i64);
         }
         metrics.limits.clear();
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -93,7 +93,7 @@
     cold: settings::Cold,
     started: Moment,
     state: Mutex<State>,
-    unread: Mutex<signals::UnreadHeaders>,
+    unread_headers: Mutex<signals::UnreadHeaders>,
 }
 
 #[derive(Debug)]
@@ -158,8 +158,8 @@
             allowances: HashMap::new(),
             fleet: None,
         };
-        let (state, unread) = (Mutex::new(state), Mutex::default());
-        Endpoints { zone, cold, started: clock.now(), state, unread }
+        let (state, unread_headers) = (Mutex::new(state), Mutex::default());
+        Endpoints { zone, cold, started: clock.now(), state, unread_headers }
     }
 
     fn now(&self) -> u64 {
--- a/crates/gateway/src/proxy/endpoints/signals.rs
+++ b/crates/gateway/src/proxy/endpoints/signals.rs
@@ -61,7 +61,7 @@
         let sent_at = now.saturating_sub(since_sent.as_millis() as u64);
         let instance = &chosen.instance;
         for (name, value) in signals.unread() {
-            self.unread.lock().count_header(name, value, instance);
+            self.unread_headers.lock().count_header(name, value, instance);
         }
         let mut state = self.state.lock();
         let leaves = signals.leaves == Some(Signal::Valid(true))
@@ -116,8 +116,8 @@
     }
 
     /// Unknown or unreadable headers of endpoints, with their counts.
-    pub fn unread(&self) -> Vec<(Arc<str>, u64)> {
-        self.unread.lock().0.iter().map(|(name, count)| (name.clone(), *count)).collect()
+    pub fn unread_headers(&self) -> Vec<(Arc<str>, u64)> {
+        self.unread_headers.lock().0.iter().map(|(name, count)| (name.clone(), *count)).collect()
     }
 }
 
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -160,7 +160,7 @@
     assert!(view.is_chosen("i-1"));
     let counted: Vec<(Arc<str>, u64)> =
         [(fixtures::LEAVING, 3), ("server-mood", 3)].map(|(name, n)| (name.into(), n)).into();
-    assert_eq!(view.endpoints.unread(), counted);
+    assert_eq!(view.endpoints.unread_headers(), counted);
 }
 
 #[test]
