--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -110,7 +110,7 @@
         let (parts, body) = request.into_parts();
         let body_permit = self.reserve_body(&body, limit)?;
         let body = self.read_body(body, limit, exchange.deadline).await?;
-        self.link.request(body.len());
+        self.link.record_request(body.len());
         let prefix = Prefix::of_parts(head.parts.iter().map(|part| (part.id, part.tokens)));
         let (method, target, headers) = (parts.method, parts.uri, parts.headers);
         let fingerprint = fingerprint(exchange.customer.as_ref(), &route, &method, &target, &body);
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -56,7 +56,7 @@
         exchange: &mut Exchange,
     ) -> Result<(Box<Answer>, InFlight), Refusal> {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().request(&admitted.service, now_s, &self.settings().retries);
+        self.retries.lock().count_request(&admitted.service, now_s, &self.settings().retries);
         let mut tried: Vec<Arc<str>> = Vec::new();
         let (mut delivered, mut permit_requests) = (0, 0);
         let mut last_refusal = None;
@@ -316,7 +316,7 @@
     /// Whether a repeat is permitted, without consuming it.
     fn can_repeat(&self, admitted: &AdmittedRequest) -> bool {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().has(&admitted.service, now_s, &self.settings().retries)
+        self.retries.lock().has_left(&admitted.service, now_s, &self.settings().retries)
     }
 }
 
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -41,12 +41,12 @@
     }
 
     /// Records a request with a body of this size.
-    pub fn request(&self, bytes: usize) {
+    pub fn record_request(&self, bytes: usize) {
         self.record(bytes + HEAD_BYTES);
     }
 
     /// Records a chunk of a response.
-    pub fn chunk(&self, bytes: usize) {
+    pub fn record_chunk(&self, bytes: usize) {
         self.record(bytes + FRAME_BYTES);
     }
 
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -217,7 +217,7 @@
             }
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
-                    self.link.chunk(data.len());
+                    self.link.record_chunk(data.len());
                     let before = self.event_counter.events();
                     self.event_counter.feed(data);
                     let events = self.event_counter.events() - before;
--- a/crates/gateway/src/proxy/retries.rs
+++ b/crates/gateway/src/proxy/retries.rs
@@ -22,13 +22,13 @@
 
 impl Retries {
     /// Counts a new request for a service.
-    pub fn request(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) {
+    pub fn count_request(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) {
         self.second(service, now_s, limits).requests += 1;
     }
 
     /// Consumes one repeat, if the limit permits another.
     pub fn take(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
-        let fits = self.has(service, now_s, limits);
+        let fits = self.has_left(service, now_s, limits);
         if fits {
             self.second(service, now_s, limits).repeats += 1;
         }
@@ -36,7 +36,7 @@
     }
 
     /// Whether the limit permits another repeat.
-    pub fn has(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
+    pub fn has_left(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
         self.second(service, now_s, limits);
         let seconds = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         let requests: u32 = seconds.iter().map(|second| second.requests).sum();
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -135,7 +135,7 @@
     let service: Arc<str> = "plain".into();
     let mut retries = Retries::default();
     for second in 0..10 {
-        (0..4).for_each(|_| retries.request(&service, second, &limits));
+        (0..4).for_each(|_| retries.count_request(&service, second, &limits));
     }
     let taken = (0..20).filter(|_| retries.take(&service, 9, &limits)).count();
     assert_eq!(taken, 5, "a tenth of 40 requests and one extra");
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -12,7 +12,7 @@
     let mut is_shedding = Vec::new();
     for _ in 0..seconds {
         for _ in 0..20 {
-            link.chunk(bytes_per_s / 20);
+            link.record_chunk(bytes_per_s / 20);
             tokio::time::advance(Duration::from_millis(50)).await;
         }
         is_shedding.push(link.is_shedding());
@@ -45,6 +45,6 @@
 #[tokio::test(start_paused = true)]
 async fn one_large_request_does_not_cause_shedding() {
     let link = Link::new(10.0);
-    link.request(100_000);
+    link.record_request(100_000);
     assert!(!link.is_shedding());
 }
