--- a/crates/gateway/src/proxy/crashes.rs
+++ b/crates/gateway/src/proxy/crashes.rs
@@ -269,7 +269,7 @@
 
 impl Watch {
     /// The endpoint did not run the request, or survived it.
-    pub fn ended(&mut self) {
+    pub fn not_crashed(&mut self) {
         self.is_resolved = true;
     }
 
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -249,7 +249,7 @@
         };
         if self.endpoints.refuses_requests(&admitted.service, chosen) {
             connection.release();
-            in_flight.ended();
+            in_flight.end_without_failure();
             return Err(Attempt::Unsent("the endpoint stopped accepting requests".into()));
         }
         Ok(connection)
@@ -300,7 +300,7 @@
             && self.endpoints.has_alternative(&admitted.service, &chosen.instance)
             && self.can_repeat(admitted);
         if should_repeat {
-            in_flight.ended();
+            in_flight.end_without_failure();
             return Attempt::Unknown(
                 Reason::Lost.with(format!("the endpoint failed with {status}")),
             );
@@ -309,7 +309,7 @@
         if !is_framed(&response.head.headers) {
             in_flight.unframed();
         }
-        in_flight.begin();
+        in_flight.finish_prefill();
         Attempt::Answer(Box::new(response), Box::new(in_flight))
     }
 
@@ -332,7 +332,7 @@
 fn classify_fault(fault: Fault, in_flight: &mut InFlight) -> Attempt {
     match fault {
         Fault::Full { .. } => {
-            in_flight.ended();
+            in_flight.end_without_failure();
             Attempt::Unsent(fault.to_string())
         }
         Fault::Unsent { reason } => {
--- a/crates/gateway/src/proxy/relay.rs
+++ b/crates/gateway/src/proxy/relay.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The response began.
-    pub fn begin(&mut self) {
+    /// The endpoint has processed the prompt: the response began, or the request ended without one.
+    pub fn finish_prefill(&mut self) {
         if let Some(prefill_tokens) = self.prefill_tokens.take() {
             self.endpoints.finish_prefill(&self.service, &self.instance, prefill_tokens);
             self.prompt_notice.take();
@@ -110,7 +110,7 @@
     /// The attempt failed, which counts against the endpoint.
     pub fn fail(&mut self, failure: Failure) {
         self.failure = Some(failure);
-        self.watch.ended();
+        self.watch.not_crashed();
     }
 
     /// The close of the connection marks the end of the response.
@@ -119,14 +119,14 @@
     }
 
     /// The attempt ended in a way that does not count against the endpoint.
-    pub fn ended(&mut self) {
-        self.watch.ended();
+    pub fn end_without_failure(&mut self) {
+        self.watch.not_crashed();
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.begin();
+        self.finish_prefill();
         self.endpoints.end(&self.service, &self.instance, self.failure);
     }
 }
