--- a/crates/admit/src/limit.rs
+++ b/crates/admit/src/limit.rs
@@ -1,4 +1,4 @@
-//! Limits of concurrent requests, by customer and by route.
+//! Limits the number of concurrent requests, by customer and by route.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,7 +11,7 @@
     Route,
 }
 
-/// Concurrent requests of one box.
+/// Counts of concurrent requests on one box; the limits are passed with each request.
 #[derive(Debug, Default)]
 pub struct Limits {
     customers: HashMap<Arc<str>, u32>,
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -39,6 +39,7 @@
 
 struct Waiting {
     request: Request,
+    /// Virtual finish time; within a class, the lowest is served first.
     finish_time: f64,
 }
 
@@ -46,14 +47,16 @@
 #[derive(Default)]
 pub struct Queue {
     waiting: Vec<Waiting>,
+    /// Virtual finish time of the last queued request, by customer.
     finish_times: HashMap<Arc<str>, f64>,
+    /// Highest virtual finish time that was served.
     virtual_time: f64,
     /// Moving average of the milliseconds between two starts, by class.
     start_interval: HashMap<Class, f64>,
     last_start: HashMap<Class, u64>,
 }
 
-/// Load, as a share of the slots, below which a class may start new requests.
+/// Load below which a class may start new requests, as a multiple of the slots.
 fn max_load(class: Class) -> f64 {
     match class {
         Class::Interactive => 1.5,
@@ -63,7 +66,7 @@
 }
 
 impl Queue {
-    /// Whether a class may start a request now.
+    /// Whether a class may start a request now. An idle pool accepts any class, whatever its slots.
     fn may_start(class: Class, capacity: Capacity) -> bool {
         capacity.load < (capacity.slots * max_load(class)).max(1.0)
     }
--- a/crates/forward/src/fault.rs
+++ b/crates/forward/src/fault.rs
@@ -1,4 +1,4 @@
-//! Failures to get a response, and whether the request may have run.
+//! Failures to get a response; each states whether the request may have run.
 
 use snafu::Snafu;
 
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -49,9 +49,9 @@
     pub service: Arc<str>,
     /// Limit of connections from this box to one endpoint.
     pub max_connections: usize,
-    /// Priority sent to the endpoint, if it is an engine; 0 is the most urgent.
+    /// The rank to send to the endpoint; `None` if the service has no engines.
     pub engine_rank: Option<u8>,
-    /// The same priority, for any service.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
 }
 
@@ -81,7 +81,8 @@
             false => None,
             true => {
                 let customer = head.key.as_deref().and_then(|key| table.customer(key));
-                let unknown_key = || Reason::NoCustomer.with("the key belongs to no customer");
+                let unknown_key =
+                    || Reason::NoCustomer.with("the key is missing or belongs to no customer");
                 Some(customer.ok_or_else(unknown_key)?)
             }
         };
@@ -213,14 +214,16 @@
                 Reason::BudgetExhausted.with(detail)
             }
             shortage @ Shortage::Local { .. } => {
-                let detail = format!("this box lacks tokens for {max_tokens}: {shortage}");
+                let detail =
+                    format!("this box did not get {max_tokens} tokens in time: {shortage}");
                 Reason::TokensShort.after(UNREADY_RETRY_DELAY, detail)
             }
         })
     }
 }
 
-/// Fingerprint shared by all attempts of a request. Uses the host of the route, since callers may spell it differently.
+/// Fingerprint of a request, the same each time that a caller sends it. Uses the host of the route, since callers may
+/// spell it differently.
 fn fingerprint(
     customer: Option<&Arc<str>>,
     route: &Route,
@@ -253,7 +256,7 @@
     }
 }
 
-/// Combined priority, 0 to 9: the customer's decides before the route's.
+/// Combined priority, from 0 (most urgent) to 9: the customer's decides before the route's.
 fn rank(customer: u8, route: u8) -> u8 {
     customer.saturating_mul(3).saturating_add(route.min(2)).min(9)
 }
--- a/crates/gateway/src/proxy/bounds.rs
+++ b/crates/gateway/src/proxy/bounds.rs
@@ -1,10 +1,10 @@
-//! Limits of a connection.
+//! Bounds on the request heads of a connection.
 
 use std::time::Duration;
 
 use platform::config::Limits;
 
-/// Limits of a connection.
+/// Bounds on the request heads of a connection.
 #[derive(Debug, Clone)]
 pub struct Bounds {
     /// Maximum size of a request head.
@@ -14,7 +14,7 @@
 }
 
 impl Bounds {
-    /// Limits from the configuration.
+    /// Bounds from the configuration.
     pub fn of(limits: &Limits) -> Bounds {
         Bounds {
             max_head_bytes: limits.max_head_bytes,
--- a/crates/gateway/src/proxy/context.rs
+++ b/crates/gateway/src/proxy/context.rs
@@ -1,4 +1,4 @@
-//! State shared by all steps of handling a request.
+//! Dependencies of the request path.
 
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
 }
 
 impl Context {
-    /// Limits of a new caller connection, with defaults until a configuration is loaded.
+    /// Bounds on a new caller connection, with defaults until a configuration is loaded.
     pub fn bounds(&self) -> Bounds {
         let table = self.table.borrow();
         match &*table {
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -25,13 +25,14 @@
     },
 };
 
-/// `Retry-After` where the service has no endpoint that keeps running; a new one is discovered within this time.
+/// `Retry-After` where the service has no endpoints, or all of them are leaving; a new one is discovered within this
+/// time.
 const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Endpoints tried for one request, including those that the request did not reach; the route's limit of
-/// attempts applies besides.
+/// attempts applies in addition.
 const MAX_ENDPOINTS_TRIED: usize = 4;
 
-/// Permits requested for one request, before it skips all endpoints that require one.
+/// Maximum number of permits requested for one request; then endpoints that require one are skipped.
 const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// Outcome of one attempt at an endpoint.
@@ -130,12 +131,12 @@
         match self.endpoints.retry_delay(&admitted.service, admitted.rank) {
             Some(wait) if wait > CAPACITY_RETRY_DELAY => Reason::NoEndpoint.after(
                 wait,
-                "all endpoints of the service that take work are cold, rest or name a limit",
+                "all remaining endpoints of the service are cold, backing off or rate-limited",
             ),
             Some(_) => Reason::NoEndpoint
-                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service takes work now"),
+                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service accepts requests now"),
             None => Reason::NoEndpoint
-                .after(NO_ENDPOINT_RETRY_DELAY, "no endpoint of the service is known that stays"),
+                .after(NO_ENDPOINT_RETRY_DELAY, "the service has no endpoints, or all are leaving"),
         }
     }
 
@@ -270,7 +271,9 @@
         let is_foreign = head.id.is_some() && head.id != admitted.head.id;
         if is_foreign {
             in_flight.fail(Failure::Broken);
-            return Attempt::Unknown(Reason::Lost.with("the connection carried another answer"));
+            return Attempt::Unknown(
+                Reason::Lost.with("the response carries the id of another request"),
+            );
         }
         // Signals of another endpoint at the address do not apply to the selected one.
         if status != StatusCode::MISDIRECTED_REQUEST {
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -43,8 +43,8 @@
 /// Owners of a prefix: the endpoint that it hashes to, and another for when that one is busy.
 const PREFIX_OWNERS: usize = 2;
 
-/// Tokens of a shared prefix from which it is owned only by engines that are not slow: processing it pauses all streams
-/// of the engine.
+/// Minimum size, in tokens, of a shared prefix for which engines that are not slow are preferred as owners: processing
+/// it pauses all streams of the engine.
 const LARGE_PREFIX_TOKENS: u64 = 2_000;
 
 /// A selected endpoint.
@@ -246,8 +246,8 @@
         self.state.lock().services.values().map(|pool| pool.cold(now)).sum()
     }
 
-    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if every
-    /// endpoint is leaving.
+    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if the
+    /// service has no endpoints or all of them are leaving.
     pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
         let now = self.now();
         let state = &mut *self.state.lock();
--- a/crates/gateway/src/proxy/exchange.rs
+++ b/crates/gateway/src/proxy/exchange.rs
@@ -111,8 +111,9 @@
 
     /// Tokens to charge if the request ends now, after `events` relayed events.
     ///
-    /// An incomplete stream is charged for the relayed events and those that the endpoint may have produced
-    /// before it noticed the close. Where the length of the output is unknown, the maximum is charged.
+    /// If the only attempt ends before its response is complete, the charge covers the relayed events and those
+    /// that the endpoint may have produced before it noticed the close. If several endpoints may have run the
+    /// request, or the length of the output is unknown, the maximum is charged.
     fn charge(&self, outcome: &Outcome, events: u64) -> u64 {
         let Some(tokens) = self.tokens else { return 0 };
         let cost = |events: u64| {
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -1,7 +1,7 @@
 //! Load of this box's network link, and load shedding when it is nearly full.
 //!
 //! The balancer assigns connections by hash, so one box may get several times its share. A saturated link
-//! delays everything, also the calls by which the box obtains tokens. A box whose link fills up therefore
+//! delays everything, including the calls by which the box obtains tokens. A box whose link fills up therefore
 //! reports itself not ready and closes caller connections after their current response; callers reconnect
 //! to other boxes. No request is refused.
 
--- a/crates/gateway/src/proxy/mod.rs
+++ b/crates/gateway/src/proxy/mod.rs
@@ -5,8 +5,9 @@
 //! - `relay` streams the response to the caller, `exchange` settles and logs the request;
 //! - `refusal` is the response of the box itself;
 //! - `crashes` tracks requests that crash endpoints;
-//! - `permits` obtains permits for endpoints that name a rate limit;
-//! - `announcer` queues what other boxes have to learn about endpoints.
+//! - `permits` obtains and issues permits for endpoints that name a rate limit;
+//! - `announcer` queues what other boxes have to learn about endpoints;
+//! - `retries` limits the requests that are sent again, `link` sheds callers when the network link is nearly full.
 //!
 //! They share the state in `context`.
 
--- a/crates/gateway/src/proxy/permits.rs
+++ b/crates/gateway/src/proxy/permits.rs
@@ -24,7 +24,7 @@
 
 /// Delay before the next permit request if no issuer is known or responds.
 const NO_ISSUER_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Number of endpoints with issued permits from which those no longer listed are removed.
+/// Number of endpoints with issued permits at which those no longer listed are removed.
 const PRUNE_THRESHOLD: usize = 64;
 
 /// Interval in milliseconds at which the issuer announces an unchanged limit, for boxes that have just started or
--- a/crates/gateway/src/proxy/refusal.rs
+++ b/crates/gateway/src/proxy/refusal.rs
@@ -114,7 +114,7 @@
 }
 
 impl Refusal {
-    /// Replaces the detail by the more specific one of an earlier failure.
+    /// Replaces the detail with the more specific one of an earlier failure.
     pub fn with_detail_of(self, cause: Refusal) -> Refusal {
         Refusal { detail: cause.detail, ..self }
     }
--- a/crates/gateway/src/proxy/retries.rs
+++ b/crates/gateway/src/proxy/retries.rs
@@ -13,6 +13,7 @@
     services: HashMap<Arc<str>, Vec<Second>>,
 }
 
+/// Requests and repeats within one second.
 #[derive(Debug, Clone, Copy)]
 struct Second {
     at_s: u64,
