--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -49,10 +49,10 @@
     pub service: Arc<str>,
     /// Limit of connections from this box to one endpoint.
     pub max_connections: usize,
-    /// Priority sent to the endpoint, if it is an engine; 0 is the most urgent.
-    pub rank: Option<u8>,
-    /// The same priority, for any service.
-    pub urgency: u8,
+    /// The rank to send to the endpoint; `None` if the service has no engines.
+    pub engine_rank: Option<u8>,
+    /// Priority; 0 is the most urgent.
+    pub rank: u8,
 }
 
 impl Context {
@@ -81,7 +81,8 @@
             false => None,
             true => {
                 let customer = head.key.as_deref().and_then(|key| table.customer(key));
-                let unknown_key = || Reason::NoCustomer.with("the key belongs to no customer");
+                let unknown_key =
+                    || Reason::NoCustomer.with("the key is missing or belongs to no customer");
                 Some(customer.ok_or_else(unknown_key)?)
             }
         };
@@ -104,13 +105,13 @@
             .map_or(DEFAULT_CONNECTIONS, u64::from);
         let max_connections =
             (fleet_max / self.peers.boxes()).max(MIN_CONNECTIONS.min(fleet_max)) as usize;
-        let urgency = rank(customer.map_or(0, |c| c.priority), route.priority);
-        let rank = engine.map(|_| urgency);
+        let rank = rank(customer.map_or(0, |c| c.priority), route.priority);
+        let engine_rank = engine.map(|_| rank);
         let limit = table.config().limits.max_body_bytes;
         let (parts, body) = request.into_parts();
         let body_permit = self.reserve_body(&body, limit)?;
         let body = self.read_body(body, limit, exchange.deadline).await?;
-        self.link.request(body.len());
+        self.link.record_request(body.len());
         let prefix = Prefix::of_parts(head.parts.iter().map(|part| (part.id, part.tokens)));
         let (method, target, headers) = (parts.method, parts.uri, parts.headers);
         let fingerprint = fingerprint(exchange.customer.as_ref(), &route, &method, &target, &body);
@@ -128,8 +129,8 @@
             route,
             service,
             max_connections,
+            engine_rank,
             rank,
-            urgency,
         })
     }
 
@@ -201,8 +202,9 @@
         let wait = admitted.route.target.map_or(wait, |target| wait.min(target / 2));
         let now = Instant::now();
         let deadline = (now + wait).min(exchange.deadline);
-        let from_store = Duration::from_millis(money.store_ms);
-        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, from_store, deadline).await {
+        let store_timeout = Duration::from_millis(money.store_ms);
+        if let Some(hold) = self.acquirer.hold(&customer, max_tokens, store_timeout, deadline).await
+        {
             exchange.set_hold(hold);
             return Ok(());
         }
@@ -212,14 +214,16 @@
                 Reason::BudgetExhausted.with(detail)
             }
             shortage @ Shortage::Local { .. } => {
-                let detail = format!("this box lacks tokens for {max_tokens}: {shortage}");
+                let detail =
+                    format!("this box did not get {max_tokens} tokens in time: {shortage}");
                 Reason::TokensShort.after(UNREADY_RETRY_DELAY, detail)
             }
         })
     }
 }
 
-/// Fingerprint shared by all attempts of a request. Uses the host of the route, since callers may spell it differently.
+/// Fingerprint of a request, the same each time that a caller sends it. Uses the host of the route, since callers may
+/// spell it differently.
 fn fingerprint(
     customer: Option<&Arc<str>>,
     route: &Route,
@@ -252,7 +256,7 @@
     }
 }
 
-/// Combined priority, 0 to 9: the customer's decides before the route's.
+/// Combined priority, from 0 (most urgent) to 9: the customer's decides before the route's.
 fn rank(customer: u8, route: u8) -> u8 {
     customer.saturating_mul(3).saturating_add(route.min(2)).min(9)
 }
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -25,13 +25,14 @@
     },
 };
 
-/// `Retry-After` where the service has no endpoint that keeps running; a new one is discovered within this time.
+/// `Retry-After` where the service has no endpoints, or all of them are leaving; a new one is discovered within this
+/// time.
 const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Endpoints tried for one request, including those that the request did not reach; the route's limit of
-/// attempts applies besides.
+/// attempts applies in addition.
 const MAX_ENDPOINTS_TRIED: usize = 4;
 
-/// Permits requested for one request, before it skips all endpoints that require one.
+/// Maximum number of permits requested for one request; then endpoints that require one are skipped.
 const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// Outcome of one attempt at an endpoint.
@@ -56,7 +57,7 @@
         exchange: &mut Exchange,
     ) -> Result<(Box<Answer>, InFlight), Refusal> {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().request(&admitted.service, now_s, &self.settings().retries);
+        self.retries.lock().count_request(&admitted.service, now_s, &self.settings().retries);
         let mut tried: Vec<Arc<str>> = Vec::new();
         let (mut delivered, mut permit_requests) = (0, 0);
         let mut last_refusal = None;
@@ -127,15 +128,15 @@
     /// The refusal when no endpoint can be selected: the service has none, or the limits of cold and rate-limited
     /// endpoints are used up.
     fn no_endpoint(&self, admitted: &AdmittedRequest) -> Refusal {
-        match self.endpoints.retry_delay(&admitted.service, admitted.urgency) {
+        match self.endpoints.retry_delay(&admitted.service, admitted.rank) {
             Some(wait) if wait > CAPACITY_RETRY_DELAY => Reason::NoEndpoint.after(
                 wait,
-                "all endpoints of the service that take work are cold, rest or name a limit",
+                "all remaining endpoints of the service are cold, backing off or rate-limited",
             ),
             Some(_) => Reason::NoEndpoint
-                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service takes work now"),
+                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service accepts requests now"),
             None => Reason::NoEndpoint
-                .after(NO_ENDPOINT_RETRY_DELAY, "no endpoint of the service is known that stays"),
+                .after(NO_ENDPOINT_RETRY_DELAY, "the service has no endpoints, or all are leaving"),
         }
     }
 
@@ -161,7 +162,7 @@
             instance: &chosen.id,
             customer: exchange.customer.as_deref(),
             remaining: Some(left),
-            rank: admitted.rank,
+            rank: admitted.engine_rank,
             resume_after: admitted.head.resumed_after,
         };
         let headers =
@@ -235,7 +236,7 @@
         chosen: &Chosen,
         exchange: &Exchange,
         in_flight: &mut InFlight,
-    ) -> Result<forward::Ready, Attempt> {
+    ) -> Result<forward::ReadyConnection, Attempt> {
         let connecting = self.connections.connect(chosen.address, admitted.max_connections);
         let connection = match tokio::time::timeout_at(exchange.deadline, connecting).await {
             Err(_) => {
@@ -249,7 +250,7 @@
         };
         if self.endpoints.refuses_requests(&admitted.service, chosen) {
             connection.release();
-            in_flight.ended();
+            in_flight.end_without_failure();
             return Err(Attempt::Unsent("the endpoint stopped accepting requests".into()));
         }
         Ok(connection)
@@ -270,7 +271,9 @@
         let is_foreign = head.id.is_some() && head.id != admitted.head.id;
         if is_foreign {
             in_flight.fail(Failure::Broken);
-            return Attempt::Unknown(Reason::Lost.with("the connection carried another answer"));
+            return Attempt::Unknown(
+                Reason::Lost.with("the response carries the id of another request"),
+            );
         }
         // Signals of another endpoint at the address do not apply to the selected one.
         if status != StatusCode::MISDIRECTED_REQUEST {
@@ -300,7 +303,7 @@
             && self.endpoints.has_alternative(&admitted.service, &chosen.instance)
             && self.can_repeat(admitted);
         if should_repeat {
-            in_flight.ended();
+            in_flight.end_without_failure();
             return Attempt::Unknown(
                 Reason::Lost.with(format!("the endpoint failed with {status}")),
             );
@@ -309,14 +312,14 @@
         if !is_framed(&response.head.headers) {
             in_flight.unframed();
         }
-        in_flight.begin();
+        in_flight.finish_prefill();
         Attempt::Answer(Box::new(response), Box::new(in_flight))
     }
 
     /// Whether a repeat is permitted, without consuming it.
     fn can_repeat(&self, admitted: &AdmittedRequest) -> bool {
         let now_s = self.started.elapsed().as_secs();
-        self.retries.lock().has(&admitted.service, now_s, &self.settings().retries)
+        self.retries.lock().has_left(&admitted.service, now_s, &self.settings().retries)
     }
 }
 
@@ -332,7 +335,7 @@
 fn classify_fault(fault: Fault, in_flight: &mut InFlight) -> Attempt {
     match fault {
         Fault::Full { .. } => {
-            in_flight.ended();
+            in_flight.end_without_failure();
             Attempt::Unsent(fault.to_string())
         }
         Fault::Unsent { reason } => {
--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -43,8 +43,8 @@
 /// Owners of a prefix: the endpoint that it hashes to, and another for when that one is busy.
 const PREFIX_OWNERS: usize = 2;
 
-/// Tokens of a shared prefix from which it is owned only by engines that are not slow: processing it pauses all streams
-/// of the engine.
+/// Minimum size, in tokens, of a shared prefix for which engines that are not slow are preferred as owners: processing
+/// it pauses all streams of the engine.
 const LARGE_PREFIX_TOKENS: u64 = 2_000;
 
 /// A selected endpoint.
@@ -93,7 +93,7 @@
     cold: settings::Cold,
     started: Moment,
     state: Mutex<State>,
-    unread: Mutex<signals::UnreadHeaders>,
+    unread_headers: Mutex<signals::UnreadHeaders>,
 }
 
 #[derive(Debug)]
@@ -158,8 +158,8 @@
             allowances: HashMap::new(),
             fleet: None,
         };
-        let (state, unread) = (Mutex::new(state), Mutex::default());
-        Endpoints { zone, cold, started: clock.now(), state, unread }
+        let (state, unread_headers) = (Mutex::new(state), Mutex::default());
+        Endpoints { zone, cold, started: clock.now(), state, unread_headers }
     }
 
     fn now(&self) -> u64 {
@@ -246,8 +246,8 @@
         self.state.lock().services.values().map(|pool| pool.cold(now)).sum()
     }
 
-    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if every
-    /// endpoint is leaving.
+    /// Delay after which to retry a request of this rank that no endpoint of a service accepted; `None` if the
+    /// service has no endpoints or all of them are leaving.
     pub fn retry_delay(&self, service: &str, rank: u8) -> Option<Duration> {
         let now = self.now();
         let state = &mut *self.state.lock();
@@ -312,24 +312,24 @@
     }
 
     /// The endpoint has processed a prompt: the response began, or the request ended without one.
-    pub fn finish_prefill(&self, service: &str, id: &str, missing: u64) {
+    pub fn finish_prefill(&self, service: &str, instance: &str, prefill_tokens: u64) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.finish_prefill(id, missing);
+            pool.finish_prefill(instance, prefill_tokens);
         }
     }
 
     /// Records the time between two events of a stream.
-    pub fn record_gap(&self, service: &str, id: &str, gap: Duration) {
+    pub fn record_gap(&self, service: &str, instance: &str, gap: Duration) {
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.record_gap(id, gap.as_secs_f64() * 1_000.0);
+            pool.record_gap(instance, gap.as_secs_f64() * 1_000.0);
         }
     }
 
     /// A request at an endpoint ended.
-    pub fn end(&self, service: &str, id: &str, failure: Option<Failure>) {
+    pub fn end(&self, service: &str, instance: &str, failure: Option<Failure>) {
         let now = self.now();
         if let Some(pool) = self.state.lock().services.get_mut(service) {
-            pool.end(id, failure, now);
+            pool.end(instance, failure, now);
         }
     }
 
--- a/crates/gateway/src/proxy/retries.rs
+++ b/crates/gateway/src/proxy/retries.rs
@@ -13,22 +13,23 @@
     services: HashMap<Arc<str>, Vec<Second>>,
 }
 
+/// Requests and repeats within one second.
 #[derive(Debug, Clone, Copy)]
 struct Second {
-    at: u64,
+    at_s: u64,
     requests: u32,
     repeats: u32,
 }
 
 impl Retries {
     /// Counts a new request for a service.
-    pub fn request(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) {
+    pub fn count_request(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) {
         self.second(service, now_s, limits).requests += 1;
     }
 
     /// Consumes one repeat, if the limit permits another.
     pub fn take(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
-        let fits = self.has(service, now_s, limits);
+        let fits = self.has_left(service, now_s, limits);
         if fits {
             self.second(service, now_s, limits).repeats += 1;
         }
@@ -36,7 +37,7 @@
     }
 
     /// Whether the limit permits another repeat.
-    pub fn has(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
+    pub fn has_left(&mut self, service: &Arc<str>, now_s: u64, limits: &settings::Retries) -> bool {
         self.second(service, now_s, limits);
         let seconds = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         let requests: u32 = seconds.iter().map(|second| second.requests).sum();
@@ -52,9 +53,9 @@
         limits: &settings::Retries,
     ) -> &mut Second {
         let seconds = self.services.entry(service.clone()).or_default();
-        seconds.retain(|second| second.at + limits.window_s > now_s);
-        if seconds.last().is_none_or(|last| last.at != now_s) {
-            seconds.push(Second { at: now_s, requests: 0, repeats: 0 });
+        seconds.retain(|second| second.at_s + limits.window_s > now_s);
+        if seconds.last().is_none_or(|last| last.at_s != now_s) {
+            seconds.push(Second { at_s: now_s, requests: 0, repeats: 0 });
         }
         seconds.last_mut().expect("just pushed")
     }
