--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -62,7 +62,7 @@
         Verdict::Wait => {}
     }
     let _entry = QueueEntry { queues, pool: &pool, id };
-    let end = call.deadline();
+    let deadline = call.deadline();
     loop {
         tokio::select! {
             started = &mut admitted => {
@@ -70,7 +70,7 @@
             }
             () = tokio::time::sleep(RECHECK_INTERVAL) =>
                 queues.advance(&shared.endpoints, &pool, shared.now()),
-            () = tokio::time::sleep_until(end) => return Err(overloaded(Duration::from_secs(1))),
+            () = tokio::time::sleep_until(deadline) => return Err(overloaded(Duration::from_secs(1))),
         }
     }
 }
--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -154,10 +154,10 @@
         None => Ok((format!("auto-{:016x}", shared.random_u64()).into(), false)),
         Some(value) => {
             let text = value.to_str().unwrap_or_default();
-            let fits = !text.is_empty()
+            let is_valid = !text.is_empty()
                 && text.len() <= MAX_KEY_BYTES
                 && text.bytes().all(|byte| byte.is_ascii_graphic());
-            match fits {
+            match is_valid {
                 true => Ok((text.into(), true)),
                 false => Err(Reason::Malformed.with(format!(
                     "the idempotency key must be 1 to {MAX_KEY_BYTES} visible ASCII characters"
@@ -174,7 +174,7 @@
     caller.ok_or_else(|| Reason::Unauthenticated.with("a valid API key is required"))
 }
 
-fn allowed<'a>(
+fn resolve_route<'a>(
     snapshot: &'a Snapshot,
     caller: &Caller,
     name: &str,
@@ -218,7 +218,7 @@
     let max_bytes = open.map(|route| route.max_body).max().unwrap_or(0).min(MAX_CHAT_BYTES);
     let bytes = body(request, max_bytes).await?;
     let chat = Chat::read(&bytes)?;
-    let (route, pool) = allowed(snapshot, &caller, &chat.model)?;
+    let (route, pool) = resolve_route(snapshot, &caller, &chat.model)?;
     if bytes.len() as u64 > route.max_body {
         let message = format!("the body is larger than {} bytes", route.max_body);
         return Err(Reason::TooLarge.with(message));
@@ -246,7 +246,7 @@
     name: &str,
     rest: &str,
 ) -> Result<Call, Refusal> {
-    let (route, pool) = allowed(snapshot, &caller, name)?;
+    let (route, pool) = resolve_route(snapshot, &caller, name)?;
     let Workload::Service { cost } = pool.serves else {
         return Err(Reason::NoRoute.with(format!("`{name}` is not a service")));
     };
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -49,7 +49,7 @@
     timeout: Duration,
     time_left: Duration,
 ) -> Result<Guard, NotAcquired> {
-    let end = Instant::now() + time_left;
+    let deadline = Instant::now() + time_left;
     loop {
         // Created before the write: if this future is cancelled, dropping it settles a claim that
         // may have landed.
@@ -63,7 +63,7 @@
         if error != NotAcquired::Unknown {
             return Err(error);
         }
-        match tokio::time::timeout_at(end, wait_for_answer(shared, &claim)).await {
+        match tokio::time::timeout_at(deadline, wait_for_answer(shared, &claim)).await {
             Ok(Some(error)) => return Err(error),
             Ok(None) => {}
             Err(_) => return Err(NotAcquired::Unknown),
--- a/crates/router/src/drive.rs
+++ b/crates/router/src/drive.rs
@@ -42,7 +42,7 @@
         return progress;
     }
     let _admission = match admission::acquire(shared, call).await {
-        Ok(permit) => permit,
+        Ok(admission) => admission,
         Err(refusal) => return Progress::Refused(refusal),
     };
     let Some(in_flight) = InFlight::start(shared, call, &[]) else {
@@ -102,8 +102,8 @@
         }
     }
     let platform_timeout = platform_timeout(shared, call);
-    let taking = claims::acquire(shared, claim, platform_timeout, call.time_left());
-    let (guard, hold) = tokio::join!(taking, hold(shared, call, target));
+    let acquiring = claims::acquire(shared, claim, platform_timeout, call.time_left());
+    let (guard, hold) = tokio::join!(acquiring, hold(shared, call, target));
     // If one of the two failed, dropping the other records that the request did not run.
     let guard = guard.map_err(not_acquired)?;
     let hold = hold.map_err(Progress::Refused)?;
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -32,7 +32,7 @@
 struct Entry {
     pool: Arc<str>,
     address: Arc<str>,
-    model: bool,
+    serves_model: bool,
     leaving: Leaving,
 }
 
@@ -91,7 +91,7 @@
                 let entry = Entry {
                     pool: name.clone(),
                     address: endpoint.address.clone(),
-                    model: matches!(spec.serves, Workload::Model(_)),
+                    serves_model: matches!(spec.serves, Workload::Model(_)),
                     leaving,
                 };
                 state.entries.insert(endpoint.name.clone(), entry);
@@ -142,9 +142,9 @@
         let mut state = self.state.lock();
         let State { pools, entries, .. } = &mut *state;
         let pool = entries.get(endpoint).and_then(|entry| pools.get_mut(&entry.pool));
-        let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
-        if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
-            tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
+        let back_off_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
+        if pool.is_some_and(|pool| pool.back_off(endpoint, back_off_ms, now)) {
+            tracing::info!(event = "endpoint_rests", endpoint, rest_ms = back_off_ms);
         }
     }
 
@@ -194,7 +194,7 @@
         let mut found: Vec<(bool, Arc<str>)> = state
             .entries
             .iter()
-            .filter(|(_, entry)| entry.model && entry.pool == pool)
+            .filter(|(_, entry)| entry.serves_model && entry.pool == pool)
             .map(|(name, entry)| (&**name != first, entry.address.clone()))
             .collect();
         found.sort();
@@ -204,7 +204,7 @@
     /// All engines, that is, endpoints that serve a model.
     pub fn engines(&self) -> Vec<Target> {
         let state = self.state.lock();
-        let engines = state.entries.iter().filter(|(_, entry)| entry.model);
+        let engines = state.entries.iter().filter(|(_, entry)| entry.serves_model);
         engines
             .map(|(name, entry)| Target { name: name.clone(), address: entry.address.clone() })
             .collect()
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -178,7 +178,8 @@
         return;
     }
     for address in &shared.settings.peers {
-        if let Some((name, status)) = shared.peers.seed(*address, own_status(shared)).await {
+        if let Some((name, status)) = shared.peers.contact_seed(*address, own_status(shared)).await
+        {
             receive_status(shared, &name, status).await;
         }
     }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -66,11 +66,11 @@
     /// Adds or updates a peer from its member object.
     pub fn observe(&self, member: &Member) {
         let Ok(address) = member.peer.parse::<SocketAddr>() else { return };
-        let own_box = member.incarnation.box_name() == self.me.lock().box_name();
+        let is_own_box = member.incarnation.box_name() == self.me.lock().box_name();
         let mut state = self.state.lock();
         let known = state.known.get(&member.incarnation);
         let same = known.is_some_and(|known| known.peer.address() == address);
-        if same || own_box {
+        if same || is_own_box {
             return;
         }
         let peer = Peer::new(address, self.source);
@@ -80,7 +80,11 @@
     }
 
     /// Exchanges status with an address from the settings and adds the peer that answers.
-    pub async fn seed(&self, address: SocketAddr, status: Status) -> Option<(Incarnation, Status)> {
+    pub async fn contact_seed(
+        &self,
+        address: SocketAddr,
+        status: Status,
+    ) -> Option<(Incarnation, Status)> {
         let peer = Peer::new(address, self.source);
         let answer = peer.ask(&self.message(Frame::Status(status)), REQUEST_TIMEOUT).await.ok()?;
         let Frame::Status(status) = answer.frame else { return None };
@@ -162,7 +166,7 @@
     pub fn record_status(&self, name: &Incarnation, status: Option<Status>) {
         let mut state = self.state.lock();
         let Some(known) = state.known.get_mut(name) else { return };
-        let was = known.reachable;
+        let was_reachable = known.reachable;
         match status {
             Some(status) => {
                 known.failures = 0;
@@ -175,7 +179,7 @@
             }
         }
         let peer = name.as_str().into();
-        match (was, known.reachable) {
+        match (was_reachable, known.reachable) {
             (false, true) => self.log.add(EventKind::PeerBack { peer }),
             (true, false) => self.log.add(EventKind::PeerLost { peer }),
             _ => {}
@@ -197,7 +201,8 @@
     pub fn reaches_platform(&self) -> bool {
         let state = self.state.lock();
         let reaches = |known: &PeerState| {
-            known.reachable && known.status.as_ref().is_some_and(|t| t.is_platform_reachable)
+            known.reachable
+                && known.status.as_ref().is_some_and(|status| status.is_platform_reachable)
         };
         state.known.values().any(reaches)
     }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -43,7 +43,7 @@
         unreachable!("only chat completions are relayed");
     };
     let Prepared { hold, claim } = prepared;
-    let id = hold.attempt_id();
+    let attempt_id = hold.attempt_id();
     let send = |address: &str| {
         let url = format!("http://{address}/v1/chat/completions");
         shared.http.post(url).header(CONTENT_TYPE, "application/json").body(body.clone())
@@ -54,7 +54,7 @@
     };
     let mut relay = Relay::new(shared, call, driver, *limit, *stream);
     let (end, mut in_flight) = match sent {
-        Sent::Answered(response) => relay.read_to_end(response, in_flight, &id).await,
+        Sent::Answered(response) => relay.read_to_end(response, in_flight, &attempt_id).await,
         Sent::Uncertain(unknown) => (Err(unknown), in_flight),
         Sent::NotRun { .. } => unreachable!("dispatch tries another endpoint or refuses"),
     };
@@ -184,7 +184,7 @@
             let Ok(Some(bytes)) = chunk else { return Err(Stop::Broken) };
             let events = scanner.push(&bytes).map_err(|_| Stop::Broken)?;
             for event in events {
-                if let Flow::Complete = self.event(event) {
+                if let Flow::Complete = self.handle_event(event) {
                     return Ok(());
                 }
             }
@@ -215,17 +215,17 @@
         }
     }
 
-    fn event(&mut self, event: Bytes) -> Flow {
+    fn handle_event(&mut self, event: Bytes) -> Flow {
         match sse::classify(&event) {
             Event::Token if self.token_count >= self.limit => {
                 // The engine ignores the output limit: end the answer at the reserved tokens.
                 self.forward(chat::truncation_events(
                     &self.call.key,
-                    self.prompt(),
+                    self.prompt_tokens(),
                     self.token_count,
                 ));
                 self.finish_reason = Some("length".into());
-                self.usage = Some((self.prompt(), self.token_count));
+                self.usage = Some((self.prompt_tokens(), self.token_count));
                 return Flow::Complete;
             }
             Event::Token => {
@@ -247,7 +247,7 @@
         Flow::Continue
     }
 
-    fn prompt(&self) -> u64 {
+    fn prompt_tokens(&self) -> u64 {
         self.call.worst_case.saturating_sub(self.limit)
     }
 
@@ -302,7 +302,7 @@
     }
 
     fn completion(&self, model: &str) -> Bytes {
-        let (prompt, output) = self.usage.unwrap_or((self.prompt(), self.token_count));
+        let (prompt, output) = self.usage.unwrap_or((self.prompt_tokens(), self.token_count));
         let finish_reason = self.finish_reason.as_deref().unwrap_or("stop");
         chat::completion(model, &self.call.key, &self.text, finish_reason, prompt, output)
     }
--- a/crates/router/src/reports.rs
+++ b/crates/router/src/reports.rs
@@ -23,8 +23,8 @@
 
 async fn poll_engine(shared: &Shared, target: Target) -> Vec<Arc<str>> {
     let url = format!("http://{}/load", target.address);
-    let limit = Duration::from_millis(shared.settings.limits.connect_ms);
-    let sent = shared.http.get(url).timeout(limit).send().await;
+    let timeout = Duration::from_millis(shared.settings.limits.connect_ms);
+    let sent = shared.http.get(url).timeout(timeout).send().await;
     let Ok(answer) = sent.and_then(reqwest::Response::error_for_status) else {
         return Vec::new();
     };
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -75,11 +75,11 @@
         let server = Server::new(callers).fuse_config(fuse).max_connections(limits.connections);
         let handle = server.handle();
         let routes = || salvo::Router::with_path("{**rest}");
-        let calls = routes().goal(Callers(shared.clone()));
-        let watch = routes().goal(Operators(shared.clone()));
+        let caller_routes = routes().goal(Callers(shared.clone()));
+        let operator_routes = routes().goal(Operators(shared.clone()));
         let servers = vec![
-            tokio::spawn(async move { server.serve(calls).await }),
-            tokio::spawn(async move { Server::new(operators).serve(watch).await }),
+            tokio::spawn(async move { server.serve(caller_routes).await }),
+            tokio::spawn(async move { Server::new(operators).serve(operator_routes).await }),
         ];
         shared.log.add(EventKind::Started);
         let tasks = spawn_tasks(&shared);
@@ -133,12 +133,12 @@
         shared.log.add(EventKind::Stopping);
         shared.stopping.send_replace(true);
         tokio::time::sleep(READINESS_DELAY).await;
-        let limit = Duration::from_millis(shared.settings.limits.stop_ms);
-        self.handle.stop_graceful(limit);
+        let timeout = Duration::from_millis(shared.settings.limits.stop_ms);
+        self.handle.stop_graceful(timeout);
         let callers = self.servers.remove(0);
         let _ = callers.await;
         shared.tasks.close();
-        let _ = tokio::time::timeout(limit, async {
+        let _ = tokio::time::timeout(timeout, async {
             while shared.requests.in_flight() > 0 || !shared.sessions.is_idle() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -147,7 +147,7 @@
         for task in self.tasks.drain(..) {
             task.abort();
         }
-        let _ = tokio::time::timeout(limit, background::close_sessions(&shared)).await;
+        let _ = tokio::time::timeout(timeout, background::close_sessions(&shared)).await;
         shared.ended.cancel();
         shared.log.add(EventKind::Stopped);
     }
--- a/crates/router/src/runs.rs
+++ b/crates/router/src/runs.rs
@@ -25,8 +25,8 @@
 /// Asks an engine for the state of a run; `None` without an answer.
 async fn ask(shared: &Shared, address: &str, attempt_id: &str) -> Option<Report> {
     let url = format!("http://{address}/runs/{attempt_id}");
-    let limit = Duration::from_millis(shared.settings.limits.connect_ms);
-    let answer = shared.http.get(url).timeout(limit).send().await.ok()?;
+    let timeout = Duration::from_millis(shared.settings.limits.connect_ms);
+    let answer = shared.http.get(url).timeout(timeout).send().await.ok()?;
     answer.json().await.ok()
 }
 
@@ -50,8 +50,8 @@
 ) -> impl Future<Output = ()> + Send + use<> {
     let url = format!("http://{}/runs/{}/cancel", in_flight.target.address, hold.attempt_id());
     async move {
-        let limit = Duration::from_millis(shared.settings.limits.connect_ms);
-        let _ = shared.http.post(url).timeout(limit).send().await;
+        let timeout = Duration::from_millis(shared.settings.limits.connect_ms);
+        let _ = shared.http.post(url).timeout(timeout).send().await;
     }
 }
 
@@ -67,10 +67,10 @@
     async move {
         cancel.await;
         let attempt_id = hold.attempt_id();
-        let end = tokio::time::Instant::now()
+        let deadline = tokio::time::Instant::now()
             + Duration::from_millis(shared.settings.money.resolve_after_ms);
         let mut delay = POLL_DELAY;
-        while tokio::time::Instant::now() < end {
+        while tokio::time::Instant::now() < deadline {
             if let Some(Report::Ended { prompt_tokens, output_tokens }) =
                 ask(&shared, &address, &attempt_id).await
             {
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -19,7 +19,7 @@
 const MAX_DELAY_MS: u64 = 10_000;
 
 /// State of the recovery of one incarnation. Times in milliseconds.
-struct Case {
+struct RecoveryState {
     sealed_at: u64,
     next_attempt: u64,
     delay: u64,
@@ -27,25 +27,25 @@
 
 /// Recovers incarnations without a heartbeat, for as long as the router runs.
 pub async fn recover_silent(shared: Arc<Shared>) {
-    let mut cases: HashMap<Incarnation, Case> = HashMap::new();
+    let mut states: HashMap<Incarnation, RecoveryState> = HashMap::new();
     loop {
         tokio::time::sleep(CHECK_INTERVAL / 2 + shared.jitter(CHECK_INTERVAL)).await;
         if !shared.health.is_up() {
             continue;
         }
         let silent = silent(&shared);
-        cases.retain(|name, _| silent.contains(name));
+        states.retain(|name, _| silent.contains(name));
         for name in silent {
             let now = shared.now();
-            let case = cases.entry(name.clone()).or_insert(Case {
+            let state = states.entry(name.clone()).or_insert(RecoveryState {
                 sealed_at: now,
                 next_attempt: now,
                 delay: CHECK_INTERVAL.as_millis() as u64,
             });
-            if now >= case.next_attempt {
-                recover(&shared, &name, case).await;
-                case.delay = (case.delay * 2).min(MAX_DELAY_MS);
-                case.next_attempt = shared.now() + case.delay;
+            if now >= state.next_attempt {
+                recover(&shared, &name, state).await;
+                state.delay = (state.delay * 2).min(MAX_DELAY_MS);
+                state.next_attempt = shared.now() + state.delay;
             }
         }
     }
@@ -66,7 +66,7 @@
     silent.into_iter().filter(|name| !is_own(name) && is_due(name)).collect()
 }
 
-async fn recover(shared: &Arc<Shared>, name: &Incarnation, case: &mut Case) {
+async fn recover(shared: &Arc<Shared>, name: &Incarnation, state: &mut RecoveryState) {
     let store = &*shared.store;
     let journal = match recovery::seal(store, name, &shared.me()).await {
         Sealed::Now(journal) => {
@@ -79,7 +79,7 @@
         Sealed::Missing => return delete_incarnation(shared, name).await,
         Sealed::Unknown => return,
     };
-    let waited = Duration::from_millis(shared.now().saturating_sub(case.sealed_at));
+    let waited = Duration::from_millis(shared.now().saturating_sub(state.sealed_at));
     let rule_applies = waited >= Duration::from_millis(shared.settings.money.resolve_after_ms);
     let findings = findings(shared, &journal, rule_applies).await;
     let Some((journal, _)) = recovery::add_findings(store, journal, &findings).await else {
--- a/crates/router/src/transcript.rs
+++ b/crates/router/src/transcript.rs
@@ -28,7 +28,7 @@
 struct State {
     chunks: Vec<Bytes>,
     bytes: usize,
-    read: usize,
+    furthest_read: usize,
     end: Option<End>,
 }
 
@@ -78,7 +78,9 @@
             let drained = self.drained.notified();
             {
                 let state = self.state.lock();
-                if state.bytes.saturating_sub(state.read) <= MAX_LEAD_BYTES || self.readers() == 0 {
+                if state.bytes.saturating_sub(state.furthest_read) <= MAX_LEAD_BYTES
+                    || self.readers() == 0
+                {
                     return;
                 }
             }
@@ -98,7 +100,7 @@
 
 struct Reader {
     transcript: Arc<Transcript>,
-    at: usize,
+    next_chunk: usize,
     bytes: usize,
     ended: bool,
 }
@@ -106,7 +108,7 @@
 impl Reader {
     fn open(transcript: Arc<Transcript>) -> Reader {
         transcript.readers.fetch_add(1, Ordering::Relaxed);
-        Reader { transcript, at: 0, bytes: 0, ended: false }
+        Reader { transcript, next_chunk: 0, bytes: 0, ended: false }
     }
 
     async fn next(&mut self) -> Option<Bytes> {
@@ -120,16 +122,16 @@
             changed.as_mut().enable();
             let (chunk, end) = {
                 let mut state = transcript.state.lock();
-                let chunk = state.chunks.get(self.at).cloned();
+                let chunk = state.chunks.get(self.next_chunk).cloned();
                 if let Some(chunk) = &chunk {
                     self.bytes += chunk.len();
-                    state.read = state.read.max(self.bytes);
+                    state.furthest_read = state.furthest_read.max(self.bytes);
                 }
                 (chunk, state.end)
             };
             match (chunk, end) {
                 (Some(chunk), _) => {
-                    self.at += 1;
+                    self.next_chunk += 1;
                     transcript.drained.notify_waiters();
                     return Some(chunk);
                 }
