--- a/crates/router/src/api.rs
+++ b/crates/router/src/api.rs
@@ -128,7 +128,7 @@
             // The follower lives as long as the stream, which keeps the request wanted.
             response.stream(WithFollower { stream: Box::pin(stream), _follower: follower });
         }
-        Progress::Waiting => unreachable!("waited for"),
+        Progress::Waiting => unreachable!("the caller waits until the progress has changed"),
     }
     Ok(())
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -30,7 +30,7 @@
 /// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotAcquired {
-    /// The request ran before; the answer that is stored.
+    /// The request ran before; its stored answer.
     Replay(claim::Answer),
     /// It may have run.
     Unknown,
@@ -120,7 +120,8 @@
     }
 }
 
-/// A claim for a ticket, which runs without writing it first: the outcome creates the object.
+/// A claim for a ticket. The request runs before its claim is written: settling the claim creates
+/// its object.
 pub fn deferred(shared: &Arc<Shared>, claim: Claim) -> Guard {
     Guard { shared: shared.clone(), claim, settled: false }
 }
@@ -160,7 +161,7 @@
 }
 
 impl Drop for Guard {
-    /// Without an outcome the request was not dispatched.
+    /// Records that the request did not run: a claim dropped unsettled was not dispatched.
     fn drop(&mut self) {
         if !self.settled {
             let (shared, claim) = (self.shared.clone(), self.claim.clone());
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -14,7 +14,7 @@
 /// Concurrent requests assumed for an endpoint that reports no number of slots.
 const DEFAULT_SLOTS: f64 = 1_000.0;
 
-/// Who says that an endpoint is leaving; any one suffices.
+/// Sources that report an endpoint as leaving; any one suffices.
 #[derive(Debug, Clone, Copy, Default)]
 struct Leaving {
     by_spec: bool,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make
-    /// the endpoint look idle and attract more requests.
+    /// Applies the back-off that an endpoint asked for in a refusal. Without it, fast refusals would
+    /// make the endpoint look idle and attract more requests.
     pub fn back_off(&self, endpoint: &str, back_off: Duration, now: u64) {
         let mut state = self.state.lock();
         let State { pools, entries, .. } = &mut *state;
@@ -156,7 +156,7 @@
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
-            // Without a report, practically unlimited.
+            // Without a reported number of slots, practically unlimited.
             capacity.slots += endpoint.slots().map_or(DEFAULT_SLOTS, f64::from);
         }
         capacity
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -79,9 +79,9 @@
         | Frame::Promised { .. }
         | Frame::Sealed { .. }
         | Frame::Refused { .. } => Frame::Refused { reason: "not a request".into() },
-        // Only a hint: the periodic status exchange carries the requests in flight.
+        // Not used by routers: the periodic status exchange carries the requests in flight.
         Frame::Prompt(_) => Frame::Done,
-        // These engines name no rate limits, and report to each box whether they are leaving.
+        // Engines behind routers name no rate limits and report to each box whether they are leaving.
         Frame::PermitRequest(_)
         | Frame::PermitReply(_)
         | Frame::Limit { .. }
@@ -101,7 +101,8 @@
     }
 }
 
-/// Makes a platform call for a peer, over this box's direct connection only: no chains of relays.
+/// Makes a platform call for a peer, over this box's direct connection only, so that no call
+/// passes through more than one peer.
 async fn call_platform(shared: &Shared, request: PlatformCall) -> Frame {
     let store = &shared.direct;
     let value = |object: objects::Object| Value {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -337,9 +337,10 @@
     }
 }
 
+/// Why reading a stream ended early.
 enum Stop {
     /// The stream broke off.
     Broken,
-    /// All callers disconnected.
+    /// No caller followed the request for [`ABANDON_TIMEOUT`].
     Abandoned,
 }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -171,7 +171,7 @@
 }
 
 impl Driver {
-    /// The answer started to stream.
+    /// Publishes that the answer is being streamed.
     pub fn streaming(&self, transcript: Arc<Transcript>) {
         let state = self.requests.state.lock();
         if let Some(entry) = state.entries.get(&self.id) {
@@ -185,7 +185,7 @@
         self.interest.strong_count() > 1
     }
 
-    /// The request ended.
+    /// Ends the request with its final progress.
     pub fn end(mut self, progress: Progress) {
         self.done = true;
         self.requests.end(&self.id, progress);
--- a/crates/router/src/sealer.rs
+++ b/crates/router/src/sealer.rs
@@ -92,7 +92,7 @@
     for budget in recovery::budgets(&journal) {
         done &= recovery::close_grant(store, &budget, &journal, closing).await;
     }
-    // A delayed write of the incarnation may still land, so it is forgotten only after that time.
+    // A delayed write of the incarnation may still land until `resolve_after_ms` has passed.
     if done && rule_applies {
         delete_incarnation(shared, name).await;
         for budget in recovery::budgets(&journal) {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -121,7 +121,8 @@
     pub resolve_after_ms: u64,
     /// Interval for polling engines for their load, in milliseconds.
     pub report_ms: u64,
-    /// Number of configured budgets up to which each box prepares for all of them, used or not.
+    /// Largest number of configured budgets for which each box prepares before they are used here;
+    /// with more, it prepares for none.
     pub ready_budgets: usize,
 }
 
