--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -70,7 +70,8 @@
             }
             () = tokio::time::sleep(RECHECK_INTERVAL) =>
                 queues.advance(&shared.endpoints, &pool, shared.now()),
-            () = tokio::time::sleep_until(deadline) => return Err(overloaded(Duration::from_secs(1))),
+            () = tokio::time::sleep_until(deadline) =>
+                return Err(overloaded(Duration::from_secs(1))),
         }
     }
 }
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Applies the back-off that an endpoint asked for in a refusal. Without it, fast refusals would
-    /// make the endpoint look idle and attract more requests.
+    /// Applies the back-off that an endpoint asked for in a refusal. Without it, fast refusals
+    /// would make the endpoint look idle and attract more requests.
     pub fn back_off(&self, endpoint: &str, back_off: Duration, now: u64) {
         let mut state = self.state.lock();
         let State { pools, entries, .. } = &mut *state;
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -81,7 +81,8 @@
         | Frame::Refused { .. } => Frame::Refused { reason: "not a request".into() },
         // Not used by routers: the periodic status exchange carries the requests in flight.
         Frame::Prompt(_) => Frame::Done,
-        // Engines behind routers name no rate limits and report to each box whether they are leaving.
+        // Engines behind routers name no rate limits, and each box learns from their load reports
+        // whether they are leaving.
         Frame::PermitRequest(_)
         | Frame::PermitReply(_)
         | Frame::Limit { .. }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -56,7 +56,7 @@
 }
 
 #[derive(Deserialize)]
-struct Tail {
+struct UsageEvent {
     usage: Usage,
 }
 
@@ -73,9 +73,9 @@
     if data == b"[DONE]" {
         return Event::Done;
     }
-    let tail = data.windows(9).any(|part| part == b"\"usage\":{");
-    match tail.then(|| serde_json::from_slice::<Tail>(data)) {
-        Some(Ok(Tail { usage })) => {
+    let has_usage = data.windows(9).any(|part| part == b"\"usage\":{");
+    match has_usage.then(|| serde_json::from_slice::<UsageEvent>(data)) {
+        Some(Ok(UsageEvent { usage })) => {
             Event::Usage { prompt: usage.prompt_tokens, completion: usage.completion_tokens }
         }
         _ => Event::Token,
