--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -30,7 +30,7 @@
 /// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotAcquired {
-    /// The request ran before; the answer that is stored.
+    /// The request ran before; its stored answer.
     Replay(claim::Answer),
     /// It may have run.
     Unknown,
@@ -49,7 +49,7 @@
     timeout: Duration,
     time_left: Duration,
 ) -> Result<Guard, NotAcquired> {
-    let end = Instant::now() + time_left;
+    let deadline = Instant::now() + time_left;
     loop {
         // Created before the write: if this future is cancelled, dropping it settles a claim that
         // may have landed.
@@ -63,7 +63,7 @@
         if error != NotAcquired::Unknown {
             return Err(error);
         }
-        match tokio::time::timeout_at(end, wait_for_answer(shared, &claim)).await {
+        match tokio::time::timeout_at(deadline, wait_for_answer(shared, &claim)).await {
             Ok(Some(error)) => return Err(error),
             Ok(None) => {}
             Err(_) => return Err(NotAcquired::Unknown),
@@ -120,7 +120,8 @@
     }
 }
 
-/// A claim for a ticket, which runs without writing it first: the outcome creates the object.
+/// A claim for a ticket. The request runs before its claim is written: settling the claim creates
+/// its object.
 pub fn deferred(shared: &Arc<Shared>, claim: Claim) -> Guard {
     Guard { shared: shared.clone(), claim, settled: false }
 }
@@ -160,7 +161,7 @@
 }
 
 impl Drop for Guard {
-    /// Without an outcome the request was not dispatched.
+    /// Records that the request did not run: a claim dropped unsettled was not dispatched.
     fn drop(&mut self) {
         if !self.settled {
             let (shared, claim) = (self.shared.clone(), self.claim.clone());
