--- a/crates/flintstall/src/read.rs
+++ b/crates/flintstall/src/read.rs
@@ -57,7 +57,7 @@
     })
 }
 
-/// Shows a resource, its accepted version and the boxes where that is in force.
+/// Shows a resource, its accepted version and the boxes where that version is in force.
 pub async fn describe(client: &Client, describe: &Describe, format: Format) -> Result<Code, Error> {
     let kind = parse_kind(&describe.kind)?;
     let name = &describe.name;
@@ -78,8 +78,11 @@
 }
 
 struct Report {
+    /// Version of the resource as last written.
     source_version: u64,
+    /// Version of the resource that was last accepted.
     accepted_version: u64,
+    /// Why the last written version failed validation, if it did.
     invalid: Option<String>,
     /// Incarnations where the accepted version is in force.
     in_force: Vec<String>,
--- a/crates/flintstalld/src/cli.rs
+++ b/crates/flintstalld/src/cli.rs
@@ -15,7 +15,7 @@
     #[argh(option)]
     pub settings: Option<PathBuf>,
 
-    /// run as a gateway on the users' platform instead of as a router; the settings are a gateway's
+    /// run as a gateway on the users' platform instead of as a router; the settings must be a gateway's
     #[argh(switch)]
     pub gateway: bool,
 
--- a/crates/flintstalld/src/logging.rs
+++ b/crates/flintstalld/src/logging.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Lines buffered for writing; lines beyond that are dropped and counted.
+/// Maximum number of log lines buffered for writing; further lines are dropped and counted.
 const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Starts logging JSON lines to standard output without blocking on a slow reader.
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Lower bound of the bytes of text for each token; 1 holds for any tokenizer.
+    /// Lower bound of the bytes of text per token; 1 is safe for any tokenizer.
     #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: u64,
     /// Requests that one endpoint batches at once.
@@ -93,7 +93,7 @@
             require(names.insert(&endpoint.name), key_path("name"), "unique in the pool");
             require(is_name(&endpoint.zone), key_path("zone"), "the name of an availability zone");
             let address = endpoint.address.parse::<std::net::SocketAddr>().is_ok();
-            require(address, key_path("address"), "an IP number with a port");
+            require(address, key_path("address"), "an IP address with a port");
         }
         violations
     }
