--- a/crates/flintstall/src/read.rs
+++ b/crates/flintstall/src/read.rs
@@ -102,13 +102,13 @@
             .and_then(|object| serde_json::from_str::<Accepted>(&object.value).ok())
             .map_or(0, |accepted| accepted.source);
         let status = status.map(value_of).unwrap_or_default();
-        let current = status["source"].as_u64() == Some(version);
-        let invalid = status["invalid"].as_str().filter(|_| current).map(str::to_owned);
-        let needed = accepted.map_or(u64::MAX, |object| object.version);
+        let is_current = status["source"].as_u64() == Some(version);
+        let invalid = status["invalid"].as_str().filter(|_| is_current).map(str::to_owned);
+        let required_version = accepted.map_or(u64::MAX, |object| object.version);
         let known: Vec<Member> =
             members.iter().filter_map(|object| serde_json::from_str(&object.value).ok()).collect();
         let (in_force, not_in_force): (Vec<_>, Vec<_>) =
-            known.into_iter().partition(|member| member.watched >= needed);
+            known.into_iter().partition(|member| member.watched >= required_version);
         let names = |members: Vec<Member>| -> Vec<String> {
             members.into_iter().map(|member| member.incarnation.to_string()).collect()
         };
--- a/crates/resource/tests/file.rs
+++ b/crates/resource/tests/file.rs
@@ -48,7 +48,7 @@
         ("DIS.desk.correct-horse", None),
     ];
     for (text, want) in cases {
-        let got = ApiKey::parse(text).map(|secret| secret.matches(&stored));
+        let got = ApiKey::parse(text).map(|key| key.matches(&stored));
         assert_eq!(got, want, "{text}");
     }
 }
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -16,7 +16,7 @@
 struct State {
     clock: Clock,
     seq: u64,
-    by: Arc<str>,
+    incarnation: Arc<str>,
     recent: VecDeque<Event>,
 }
 
@@ -31,16 +31,20 @@
 }
 
 impl Log {
-    /// Opens a log for the incarnation `by`.
-    pub fn open(by: impl Into<Arc<str>>) -> Log {
-        let state =
-            State { clock: Clock::default(), seq: 0, by: by.into(), recent: VecDeque::new() };
+    /// Opens a log that records events under `incarnation`.
+    pub fn open(incarnation: impl Into<Arc<str>>) -> Log {
+        let state = State {
+            clock: Clock::default(),
+            seq: 0,
+            incarnation: incarnation.into(),
+            recent: VecDeque::new(),
+        };
         Log(Arc::new(Mutex::new(state)))
     }
 
     /// Sets the incarnation that later events are recorded under.
-    pub fn set_incarnation(&self, by: impl Into<Arc<str>>) {
-        self.0.lock().by = by.into();
+    pub fn set_incarnation(&self, incarnation: impl Into<Arc<str>>) {
+        self.0.lock().incarnation = incarnation.into();
     }
 
     /// Adds an event that belongs to no request or budget.
@@ -62,7 +66,8 @@
         let mut state = self.0.lock();
         let at = state.clock.tick(wall_ms());
         state.seq += 1;
-        let event = Event { at, by: state.by.clone(), seq: state.seq, what, request, budget };
+        let event =
+            Event { at, by: state.incarnation.clone(), seq: state.seq, what, request, budget };
         if tracing::enabled!(target: "timeline", tracing::Level::INFO) {
             let line = serde_json::to_string(&event).expect("events always serialize");
             tracing::info!(target: "timeline", event = %line);
