--- a/crates/flintstall/src/apply.rs
+++ b/crates/flintstall/src/apply.rs
@@ -26,7 +26,7 @@
     resource::read(&text).context(InvalidFileSnafu { path })
 }
 
-/// Writes all resources of a file, each after those that it refers to.
+/// Writes all resources of a file, in the order of [`Kind::ALL`].
 pub async fn apply(client: &Client, apply: &Apply) -> Result<Code, Error> {
     let mut documents = documents(&apply.file)?;
     documents.sort_by_key(|document| Kind::ALL.iter().position(|kind| *kind == document.kind));
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,7 +1,7 @@
 //! The resources that operators write: kinds, names, specs and validation.
 //!
 //! Validation needs no platform, so `flintstall check` and the fleet give the same result.
-//! References between resources are checked in the `config` crate, which knows all of them.
+//! Each resource is validated on its own: references to other resources are not checked.
 
 mod budget;
 mod customer;
--- a/crates/resource/src/pool.rs
+++ b/crates/resource/src/pool.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Name, unique across all pools.
+    /// Name, unique across all pools; [`Pool::check`] verifies this within one pool only.
     pub name: Arc<str>,
     /// Address with port, such as `10.0.3.7:8000`.
     pub address: Arc<str>,
