--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -67,7 +67,7 @@
             sender.send(*found).expect("the probe is awaited");
         }
         let verdict = verdict.await;
-        // Time passes meanwhile, so the rest of the day may be a little shorter.
+        // `for_s` counts down from the last crash, so it may be slightly less than the full day.
         let is_expected = match (verdict, expected) {
             (Verdict::Quarantined { for_s }, Verdict::Quarantined { for_s: day }) => {
                 (day - 60..=day).contains(&for_s)
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -142,7 +142,7 @@
     assert_eq!(ready(&directory), ["a"]);
     directory.store_returned(13_000, 20_000);
     directory.apply_list(Vec::new(), 9, 18_000);
-    assert_eq!(ready(&directory), ["a"], "another outage gives a again time to come back");
+    assert_eq!(ready(&directory), ["a"], "after another outage, `a` has time to come back too");
 }
 
 #[test]
@@ -157,7 +157,7 @@
     assert_eq!(taken, 5, "a tenth of 40 requests and one extra");
     assert!(!retries.take(&service, 18, &limits), "retries of second 9 still count");
     assert!(retries.take(&service, 19, &limits), "a new window has its own extra retry");
-    assert!(retries.take(&"other".into(), 9, &limits), "services do not share");
+    assert!(retries.take(&"other".into(), 9, &limits), "each service has its own budget");
 }
 
 #[test]
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -107,7 +107,7 @@
             run.step(step);
             for view in run.watchers.iter().chain([&run.subscriber]) {
                 let stored = run.stored.get(&view.at()).cloned().unwrap_or_default();
-                prop_assert_eq!(view.zones(), &stored, "as at version {}", view.at());
+                prop_assert_eq!(view.zones(), &stored, "view of version {}", view.at());
             }
             prop_assert!(run.subscriber.at() >= before, "the subscriber went back to an older version");
             before = run.subscriber.at();
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -1,7 +1,7 @@
 //! How long a store outage a box holds tokens for, on a paused clock and without network.
 //!
-//! Guards against losses when all boxes die right after an outage: keepers must not draw tokens for a long outage
-//! with the settlement that ends one, since no witness is left to return them.
+//! Guards against losses when all boxes die right after an outage: a keeper's settlement that ends the outage must not
+//! already draw tokens for another long one, since no witness is left to return them.
 
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
         self.book.settle(&settlement, POLICY);
     }
 
-    /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
+    /// Cuts this box off from the store while other boxes settle; returns whether its next settlement ended an outage.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
         self.forecast.record_failure(Instant::now());
         advance(seconds).await;
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -126,7 +126,7 @@
 }
 
 /// Tokens that a box holds beyond its need are unavailable to other boxes and lost if it dies, so every settlement
-/// returns them, although they alone cause none.
+/// returns them, although surplus alone makes none due.
 #[tokio::test(start_paused = true)]
 async fn surplus_is_returned_with_any_settlement() {
     let mut fixture = Fixture::open();
--- a/crates/gateway/tests/loopback/outage.rs
+++ b/crates/gateway/tests/loopback/outage.rs
@@ -112,7 +112,8 @@
     let response = call(gateway.callers(), "/open/x", &harness.new_request("key-b", 1, 1)).await;
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.body.expect("a body").contains("no_config"));
-    let ready = reqwest::get(format!("http://{}/ready", gateway.ready())).await.expect("an answer");
+    let ready =
+        reqwest::get(format!("http://{}/ready", gateway.ready())).await.expect("a response");
     assert_eq!(ready.status(), StatusCode::SERVICE_UNAVAILABLE);
 }
 
--- a/crates/gateway/tests/loopback/proxy.rs
+++ b/crates/gateway/tests/loopback/proxy.rs
@@ -92,9 +92,9 @@
     type Script = Box<dyn Fn(&ReceivedRequest) -> Reply + Send + Sync>;
     // Name, route, script of the first endpoint, status for the caller, times the request is sent.
     let cases: Vec<(&str, &str, Script, u16, usize)> = vec![
-        ("declined, once only", "confirm", Box::new(not_run_response), 503, 1),
-        ("declined, repeatable", "cancel", Box::new(not_run_response), 200, 2),
-        ("gone, once only", "confirm", Box::new(gone), 200, 2),
+        ("not run, once only", "confirm", Box::new(not_run_response), 503, 1),
+        ("not run, repeatable", "cancel", Box::new(not_run_response), 200, 2),
+        ("misdirected, once only", "confirm", Box::new(gone), 200, 2),
         ("no response, once only", "confirm", Box::new(|_| Reply::Close), 502, 1),
         ("no response, repeatable", "cancel", Box::new(|_| Reply::Close), 200, 2),
         ("response to another request, once only", "confirm", Box::new(foreign), 502, 1),
@@ -232,7 +232,8 @@
     wait_until_served(&harness, &gateway, "/open/x").await;
     let before = charged_tokens(&gateway);
     let req = harness.new_request("key-b", 10, 50_000);
-    let mut answer = request(gateway.callers(), "/stream/x", &req).send().await.expect("a head");
+    let mut answer =
+        request(gateway.callers(), "/stream/x", &req).send().await.expect("a response head");
     let first = answer.chunk().await.expect("it streams");
     assert!(first.is_some_and(|bytes| bytes.starts_with(b"id: 1")));
     drop(answer);
@@ -274,7 +275,8 @@
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/open/x").await;
     let req = harness.new_request("key-b", 10, 1_000);
-    let answer = request(gateway.callers(), "/stream/x", &req).send().await.expect("a head");
+    let answer =
+        request(gateway.callers(), "/stream/x", &req).send().await.expect("a response head");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(engine.closed(), 0, "back-pressure holds the endpoint");
     drop(answer);
@@ -402,7 +404,7 @@
     wait_until_served(&harness, &gateway, "/open/x").await;
     let ready = async || {
         let answer = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
-        answer.expect("an answer").status() == StatusCode::OK
+        answer.expect("a response").status() == StatusCode::OK
     };
     wait_until("its link is saturated", async || {
         let response =
--- a/crates/gateway/tests/loopback/rate_limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -158,7 +158,7 @@
     );
 }
 
-/// All callers connect to two of the boxes, as the balancer's hash may have it.
+/// All callers connect to two of the boxes, as the balancer's hash may place them.
 #[tokio::test]
 async fn limit_is_used_up_by_the_boxes_that_have_callers() {
     let fleet = Fleet::start(BOXES, 2).await;
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -11,7 +11,7 @@
     Entry { incarnation, zone: zone.into(), peer, capacity: 1 }
 }
 
-/// Guards against traffic between availability zones: each large prompt is announced to twelve boxes.
+/// Guards against traffic between availability zones: each large prompt is announced to up to twelve boxes.
 #[test]
 fn prompts_are_announced_in_the_own_zone_first() {
     let me = Profile { incarnation: Incarnation::new("z1-me", 7), zone: "z1".into(), capacity: 1 };
@@ -25,7 +25,7 @@
         assert_eq!(
             (of_zone, recipients.len()),
             (near_recipients, usize::from(near + far).min(12)),
-            "{near} {far}"
+            "{near} boxes in the own zone, {far} in another"
         );
     }
 }
--- a/crates/gateway/tests/signals.rs
+++ b/crates/gateway/tests/signals.rs
@@ -171,8 +171,8 @@
         view.receive(&chosen, &leaving(true));
     }
     view.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS / 2));
-    assert!(view.choose().is_some(), "the last resort until its successors are known");
-    assert_eq!(view.endpoints.retry_delay(SERVICE, 0), None, "no endpoint stays");
+    assert!(view.choose().is_some(), "a last resort until its successors are known");
+    assert_eq!(view.endpoints.retry_delay(SERVICE, 0), None, "all endpoints are leaving");
     view.clock.suspend(Duration::from_millis(balance::LAST_RESORT_MS));
     assert!(view.choose().is_none(), "the last resort has ended");
 }
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -542,13 +542,15 @@
     fn check(&self) -> Result<(), String> {
         let committed = self.committed();
         if committed > PAID {
-            return Err(format!("{committed} tokens used or held of {PAID} paid"));
+            return Err(format!("{committed} tokens used or reserved of {PAID} paid"));
         }
         // Used tokens must be spent or granted in the book, or they could be granted again.
         let ledger = self.book.ledgers.get(&customer());
         let counted = ledger.map_or(0, |ledger| ledger.spent + ledger.granted());
         if committed > counted {
-            return Err(format!("{committed} tokens used or held of {counted} spent or granted"));
+            return Err(format!(
+                "{committed} tokens used or reserved of {counted} spent or granted"
+            ));
         }
         match self.book.ledgers.values().find(|ledger| !ledger.is_sound()) {
             Some(ledger) => Err(format!("unsound: {ledger:?}")),
@@ -566,7 +568,7 @@
         }
         self.check()?;
         let Some(ledger) = self.book.ledgers.get("bornova") else { return Ok(()) };
-        // Tokens passed on to a box that died unreported stay granted.
+        // Tokens passed on to a box that died without reporting them stay granted.
         let (billed, gone) = (ledger.statement.tokens, ledger.spent + ledger.granted());
         match billed <= self.used && self.used <= gone {
             true => Ok(()),
