--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -24,7 +24,7 @@
 }
 
 /// Crash records in which the connections of one request broke at `count` endpoints, and the open probes of these.
-async fn broken(count: u16) -> (Crashes, Probes) {
+async fn with_broken_connections(count: u16) -> (Crashes, Probes) {
     let probes = Probes::default();
     let opened = probes.clone();
     let probe = move |_: SocketAddr| {
@@ -58,7 +58,7 @@
         (&[Ended, Running, Ended, Unreachable, Ended], Verdict::Quarantined { for_s: 86_400 }),
     ];
     for (found, expected) in cases {
-        let (crashes, probes) = broken(found.len() as u16).await;
+        let (crashes, probes) = with_broken_connections(found.len() as u16).await;
         let fingerprint = request();
         let mut verdict = pin!(crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT));
         assert_eq!(verdict.as_mut().now_or_never(), None, "{found:?}: the verdict is pending");
@@ -81,7 +81,7 @@
 #[tokio::test(start_paused = true)]
 async fn verdict_is_not_delayed_beyond_the_deadline() {
     for left in [Duration::from_millis(10), MAX_VERDICT_WAIT] {
-        let (crashes, _probes) = broken(5).await;
+        let (crashes, _probes) = with_broken_connections(5).await;
         let (fingerprint, began) = (request(), Instant::now());
         let verdict = crashes.verdict(&fingerprint, began + left).await;
         assert_eq!(verdict, Verdict::Unconfirmed { crashes: 0 });
@@ -91,7 +91,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn two_unconfirmed_crashes_do_not_delay_a_request() {
-    let (crashes, _probes) = broken(2).await;
+    let (crashes, _probes) = with_broken_connections(2).await;
     let fingerprint = request();
     let verdict = crashes.verdict(&fingerprint, Instant::now() + MAX_VERDICT_WAIT).now_or_never();
     assert_eq!(verdict, Some(Verdict::Allowed));
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -173,13 +173,14 @@
 
 #[test]
 fn not_run_statuses_are_used_only_for_unrun_requests() {
-    let promises = [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
-    let unknown = [Reason::Silent, Reason::Lost];
-    for reason in unknown {
-        assert!(!reason.is_not_run() && !promises.contains(&reason.status()), "{reason:?}");
+    let not_run_statuses =
+        [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
+    let unknown_outcomes = [Reason::Silent, Reason::Lost];
+    for reason in unknown_outcomes {
+        assert!(!reason.is_not_run() && !not_run_statuses.contains(&reason.status()), "{reason:?}");
     }
     for reason in [Reason::TokensShort, Reason::NoEndpoint, Reason::TooLate, Reason::NoConfig] {
-        assert!(reason.is_not_run() && promises.contains(&reason.status()), "{reason:?}");
+        assert!(reason.is_not_run() && not_run_statuses.contains(&reason.status()), "{reason:?}");
         let refusal = reason.after(Duration::from_millis(1_500), "later");
         let response = refusal.response(Some("try-1"));
         assert_eq!(response.headers()["retry-after"], "1.500", "{reason:?}");
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -14,7 +14,7 @@
     /// A watcher lists the store.
     List { watcher: usize },
     /// A watcher receives some of the changes since its version.
-    Watch { watcher: usize, most: usize },
+    Watch { watcher: usize, max_changes: usize },
     /// The subscriber receives the state of a watcher.
     Receive { watcher: usize },
     /// A state that a watcher sent earlier arrives late.
@@ -25,7 +25,8 @@
     prop_oneof![
         (0..4u8, any::<bool>()).prop_map(|(zone, evacuated)| Step::Write { zone, evacuated }),
         (0..2usize).prop_map(|watcher| Step::List { watcher }),
-        (0..2usize, 1..4usize).prop_map(|(watcher, most)| Step::Watch { watcher, most }),
+        (0..2usize, 1..4usize)
+            .prop_map(|(watcher, max_changes)| Step::Watch { watcher, max_changes }),
         (0..2usize).prop_map(|watcher| Step::Receive { watcher }),
         (0..2usize, 0..5usize).prop_map(|(watcher, ago)| Step::ReceiveLate { watcher, ago }),
     ]
@@ -45,7 +46,7 @@
 }
 
 impl Run {
-    fn now(&self) -> Zones {
+    fn current_zones(&self) -> Zones {
         self.stored.values().last().cloned().unwrap_or_default()
     }
 
@@ -53,13 +54,13 @@
         match *step {
             Step::Write { zone, evacuated } => self.write(format!("z{zone}").into(), evacuated),
             Step::List { watcher } => {
-                self.watchers[watcher].replace(self.now(), self.version);
+                self.watchers[watcher].replace(self.current_zones(), self.version);
                 self.watched[watcher] = self.version;
             }
-            Step::Watch { watcher, most } => {
+            Step::Watch { watcher, max_changes } => {
                 let from = self.watched[watcher];
                 let fresh = self.log.iter().filter(|change| change.version > from);
-                let fresh: Vec<Change> = fresh.take(most).cloned().collect();
+                let fresh: Vec<Change> = fresh.take(max_changes).cloned().collect();
                 self.watchers[watcher].change(&fresh);
                 self.watched[watcher] = fresh.last().map_or(from, |change| change.version);
             }
@@ -79,7 +80,7 @@
     }
 
     fn write(&mut self, zone: Arc<str>, evacuated: bool) {
-        let mut zones = self.now();
+        let mut zones = self.current_zones();
         let changed = if evacuated { zones.insert(zone.clone()) } else { zones.remove(&zone) };
         if changed {
             self.version += 1;
@@ -114,7 +115,7 @@
         }
         run.step(&Step::List { watcher: 0 });
         run.step(&Step::Receive { watcher: 0 });
-        prop_assert_eq!(run.subscriber.zones(), &run.now());
+        prop_assert_eq!(run.subscriber.zones(), &run.current_zones());
     }
 }
 
--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -18,7 +18,7 @@
 };
 
 /// Share of the remaining tokens that all boxes may hold, in thousandths: without a recent outage, and after one.
-const SHARE_CALM: u64 = POLICY.offline_share;
+const SHARE_WITHOUT_OUTAGE: u64 = POLICY.offline_share;
 const SHARE_AFTER_OUTAGE: u64 = 950;
 
 /// One box, with a book that other boxes also write.
@@ -100,7 +100,7 @@
     let mut fixture = Fixture::open();
     advance(60).await;
     fixture.settle_own();
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no outage so far");
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE), "no outage so far");
     fixture.outage(8, 0).await;
     assert_eq!(fixture.horizon_and_share(), (1, SHARE_AFTER_OUTAGE), "right after the outage");
     advance(6).await;
@@ -108,7 +108,7 @@
     advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
     advance(20).await;
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no further outage");
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE), "no further outage");
 }
 
 /// A box that alone is cut off can draw tokens from the others.
@@ -119,7 +119,7 @@
     fixture.settle_own();
     fixture.outage(9, 12).await;
     advance(20).await;
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM));
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/gateway/tests/loopback/box_crash.rs
+++ b/crates/gateway/tests/loopback/box_crash.rs
@@ -130,7 +130,7 @@
         one.balance("bornova").promised > MAX_LOST
     })
     .await;
-    let held = one.balance("bornova").promised;
+    let promised = one.balance("bornova").promised;
     let firsts = [one.incarnation().clone(), two.incarnation().clone()];
     drop((one, two));
     let restarted = [harness.gateway("box-1").await, harness.gateway("box-2").await];
@@ -142,7 +142,10 @@
     })
     .await;
     let lost = harness.book().await.ledgers["bornova"].lost;
-    assert!(lost >= held, "without a witness the {held} kept tokens count as used: {lost} lost");
+    assert!(
+        lost >= promised,
+        "without a witness the {promised} kept tokens count as used: {lost} lost"
+    );
     drop(restarted);
 }
 
--- a/crates/gateway/tests/loopback/proxy.rs
+++ b/crates/gateway/tests/loopback/proxy.rs
@@ -85,7 +85,7 @@
     let failed = |arrived: &ReceivedRequest| {
         Reply::Complete(StatusCode::INTERNAL_SERVER_ERROR, id_of(arrived), "failed".into())
     };
-    let gone = |arrived: &ReceivedRequest| {
+    let misdirected = |arrived: &ReceivedRequest| {
         let (status, headers) = fixtures::misdirected_response(&arrived.head.id);
         Reply::Complete(status, headers, String::new())
     };
@@ -94,7 +94,7 @@
     let cases: Vec<(&str, &str, Script, u16, usize)> = vec![
         ("not run, once only", "confirm", Box::new(not_run_response), 503, 1),
         ("not run, repeatable", "cancel", Box::new(not_run_response), 200, 2),
-        ("misdirected, once only", "confirm", Box::new(gone), 200, 2),
+        ("misdirected, once only", "confirm", Box::new(misdirected), 200, 2),
         ("no response, once only", "confirm", Box::new(|_| Reply::Close), 502, 1),
         ("no response, repeatable", "cancel", Box::new(|_| Reply::Close), 200, 2),
         ("response to another request, once only", "confirm", Box::new(foreign), 502, 1),
@@ -131,17 +131,17 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            let (before, at_first) = (arrivals(), first.arrived().len());
+            let (before, first_before) = (arrivals(), first.arrived().len());
             let path = format!("/{route}/x");
             let response =
                 call(gateway.callers(), &path, &harness.new_request("key-b", 1, 1)).await;
-            if sent > 1 && first.arrived().len() == at_first && tries < 100 {
+            if sent > 1 && first.arrived().len() == first_before && tries < 100 {
                 continue;
             }
             assert_eq!(response.status.as_u16(), status, "{name}: {response:?}");
             assert_eq!(arrivals() - before, sent, "{name}");
-            let promised = response.status == StatusCode::SERVICE_UNAVAILABLE;
-            assert_eq!(response.headers.contains_key("retry-after"), promised, "{name}");
+            let is_not_run = response.status == StatusCode::SERVICE_UNAVAILABLE;
+            assert_eq!(response.headers.contains_key("retry-after"), is_not_run, "{name}");
             break;
         }
     }
@@ -232,11 +232,11 @@
     wait_until_served(&harness, &gateway, "/open/x").await;
     let before = charged_tokens(&gateway);
     let req = harness.new_request("key-b", 10, 50_000);
-    let mut answer =
+    let mut response =
         request(gateway.callers(), "/stream/x", &req).send().await.expect("a response head");
-    let first = answer.chunk().await.expect("it streams");
+    let first = response.chunk().await.expect("it streams");
     assert!(first.is_some_and(|bytes| bytes.starts_with(b"id: 1")));
-    drop(answer);
+    drop(response);
     wait_until("the stream is charged", async || charged_tokens(&gateway) > before).await;
     let charge = charged_tokens(&gateway) - before;
     assert!((10..10 + 2 * 1_000).contains(&charge), "{charge} charged of 50,010 reserved");
@@ -255,8 +255,8 @@
     let closed = endpoint.closed();
     let sending =
         request(gateway.callers(), "/confirm/x", &harness.new_request("key-b", 1, 1)).send();
-    let left = tokio::time::timeout(Duration::from_millis(300), sending).await;
-    assert!(left.is_err(), "the endpoint never answers");
+    let outcome = tokio::time::timeout(Duration::from_millis(300), sending).await;
+    assert!(outcome.is_err(), "the endpoint never answers");
     wait_until("the endpoint's connection closes", async || endpoint.closed() > closed).await;
 }
 
@@ -275,11 +275,11 @@
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/open/x").await;
     let req = harness.new_request("key-b", 10, 1_000);
-    let answer =
+    let response =
         request(gateway.callers(), "/stream/x", &req).send().await.expect("a response head");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(engine.closed(), 0, "back-pressure holds the endpoint");
-    drop(answer);
+    drop(response);
     wait_until("the endpoint's connection closes", async || engine.closed() > 0).await;
 }
 
@@ -325,8 +325,8 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stop = tokio::spawn(gateway.stop());
     wait_until("the box reports not ready", async || {
-        let answer = reqwest::get(format!("http://{ready}/ready")).await;
-        answer.map_or(true, |answer| answer.status() == StatusCode::SERVICE_UNAVAILABLE)
+        let response = reqwest::get(format!("http://{ready}/ready")).await;
+        response.map_or(true, |response| response.status() == StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
     let response = stream.await.expect("no panic");
@@ -403,8 +403,8 @@
     let gateway = harness.gateway_with_bandwidth("box-1", 0.02).await;
     wait_until_served(&harness, &gateway, "/open/x").await;
     let ready = async || {
-        let answer = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
-        answer.expect("a response").status() == StatusCode::OK
+        let response = reqwest::get(format!("http://{}/ready", gateway.ready())).await;
+        response.expect("a response").status() == StatusCode::OK
     };
     wait_until("its link is saturated", async || {
         let response =
--- a/crates/gateway/tests/loopback/quarantine.rs
+++ b/crates/gateway/tests/loopback/quarantine.rs
@@ -237,8 +237,8 @@
             .timeout(LONG_RESPONSE / 8);
         let abandoned = async {
             tokio::time::sleep(LONG_RESPONSE / 8).await;
-            if let Ok(answer) = slow.send().await {
-                drop(answer.bytes().await);
+            if let Ok(response) = slow.send().await {
+                drop(response.bytes().await);
             }
         };
         tokio::join!(join_all(beside), abandoned);
--- a/crates/gateway/tests/loopback/rate_limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -299,12 +299,12 @@
     let (began, before) = (Instant::now(), fleet.arrived(0));
     for shuts_down in [false, true] {
         fleet.load(&fleet.boxes, LOAD_TIME / 4).await;
-        let gone = fleet.boxes.remove(issuer_index(&fleet.boxes));
+        let issuer = fleet.boxes.remove(issuer_index(&fleet.boxes));
         let sent = fleet.arrived(0);
         let stopping = async {
             match shuts_down {
-                true => gone.stop().await,
-                false => drop(gone),
+                true => issuer.stop().await,
+                false => drop(issuer),
             }
         };
         let takeover = async {
--- a/crates/gateway/tests/order.rs
+++ b/crates/gateway/tests/order.rs
@@ -95,7 +95,7 @@
 /// Guards against contention when the keepers of a large fleet and their standbys all write the one book.
 #[test]
 fn settlement_interval_grows_with_the_number_of_writers() {
-    for (writers, times) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
-        assert_eq!(interval_factor(writers), times, "{writers} writers");
+    for (writers, factor) in [(0, 1), (1, 1), (3, 1), (5, 1), (6, 2), (18, 2), (300, 2)] {
+        assert_eq!(interval_factor(writers), factor, "{writers} writers");
     }
 }
--- a/crates/gateway/tests/outage.rs
+++ b/crates/gateway/tests/outage.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// The longest pause between many failed attempts of one task.
-async fn longest(probe: Probe) -> Duration {
+async fn longest_pause(probe: Probe) -> Duration {
     let mut outage = Outage::new("store", probe, Recovery::open());
     let mut longest = Duration::ZERO;
     for _ in 0..20 {
@@ -22,8 +22,8 @@
 async fn eager_task_probes_often_and_lazy_tasks_seldom() {
     // Entries that are missing from the first list after an outage count as lapsed, not as removed, so the list
     // must be read soon after the store is back.
-    assert!(longest(Probe::Eager).await <= Duration::from_millis(301));
-    assert!(longest(Probe::Lazy).await >= Duration::from_millis(1_000));
+    assert!(longest_pause(Probe::Eager).await <= Duration::from_millis(301));
+    assert!(longest_pause(Probe::Lazy).await >= Duration::from_millis(1_000));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -514,14 +514,14 @@
         }
         if self.fault == Fault::ReturnReserved {
             // Running requests go on after the last settlement.
-            let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
-            self.used += held;
+            let reserved: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
+            self.used += reserved;
             while let Some(hold) = self.nodes[at].holds.pop() {
                 hold.settle(0);
             }
         }
-        let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
-        self.used += held;
+        let reserved: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
+        self.used += reserved;
         self.plan(at, Participation::Leaving);
         self.write(at, true);
         self.restart(at);
@@ -569,10 +569,12 @@
         self.check()?;
         let Some(ledger) = self.book.ledgers.get("bornova") else { return Ok(()) };
         // Tokens passed on to a box that died without reporting them stay granted.
-        let (billed, gone) = (ledger.statement.tokens, ledger.spent + ledger.granted());
-        match billed <= self.used && self.used <= gone {
+        let (billed, spent_or_lost) = (ledger.statement.tokens, ledger.spent + ledger.granted());
+        match billed <= self.used && self.used <= spent_or_lost {
             true => Ok(()),
-            false => Err(format!("used {}, billed {billed}, spent or lost {gone}", self.used)),
+            false => {
+                Err(format!("used {}, billed {billed}, spent or lost {spent_or_lost}", self.used))
+            }
         }
     }
 }
@@ -700,17 +702,19 @@
     let wrong_incarnation =
         wrong_incarnation.chain([Step::RepeatRequest { which: 1 }]).chain(holds_all());
     // A box dies while its witness is unreachable, its next incarnation opens the claim, another box collects.
-    let dies_unasked = [Step::Crash { at: 0, witness_asked: false }].into_iter().chain(settle(0));
+    let dies_with_witness_unreachable =
+        [Step::Crash { at: 0, witness_asked: false }].into_iter().chain(settle(0));
     let collects = || [Step::Collect { at: 2, which: 0 }].into_iter().chain(settle(2));
     // Uses enough tokens first that those freed twice can be spent.
     let uses = [oversized_hold()]
         .into_iter()
         .chain(settle(0))
         .chain([Step::Hold { at: 0, tokens: 3_000 }]);
-    let twice = uses.chain([promise(true)]).chain(dies_unasked).chain(collects());
+    let collected_twice =
+        uses.chain([promise(true)]).chain(dies_with_witness_unreachable).chain(collects());
     let draws = || (0..BOXES).flat_map(settle).chain((0..BOXES).flat_map(settle));
     let cases: [(Fault, Vec<Step>); 6] = [
-        (Fault::CollectTwice, twice.chain(draws()).chain(holds_all()).collect()),
+        (Fault::CollectTwice, collected_twice.chain(draws()).chain(holds_all()).collect()),
         (
             Fault::CollectLiving,
             keeps()
@@ -771,14 +775,14 @@
     settle(&mut node);
     assert!(small.await.expect("no panic"), "smaller requests are not delayed");
     let funds = node.funds.clone();
-    let hopeless = tokio::spawn(async move { funds.hold(&customer(), PAID, until).await });
+    let too_large = tokio::spawn(async move { funds.hold(&customer(), PAID, until).await });
     tokio::task::yield_now().await;
     assert!(
         !node.funds.is_urgent(),
         "the book is known to have too few tokens, so no settlement is urgent"
     );
     assert!(
-        hopeless.await.expect("no panic").is_none(),
+        too_large.await.expect("no panic").is_none(),
         "refused without waiting for its deadline (second request)"
     );
 }
