--- a/crates/gateway/tests/loopback/leaving.rs
+++ b/crates/gateway/tests/loopback/leaving.rs
@@ -228,8 +228,8 @@
 #[tokio::test]
 async fn signals_of_misdirected_responses_are_ignored() {
     let harness = Harness::start(PAID, &["cancel"]).await;
-    let other = LeavingSignal::default();
-    let shared_signal = other.clone();
+    let misdirects = LeavingSignal::default();
+    let shared_signal = misdirects.clone();
     let endpoint = harness.endpoint("i-1", "plain", move |arrived| {
         if !shared_signal.0.load(Ordering::Relaxed) {
             return answer_ok(arrived);
@@ -242,9 +242,9 @@
     let _stays = harness.endpoint("i-2", "plain", answer_ok).await;
     let gateway = harness.gateway("box-1").await;
     wait_until_served(&harness, &gateway, "/cancel/x").await;
-    other.set(true);
+    misdirects.set(true);
     send_until_arrival(&harness, &gateway, &endpoint).await;
-    other.set(false);
+    misdirects.set(false);
     assert_eq!((gateway.leaving(), gateway.backing_off()), (0, 0));
     send_until_arrival(&harness, &gateway, &endpoint).await;
 }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -25,7 +25,7 @@
         (r#""zone": "bornova""#, r#""zone": 7"#, "line 4: `zone`"),
         (r#""store": {"#, r#""store": { "timeout_ms": 1,"#, "`store.timeout_ms`: must be between"),
         (r#""store": {"#, r#""money": { "shar": 3 }, "store": {"#, "unknown field `shar`"),
-        // A request would give up before the settlement made for it.
+        // A request would ask other boxes before the settlement made for it could complete.
         (
             r#""store": {"#,
             r#""money": { "store_ms": 40 }, "store": {"#,
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -122,7 +122,7 @@
     directory.remove("left", 8);
     directory.set("drains".into(), 9, entry("draining"));
     directory.set("new".into(), 12, entry("ready"));
-    // State of the suspended watcher at version 7.
+    // A watcher that was suspended sends its state as of version 7.
     let old = vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))];
     directory.apply_snapshot(old, 7);
     assert_eq!(ready(&directory), BTreeSet::from(["new".into()]));
