--- a/crates/gateway/tests/forecast.rs
+++ b/crates/gateway/tests/forecast.rs
@@ -1,7 +1,7 @@
 //! How long a store outage a box holds tokens for, on a paused clock and without network.
 //!
-//! Guards against losses when all boxes die right after an outage: keepers must not draw tokens for a long outage
-//! with the settlement that ends one, since no witness is left to return them.
+//! Guards against losses when all boxes die right after an outage: a keeper's settlement that ends the outage must not
+//! already draw tokens for another long one, since no witness is left to return them.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 };
 
 /// Share of the remaining tokens that all boxes may hold, in thousandths: without a recent outage, and after one.
-const SHARE_CALM: u64 = POLICY.offline_share;
+const SHARE_WITHOUT_OUTAGE: u64 = POLICY.offline_share;
 const SHARE_AFTER_OUTAGE: u64 = 950;
 
 /// One box, with a book that other boxes also write.
@@ -55,7 +55,7 @@
         self.book.settle(&settlement, POLICY);
     }
 
-    /// Takes the store away from this box for a time in which others settle; returns whether an outage ended.
+    /// Cuts this box off from the store while other boxes settle; returns whether its next settlement ended an outage.
     async fn outage(&mut self, seconds: u64, others_settle: usize) -> bool {
         self.forecast.record_failure(Instant::now());
         advance(seconds).await;
@@ -100,7 +100,7 @@
     let mut fixture = Fixture::open();
     advance(60).await;
     fixture.settle_own();
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no outage so far");
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE), "no outage so far");
     fixture.outage(8, 0).await;
     assert_eq!(fixture.horizon_and_share(), (1, SHARE_AFTER_OUTAGE), "right after the outage");
     advance(6).await;
@@ -108,7 +108,7 @@
     advance(20).await;
     assert_eq!(fixture.horizon_and_share(), (10, SHARE_AFTER_OUTAGE));
     advance(20).await;
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM), "no further outage");
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE), "no further outage");
 }
 
 /// A box that alone is cut off can draw tokens from the others.
@@ -119,7 +119,7 @@
     fixture.settle_own();
     fixture.outage(9, 12).await;
     advance(20).await;
-    assert_eq!(fixture.horizon_and_share(), (10, SHARE_CALM));
+    assert_eq!(fixture.horizon_and_share(), (10, SHARE_WITHOUT_OUTAGE));
 }
 
 #[tokio::test(start_paused = true)]
