--- a/crates/gateway/src/proxy/endpoints/mod.rs
+++ b/crates/gateway/src/proxy/endpoints/mod.rs
@@ -80,7 +80,7 @@
 
 /// Name of an endpoint instance; distinct per start, so that nothing learned of an earlier one applies.
 fn instance_name(id: &Arc<str>, entry: &Entry) -> Arc<str> {
-    match entry.life {
+    match entry.started {
         Some(instance) => format!("{id} {instance}").into(),
         None => id.clone(),
     }
@@ -138,7 +138,7 @@
     /// Applies the cold time of an entry, once per heartbeat.
     fn mark_cold(&mut self, instance: &Arc<str>, entry: &Entry, now: u64) {
         let is_applied =
-            self.listed.get(instance).is_some_and(|listed| listed.heartbeat == entry.beat);
+            self.listed.get(instance).is_some_and(|listed| listed.heartbeat == entry.heartbeat);
         if let Some(pool) = self.services.get_mut(&entry.service).filter(|_| !is_applied) {
             pool.mark_cold(instance, Some(entry.cold.as_millis() as u64), now);
         }
@@ -183,7 +183,7 @@
             if entry.cold > Duration::ZERO {
                 cold.push((instance.clone(), entry));
             }
-            let (id, address, heartbeat) = (id.clone(), entry.address, entry.beat);
+            let (id, address, heartbeat) = (id.clone(), entry.address, entry.heartbeat);
             listed.insert(instance, Listing { id, address, heartbeat });
             if entry.engine {
                 engines.insert(entry.service.clone());
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -55,9 +55,9 @@
 impl Known {
     /// Whether a newer entry replaces this one.
     fn is_replaced_by(&self, entry: &Entry) -> bool {
-        match (self.entry.life, entry.life) {
+        match (self.entry.started, entry.started) {
             (known, new) if known == new => {
-                entry.beat >= self.entry.beat || entry.state != State::Ready
+                entry.heartbeat >= self.entry.heartbeat || entry.state != State::Ready
             }
             (known, new) => known < new,
         }
@@ -92,8 +92,8 @@
     /// Takes over an entry that was written; returns whether it is now the current one.
     pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
         let known = self.known.get(&id);
-        let has_instance = known.is_some_and(|known| known.entry.life.is_some());
-        if has_instance && entry.life.is_none() {
+        let has_instance = known.is_some_and(|known| known.entry.started.is_some());
+        if has_instance && entry.started.is_none() {
             // Endpoints always report their start time, so this was not written by the endpoint.
             self.remove(&id, version);
             return false;
@@ -101,8 +101,8 @@
         let is_newer = known.is_none_or(|known| known.version <= version);
         let replaces_known = known.is_none_or(|known| known.is_replaced_by(&entry));
         let removed = self.removed.get(&id);
-        let was_removed =
-            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.instance);
+        let was_removed = removed
+            .is_some_and(|removed| version <= removed.at || entry.started < removed.instance);
         let is_current = is_newer && replaces_known && !was_removed;
         if is_current {
             self.removed.remove(&id);
@@ -155,7 +155,7 @@
         if known.is_some_and(|known| known.version > at) {
             return;
         }
-        let instance = known.and_then(|known| known.entry.life);
+        let instance = known.and_then(|known| known.entry.started);
         self.known.remove(id);
         self.record_removed(id.into(), Removed { at, instance });
     }
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -295,7 +295,7 @@
 
 /// Endpoints that are ready in a view, with their instances.
 fn ready_instances(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
-    let instance = |entry: &Entry| entry.life.expect("each entry has a start time").to_string();
+    let instance = |entry: &Entry| entry.started.expect("each entry has a start time").to_string();
     let ready = directory.ready();
     ready.map(|(id, entry)| (id.clone(), instance(entry).parse().expect("a number"))).collect()
 }
