--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -198,7 +198,7 @@
         let settings = self.settings();
         let money = &settings.money;
         let wait = Duration::from_millis(money.wait_ms);
-        let wait = admitted.route.target.map_or(wait, |target| wait.min(target / 2));
+        let wait = admitted.route.target_latency.map_or(wait, |target| wait.min(target / 2));
         let now = Instant::now();
         let deadline = (now + wait).min(exchange.deadline);
         let from_store = Duration::from_millis(money.store_ms);
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -79,7 +79,7 @@
             let chosen =
                 self.endpoints.choose(&admitted.service, candidates, &admitted.prefix, &tried);
             let Some(chosen) = chosen else { break };
-            if exchange.attempts >= admitted.route.attempts
+            if exchange.attempts >= admitted.route.max_attempts
                 || (delivered > 0 && !self.can_repeat(admitted))
             {
                 break;
@@ -296,7 +296,7 @@
         }
         let should_repeat = is_repeatable(&admitted.route)
             && status.is_server_error()
-            && exchange.attempts < admitted.route.attempts
+            && exchange.attempts < admitted.route.max_attempts
             && self.endpoints.has_alternative(&admitted.service, &chosen.instance)
             && self.can_repeat(admitted);
         if should_repeat {
