--- a/crates/session/src/account.rs
+++ b/crates/session/src/account.rs
@@ -51,13 +51,13 @@
     }
 
     pub fn reserve(&self, part: Part, tokens: u64) -> Result<Reservation, Deficit> {
-        self.usage.lock().reserved(tokens);
+        self.usage.lock().record_reservation(tokens);
         self.account.lock().reserve(part, tokens)
     }
 
     pub fn settle(&self, reservation: Reservation, charged: u64) -> u64 {
         let charged = self.account.lock().settle(reservation, charged);
-        self.usage.lock().charged(charged);
+        self.usage.lock().record_charge(charged);
         charged
     }
 
--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -66,7 +66,7 @@
     config: watch::Receiver<Arc<Snapshot>>,
     entries: Mutex<BTreeMap<Arc<str>, Arc<Entry>>>,
     options: Mutex<Options>,
-    borrowing: AtomicUsize,
+    incoming_transfers: AtomicUsize,
     log: timeline::Log,
 }
 
@@ -99,7 +99,7 @@
         log: timeline::Log,
     ) -> Funds {
         let options = Mutex::new(options);
-        let borrowing = AtomicUsize::new(0);
+        let incoming_transfers = AtomicUsize::new(0);
         Funds {
             recorder,
             store,
@@ -107,7 +107,7 @@
             config,
             entries: Mutex::default(),
             options,
-            borrowing,
+            incoming_transfers,
             log,
         }
     }
@@ -139,19 +139,19 @@
 
     /// Marks the start of a transfer from a peer to this session.
     pub fn borrow(&self) -> Borrowing<'_> {
-        self.borrowing.fetch_add(1, Ordering::AcqRel);
-        Borrowing(&self.borrowing)
+        self.incoming_transfers.fetch_add(1, Ordering::AcqRel);
+        Borrowing(&self.incoming_transfers)
     }
 
     /// Whether no tokens are reserved in any budget, and none are being transferred here.
     pub fn is_idle(&self) -> bool {
-        self.borrowing.load(Ordering::Acquire) == 0
+        self.incoming_transfers.load(Ordering::Acquire) == 0
             && self.entries.lock().values().all(|entry| entry.account.lock().is_idle())
     }
 
     /// Prepares for requests of up to `largest` tokens in a budget that has not been used here yet.
     pub fn prepare(&self, budget: &Arc<str>, largest: u64) {
-        self.entry(budget).usage.lock().expect(largest);
+        self.entry(budget).usage.lock().prepare(largest);
     }
 
     /// Debits offline tokens for a peer: the requested number, or a quarter of the free ones if that
@@ -338,7 +338,7 @@
         next.fold(&entry.budget, &journal);
         self.write_pages(entry, ledger, &mut next).await;
         let share = spec.map_or(0, |spec| spec.effective_offline_share());
-        let draw = self.draw(entry, &next, share, purpose).await;
+        let draw = self.plan_draw(entry, &next, share, purpose).await;
         let is_requested =
             next.grants.get(self.incarnation()).is_some_and(|g| g.wanted == draw.wanted);
         if draw.wanted > 0 && is_requested && next == *ledger {
@@ -362,7 +362,7 @@
     }
 
     /// Tokens to draw or return in the next write; returned tokens are debited already.
-    async fn draw(&self, entry: &Entry, next: &Ledger, share: u64, purpose: &Purpose) -> Draw {
+    async fn plan_draw(&self, entry: &Entry, next: &Ledger, share: u64, purpose: &Purpose) -> Draw {
         let target = self.target(entry, next, share);
         let mut free =
             Free { online: entry.free(Part::Online), offline: entry.free(Part::Offline), need: 0 };
@@ -391,7 +391,7 @@
     /// Debits tokens to be returned, then waits until the queued journal writes are done. If they take too
     /// long, nothing is returned.
     async fn debit_returns(&self, entry: &Entry, returns: Draw) -> Draw {
-        let taken = {
+        let debited = {
             let mut account = entry.account.lock();
             Draw {
                 return_online: account.remove(Part::Online, returns.return_online),
@@ -400,9 +400,9 @@
             }
         };
         if self.recorder.flush_within(FLUSH_TIMEOUT).await {
-            return taken;
+            return debited;
         }
-        self.credit_returns(entry, taken);
+        self.credit_returns(entry, debited);
         Draw::default()
     }
 
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -187,10 +187,10 @@
     /// Queues an operation without waiting for it.
     pub fn add(&self, operation: Operation) {
         let mut queue = self.0.queue.lock();
-        let first = queue.operations.is_empty();
+        let was_empty = queue.operations.is_empty();
         queue.push(operation);
         drop(queue);
-        if first {
+        if was_empty {
             self.0.wake.notify_one();
         }
     }
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -52,7 +52,7 @@
         record.n = self.recorder.number();
         record.part = Part::Online;
         let entry = self.funds.entry(&budget);
-        let guard = Guard { entry: entry.clone(), reservation: Some(reservation) };
+        let guard = ReservationGuard { entry: entry.clone(), reservation: Some(reservation) };
         self.recorder.intend(record.clone(), timeout).await.map_err(HoldError::Intent)?;
         Ok(Hold::new(self.clone(), entry, guard.into_reservation(), record))
     }
@@ -98,10 +98,10 @@
     /// Passes offline tokens on to another incarnation: debits them, then queues the transfer for the
     /// journal. If the message is lost, nobody can use the tokens, but they are never used twice.
     pub fn lend(&self, budget: &Arc<str>, tokens: u64, to: &Incarnation) -> Option<Transfer> {
-        let taken = self.funds.debit_offline(budget, tokens)?;
+        let debited = self.funds.debit_offline(budget, tokens)?;
         let n = self.recorder.number();
         let from = self.incarnation().clone();
-        let transfer = Transfer { from, n, to: to.clone(), tokens: taken };
+        let transfer = Transfer { from, n, to: to.clone(), tokens: debited };
         self.recorder.add(Operation::Transfer(budget.clone(), transfer.clone()));
         Some(transfer)
     }
@@ -139,18 +139,18 @@
 }
 
 /// Releases a reservation whose intent was not recorded, also if the waiting future is cancelled.
-struct Guard {
+struct ReservationGuard {
     entry: Arc<account::Entry>,
     reservation: Option<Reservation>,
 }
 
-impl Guard {
+impl ReservationGuard {
     fn into_reservation(mut self) -> Reservation {
         self.reservation.take().expect("taken once")
     }
 }
 
-impl Drop for Guard {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if let Some(reservation) = self.reservation.take() {
             self.entry.settle(reservation, 0);
--- a/crates/session/src/usage.rs
+++ b/crates/session/src/usage.rs
@@ -32,19 +32,19 @@
     }
 
     /// Records a reservation.
-    pub fn reserved(&mut self, tokens: u64) {
+    pub fn record_reservation(&mut self, tokens: u64) {
         self.decay();
         self.largest = self.largest.max(tokens as f64);
-        self.expect(tokens);
+        self.prepare(tokens);
     }
 
     /// Prepares for requests of up to `tokens`.
-    pub fn expect(&mut self, tokens: u64) {
+    pub fn prepare(&mut self, tokens: u64) {
         self.peak = self.peak.max(tokens);
     }
 
     /// Records a charge.
-    pub fn charged(&mut self, tokens: u64) {
+    pub fn record_charge(&mut self, tokens: u64) {
         self.decay();
         let per_second = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
         self.rate += tokens as f64 * per_second;
--- a/crates/session/tests/simulation/mod.rs
+++ b/crates/session/tests/simulation/mod.rs
@@ -81,22 +81,25 @@
 
 /// Peers of one box: they accept entries while they run, whether or not the platform is reachable.
 struct Peers {
-    me: usize,
+    own_index: usize,
     all: Arc<Mutex<Vec<Peer>>>,
     observed: Arc<Mutex<Observed>>,
 }
 
 #[async_trait::async_trait]
 impl session::Peers for Peers {
-    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
+    async fn replicate(&self, owner: &Incarnation, entry: &Entry) -> usize {
         let all = self.all.lock().clone();
         let mut accepted = 0;
         for (index, (store, replicas, _)) in all.into_iter().enumerate() {
-            let runs = *store.state.borrow() == Condition::Running;
-            if index != self.me && runs && replicas.insert(by.clone(), entry.clone()) {
+            let is_running = *store.state.borrow() == Condition::Running;
+            if index != self.own_index
+                && is_running
+                && replicas.insert(owner.clone(), entry.clone())
+            {
                 accepted += 1;
                 if let Entry::Record(record) = entry {
-                    let id = format!("{by}-{}", record.n);
+                    let id = format!("{owner}-{}", record.n);
                     self.observed.lock().holders.entry(id).or_default().push(store);
                 }
             }
@@ -123,9 +126,9 @@
 impl Peers {
     fn others(&self) -> Vec<Peer> {
         let all = self.all.lock().clone();
-        let runs = |peer: &Peer| *peer.0.state.borrow() == Condition::Running;
-        let others = all.into_iter().enumerate().filter(|(index, _)| *index != self.me);
-        others.map(|(_, peer)| peer).filter(runs).collect()
+        let is_running = |peer: &Peer| *peer.0.state.borrow() == Condition::Running;
+        let others = all.into_iter().enumerate().filter(|(index, _)| *index != self.own_index);
+        others.map(|(_, peer)| peer).filter(is_running).collect()
     }
 }
 
@@ -205,7 +208,7 @@
             min_write_interval: Duration::ZERO,
             log,
             peers: Some(Arc::new(Peers {
-                me: index,
+                own_index: index,
                 all: self.peers.clone(),
                 observed: self.observed.clone(),
             })),
