--- a/crates/session/src/funds.rs
+++ b/crates/session/src/funds.rs
@@ -30,7 +30,7 @@
 /// Age from which a cached ledger is read again if it shows a shortage or cannot take the whole journal.
 const CACHED_LEDGER_TTL: Duration = Duration::from_millis(200);
 
-/// How the tokens that a box holds are sized.
+/// Determines how many tokens a box aims to hold.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
     /// Seconds of usage that the online part covers.
@@ -70,7 +70,7 @@
     log: timeline::Log,
 }
 
-/// Guard of a transfer from a peer; its session is not idle until this is dropped.
+/// Guard of a transfer from a peer; the receiving session is not idle until this is dropped.
 pub struct Borrowing<'a>(&'a AtomicUsize);
 
 impl Drop for Borrowing<'_> {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Tokens to draw or return in the next write; returned tokens are debited already.
+    /// Tokens to draw or return in the next write. Tokens to return have already been debited.
     async fn plan_draw(&self, entry: &Entry, next: &Ledger, share: u64, purpose: &Purpose) -> Draw {
         let target = self.target(entry, next, share);
         let mut free =
--- a/crates/session/src/recorder.rs
+++ b/crates/session/src/recorder.rs
@@ -22,7 +22,7 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Time for which a write without intents is delayed, so that it can be shared with an intent.
 const BATCH_DELAY: Duration = Duration::from_millis(250);
-/// Number of records in a journal from which hand-ins have to wait, since an object is limited to 1 MB.
+/// Number of records at which a journal accepts no more hand-ins, since an object is limited to 1 MB.
 const MAX_RECORDS: usize = 3_000;
 /// Number of records above that limit that intents may add.
 const EXTRA_INTENTS: usize = 500;
@@ -351,7 +351,7 @@
         }
     }
 
-    /// The journal with all queued operations that it has room for, and their numbers.
+    /// The journal with all queued operations that it has room for, and their sequence numbers.
     fn candidate(&self, base: &Journal) -> (Journal, BTreeSet<u64>) {
         let mut queue = self.queue.lock();
         queue.urgent = false;
@@ -450,7 +450,8 @@
 }
 
 fn apply(journal: &mut Journal, operation: &Operation) {
-    // The journal refuses an operation if its intent was never stored or has been folded already.
+    // The journal refuses an operation if its intent was never stored or has been folded already. It
+    // would refuse a retry too, so the operation is dropped.
     let _: Result<(), Refusal> = match operation.clone() {
         Operation::Intend(record) => journal.intend(record),
         Operation::Finish { n, charged, ended, evidence } => {
--- a/crates/session/src/session.rs
+++ b/crates/session/src/session.rs
@@ -40,7 +40,8 @@
         self.recorder.incarnation()
     }
 
-    /// Reserves the maximum cost of a request online and records the intent; then it may be dispatched.
+    /// Reserves the maximum cost of a request online and records the intent. The request may be
+    /// dispatched once this succeeds.
     pub async fn hold_online(
         &self,
         mut record: Record,
@@ -146,7 +147,7 @@
 
 impl ReservationGuard {
     fn into_reservation(mut self) -> Reservation {
-        self.reservation.take().expect("taken once")
+        self.reservation.take().expect("the reservation is held until the guard is consumed")
     }
 }
 
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -30,7 +30,7 @@
     pub health: Health,
     /// Configuration in force.
     pub config: watch::Receiver<Arc<Snapshot>>,
-    /// How the tokens that it holds are sized.
+    /// Determines how many tokens the box aims to hold.
     pub options: Options,
     /// Minimum time between two journal writes.
     pub min_write_interval: Duration,
--- a/crates/session/tests/hand_in.rs
+++ b/crates/session/tests/hand_in.rs
@@ -1,4 +1,4 @@
-//! Records of a long outage exceed the size of a journal object, so they are handed in in batches.
+//! Records of a long outage exceed the size of a journal object, so they are handed in over several writes.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/session/tests/simulation/faulty.rs
+++ b/crates/session/tests/simulation/faulty.rs
@@ -57,7 +57,7 @@
         tokio::time::sleep(Duration::from_millis(ms)).await;
         self.wait_running().await;
         match *self.is_disconnected.lock() {
-            true => Err(Error::Unreachable { reason: "cut".into() }),
+            true => Err(Error::Unreachable { reason: "the box is disconnected".into() }),
             false => Ok(()),
         }
     }
--- a/crates/session/tests/simulation/mod.rs
+++ b/crates/session/tests/simulation/mod.rs
@@ -397,14 +397,20 @@
         let observed = self.observed.lock();
         let served: u64 = observed.runs.values().map(|run| run.tokens).sum();
         if served > observed.max_paid {
-            return Some(format!("served {served} of {} paid", observed.max_paid));
+            return Some(format!(
+                "served {served} tokens, but at most {} were paid",
+                observed.max_paid
+            ));
         }
         if !ledger.is_sound() {
             return Some(format!("the ledger is not sound: {ledger:?}"));
         }
         let total: u64 = bills.iter().map(|bill| bill.tokens).sum();
         if total != ledger.statement.tokens || bills.len() as u64 != ledger.statement.count {
-            return Some(format!("bills of {total} against {:?}", ledger.statement));
+            return Some(format!(
+                "bills sum to {total} tokens, but the statement is {:?}",
+                ledger.statement
+            ));
         }
         let known = observed.runs.iter().filter(|(id, _)| !observed.is_forgotten(id));
         let ran: BTreeSet<&Arc<str>> = known.map(|(_, run)| &run.key).collect();
@@ -420,7 +426,10 @@
         let forgotten = observed.runs.iter().filter(|(id, _)| observed.is_forgotten(id));
         let forgotten: u64 = forgotten.map(|(_, run)| run.tokens).sum();
         if served > ledger.spent + forgotten {
-            return Some(format!("served {served}, but spent only {}", ledger.spent));
+            return Some(format!(
+                "served {served} tokens, but the ledger shows only {} spent",
+                ledger.spent
+            ));
         }
         None
     }
