--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -44,7 +44,7 @@
     /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
-            return Frame::Refused { reason: "the request is for another incarnation".into() };
+            return Frame::Refused { reason: "another incarnation was requested".into() };
         }
         let is_accepted = self.funds.receive_report(from, &draw.items);
         if !is_accepted {
@@ -100,7 +100,7 @@
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
-            return Frame::Refused { reason: "the sender may not seal this promise".into() };
+            return Frame::Refused { reason: "the sender may not seal a promise".into() };
         }
         let tokens = self.peers.promises.seal(holder, term);
         tracing::info!(
@@ -129,7 +129,7 @@
                 if !self.peers.knows(&request.from) =>
             {
                 self.peers.report_stale_list();
-                Frame::Refused { reason: "the sender is not in the list of boxes".into() }
+                Frame::Refused { reason: "the sender is not a listed box".into() }
             }
             Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
@@ -137,7 +137,7 @@
                 match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
                     Acceptance::Rejected => {
-                        Frame::Refused { reason: "the promise is outdated or sealed".into() }
+                        Frame::Refused { reason: "this promise is outdated or sealed".into() }
                     }
                     Acceptance::Closed => Frame::Sealed { tokens: None },
                 }
@@ -166,10 +166,10 @@
                 Frame::Done
             }
             Frame::Bills { .. } | Frame::HandOver { .. } if *self.stopping.borrow() => {
-                Frame::Refused { reason: "the receiver is about to stop".into() }
+                Frame::Refused { reason: "this receiver is itself stopping".into() }
             }
             Frame::HandOver { to, .. } if to != self.me => {
-                Frame::Refused { reason: "the request is for another incarnation".into() }
+                Frame::Refused { reason: "another incarnation was requested".into() }
             }
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
@@ -181,19 +181,19 @@
                 Frame::Done
             }
             Frame::Subscribe(_) if *self.stopping.borrow() => {
-                Frame::Refused { reason: "the receiver is about to stop".into() }
+                Frame::Refused { reason: "this receiver is itself stopping".into() }
             }
             Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
-                Frame::Refused { reason: "the request is for another incarnation".into() }
+                Frame::Refused { reason: "another incarnation was requested".into() }
             }
             Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
-                None => Frame::Refused { reason: "the receiver does not watch the store".into() },
+                None => Frame::Refused { reason: "this box does not yet monitor the store".into() },
             },
             Frame::Draw(draw) => self.draw(&request.from, draw).await,
             Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
             _ => Frame::Refused {
-                reason: "the receiver does not serve requests of this kind".into(),
+                reason: "no request that boxes send each other".into(),
             },
         };
         self.peers.message(frame)
--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -214,8 +214,7 @@
                 Reason::BudgetExhausted.with(detail)
             }
             shortage @ Shortage::Local { .. } => {
-                let detail =
-                    format!("this box did not get {max_tokens} tokens in time: {shortage}");
+                let detail = format!("this box lacks tokens for {max_tokens}: {shortage}");
                 Reason::TokensShort.after(UNREADY_RETRY_DELAY, detail)
             }
         })
