--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -192,9 +192,7 @@
             },
             Frame::Draw(draw) => self.draw(&request.from, draw).await,
             Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
-            _ => Frame::Refused {
-                reason: "no request that boxes send each other".into(),
-            },
+            _ => Frame::Refused { reason: "no request that boxes send each other".into() },
         };
         self.peers.message(frame)
     }
--- a/crates/gateway/src/proxy/dispatch.rs
+++ b/crates/gateway/src/proxy/dispatch.rs
@@ -131,12 +131,12 @@
         match self.endpoints.retry_delay(&admitted.service, admitted.rank) {
             Some(wait) if wait > CAPACITY_RETRY_DELAY => Reason::NoEndpoint.after(
                 wait,
-                "all remaining endpoints of the service are cold, backing off or rate-limited",
+                "all endpoints which take requests are cold, backing off or limited in rate",
             ),
             Some(_) => Reason::NoEndpoint
-                .after(CAPACITY_RETRY_DELAY, "no endpoint of the service accepts requests now"),
+                .after(CAPACITY_RETRY_DELAY, "no endpoint of this service can take work"),
             None => Reason::NoEndpoint
-                .after(NO_ENDPOINT_RETRY_DELAY, "the service has no endpoints, or all are leaving"),
+                .after(NO_ENDPOINT_RETRY_DELAY, "the service has no endpoint or all are leaving"),
         }
     }
 
@@ -271,9 +271,7 @@
         let is_foreign = head.id.is_some() && head.id != admitted.head.id;
         if is_foreign {
             in_flight.fail(Failure::Broken);
-            return Attempt::Unknown(
-                Reason::Lost.with("the response carries the id of another request"),
-            );
+            return Attempt::Unknown(Reason::Lost.with("the response has another request's id"));
         }
         // Signals of another endpoint at the address do not apply to the selected one.
         if status != StatusCode::MISDIRECTED_REQUEST {
