--- a/crates/gateway/src/proxy/admit.rs
+++ b/crates/gateway/src/proxy/admit.rs
@@ -81,8 +81,7 @@
             false => None,
             true => {
                 let customer = head.key.as_deref().and_then(|key| table.customer(key));
-                let unknown_key =
-                    || Reason::NoCustomer.with("the key is missing or belongs to no customer");
+                let unknown_key = || Reason::NoCustomer.with("the key belongs to no customer");
                 Some(customer.ok_or_else(unknown_key)?)
             }
         };
