--- a/crates/balance/src/pool/mod.rs
+++ b/crates/balance/src/pool/mod.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Replaces the list of endpoints by pairs of name and zone; known endpoints keep their state.
+    /// Replaces the list of endpoints, given as pairs of name and zone; known endpoints keep their
+    /// state.
     pub fn update(&mut self, list: impl IntoIterator<Item = (Arc<str>, Arc<str>)>, now: u64) {
         let warm = self.endpoints.is_empty();
         let mut known = std::mem::take(&mut self.endpoints);
@@ -192,10 +193,10 @@
         }
     }
 
-    /// Records the prefill of a prompt of which the endpoint holds `held`; returns the size to
-    /// prefill.
-    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, held: u64) -> u64 {
-        let missing = prefix.size().saturating_sub(held);
+    /// Records the prefill of a prompt of which the endpoint has `cached` in its cache; returns the
+    /// size to prefill.
+    pub fn start_prefill(&mut self, name: &str, prefix: &Prefix, cached: u64) -> u64 {
+        let missing = prefix.size().saturating_sub(cached);
         self.mean_prefill += (missing as f64 - self.mean_prefill) * MEAN_PREFILL_GAIN;
         if let Some(endpoint) = self.get_mut(name) {
             endpoint.start_prefill(missing);
@@ -230,9 +231,9 @@
     }
 
     /// Takes over an endpoint's load report.
-    pub fn report(&mut self, name: &str, report: Report) {
+    pub fn receive_report(&mut self, name: &str, report: Report) {
         if let Some(endpoint) = self.get_mut(name) {
-            endpoint.report(report);
+            endpoint.receive_report(report);
         }
     }
 
@@ -250,8 +251,12 @@
     /// Takes over the requests that a peer has in flight.
     pub fn receive_peer_load(&mut self, peer: &Arc<str>, snapshots: &[Snapshot], now: u64) {
         for endpoint in &mut self.endpoints {
-            let count = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
-            endpoint.receive_peer_load(peer, count.map_or(0, |snapshot| snapshot.in_flight), now);
+            let reported = snapshots.iter().find(|snapshot| snapshot.name == endpoint.name);
+            endpoint.receive_peer_load(
+                peer,
+                reported.map_or(0, |snapshot| snapshot.in_flight),
+                now,
+            );
         }
     }
 
--- a/crates/balance/src/prefix.rs
+++ b/crates/balance/src/prefix.rs
@@ -76,7 +76,9 @@
 /// A bounded index from blocks to the endpoints that probably hold them.
 #[derive(Debug)]
 pub struct PrefixIndex {
+    /// Names of endpoints by block.
     holders: HashMap<u64, Vec<Arc<str>>>,
+    /// All blocks, oldest first.
     order: VecDeque<u64>,
     capacity: usize,
 }
@@ -122,7 +124,7 @@
     }
 
     /// Size of the leading blocks that an endpoint probably holds.
-    pub fn held(&self, prefix: &Prefix, endpoint: &str) -> u64 {
+    pub fn cached_size(&self, prefix: &Prefix, endpoint: &str) -> u64 {
         let holds = |block: &&Block| {
             let holders = self.holders.get(&block.hash);
             holders.is_some_and(|names| names.iter().any(|name| &**name == endpoint))
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -113,15 +113,15 @@
         let funds = Funds::open();
         let bills = Bills::open(incarnation.clone());
         let profile = Profile {
-            name: incarnation.clone(),
+            incarnation: incarnation.clone(),
             zone: settings.zone.clone(),
-            strength: settings.machine.strength(),
+            capacity: settings.machine.capacity(),
         };
         let peers = Peers::open(profile, settings.listen.peers, random.random());
-        let (in_force_settings, read_settings) = watch::channel(Arc::new(settings.clone()));
+        let (in_force_settings, settings_updates) = watch::channel(Arc::new(settings.clone()));
         let borrower = Borrower::new(funds.clone(), peers.clone());
         let acquirer =
-            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), read_settings.clone());
+            Acquirer::new(funds.clone(), peers.clone(), borrower.clone(), settings_updates.clone());
         let view = View::open(Consumers {
             in_force,
             funds: funds.clone(),
@@ -185,7 +185,7 @@
                 incarnation: incarnation.clone(),
                 zone: settings.zone.clone(),
                 peer,
-                strength: settings.machine.strength(),
+                capacity: settings.machine.capacity(),
             };
             Discovery::new(store.clone(), me, peers.clone(), view.clone(), recovery.clone())
         });
@@ -205,10 +205,10 @@
             registered: registered.clone(),
             bills,
             holder: incarnation.clone(),
-            settings: read_settings,
+            settings: settings_updates,
         };
         let settler = Settler::new(setup, recovery.clone());
-        let lapse = Duration::from_millis(settings.limits.lapse_ms);
+        let grace = Duration::from_millis(settings.limits.lapse_ms);
         let name = settings.box_name.clone();
         let reporter = Reporter {
             store: store.clone(),
@@ -222,7 +222,7 @@
             recovery,
             watchdog: watchdog.clone(),
             name,
-            lapse,
+            grace,
         };
         let subscriber =
             Subscriber::new(context.peers.clone(), watcher_setup, registered, random.random());
--- a/crates/gateway/src/inbound/admin.rs
+++ b/crates/gateway/src/inbound/admin.rs
@@ -50,7 +50,7 @@
         for balance in context.funds.balances() {
             let budget = Budget { customer: balance.customer.to_string() };
             metrics.free.get_or_create(&budget).set(balance.free as i64);
-            metrics.promised.get_or_create(&budget).set(balance.kept as i64);
+            metrics.promised.get_or_create(&budget).set(balance.promised as i64);
             metrics.unspent.get_or_create(&budget).set(balance.unspent as i64);
         }
         for ((topic, is_same_zone), size) in context.peers.traffic.snapshot() {
@@ -66,7 +66,7 @@
         metrics.cold.set(context.endpoints.count_cold() as i64);
         metrics.leaving.set(context.endpoints.count_leaving() as i64);
         metrics.backing_off.set(context.endpoints.count_backing_off() as i64);
-        for (name, count) in context.endpoints.unread() {
+        for (name, count) in context.endpoints.unread_headers() {
             metrics.unreadable.get_or_create(&Header { name: name.to_string() }).set(count as i64);
         }
         metrics.limits.clear();
@@ -79,7 +79,7 @@
         metrics.quarantined.set(quarantined as i64);
         metrics.watches.set(i64::from(status.watches));
         metrics.store_age.set(status.age.map_or(-1, |age| age.as_millis() as i64));
-        metrics.connections.set(context.connections.opened() as i64);
+        metrics.connections.set(context.connections.count_opened() as i64);
         std::future::ready(page(StatusCode::OK, metrics.text()))
     }
 }
--- a/crates/gateway/src/inbound/peer_service.rs
+++ b/crates/gateway/src/inbound/peer_service.rs
@@ -44,22 +44,22 @@
     /// Accepts usage totals of another box, and passes on the tokens that it needs.
     async fn draw(&self, from: &Incarnation, draw: Draw) -> Frame {
         if draw.keeper != self.me {
-            return Frame::Refused { reason: "another life of this box is meant".into() };
+            return Frame::Refused { reason: "another incarnation was requested".into() };
         }
         let is_accepted = self.funds.receive_report(from, &draw.items);
         if !is_accepted {
             tracing::warn!(event = "totals_not_believed", of = from.as_str());
         }
-        let leaves = *self.stopping.borrow();
-        if !draw.is_stopping && !leaves {
+        let is_stopping = *self.stopping.borrow();
+        if !draw.is_stopping && !is_stopping {
             let deadline = Instant::now() + Duration::from_millis(draw.within_ms);
             for demand in draw.items.iter().filter(|demand| demand.need > 0) {
                 self.pass_on(from, demand, deadline).await;
             }
         }
-        let (items, cut) =
+        let (items, is_store_unreachable) =
             (self.funds.supplies(from, &draw.items), self.funds.is_store_unreachable());
-        Frame::Drawn(Drawn { items, is_store_unreachable: cut, is_stopping: leaves })
+        Frame::Drawn(Drawn { items, is_store_unreachable, is_stopping })
     }
 
     async fn pass_on(&self, to: &Incarnation, demand: &Demand, deadline: Instant) {
@@ -100,7 +100,7 @@
     fn seal(&self, from: &Incarnation, holder: &Incarnation, term: u64) -> Frame {
         let is_later = from.box_name() == holder.box_name();
         if from == holder || !(is_later || self.peers.knows(from)) {
-            return Frame::Refused { reason: "this box may not ask of that life".into() };
+            return Frame::Refused { reason: "the sender may not seal a promise".into() };
         }
         let tokens = self.peers.promises.seal(holder, term);
         tracing::info!(
@@ -129,7 +129,7 @@
                 if !self.peers.knows(&request.from) =>
             {
                 self.peers.report_stale_list();
-                Frame::Refused { reason: "this box is not known here yet".into() }
+                Frame::Refused { reason: "the sender is not a listed box".into() }
             }
             Frame::Lend { budget, tokens } => self.lend(&request.from, &budget, tokens).await,
             Frame::Promise(promise) => {
@@ -137,7 +137,7 @@
                 match self.peers.promises.accept(&request.from, promise) {
                     Acceptance::Accepted => Frame::Promised { number },
                     Acceptance::Rejected => {
-                        Frame::Refused { reason: "a newer promise or a seal is known".into() }
+                        Frame::Refused { reason: "this promise is outdated or sealed".into() }
                     }
                     Acceptance::Closed => Frame::Sealed { tokens: None },
                 }
@@ -166,10 +166,10 @@
                 Frame::Done
             }
             Frame::Bills { .. } | Frame::HandOver { .. } if *self.stopping.borrow() => {
-                Frame::Refused { reason: "this box is about to stop itself".into() }
+                Frame::Refused { reason: "this receiver is itself stopping".into() }
             }
             Frame::HandOver { to, .. } if to != self.me => {
-                Frame::Refused { reason: "another life of this box is meant".into() }
+                Frame::Refused { reason: "another incarnation was requested".into() }
             }
             Frame::Bills { pages } | Frame::HandOver { pages, .. } => {
                 tracing::info!(
@@ -181,18 +181,18 @@
                 Frame::Done
             }
             Frame::Subscribe(_) if *self.stopping.borrow() => {
-                Frame::Refused { reason: "this box is about to stop itself".into() }
+                Frame::Refused { reason: "this receiver is itself stopping".into() }
             }
             Frame::Subscribe(subscribe) if subscribe.watcher != self.me => {
-                Frame::Refused { reason: "another life of this box is meant".into() }
+                Frame::Refused { reason: "another incarnation was requested".into() }
             }
             Frame::Subscribe(subscribe) => match self.view.updates(&subscribe).await {
                 Some(updates) => Frame::Update(updates),
-                None => Frame::Refused { reason: "this box does not look at the store yet".into() },
+                None => Frame::Refused { reason: "this box does not yet monitor the store".into() },
             },
             Frame::Draw(draw) => self.draw(&request.from, draw).await,
             Frame::Seal { holder, term } => self.seal(&request.from, &holder, term),
-            _ => Frame::Refused { reason: "no question that boxes ask each other".into() },
+            _ => Frame::Refused { reason: "no request that boxes send each other".into() },
         };
         self.peers.message(frame)
     }
--- a/crates/gateway/src/proxy/link.rs
+++ b/crates/gateway/src/proxy/link.rs
@@ -1,7 +1,7 @@
 //! Load of this box's network link, and load shedding when it is nearly full.
 //!
 //! The balancer assigns connections by hash, so one box may get several times its share. A saturated link
-//! delays everything, also the calls by which the box obtains tokens. A box whose link fills up therefore
+//! delays everything, including the calls by which the box obtains tokens. A box whose link fills up therefore
 //! reports itself not ready and closes caller connections after their current response; callers reconnect
 //! to other boxes. No request is refused.
 
@@ -41,12 +41,12 @@
     }
 
     /// Records a request with a body of this size.
-    pub fn request(&self, bytes: usize) {
+    pub fn record_request(&self, bytes: usize) {
         self.record(bytes + HEAD_BYTES);
     }
 
     /// Records a chunk of a response.
-    pub fn chunk(&self, bytes: usize) {
+    pub fn record_chunk(&self, bytes: usize) {
         self.record(bytes + FRAME_BYTES);
     }
 
--- a/crates/gateway/src/sync/directory.rs
+++ b/crates/gateway/src/sync/directory.rs
@@ -55,9 +55,9 @@
 impl Known {
     /// Whether a newer entry replaces this one.
     fn is_replaced_by(&self, entry: &Entry) -> bool {
-        match (self.entry.life, entry.life) {
+        match (self.entry.started, entry.started) {
             (known, new) if known == new => {
-                entry.beat >= self.entry.beat || entry.state != State::Ready
+                entry.heartbeat >= self.entry.heartbeat || entry.state != State::Ready
             }
             (known, new) => known < new,
         }
@@ -75,8 +75,8 @@
     }
 
     /// Takes over a complete list, read at store version `at`.
-    pub fn list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
-        self.seen(at);
+    pub fn apply_list(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64, now: u64) {
+        self.advance_to(at);
         let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
         for (id, version, entry) in entries {
             self.set(id, version, entry);
@@ -92,8 +92,8 @@
     /// Takes over an entry that was written; returns whether it is now the current one.
     pub fn set(&mut self, id: Arc<str>, version: u64, entry: Entry) -> bool {
         let known = self.known.get(&id);
-        let has_instance = known.is_some_and(|known| known.entry.life.is_some());
-        if has_instance && entry.life.is_none() {
+        let has_instance = known.is_some_and(|known| known.entry.started.is_some());
+        if has_instance && entry.started.is_none() {
             // Endpoints always report their start time, so this was not written by the endpoint.
             self.remove(&id, version);
             return false;
@@ -101,8 +101,8 @@
         let is_newer = known.is_none_or(|known| known.version <= version);
         let replaces_known = known.is_none_or(|known| known.is_replaced_by(&entry));
         let removed = self.removed.get(&id);
-        let was_removed =
-            removed.is_some_and(|removed| version <= removed.at || entry.life < removed.instance);
+        let was_removed = removed
+            .is_some_and(|removed| version <= removed.at || entry.started < removed.instance);
         let is_current = is_newer && replaces_known && !was_removed;
         if is_current {
             self.removed.remove(&id);
@@ -112,8 +112,8 @@
     }
 
     /// Takes over all entries that another box knows, which are complete up to store version `at`.
-    pub fn mirror(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
-        self.seen(at);
+    pub fn apply_snapshot(&mut self, entries: Vec<(Arc<str>, u64, Entry)>, at: u64) {
+        self.advance_to(at);
         let listed: HashSet<Arc<str>> = entries.iter().map(|(id, ..)| id.clone()).collect();
         for (id, version, entry) in entries {
             self.set(id, version, entry);
@@ -140,7 +140,7 @@
     }
 
     /// Records that all entries up to a store version are known.
-    pub fn seen(&mut self, at: u64) {
+    pub fn advance_to(&mut self, at: u64) {
         self.at = self.at.max(at);
     }
 
@@ -155,7 +155,7 @@
         if known.is_some_and(|known| known.version > at) {
             return;
         }
-        let instance = known.and_then(|known| known.entry.life);
+        let instance = known.and_then(|known| known.entry.started);
         self.known.remove(id);
         self.record_removed(id.into(), Removed { at, instance });
     }
--- a/crates/gateway/src/sync/view/mod.rs
+++ b/crates/gateway/src/sync/view/mod.rs
@@ -29,6 +29,7 @@
 
 use crate::{
     clock::{Dataset, Moment, Watchdog},
+    config_table::ConfigTable,
     fleet::{
         entry::{BOXES, Entry},
         peers::Peers,
@@ -36,12 +37,11 @@
     outage::Recovery,
     proxy::{crashes::Crashes, endpoints::Endpoints},
     sync::{change_log::ChangeLog, directory::Directory, evacuations::Evacuations},
-    table::Table,
     tokens::funds::Funds,
 };
 
 /// The configuration in force; `None` until one was read.
-pub type InForce = watch::Sender<Option<Arc<Table>>>;
+pub type InForce = watch::Sender<Option<Arc<ConfigTable>>>;
 
 /// Where updates are applied.
 pub struct Consumers {
@@ -126,8 +126,9 @@
         self.0.consumers.started.elapsed().as_millis() as u64
     }
 
-    /// Milliseconds of an instant, on the assumption that the box was not suspended since then.
-    fn ms(&self, at: Instant) -> u64 {
+    /// An instant in milliseconds since the start of this box, on the assumption that the box was not
+    /// suspended since then.
+    fn to_ms(&self, at: Instant) -> u64 {
         self.now().saturating_sub(at.elapsed().as_millis() as u64)
     }
 
@@ -160,7 +161,7 @@
             return;
         }
         let (version, routes) = (config.version, config.routes.len());
-        let table = Arc::new(Table::new(config));
+        let table = Arc::new(ConfigTable::new(config));
         self.0.consumers.funds.configure(&table);
         self.0.consumers.endpoints.configure(&table);
         self.0.consumers.in_force.send_replace(Some(table));
--- a/crates/gateway/src/tokens/acquirer.rs
+++ b/crates/gateway/src/tokens/acquirer.rs
@@ -24,8 +24,8 @@
 /// Allowance for the round trip to a keeper, beyond the time in which it may look for tokens. Much
 /// longer than a round trip, for boxes under load.
 const ROUND_TRIP_ALLOWANCE: Duration = Duration::from_millis(50);
-/// Interval at which keepers get reports of used tokens, and idle tokens back. Shorter than the
-/// time for which a box holds tokens in reserve.
+/// Interval at which used tokens are reported to keepers and idle ones are returned. Shorter than
+/// the seconds of use that a box holds in reserve.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The result of asking a keeper.
@@ -63,13 +63,13 @@
         Duration::from_millis(self.settings.borrow().money.keeper_ms)
     }
 
-    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box asks
-    /// the book itself, it waits for that at most for `from_store`.
+    /// Reserves the worst case of a request, waiting until `until` for the tokens. If this box
+    /// draws from the book itself, it waits for a settlement for at most `store_timeout`.
     pub async fn hold(
         &self,
         customer: &Arc<str>,
         worst: u64,
-        from_store: Duration,
+        store_timeout: Duration,
         until: Instant,
     ) -> Option<Hold> {
         if let Some(hold) = self.funds.try_hold(customer, worst) {
@@ -78,7 +78,7 @@
         let mut answered = false;
         for keeper in self.peers.keepers() {
             if keeper == *self.peers.me() {
-                return self.hold_from_book(customer, worst, from_store, until).await;
+                return self.hold_from_book(customer, worst, store_timeout, until).await;
             }
             match self.hold_from_keeper(&keeper, customer, worst, until).await {
                 Outcome::Hold(hold) => return Some(hold),
@@ -94,20 +94,20 @@
         match answered {
             true => None,
             // A box that reaches no keeper turns to the book itself.
-            false => self.hold_from_book(customer, worst, from_store, until).await,
+            false => self.hold_from_book(customer, worst, store_timeout, until).await,
         }
     }
 
-    /// Asks the book, then other keepers.
+    /// Draws from the book, then borrows from other keepers.
     async fn hold_from_book(
         &self,
         customer: &Arc<str>,
         worst: u64,
-        from_store: Duration,
+        store_timeout: Duration,
         until: Instant,
     ) -> Option<Hold> {
-        let from_store = (Instant::now() + from_store).min(until);
-        match self.funds.hold(customer, worst, from_store).await {
+        let store_until = (Instant::now() + store_timeout).min(until);
+        match self.funds.hold(customer, worst, store_until).await {
             Some(hold) => Some(hold),
             None => self.borrower.hold(customer, worst, until).await,
         }
@@ -141,7 +141,7 @@
                 return Outcome::Unanswered;
             };
             let supply = drawn.items.iter().find(|supply| supply.customer == *customer);
-            if supply.is_some_and(|supply| supply.dry) {
+            if supply.is_some_and(|supply| supply.exhausted) {
                 self.funds.note_others_exhausted(customer, worst);
             }
             match self.funds.try_hold(customer, worst) {
@@ -171,17 +171,13 @@
         keeper: &Incarnation,
         items: Vec<Demand>,
         timeout: Duration,
-        leaves: bool,
+        is_stopping: bool,
     ) -> Option<Drawn> {
         let (this, keeper) = (self.clone(), keeper.clone());
         let attempt = tokio::spawn(async move {
             let within_ms = timeout.as_millis() as u64;
-            let draw = Draw {
-                keeper: keeper.clone(),
-                items: items.clone(),
-                within_ms,
-                is_stopping: leaves,
-            };
+            let draw =
+                Draw { keeper: keeper.clone(), items: items.clone(), within_ms, is_stopping };
             let answer_timeout = timeout.max(this.keeper_timeout()) + ROUND_TRIP_ALLOWANCE;
             let drawn = this.peers.draw(&keeper, draw, answer_timeout).await?;
             this.funds.receive_supply(&keeper, &items, &drawn.items);
@@ -219,10 +215,10 @@
         }
     }
 
-    async fn return_all(&self, keeper: &Incarnation, leaves: bool) {
+    async fn return_all(&self, keeper: &Incarnation, is_stopping: bool) {
         let demands = self.funds.return_all(keeper);
         let returned = demands.iter().map(|demand| demand.share.returned).sum::<u64>();
-        let acknowledged = self.draw(keeper, demands, Duration::ZERO, leaves).await.is_some();
+        let acknowledged = self.draw(keeper, demands, Duration::ZERO, is_stopping).await.is_some();
         tracing::info!(
             event = "tokens_returned",
             keeper = keeper.as_str(),
--- a/crates/gateway/src/tokens/settle.rs
+++ b/crates/gateway/src/tokens/settle.rs
@@ -6,7 +6,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ledger::{BOOK, Book, Claim, Granted, Incarnation, Policy, Settlement, Untouched, Writer};
+use ledger::{BOOK, Book, Claim, Granted, Incarnation, Policy, Settlement, Unused, Writer};
 use objects::{Expect, Store};
 use platform::store::{Client, Put};
 use snafu::Snafu;
@@ -85,6 +85,7 @@
     /// Whether a book was ever seen; if it is missing later, no new one is created.
     book_seen: bool,
     forecast: Forecast,
+    /// Number of the last write.
     write: u64,
     /// The settlement in progress. It must land even if this task is interrupted.
     pending: Option<Settlement>,
@@ -93,7 +94,7 @@
     /// Whether this box is listed as a writer in the book.
     is_listed: bool,
     /// Tokens that dead incarnations left unused, for the next settlement.
-    collected: Vec<Untouched>,
+    collected: Vec<Unused>,
     last_asked: Option<Instant>,
 }
 
@@ -226,6 +227,7 @@
         self.settle(Participation::Active).await;
     }
 
+    /// Returns this box's entry in the book for the next write, under a new number.
     fn writer(&mut self) -> Writer {
         self.write += 1;
         let Setup { peers, selector, .. } = &self.setup;
@@ -236,7 +238,7 @@
 
     async fn wait_after_failure(&mut self, fault: &Fault, delay: &mut Duration) {
         self.outage.record_failure(fault);
-        self.forecast.failed(Instant::now());
+        self.forecast.record_failure(Instant::now());
         self.setup.funds.set_store_unreachable(true);
         // Ends the delay as soon as any task of this box reaches the store.
         let _ = tokio::time::timeout(*delay, self.recovery.recovered()).await;
@@ -281,7 +283,8 @@
         );
         self.outage.record_success();
         let book = self.known.as_ref().map(|(book, _)| book);
-        self.settle_at_once = book.is_some_and(|book| self.forecast.landed(book, Instant::now()));
+        self.settle_at_once =
+            book.is_some_and(|book| self.forecast.record_settlement(book, Instant::now()));
         self.is_listed = book.is_some_and(|book| book.writers.contains_key(&self.setup.holder));
         let claims = book.map_or(0, |book| book.claims.len());
         self.setup.metrics.claims.set(claims as i64);
@@ -296,7 +299,7 @@
             Some(known) => known,
             None => self.read().await?,
         };
-        if book.has(&settlement.holder, settlement.writer.write) {
+        if book.has_landed(&settlement.holder, settlement.writer.write) {
             self.known = Some((book, version));
             return Ok(Some(self.last_granted.take().unwrap_or_default()));
         }
@@ -365,8 +368,8 @@
         let Setup { selector, funds, peers, acquirer, .. } = &self.setup;
         acquirer.leave().await;
         selector.promise_all(funds, peers).await;
-        let soon = until.min(Instant::now() + HAND_OVER_DELAY);
-        let mut done = tokio::time::timeout_at(soon, self.leave_book()).await.is_ok();
+        let hand_over_at = until.min(Instant::now() + HAND_OVER_DELAY);
+        let mut done = tokio::time::timeout_at(hand_over_at, self.leave_book()).await.is_ok();
         if !done {
             self.hand_over().await;
             done = tokio::time::timeout_at(until, self.leave_book()).await.is_ok();
--- a/crates/gateway/src/tokens/shares.rs
+++ b/crates/gateway/src/tokens/shares.rs
@@ -32,6 +32,8 @@
 
     /// Counts up to `tokens` as used, from the oldest share first, so that shares of dead keepers
     /// are used up. Returns how many were.
+    ///
+    /// A request is counted with the first share that pays for it.
     pub fn spend(&mut self, tokens: u64) -> u64 {
         let mut left = tokens;
         for entry in &mut self.entries {
@@ -43,8 +45,8 @@
     }
 
     /// Applies the total that a keeper reports; returns the tokens that are new.
-    pub fn receive(&mut self, keeper: &Incarnation, given: u64) -> u64 {
-        self.entry_mut(keeper).share.receive(given)
+    pub fn receive(&mut self, keeper: &Incarnation, passed_on: u64) -> u64 {
+        self.entry_mut(keeper).share.receive(passed_on)
     }
 
     /// Counts up to `tokens` of a keeper as returned; returns how many were.
@@ -102,7 +104,8 @@
 #[derive(Debug, Default)]
 struct BoxShare {
     share: Share,
-    /// The box died: its reports are ignored, and it gets no more tokens.
+    /// The box died, or the keeper is about to stop: reports are ignored, and no more tokens are
+    /// passed on.
     closed: bool,
 }
 
@@ -117,15 +120,15 @@
     pub fn pass_on(&mut self, to: &Incarnation, tokens: u64) {
         let entry = self.entries.entry(to.clone()).or_default();
         debug_assert!(!entry.closed);
-        entry.share.given += tokens;
+        entry.share.passed_on += tokens;
     }
 
     /// Total of the tokens passed on to a box.
     pub fn total(&self, to: &Incarnation) -> u64 {
-        self.entries.get(to).map_or(0, |entry| entry.share.given)
+        self.entries.get(to).map_or(0, |entry| entry.share.passed_on)
     }
 
-    /// Whether a box counts as dead.
+    /// Whether the account of a box is closed.
     pub fn is_closed(&self, of: &Incarnation) -> bool {
         self.entries.get(of).is_some_and(|entry| entry.closed)
     }
--- a/crates/gateway/src/tokens/wallet/settlements.rs
+++ b/crates/gateway/src/tokens/wallet/settlements.rs
@@ -24,15 +24,15 @@
     pub fn is_due(&self) -> bool {
         let (free, target) = (self.own() as f64, self.granted.target as f64);
         let low = free < target * REFILL_FACTOR && self.granted.left > 0;
-        self.has_settled && (low || self.has_surplus())
+        self.has_settled && (low || self.is_return_due())
     }
 
-    fn has_surplus(&self) -> bool {
+    fn is_return_due(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * RETURN_FACTOR + self.peak as f64
     }
 
-    /// Whether this box holds more than any settlement should leave here.
-    pub(super) fn has_spare(&self) -> bool {
+    /// Whether this box holds more than a settlement should leave here.
+    pub(super) fn has_surplus(&self) -> bool {
         self.own() as f64 > self.granted.target as f64 * KEEP_FACTOR
     }
 
@@ -49,7 +49,7 @@
         }
         let returned = self.surplus(participation);
         let returned = self.account.remove(Part::Offline, returned);
-        let guess = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
+        let expected = self.granted.unspent.max(self.paid.map_or(0, |(paid, _)| paid))
             / EXPECTED_REQUEST_DIVISOR;
         Item {
             customer: customer.clone(),
@@ -64,7 +64,7 @@
             observed: Observed {
                 rate: self.rate.per_second(now),
                 largest: self.peak,
-                peak: self.peak.max(guess),
+                peak: self.peak.max(expected),
                 unspent: 0,
             },
         }
@@ -75,17 +75,17 @@
         match participation {
             Participation::Leaving => self.own(),
             Participation::Retiring => self.disposable(),
-            Participation::Active if !self.has_settled || !self.has_spare() => 0,
+            Participation::Active if !self.has_settled || !self.has_surplus() => 0,
             Participation::Active => self.disposable().min(self.own() - self.granted.target),
         }
     }
 
     /// Applies the result of a settlement with `item` that landed.
-    pub fn landed(&mut self, item: &Item, holder: &Incarnation, brought: Option<&Granted>) {
+    pub fn landed(&mut self, item: &Item, holder: &Incarnation, granted: Option<&Granted>) {
         let to_me = item.transfers.iter().filter(|transfer| transfer.to == *holder);
         self.borrowed -= to_me.map(|transfer| transfer.tokens).sum::<u64>();
-        self.topped_up &= item.paid != self.paid;
-        if let Some(granted) = brought {
+        self.paid_changed &= item.paid != self.paid;
+        if let Some(granted) = granted {
             self.account.add(Part::Offline, granted.tokens);
             self.granted = granted.clone();
             self.has_settled = true;
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Directory, EventCounter, Reason, Retries, Table, settings};
+use gateway::{ConfigTable, Directory, EventCounter, Reason, Retries, settings};
 use http::StatusCode;
 use platform::{config::Config, endpoint::Entry, fixtures};
 
-fn table(routes: &[&str]) -> Table {
+fn table(routes: &[&str]) -> ConfigTable {
     let text = fixtures::config(3, 1_000, routes);
-    Table::new(Config::read(&text).expect("a valid configuration"))
+    ConfigTable::new(Config::read(&text).expect("a valid configuration"))
 }
 
 #[test]
@@ -18,7 +18,7 @@
         ("long", "desk.example", "/x/y/", &[("b", 1)]),
         ("short", "desk.example", "/x/", &[("c", 1)]),
     ]);
-    let table = Table::new(Config::read(&text).expect("unknown fields are ignored"));
+    let table = ConfigTable::new(Config::read(&text).expect("unknown fields are ignored"));
     let cases = [
         ("desk.example", "/x/y/z", Some("long")),
         ("desk.example:8080", "/x/yz", Some("short")),
@@ -46,7 +46,7 @@
 fn split_follows_weights_and_request_id() {
     let services = [("a", 90), ("b", 10), ("never", 0)];
     let text = fixtures::routes(&[("r", "h", "/", &services)]);
-    let table = Table::new(Config::read(&text).expect("valid"));
+    let table = ConfigTable::new(Config::read(&text).expect("valid"));
     let route = table.route("h", "/").expect("a route").clone();
     let ids: Vec<String> = (0..2_000).map(|n| format!("id-{n}")).collect();
     let to = |id: &String| table.target(&route, id).expect("a service").clone();
@@ -69,7 +69,11 @@
 #[test]
 fn draining_endpoint_is_not_ready() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.set("a".into(), 3, entry("draining"));
     assert_eq!(ready(&directory), ["b"], "a is draining");
@@ -82,9 +86,13 @@
 #[test]
 fn lapsed_entries_have_time_to_come_back() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     assert_eq!(ready(&directory), ["a", "b"], "b may still come back");
     assert!(directory.has_missing());
     assert!(!directory.sweep(11_999));
@@ -92,7 +100,7 @@
     assert!(!directory.sweep(12_000), "b came back");
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.store_returned(15_000, 20_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 12, 18_000);
     assert!(!directory.sweep(19_999));
     assert!(directory.sweep(20_000), "b did not come back this time");
     assert_eq!(ready(&directory), ["a"]);
@@ -101,9 +109,13 @@
 #[test]
 fn entry_removed_after_an_outage_is_not_kept() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(
+    directory.apply_list(
         vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
         0,
         10_000,
@@ -116,17 +128,21 @@
 #[test]
 fn late_report_of_the_same_outage_extends_nothing() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))], 2, 0);
+    directory.apply_list(
+        vec![("a".into(), 1, entry("ready")), ("b".into(), 2, entry("ready"))],
+        2,
+        0,
+    );
     directory.store_returned(5_000, 12_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 10_000);
     // A task that probes seldom finds the store 2 s later and reports the same outage.
     directory.store_returned(6_000, 14_000);
-    directory.list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
+    directory.apply_list(vec![("a".into(), 9, entry("ready"))], 9, 11_900);
     assert!(directory.sweep(12_000), "the time for b was not extended");
     assert_eq!(ready(&directory), ["a"]);
     directory.store_returned(13_000, 20_000);
-    directory.list(Vec::new(), 9, 18_000);
-    assert_eq!(ready(&directory), ["a"], "another outage gives a again time to come back");
+    directory.apply_list(Vec::new(), 9, 18_000);
+    assert_eq!(ready(&directory), ["a"], "after another outage, `a` has time to come back too");
 }
 
 #[test]
@@ -135,13 +151,13 @@
     let service: Arc<str> = "plain".into();
     let mut retries = Retries::default();
     for second in 0..10 {
-        (0..4).for_each(|_| retries.request(&service, second, &limits));
+        (0..4).for_each(|_| retries.count_request(&service, second, &limits));
     }
     let taken = (0..20).filter(|_| retries.take(&service, 9, &limits)).count();
     assert_eq!(taken, 5, "a tenth of 40 requests and one extra");
     assert!(!retries.take(&service, 18, &limits), "retries of second 9 still count");
     assert!(retries.take(&service, 19, &limits), "a new window has its own extra retry");
-    assert!(retries.take(&"other".into(), 9, &limits), "services do not share");
+    assert!(retries.take(&"other".into(), 9, &limits), "each service has its own budget");
 }
 
 #[test]
@@ -157,13 +173,14 @@
 
 #[test]
 fn not_run_statuses_are_used_only_for_unrun_requests() {
-    let promises = [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
-    let unknown = [Reason::Silent, Reason::Lost];
-    for reason in unknown {
-        assert!(!reason.is_not_run() && !promises.contains(&reason.status()), "{reason:?}");
+    let not_run_statuses =
+        [408, 421, 429, 503].map(|code| StatusCode::from_u16(code).expect("a status"));
+    let unknown_outcomes = [Reason::Silent, Reason::Lost];
+    for reason in unknown_outcomes {
+        assert!(!reason.is_not_run() && !not_run_statuses.contains(&reason.status()), "{reason:?}");
     }
     for reason in [Reason::TokensShort, Reason::NoEndpoint, Reason::TooLate, Reason::NoConfig] {
-        assert!(reason.is_not_run() && promises.contains(&reason.status()), "{reason:?}");
+        assert!(reason.is_not_run() && not_run_statuses.contains(&reason.status()), "{reason:?}");
         let refusal = reason.after(Duration::from_millis(1_500), "later");
         let response = refusal.response(Some("try-1"));
         assert_eq!(response.headers()["retry-after"], "1.500", "{reason:?}");
--- a/crates/gateway/tests/funds.rs
+++ b/crates/gateway/tests/funds.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use gateway::{Funds, Participation, Table};
+use gateway::{ConfigTable, Funds, Participation};
 use ledger::{Book, Granted, Incarnation, Item, Policy, Writer};
 use platform::{config::Config, fixtures};
 
@@ -28,7 +28,7 @@
     fn open() -> Fixture {
         let funds = Funds::open();
         let text = fixtures::config(1, PAID, &["stream"]);
-        funds.configure(&Table::new(Config::read(&text).expect("valid")));
+        funds.configure(&ConfigTable::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new("box-0", 1);
         let mut fixture = Fixture { funds, name, write: 0, book: Book::default() };
         fixture.settle();
@@ -126,7 +126,7 @@
 }
 
 /// Tokens that a box holds beyond its need are unavailable to other boxes and lost if it dies, so every settlement
-/// returns them, although they alone cause none.
+/// returns them, although surplus alone makes none due.
 #[tokio::test(start_paused = true)]
 async fn surplus_is_returned_with_any_settlement() {
     let mut fixture = Fixture::open();
--- a/crates/gateway/tests/loopback/rate_limit.rs
+++ b/crates/gateway/tests/loopback/rate_limit.rs
@@ -158,7 +158,7 @@
     );
 }
 
-/// All callers connect to two of the boxes, as the balancer's hash may have it.
+/// All callers connect to two of the boxes, as the balancer's hash may place them.
 #[tokio::test]
 async fn limit_is_used_up_by_the_boxes_that_have_callers() {
     let fleet = Fleet::start(BOXES, 2).await;
@@ -299,12 +299,12 @@
     let (began, before) = (Instant::now(), fleet.arrived(0));
     for shuts_down in [false, true] {
         fleet.load(&fleet.boxes, LOAD_TIME / 4).await;
-        let gone = fleet.boxes.remove(issuer_index(&fleet.boxes));
+        let issuer = fleet.boxes.remove(issuer_index(&fleet.boxes));
         let sent = fleet.arrived(0);
         let stopping = async {
             match shuts_down {
-                true => gone.stop().await,
-                false => drop(gone),
+                true => issuer.stop().await,
+                false => drop(issuer),
             }
         };
         let takeover = async {
--- a/crates/gateway/tests/sync.rs
+++ b/crates/gateway/tests/sync.rs
@@ -14,8 +14,8 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-fn profile(name: &str, zone: &str, strength: u64) -> Profile {
-    Profile { name: Incarnation::new(name, 1), zone: zone.into(), strength }
+fn profile(name: &str, zone: &str, capacity: u64) -> Profile {
+    Profile { incarnation: Incarnation::new(name, 1), zone: zone.into(), capacity }
 }
 
 /// A fleet of three zones in which every fourth box is weak.
@@ -67,7 +67,7 @@
     for index in 0..fleet.len() {
         let seen = watchers_seen_from(&fleet, index);
         let strong = |name: &Incarnation| {
-            fleet.iter().any(|profile| profile.name == *name && profile.strength == 50)
+            fleet.iter().any(|profile| profile.incarnation == *name && profile.capacity == 50)
         };
         assert!(seen.all().all(strong));
         *subscriber_counts.entry(seen.active[0].box_name().to_owned()).or_insert(0) += 1;
@@ -84,7 +84,7 @@
         let fleet: Vec<Profile> =
             (0..boxes).map(|n| profile(&format!("box-{n}"), zones[n % 6], 10)).collect();
         let zone_of = |name: &Incarnation| {
-            let profile = fleet.iter().find(|profile| profile.name == *name);
+            let profile = fleet.iter().find(|profile| profile.incarnation == *name);
             profile.expect("one of the fleet").zone.clone()
         };
         let watchers = watchers_seen_from(&fleet, 0).active;
@@ -96,7 +96,7 @@
             assert!(
                 subscribed_zone == *own || !with_watcher.contains(own),
                 "{} subscribes in {subscribed_zone}",
-                fleet[index].name
+                fleet[index].incarnation
             );
         }
     }
@@ -114,7 +114,7 @@
 #[test]
 fn stale_snapshot_changes_nothing() {
     let mut directory = Directory::default();
-    directory.list(
+    directory.apply_list(
         vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))],
         6,
         0,
@@ -122,9 +122,9 @@
     directory.remove("left", 8);
     directory.set("drains".into(), 9, entry("draining"));
     directory.set("new".into(), 12, entry("ready"));
-    // State of the suspended watcher at version 7.
+    // A watcher that was suspended sends its state as of version 7.
     let old = vec![("left".into(), 5, entry("ready")), ("drains".into(), 6, entry("ready"))];
-    directory.mirror(old, 7);
+    directory.apply_snapshot(old, 7);
     assert_eq!(ready(&directory), BTreeSet::from(["new".into()]));
     // The entry lapsed during an outage and was written again.
     directory.set("left".into(), 13, entry("ready"));
@@ -134,8 +134,12 @@
 #[test]
 fn newer_snapshot_removes_entries() {
     let mut directory = Directory::default();
-    directory.list(vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))], 6, 0);
-    directory.mirror(vec![("b".into(), 6, entry("ready"))], 8);
+    directory.apply_list(
+        vec![("a".into(), 5, entry("ready")), ("b".into(), 6, entry("ready"))],
+        6,
+        0,
+    );
+    directory.apply_snapshot(vec![("b".into(), 6, entry("ready"))], 8);
     assert_eq!(ready(&directory), BTreeSet::from(["b".into()]));
 }
 
@@ -291,7 +295,7 @@
 
 /// Endpoints that are ready in a view, with their instances.
 fn ready_instances(directory: &Directory) -> BTreeSet<(Arc<str>, u64)> {
-    let instance = |entry: &Entry| entry.life.expect("each entry has a start time").to_string();
+    let instance = |entry: &Entry| entry.started.expect("each entry has a start time").to_string();
     let ready = directory.ready();
     ready.map(|(id, entry)| (id.clone(), instance(entry).parse().expect("a number"))).collect()
 }
@@ -330,7 +334,7 @@
                 Err(_) => watcher.directory.remove(id, *version),
             }
         }
-        watcher.directory.list(list, self.store.version, 0);
+        watcher.directory.apply_list(list, self.store.version, 0);
         for (id, (version, text)) in &self.store.entries {
             if watcher.directory.version(id) == Some(*version) {
                 watcher.change_log.put("servers", id, *version, Some(text));
@@ -367,7 +371,7 @@
             }
         }
         match is_snapshot {
-            true => self.subscriber.mirror(entries, watcher.at),
+            true => self.subscriber.apply_snapshot(entries, watcher.at),
             false => {
                 for (id, version, entry) in entries {
                     self.subscriber.set(id, version, entry);
--- a/crates/gateway/tests/tokens.rs
+++ b/crates/gateway/tests/tokens.rs
@@ -10,10 +10,10 @@
     sync::Arc,
 };
 
-use gateway::{Acceptance, Funds, Hold, Participation, Promises, Table};
+use gateway::{Acceptance, ConfigTable, Funds, Hold, Participation, Promises};
 use ledger::{
     Book, Claim, Demand, Granted, Incarnation, Policy, Promise, Settlement, Supply, Transfer,
-    Untouched, Witness, Writer,
+    Unused, Witness, Writer,
 };
 use platform::{config::Config, fixtures};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -114,14 +114,14 @@
     /// Promises that other boxes made to this one.
     received_promises: Promises,
     /// Untouched tokens of earlier incarnations, to be reported with the next settlement.
-    earlier: Vec<Untouched>,
+    earlier: Vec<Unused>,
 }
 
 impl Node {
     fn start(at: usize, incarnation: u64) -> Node {
         let funds = Funds::open();
         let text = fixtures::config(1, PAID, &["stream"]);
-        funds.configure(&Table::new(Config::read(&text).expect("valid")));
+        funds.configure(&ConfigTable::new(Config::read(&text).expect("valid")));
         let name = Incarnation::new(&format!("box-{at}"), incarnation);
         Node {
             name,
@@ -264,7 +264,7 @@
             // The witness has died.
             None => Default::default(),
         };
-        self.nodes[at].earlier.push(Untouched { holder, witness: claim.witness, tokens });
+        self.nodes[at].earlier.push(Unused { holder, witness: claim.witness, tokens });
     }
 
     /// Opens a claim on a living box, as if it had ended.
@@ -338,7 +338,7 @@
     }
 
     /// Untouched tokens of a dead box, as its witness reports them.
-    fn untouched(&self, holder: &Incarnation) -> Option<Untouched> {
+    fn untouched(&self, holder: &Incarnation) -> Option<Unused> {
         let witness = self.book.writers.get(holder)?.witness.clone()?;
         let by = self.nodes.iter().find(|node| node.name == witness.by)?;
         let newest = self.terms.get(&(holder.clone(), witness.by.clone())).copied();
@@ -347,20 +347,20 @@
             _ => witness.term,
         };
         let tokens = by.received_promises.seal(holder, term)?;
-        Some(Untouched { holder: holder.clone(), witness, tokens })
+        Some(Unused { holder: holder.clone(), witness, tokens })
     }
 
     fn write(&mut self, at: usize, answered: bool) {
         let fault = self.fault;
         let node = &mut self.nodes[at];
         let Some(settlement) = node.pending.take() else { return };
-        let landed = self.book.has(&settlement.holder, settlement.writer.write);
+        let landed = self.book.has_landed(&settlement.holder, settlement.writer.write);
         let granted = match landed {
             true => node.unconfirmed_grants.take().expect("a write that landed had a result"),
             false => self.book.settle(&settlement, POLICY),
         };
         if fault == Fault::CollectTwice && !landed {
-            let free = |untouched: &Untouched| untouched.tokens.values().sum::<u64>();
+            let free = |untouched: &Unused| untouched.tokens.values().sum::<u64>();
             let again: u64 = settlement.unused_by_earlier.iter().map(free).sum();
             self.book.ledgers.values_mut().for_each(|l| l.spent = l.spent.saturating_sub(again));
         }
@@ -372,7 +372,7 @@
             }
         }
         if fault == Fault::ForgetTransfers {
-            self.book.ledgers.values_mut().for_each(|ledger| ledger.passed.clear());
+            self.book.ledgers.values_mut().for_each(|ledger| ledger.counted_transfers.clear());
         }
         match answered {
             true => {
@@ -445,10 +445,12 @@
         funds.receive_report(&request.from, &request.items);
         for demand in &request.items {
             if demand.need > 0 && funds.try_pass_on(&request.from, demand) {
-                let tokens = funds.supplies(&request.from, std::slice::from_ref(demand))[0].given;
+                let tokens =
+                    funds.supplies(&request.from, std::slice::from_ref(demand))[0].passed_on;
                 if self.fault == Fault::PassOnWithoutDeducting {
                     // The keeper takes them back at once.
-                    let share = ledger::Share { given: tokens, returned: tokens, ..demand.share };
+                    let share =
+                        ledger::Share { passed_on: tokens, returned: tokens, ..demand.share };
                     let back = Demand { share, need: 0, least: 0, ..demand.clone() };
                     funds.receive_report(&request.from, &[back]);
                 }
@@ -500,8 +502,8 @@
                 least: 0,
                 ahead: 0,
             };
-            let given = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].given;
-            let share = ledger::Share { given, returned: given, ..Default::default() };
+            let passed_on = node.funds.supplies(&name, std::slice::from_ref(&demand))[0].passed_on;
+            let share = ledger::Share { passed_on, returned: passed_on, ..Default::default() };
             node.funds.receive_report(&name, &[Demand { share, ..demand }]);
         }
     }
@@ -512,14 +514,14 @@
         }
         if self.fault == Fault::ReturnReserved {
             // Running requests go on after the last settlement.
-            let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
-            self.used += held;
+            let reserved: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
+            self.used += reserved;
             while let Some(hold) = self.nodes[at].holds.pop() {
                 hold.settle(0);
             }
         }
-        let held: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
-        self.used += held;
+        let reserved: u64 = self.nodes[at].holds.iter().map(Hold::tokens).sum();
+        self.used += reserved;
         self.plan(at, Participation::Leaving);
         self.write(at, true);
         self.restart(at);
@@ -540,13 +542,15 @@
     fn check(&self) -> Result<(), String> {
         let committed = self.committed();
         if committed > PAID {
-            return Err(format!("{committed} tokens used or held of {PAID} paid"));
+            return Err(format!("{committed} tokens used or reserved of {PAID} paid"));
         }
         // Used tokens must be spent or granted in the book, or they could be granted again.
         let ledger = self.book.ledgers.get(&customer());
         let counted = ledger.map_or(0, |ledger| ledger.spent + ledger.granted());
         if committed > counted {
-            return Err(format!("{committed} tokens used or held of {counted} spent or granted"));
+            return Err(format!(
+                "{committed} tokens used or reserved of {counted} spent or granted"
+            ));
         }
         match self.book.ledgers.values().find(|ledger| !ledger.is_sound()) {
             Some(ledger) => Err(format!("unsound: {ledger:?}")),
@@ -564,11 +568,13 @@
         }
         self.check()?;
         let Some(ledger) = self.book.ledgers.get("bornova") else { return Ok(()) };
-        // Tokens passed on to a box that died unreported stay granted.
-        let (billed, gone) = (ledger.statement.tokens, ledger.spent + ledger.granted());
-        match billed <= self.used && self.used <= gone {
+        // Tokens passed on to a box that died without reporting them stay granted.
+        let (billed, spent_or_lost) = (ledger.statement.tokens, ledger.spent + ledger.granted());
+        match billed <= self.used && self.used <= spent_or_lost {
             true => Ok(()),
-            false => Err(format!("used {}, billed {billed}, spent or lost {gone}", self.used)),
+            false => {
+                Err(format!("used {}, billed {billed}, spent or lost {spent_or_lost}", self.used))
+            }
         }
     }
 }
@@ -696,17 +702,19 @@
     let wrong_incarnation =
         wrong_incarnation.chain([Step::RepeatRequest { which: 1 }]).chain(holds_all());
     // A box dies while its witness is unreachable, its next incarnation opens the claim, another box collects.
-    let dies_unasked = [Step::Crash { at: 0, witness_asked: false }].into_iter().chain(settle(0));
+    let dies_with_witness_unreachable =
+        [Step::Crash { at: 0, witness_asked: false }].into_iter().chain(settle(0));
     let collects = || [Step::Collect { at: 2, which: 0 }].into_iter().chain(settle(2));
     // Uses enough tokens first that those freed twice can be spent.
     let uses = [oversized_hold()]
         .into_iter()
         .chain(settle(0))
         .chain([Step::Hold { at: 0, tokens: 3_000 }]);
-    let twice = uses.chain([promise(true)]).chain(dies_unasked).chain(collects());
+    let collected_twice =
+        uses.chain([promise(true)]).chain(dies_with_witness_unreachable).chain(collects());
     let draws = || (0..BOXES).flat_map(settle).chain((0..BOXES).flat_map(settle));
     let cases: [(Fault, Vec<Step>); 6] = [
-        (Fault::CollectTwice, twice.chain(draws()).chain(holds_all()).collect()),
+        (Fault::CollectTwice, collected_twice.chain(draws()).chain(holds_all()).collect()),
         (
             Fault::CollectLiving,
             keeps()
@@ -767,14 +775,14 @@
     settle(&mut node);
     assert!(small.await.expect("no panic"), "smaller requests are not delayed");
     let funds = node.funds.clone();
-    let hopeless = tokio::spawn(async move { funds.hold(&customer(), PAID, until).await });
+    let too_large = tokio::spawn(async move { funds.hold(&customer(), PAID, until).await });
     tokio::task::yield_now().await;
     assert!(
         !node.funds.is_urgent(),
         "the book is known to have too few tokens, so no settlement is urgent"
     );
     assert!(
-        hopeless.await.expect("no panic").is_none(),
+        too_large.await.expect("no panic").is_none(),
         "refused without waiting for its deadline (second request)"
     );
 }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -30,7 +30,7 @@
 /// Why a claim was not acquired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotAcquired {
-    /// The request ran before; the answer that is stored.
+    /// The request ran before; its stored answer.
     Replay(claim::Answer),
     /// It may have run.
     Unknown,
@@ -49,7 +49,7 @@
     timeout: Duration,
     time_left: Duration,
 ) -> Result<Guard, NotAcquired> {
-    let end = Instant::now() + time_left;
+    let deadline = Instant::now() + time_left;
     loop {
         // Created before the write: if this future is cancelled, dropping it settles a claim that
         // may have landed.
@@ -63,7 +63,7 @@
         if error != NotAcquired::Unknown {
             return Err(error);
         }
-        match tokio::time::timeout_at(end, wait_for_answer(shared, &claim)).await {
+        match tokio::time::timeout_at(deadline, wait_for_answer(shared, &claim)).await {
             Ok(Some(error)) => return Err(error),
             Ok(None) => {}
             Err(_) => return Err(NotAcquired::Unknown),
@@ -94,7 +94,7 @@
             None => Expect::Absent,
             Some((claim, version)) => match claim.decide(mine) {
                 Decision::Own => return Ok(()),
-                Decision::Take => Expect::Version(version),
+                Decision::TakeOver => Expect::Version(version),
                 Decision::Replay(answer) => return Err(NotAcquired::Replay(answer)),
                 Decision::Unknown => return Err(NotAcquired::Unknown),
                 Decision::Mismatch => return Err(NotAcquired::Mismatch),
@@ -114,13 +114,14 @@
         let Ok(Some((claim, _))) = read(shared, &name).await else { continue };
         match claim.decide(mine) {
             Decision::Replay(answer) => return Some(NotAcquired::Replay(answer)),
-            Decision::Take => return None,
+            Decision::TakeOver => return None,
             Decision::Unknown | Decision::Own | Decision::Mismatch => {}
         }
     }
 }
 
-/// A claim for a ticket, which runs without writing it first: the outcome creates the object.
+/// A claim for a ticket. The request runs before its claim is written: settling the claim creates
+/// its object.
 pub fn deferred(shared: &Arc<Shared>, claim: Claim) -> Guard {
     Guard { shared: shared.clone(), claim, settled: false }
 }
@@ -131,7 +132,7 @@
         Ok(Some((found, _))) => match found.decide(claim) {
             Decision::Replay(answer) => NotAcquired::Replay(answer),
             Decision::Mismatch => NotAcquired::Mismatch,
-            Decision::Own | Decision::Unknown | Decision::Take => NotAcquired::Unknown,
+            Decision::Own | Decision::Unknown | Decision::TakeOver => NotAcquired::Unknown,
         },
         Ok(None) | Err(_) => NotAcquired::Unknown,
     }
@@ -160,7 +161,7 @@
 }
 
 impl Drop for Guard {
-    /// Without an outcome the request was not dispatched.
+    /// Records that the request did not run: a claim dropped unsettled was not dispatched.
     fn drop(&mut self) {
         if !self.settled {
             let (shared, claim) = (self.shared.clone(), self.claim.clone());
@@ -171,7 +172,7 @@
 
 async fn settle(shared: Arc<Shared>, claim: Claim, state: State) {
     let name = object_name(&claim.customer, &claim.key);
-    let text = claim.with(state.clone()).to_json();
+    let text = claim.with_state(state.clone()).to_json();
     let mut delay = SETTLE_DELAY;
     loop {
         match shared.store.get("claim", &name).await {
--- a/crates/router/src/endpoints.rs
+++ b/crates/router/src/endpoints.rs
@@ -14,7 +14,7 @@
 /// Concurrent requests assumed for an endpoint that reports no number of slots.
 const DEFAULT_SLOTS: f64 = 1_000.0;
 
-/// Who says that an endpoint is leaving; any one suffices.
+/// Sources that report an endpoint as leaving; any one suffices.
 #[derive(Debug, Clone, Copy, Default)]
 struct Leaving {
     by_spec: bool,
@@ -32,7 +32,7 @@
 struct Entry {
     pool: Arc<str>,
     address: Arc<str>,
-    model: bool,
+    serves_model: bool,
     leaving: Leaving,
 }
 
@@ -91,7 +91,7 @@
                 let entry = Entry {
                     pool: name.clone(),
                     address: endpoint.address.clone(),
-                    model: matches!(spec.serves, Workload::Model(_)),
+                    serves_model: matches!(spec.serves, Workload::Model(_)),
                     leaving,
                 };
                 state.entries.insert(endpoint.name.clone(), entry);
@@ -136,15 +136,15 @@
         }
     }
 
-    /// An endpoint refused a request and asked for a back-off. Without it, fast refusals would make
-    /// the endpoint look idle and attract more requests.
+    /// Applies the back-off that an endpoint asked for in a refusal. Without it, fast refusals
+    /// would make the endpoint look idle and attract more requests.
     pub fn back_off(&self, endpoint: &str, back_off: Duration, now: u64) {
         let mut state = self.state.lock();
         let State { pools, entries, .. } = &mut *state;
         let pool = entries.get(endpoint).and_then(|entry| pools.get_mut(&entry.pool));
-        let rest_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
-        if pool.is_some_and(|pool| pool.back_off(endpoint, rest_ms, now)) {
-            tracing::info!(event = "endpoint_rests", endpoint, rest_ms);
+        let back_off_ms = u64::try_from(back_off.as_millis()).unwrap_or(u64::MAX);
+        if pool.is_some_and(|pool| pool.back_off(endpoint, back_off_ms, now)) {
+            tracing::info!(event = "endpoint_rests", endpoint, rest_ms = back_off_ms);
         }
     }
 
@@ -156,7 +156,7 @@
         let mut capacity = Capacity { load: 0.0, slots: 0.0 };
         for endpoint in usable {
             capacity.load += endpoint.load(now);
-            // Without a report, practically unlimited.
+            // Without a reported number of slots, practically unlimited.
             capacity.slots += endpoint.slots().map_or(DEFAULT_SLOTS, f64::from);
         }
         capacity
@@ -194,7 +194,7 @@
         let mut found: Vec<(bool, Arc<str>)> = state
             .entries
             .iter()
-            .filter(|(_, entry)| entry.model && entry.pool == pool)
+            .filter(|(_, entry)| entry.serves_model && entry.pool == pool)
             .map(|(name, entry)| (&**name != first, entry.address.clone()))
             .collect();
         found.sort();
@@ -204,7 +204,7 @@
     /// All engines, that is, endpoints that serve a model.
     pub fn engines(&self) -> Vec<Target> {
         let state = self.state.lock();
-        let engines = state.entries.iter().filter(|(_, entry)| entry.model);
+        let engines = state.entries.iter().filter(|(_, entry)| entry.serves_model);
         engines
             .map(|(name, entry)| Target { name: name.clone(), address: entry.address.clone() })
             .collect()
@@ -219,7 +219,7 @@
         let at = now.saturating_sub(load.age_ms);
         let (running, waiting, slots) = (load.running, load.waiting, load.slots);
         if let Some(pool) = pools.get_mut(&entry.pool) {
-            pool.report(endpoint, Report { at, running, waiting, slots });
+            pool.receive_report(endpoint, Report { at, running, waiting, slots });
         }
         state.refresh()
     }
--- a/crates/session/tests/simulation/mod.rs
+++ b/crates/session/tests/simulation/mod.rs
@@ -81,22 +81,25 @@
 
 /// Peers of one box: they accept entries while they run, whether or not the platform is reachable.
 struct Peers {
-    me: usize,
+    own_index: usize,
     all: Arc<Mutex<Vec<Peer>>>,
     observed: Arc<Mutex<Observed>>,
 }
 
 #[async_trait::async_trait]
 impl session::Peers for Peers {
-    async fn replicate(&self, by: &Incarnation, entry: &Entry) -> usize {
+    async fn replicate(&self, owner: &Incarnation, entry: &Entry) -> usize {
         let all = self.all.lock().clone();
         let mut accepted = 0;
         for (index, (store, replicas, _)) in all.into_iter().enumerate() {
-            let runs = *store.state.borrow() == Condition::Running;
-            if index != self.me && runs && replicas.insert(by.clone(), entry.clone()) {
+            let is_running = *store.state.borrow() == Condition::Running;
+            if index != self.own_index
+                && is_running
+                && replicas.insert(owner.clone(), entry.clone())
+            {
                 accepted += 1;
                 if let Entry::Record(record) = entry {
-                    let id = format!("{by}-{}", record.n);
+                    let id = format!("{owner}-{}", record.n);
                     self.observed.lock().holders.entry(id).or_default().push(store);
                 }
             }
@@ -123,9 +126,9 @@
 impl Peers {
     fn others(&self) -> Vec<Peer> {
         let all = self.all.lock().clone();
-        let runs = |peer: &Peer| *peer.0.state.borrow() == Condition::Running;
-        let others = all.into_iter().enumerate().filter(|(index, _)| *index != self.me);
-        others.map(|(_, peer)| peer).filter(runs).collect()
+        let is_running = |peer: &Peer| *peer.0.state.borrow() == Condition::Running;
+        let others = all.into_iter().enumerate().filter(|(index, _)| *index != self.own_index);
+        others.map(|(_, peer)| peer).filter(is_running).collect()
     }
 }
 
@@ -205,7 +208,7 @@
             min_write_interval: Duration::ZERO,
             log,
             peers: Some(Arc::new(Peers {
-                me: index,
+                own_index: index,
                 all: self.peers.clone(),
                 observed: self.observed.clone(),
             })),
@@ -394,14 +397,20 @@
         let observed = self.observed.lock();
         let served: u64 = observed.runs.values().map(|run| run.tokens).sum();
         if served > observed.max_paid {
-            return Some(format!("served {served} of {} paid", observed.max_paid));
+            return Some(format!(
+                "served {served} tokens, but at most {} were paid",
+                observed.max_paid
+            ));
         }
         if !ledger.is_sound() {
             return Some(format!("the ledger is not sound: {ledger:?}"));
         }
         let total: u64 = bills.iter().map(|bill| bill.tokens).sum();
         if total != ledger.statement.tokens || bills.len() as u64 != ledger.statement.count {
-            return Some(format!("bills of {total} against {:?}", ledger.statement));
+            return Some(format!(
+                "bills sum to {total} tokens, but the statement is {:?}",
+                ledger.statement
+            ));
         }
         let known = observed.runs.iter().filter(|(id, _)| !observed.is_forgotten(id));
         let ran: BTreeSet<&Arc<str>> = known.map(|(_, run)| &run.key).collect();
@@ -417,7 +426,10 @@
         let forgotten = observed.runs.iter().filter(|(id, _)| observed.is_forgotten(id));
         let forgotten: u64 = forgotten.map(|(_, run)| run.tokens).sum();
         if served > ledger.spent + forgotten {
-            return Some(format!("served {served}, but spent only {}", ledger.spent));
+            return Some(format!(
+                "served {served} tokens, but the ledger shows only {} spent",
+                ledger.spent
+            ));
         }
         None
     }
